--- a/include/ochrehub/rules.h
+++ b/include/ochrehub/rules.h
@@ -52,14 +52,16 @@
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
     bool must_ask = false;  ///< the server list is sent only to those who ask, and one place answers them all
-    bool watches = false;   ///< changes come on a watch alone: also where an agent beside the node has the list already
+    bool watches =
+        false;  ///< changes come on a watch alone: also where an agent beside the node has the list already
     bool probes = true;
     bool probes_report_load = false;
     bool cancel = false;
     bool second_copies = false;
     bool retry_after = false;
     bool removal_not_binding = false;
-    bool live_sizes = false;  ///< a listed size falls with what the server holds, and says nothing of what it can bear
+    bool live_sizes =
+        false;  ///< a listed size falls with what the server holds, and says nothing of what it can bear
     int max_attempts = 1;
     Duration max_retry_after{};
     Duration granularity{1};
@@ -143,8 +145,8 @@
     RequestId request = 0;
 };
 struct Woken {};
-/// Operators take a server out at `since`, whatever lists say of it from then on, or put it back. It returns cold:
-/// started then, or where a list tells of a start while it was out, at that.
+/// Operators take a server out at `since`, whatever lists say of it from then on, or put it back. It returns
+/// cold: started then, or where a list tells of a start while it was out, at that.
 struct ByHand {
     std::uint64_t key = 0;  ///< that of its list entry, or its number where that has none
     bool out = false;
@@ -154,14 +156,14 @@
 struct Twinned {
     bool twin = false;
 };
-/// By how many gateways the tier's limits, budgets and quotas are divided from now on, and which of them this one is
-/// (kNone: it is not known). Without it the settings' numbers count.
+/// By how many gateways the tier's limits, budgets and quotas are divided from now on, and which of them this
+/// one is (kNone: it is not known). Without it the settings' numbers count.
 struct Sharers {
     int gateways = 1;  ///< 1 at least
     int me = kNone;
 };
-using Event = std::variant<ListUpdate, RequestArrived, AttemptEnded, StreamStarted, ProbeEnded, ClientGone, Woken,
-                           ByHand, Twinned, Uploaded, Sharers>;
+using Event = std::variant<ListUpdate, RequestArrived, AttemptEnded, StreamStarted, ProbeEnded, ClientGone,
+                           Woken, ByHand, Twinned, Uploaded, Sharers>;
 
 // Actions, to be carried out in order.
 struct Forward {  ///< start the next attempt (numbered 0, 1, ... per request)
--- a/include/ochrehub/subset.h
+++ b/include/ochrehub/subset.h
@@ -1,6 +1,6 @@
-// Which gateways use which servers, where each uses a few of many. All gateways of a tier work out the same from the
-// same list, by their numbers alone, and send each other nothing: so a server has as many users as any other, and each
-// user knows how many. No I/O, no clock, no state.
+// Which gateways use which servers, where each uses a few of many. All gateways of a tier work out the same
+// from the same list, by their numbers alone, and send each other nothing: so a server has as many users as
+// any other, and each user knows how many. No I/O, no clock, no state.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,12 @@
     std::vector<char> mine;  ///< of each key: whether this gateway does
 };
 
-/// `keys`: the servers, by numbers that are the same at every gateway, in any order, each once. `me` is this gateway
-/// among `gateways`, from 0. `width` must be the same at all of them. Each gateway gets so many servers (all, if there
-/// are fewer), each server the even number of gateways or one more; what the last gateways find left makes that one less
-/// or two more now and then. A list that changes by one server moves little else. Empty where that would take too long (`gateways * width * keys` above a
-/// million) or `me` is none of them: then each may choose for itself.
+/// `keys`: the servers, by numbers that are the same at every gateway, in any order, each once. `me` is this
+/// gateway among `gateways`, from 0. `width` must be the same at all of them. Each gateway gets so many
+/// servers (all, if there are fewer), each server the even number of gateways or one more; what the last
+/// gateways find left makes that one less or two more now and then. A list that changes by one server moves
+/// little else. Empty where that would take too long (`gateways * width * keys` above a million) or `me` is
+/// none of them: then each may choose for itself.
 Subset share_out(const std::vector<std::uint64_t>& keys, int gateways, int me, std::size_t width);
 
 /// share_out, which remembers its last answer: gateways ask every second, and lists change seldom.
--- a/lab/agreement/fleet.cpp
+++ b/lab/agreement/fleet.cpp
@@ -38,9 +38,11 @@
 
 // ---- Keepers
 
-KeeperProcess::KeeperProcess(Wire& net, std::size_t self, std::size_t keepers, Saboteur saboteur, std::uint64_t seed)
+KeeperProcess::KeeperProcess(Wire& net, std::size_t self, std::size_t keepers, Saboteur saboteur,
+                             std::uint64_t seed)
     : net_(net), self_(self), saboteur_(saboteur), seed_(seed) {
-    for (std::size_t i = 0; i < keepers; ++i) disk_.members.push_back({raft::KeeperId(i + 1), true, address(i)});
+    for (std::size_t i = 0; i < keepers; ++i)
+        disk_.members.push_back({raft::KeeperId(i + 1), true, address(i)});
 }
 
 void KeeperProcess::start() {
@@ -52,7 +54,10 @@
     replica.snapshot_entries = 150;
     replica_ = std::make_unique<keeper::Replica>(
         replica, machines(saboteur_),
-        [this](TimePoint now, const raft::Event& event, raft::Actions& actions) { raft_->handle(now, event, actions); }, disk_);
+        [this](TimePoint now, const raft::Event& event, raft::Actions& actions) {
+            raft_->handle(now, event, actions);
+        },
+        disk_);
     last_ = net_.own(self_);
     handle(last_, keeper::Woken{});
 }
@@ -64,7 +69,8 @@
 void KeeperProcess::received(TimePoint own, std::size_t from, const std::string& message) {
     if (!replica_) return;
     if (message[0] == 'a') return handle(own, keeper::Asked{from, message.substr(1)});
-    if (auto decoded = raft::decode(std::string_view(message).substr(1))) handle(own, keeper::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
+    if (auto decoded = raft::decode(std::string_view(message).substr(1)))
+        handle(own, keeper::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
 }
 
 void KeeperProcess::handle(TimePoint own, keeper::ReplicaEvent event) {
@@ -95,7 +101,8 @@
     disk_.entries.insert(disk_.entries.end(), w.append.begin(), w.append.end());
     if (!w.snapshot) return;
     std::size_t in_it = w.snapshot->index + 1 - disk_.first;
-    disk_.entries.erase(disk_.entries.begin(), disk_.entries.begin() + std::ptrdiff_t(std::min(in_it, disk_.entries.size())));
+    disk_.entries.erase(disk_.entries.begin(),
+                        disk_.entries.begin() + std::ptrdiff_t(std::min(in_it, disk_.entries.size())));
     disk_.first = w.snapshot->index + 1;
     disk_.snapshot = w.snapshot;
 }
@@ -154,7 +161,8 @@
     std::string news;
     for (keeper::SessionAction& action : actions) {
         if (auto* say = std::get_if<keeper::Say>(&action))
-            net_.send(set_.self, std::stoul(say->to.substr(1)), tagged('a', shortened(say->body, set_.saboteur)));
+            net_.send(set_.self, std::stoul(say->to.substr(1)),
+                      tagged('a', shortened(say->body, set_.saboteur)));
         else if (auto* is = std::get_if<keeper::Held>(&action))
             had = *is;
         else if (auto* told = std::get_if<keeper::News>(&action))
@@ -174,15 +182,20 @@
 void NodeProcess::start() {
     last_ = net_.own(set_.self);
     std::vector<agreement::Document> kept;
-    if (auto read = agreement::read_file(file_); auto* all = std::get_if<std::vector<agreement::Document>>(&read)) kept = std::move(*all);
+    if (auto read = agreement::read_file(file_);
+        auto* all = std::get_if<std::vector<agreement::Document>>(&read))
+        kept = std::move(*all);
     agreement::Actions actions;
     holder_.emplace(agreement::HolderSettings{}, kept, last_, actions);
     carry_out(last_, actions);
     if (set_.saboteur == Saboteur::ActsFromDisk)
         for (const auto& d : kept) {
-            agreement::Acted acted{agreement::How::Version, d.version, std::make_shared<agreement::Content>(d.content)};
+            agreement::Acted acted{agreement::How::Version, d.version,
+                                   std::make_shared<agreement::Content>(d.content)};
             acted_[d.name] = {acted, acted, {}};
-            std::erase_if(loop_, [&](const auto& posted) { return std::holds_alternative<agreement::Apply>(posted.second); });
+            std::erase_if(loop_, [&](const auto& posted) {
+                return std::holds_alternative<agreement::Apply>(posted.second);
+            });
         }
     decide_at_ = last_;
     begin();
@@ -199,10 +212,12 @@
 void NodeProcess::decide() {
     TimePoint now = own();
     for (const auto& [name, permit] : acted_)
-        judge_.acts(set_.self, name, set_.saboteur == Saboteur::LooksTooLate ? permit.now : permit.at(now), net_.now());
+        judge_.acts(set_.self, name, set_.saboteur == Saboteur::LooksTooLate ? permit.now : permit.at(now),
+                    net_.now());
     decide_at_ = now + kDecide;
     for (const auto& [name, permit] : acted_)  // once more just before it ends
-        if (permit.until > now + Duration{0.02}) decide_at_ = std::min(decide_at_, permit.until - Duration{0.01});
+        if (permit.until > now + Duration{0.02})
+            decide_at_ = std::min(decide_at_, permit.until - Duration{0.01});
 }
 
 TimePoint NodeProcess::wanted() const {
@@ -215,7 +230,8 @@
         loop_.pop_front();
         if (auto* apply = std::get_if<agreement::Apply>(&posted)) {
             bool between = apply->permit.now.how == agreement::How::Between;
-            if (set_.saboteur != Saboteur::GivesBackAtOnce || !between) acted_[apply->document] = apply->permit;
+            if (set_.saboteur != Saboteur::GivesBackAtOnce || !between)
+                acted_[apply->document] = apply->permit;
             hold(agreement::Switched{apply->serial});
         } else {
             for (auto& [name, permit] : acted_) permit.until = std::get<agreement::Extend>(posted).until;
@@ -236,7 +252,8 @@
             while (n[end] & 0x80) ++end;
             return end + 1;
         };
-        if (!old_news_.empty() && random_() % 4 == 0) told = news.substr(0, head(news)) + old_news_.substr(head(old_news_));
+        if (!old_news_.empty() && random_() % 4 == 0)
+            told = news.substr(0, head(news)) + old_news_.substr(head(old_news_));
         old_news_ = news;
     }
     hold(agreement::Renewed{held.session, until, told});
--- a/lab/agreement/fleet.h
+++ b/lab/agreement/fleet.h
@@ -21,7 +21,8 @@
 
 namespace ochrehub::lab {
 
-using Wire = Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
+using Wire =
+    Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
 
 /// Agreement, or one that errs.
 keeper::MakeMachines machines(Saboteur saboteur);
@@ -94,7 +95,8 @@
 
 class NodeProcess : public SessionProcess {
 public:
-    NodeProcess(Wire& net, Judge& judge, const ProcessSettings& settings) : SessionProcess(net, settings), judge_(judge), random_(unsigned(settings.seed)) {}
+    NodeProcess(Wire& net, Judge& judge, const ProcessSettings& settings)
+        : SessionProcess(net, settings), judge_(judge), random_(unsigned(settings.seed)) {}
     void start();
     void crash();
     void lose_file() { file_.clear(); }
@@ -118,7 +120,8 @@
     std::optional<agreement::Holder> holder_;
     std::string file_, old_news_;
     std::map<std::string, agreement::Permit> acted_;
-    std::deque<std::pair<TimePoint, std::variant<agreement::Apply, agreement::Extend>>> loop_;  ///< posted, and not done yet
+    std::deque<std::pair<TimePoint, std::variant<agreement::Apply, agreement::Extend>>>
+        loop_;  ///< posted, and not done yet
     TimePoint holder_wake_ = TimePoint::max(), decide_at_{};
     std::uint64_t calls_ = 0;
 };
--- a/lab/agreement/judge.cpp
+++ b/lab/agreement/judge.cpp
@@ -26,7 +26,8 @@
     auto last = d.last.find(node);
     if (last != d.last.end()) {
         Spell& spell = d.spells[last->second];
-        if (!spell.over && spell.content == content && spell.how == acted.how && spell.version == acted.version) {
+        if (!spell.over && spell.content == content && spell.how == acted.how &&
+            spell.version == acted.version) {
             spell.to = now;
             return;
         }
@@ -47,7 +48,8 @@
         std::vector<const Spell*> order;
         for (const Spell& s : d.spells)
             if (s.how != How::Keep) order.push_back(&s);
-        std::sort(order.begin(), order.end(), [](const Spell* a, const Spell* b) { return a->from < b->from; });
+        std::sort(order.begin(), order.end(),
+                  [](const Spell* a, const Spell* b) { return a->from < b->from; });
         std::vector<const Spell*> open;
         for (const Spell* s : order) {
             std::erase_if(open, [&](const Spell* o) { return o->to < s->from; });
@@ -56,9 +58,13 @@
                 int& known = clash[o->content][s->content];
                 if (known < 0) known = contradict_(d.contents[o->content], d.contents[s->content]);
                 if (!known) continue;
-                Clash c{name, o->node, s->node, o->version, s->version, o->how, s->how, s->from, std::min(o->to, s->to) - s->from, {}};
+                Clash c{name,       o->node,    s->node,
+                        o->version, s->version, o->how,
+                        s->how,     s->from,    std::min(o->to, s->to) - s->from,
+                        {}};
                 for (std::uint64_t version : {o->version, s->version})
-                    if (auto canary = canaries_.find({name, version}); canary != canaries_.end()) c.allowed_more += canary->second;
+                    if (auto canary = canaries_.find({name, version}); canary != canaries_.end())
+                        c.allowed_more += canary->second;
                 out.push_back(c);
             }
             open.push_back(s);
--- a/lab/agreement/judge.h
+++ b/lab/agreement/judge.h
@@ -1,6 +1,6 @@
-// Who acted on what, and when, as seen from outside: each decision of a node is told to it with the world's time. It holds
-// documents to their promise: strict ones are never acted on by two in contents that contradict each other, quick ones at most
-// for the stated time.
+// Who acted on what, and when, as seen from outside: each decision of a node is told to it with the world's
+// time. It holds documents to their promise: strict ones are never acted on by two in contents that
+// contradict each other, quick ones at most for the stated time.
 #pragma once
 
 #include <cstdint>
@@ -25,20 +25,24 @@
     /// Its process is gone: it acts on nothing.
     void gone(std::size_t node);
     /// A version that is tried out in a part of the fleet for so long.
-    void canary(const std::string& document, std::uint64_t version, Duration length) { canaries_[{document, version}] = length; }
-    /// Some node's own check did not take it: nobody may ever act on it, where that node is there all the time.
+    void canary(const std::string& document, std::uint64_t version, Duration length) {
+        canaries_[{document, version}] = length;
+    }
+    /// Some node's own check did not take it: nobody may ever act on it, where that node is there all the
+    /// time.
     void refused(const std::string& document, std::uint64_t version) { refused_.emplace(document, version); }
 
     struct Clash {
         std::string document;
-        std::size_t a = 0, b = 0;                   ///< nodes
+        std::size_t a = 0, b = 0;  ///< nodes
         std::uint64_t version_a = 0, version_b = 0;
         agreement::How how_a{}, how_b{};
         TimePoint from{};
         Duration length{};
         Duration allowed_more{};  ///< by a canary's length
     };
-    /// Each time in which two nodes acted on contents that contradict each other, without those that chose to go on (Keep).
+    /// Each time in which two nodes acted on contents that contradict each other, without those that chose to
+    /// go on (Keep).
     std::vector<Clash> clashes() const;
     std::uint64_t decisions() const { return decisions_; }
     /// By How.
@@ -65,7 +69,8 @@
     Contradict contradict_;
     std::map<std::string, Document> documents_;
     std::map<std::pair<std::string, std::uint64_t>, Duration> canaries_;
-    std::map<const agreement::Content*, std::pair<std::shared_ptr<const agreement::Content>, std::size_t>> known_;
+    std::map<const agreement::Content*, std::pair<std::shared_ptr<const agreement::Content>, std::size_t>>
+        known_;
     std::uint64_t decisions_ = 0;
     std::map<agreement::How, std::uint64_t> by_how_;
     std::set<std::pair<std::string, std::uint64_t>> versions_, refused_;
--- a/lab/agreement/main.cpp
+++ b/lab/agreement/main.cpp
@@ -1,7 +1,7 @@
 // Days of a fleet that agrees on documents, many at once: what docs/design/agreement.md has its figures from.
-//   days SEEDS [FIRST]     each kind of fault in turn: instants at which strict documents contradicted each other, the longest of quick ones
-//   copied SEEDS           the same days with settings copied by a script and a signal
-//   saboteurs SEEDS        each of them under each kind of fault, until the judge has found it
+//   days SEEDS [FIRST]     each kind of fault in turn: instants at which strict documents contradicted each
+//   other, the longest of quick ones copied SEEDS           the same days with settings copied by a script
+//   and a signal saboteurs SEEDS        each of them under each kind of fault, until the judge has found it
 //   change                 a strict change among three: a crash and a stop of each process at each event
 #include <atomic>
 #include <cstdio>
@@ -49,22 +49,30 @@
         Day day = copied ? play_copied(set) : play(set);
         std::lock_guard lock(mutex);
         Sum& s = sums[set.fault];
-        ++s.days, s.broken += !day.broken.empty(), s.proposed += std::uint64_t(day.proposed), s.in_force += std::uint64_t(day.in_force);
+        ++s.days, s.broken += !day.broken.empty(), s.proposed += std::uint64_t(day.proposed),
+            s.in_force += std::uint64_t(day.in_force);
         s.decisions += day.decisions, s.longest = std::max(s.longest, day.longest_quick), stated = day.stated;
         for (auto [how, n] : day.by_how) s.by_how[how] += n;
         for (const auto& [code, n] : day.stopped) s.stopped[code] += n;
         bad += !day.broken.empty();
         if (!copied)
-            for (const std::string& line : day.broken) std::printf("seed %llu, %s: %s\n", (unsigned long long)set.seed, std::string(name(set.fault)).c_str(), line.c_str());
+            for (const std::string& line : day.broken)
+                std::printf("seed %llu, %s: %s\n", (unsigned long long)set.seed,
+                            std::string(name(set.fault)).c_str(), line.c_str());
     });
-    std::printf("| fault | days | days with a broken promise | proposed | in force | longest of quick, ms | stated, ms | by a version | without a permit |\n");
+    std::printf(
+        "| fault | days | days with a broken promise | proposed | in force | longest of quick, ms | stated, "
+        "ms | by a version | without a permit |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     std::map<std::string, int> stopped;
     for (auto& [fault, s] : sums) {
         double all = double(s.decisions);
-        double without = double(s.by_how[agreement::How::Keep] + s.by_how[agreement::How::Caution] + s.by_how[agreement::How::Refuse]);
-        std::printf("| %s | %llu | %llu | %llu | %llu | %.0f | %.0f | %.4f | %.4f |\n", std::string(name(fault)).c_str(), (unsigned long long)s.days,
-                    (unsigned long long)s.broken, (unsigned long long)s.proposed, (unsigned long long)s.in_force, s.longest.count(), stated.count(),
+        double without = double(s.by_how[agreement::How::Keep] + s.by_how[agreement::How::Caution] +
+                                s.by_how[agreement::How::Refuse]);
+        std::printf("| %s | %llu | %llu | %llu | %llu | %.0f | %.0f | %.4f | %.4f |\n",
+                    std::string(name(fault)).c_str(), (unsigned long long)s.days,
+                    (unsigned long long)s.broken, (unsigned long long)s.proposed,
+                    (unsigned long long)s.in_force, s.longest.count(), stated.count(),
                     double(s.by_how[agreement::How::Version]) / all, without / all);
         for (const auto& [code, n] : s.stopped) stopped[code] += n;
     }
@@ -91,8 +99,8 @@
             });
             if (first > seeds) continue;
             found = true;
-            std::printf("%s, %s: seed %llu: %s\n", std::string(name(Saboteur(i))).c_str(), std::string(name(Fault(f))).c_str(),
-                        (unsigned long long)first, line.c_str());
+            std::printf("%s, %s: seed %llu: %s\n", std::string(name(Saboteur(i))).c_str(),
+                        std::string(name(Fault(f))).c_str(), (unsigned long long)first, line.c_str());
             std::fflush(stdout);
         }
         if (!found) std::printf("%s: not found\n", std::string(name(Saboteur(i))).c_str());
@@ -109,10 +117,12 @@
         Day day = play_change(1, event, i % 6, i % 12 < 6);
         in_force += day.in_force > 1;
         for (const std::string& line : day.broken)
-            ++broken, std::printf("event %llu, process %llu, %s: %s\n", (unsigned long long)event, (unsigned long long)(i % 6), i % 12 < 6 ? "crash" : "stop", line.c_str());
+            ++broken, std::printf("event %llu, process %llu, %s: %s\n", (unsigned long long)event,
+                                  (unsigned long long)(i % 6), i % 12 < 6 ? "crash" : "stop", line.c_str());
     });
-    std::printf("%llu events, %llu runs, %llu with the change in force, %llu broken\n", (unsigned long long)events, (unsigned long long)events * 12,
-                (unsigned long long)in_force, (unsigned long long)broken);
+    std::printf("%llu events, %llu runs, %llu with the change in force, %llu broken\n",
+                (unsigned long long)events, (unsigned long long)events * 12, (unsigned long long)in_force,
+                (unsigned long long)broken);
     return broken != 0;
 }
 
@@ -120,7 +130,8 @@
 
 int main(int argc, char** argv) {
     std::string what = argc > 1 ? argv[1] : "";
-    std::uint64_t seeds = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 9, first = argc > 3 ? std::strtoull(argv[3], nullptr, 10) : 1;
+    std::uint64_t seeds = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 9,
+                  first = argc > 3 ? std::strtoull(argv[3], nullptr, 10) : 1;
     if (what == "days") return days(seeds, first, false);
     if (what == "copied") return days(seeds, first, true);
     if (what == "saboteurs") return saboteurs(seeds);
--- a/lab/agreement/saboteurs.cpp
+++ b/lab/agreement/saboteurs.cpp
@@ -16,7 +16,8 @@
 
     std::string apply(const keeper::Command& command) override {
         wire::Command in;
-        if (!in.ParseFromArray(command.body.data(), int(command.body.size()))) return Agreement::apply(command);
+        if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
+            return Agreement::apply(command);
         if (saboteur_ == Saboteur::NoIsYes && in.has_said()) in.mutable_said()->set_yes(true);
         std::string body = in.SerializeAsString();
         std::string answer = Agreement::apply({command.session, body});
@@ -24,7 +25,8 @@
         if (saboteur_ == Saboteur::NoDraining || saboteur_ == Saboteur::MajorityGivesBack)
             for (const auto& [name, state] : drained()) {
                 if (saboteur_ == Saboteur::MajorityGivesBack && state.waits * 2 > state.all) continue;
-                for (keeper::SessionId id : sessions_) Agreement::apply({id, agreement::gave_back(name, state.version)});
+                for (keeper::SessionId id : sessions_)
+                    Agreement::apply({id, agreement::gave_back(name, state.version)});
             }
         return answer;
     }
@@ -64,7 +66,8 @@
 }  // namespace
 
 keeper::MakeMachines machines(Saboteur saboteur) {
-    bool errs = saboteur == Saboteur::NoDraining || saboteur == Saboteur::MajorityGivesBack || saboteur == Saboteur::NoIsYes;
+    bool errs = saboteur == Saboteur::NoDraining || saboteur == Saboteur::MajorityGivesBack ||
+                saboteur == Saboteur::NoIsYes;
     return [=] {
         keeper::Machines out;
         if (errs)
--- a/lab/agreement/world.cpp
+++ b/lab/agreement/world.cpp
@@ -16,8 +16,8 @@
 using agreement::How;
 using agreement::Mode;
 
-constexpr Duration kEach{4000};      // between two changes
-constexpr Duration kSettles{40'000}; // behind the last fault
+constexpr Duration kEach{4000};       // between two changes
+constexpr Duration kSettles{40'000};  // behind the last fault
 
 struct Kind {
     std::string name;
@@ -25,9 +25,10 @@
     Choice choice;
 };
 const std::vector<Kind>& kinds() {
-    static const std::vector<Kind> all = {{"classes", Mode::Strict, Choice::Refuse}, {"hand", Mode::Quick, Choice::Caution},
-                                          {"headers", Mode::Quick, Choice::Refuse},  {"list", Mode::Quick, Choice::Keep},
-                                          {"partners", Mode::Strict, Choice::Keep},  {"rates", Mode::Strict, Choice::Caution}};
+    static const std::vector<Kind> all = {
+        {"classes", Mode::Strict, Choice::Refuse}, {"hand", Mode::Quick, Choice::Caution},
+        {"headers", Mode::Quick, Choice::Refuse},  {"list", Mode::Quick, Choice::Keep},
+        {"partners", Mode::Strict, Choice::Keep},  {"rates", Mode::Strict, Choice::Caution}};
     return all;
 }
 
@@ -58,13 +59,15 @@
     if (name == "classes") {
         agreement::Classes c;
         for (const char* who : {"order", "page", "price"})
-            c.classes.push_back(draws.chance(0.5) ? agreement::ClassRule{who, agreement::Repeat::May, 2} : agreement::ClassRule{who, agreement::Repeat::MayNot, 1});
+            c.classes.push_back(draws.chance(0.5) ? agreement::ClassRule{who, agreement::Repeat::May, 2}
+                                                  : agreement::ClassRule{who, agreement::Repeat::MayNot, 1});
         if (!bad.empty()) c.classes.push_back({bad, agreement::Repeat::MayNot, 1});
         return c;
     }
     if (name == "headers") {
         agreement::Headers c;
-        for (const char* who : {"x-cell", "x-trust"}) c.rules.push_back({agreement::Act::Set, who, std::to_string(draws.below(3))});
+        for (const char* who : {"x-cell", "x-trust"})
+            c.rules.push_back({agreement::Act::Set, who, std::to_string(draws.below(3))});
         if (draws.chance(0.3)) c.rules.push_back({agreement::Act::Remove, "x-cell", ""});
         if (!bad.empty()) c.rules.push_back({agreement::Act::Set, bad, "1"});
         return c;
@@ -72,7 +75,9 @@
     if (name == "partners") {
         agreement::Partners c;
         for (const char* who : {"dealer", "market", "shop"})
-            c.partners.push_back({who, draws.chance(0.6) ? agreement::Standing::Open : agreement::Standing::Shut, {std::string("key-") + who}});
+            c.partners.push_back({who,
+                                  draws.chance(0.6) ? agreement::Standing::Open : agreement::Standing::Shut,
+                                  {std::string("key-") + who}});
         if (!bad.empty()) c.partners.push_back({bad, agreement::Standing::Open, {}});
         return c;
     }
@@ -80,7 +85,9 @@
     c.source = name == "hand" ? agreement::Source::Hand : agreement::Source::Discovery;
     if (name == "list") c.revision = 1 + draws.below(1'000'000);
     for (std::size_t i = 0; i < 8; ++i)
-        if (draws.chance(0.7)) c.servers.push_back({numbered("s", i), draws.chance(0.7) ? agreement::Use::In : agreement::Use::Out, {}});
+        if (draws.chance(0.7))
+            c.servers.push_back(
+                {numbered("s", i), draws.chance(0.7) ? agreement::Use::In : agreement::Use::Out, {}});
     if (!bad.empty()) c.servers.push_back({bad, agreement::Use::In, {}});
     return c;
 }
@@ -98,7 +105,8 @@
     Plan(const WorldSettings& set, Duration length) {
         Draws draws{std::mt19937_64(set.seed * 77 + 5)};
         std::size_t all = set.keepers + set.nodes + 2;
-        auto add = [&](Duration at, Event::What what, std::size_t a = 0, std::size_t b = 0, double number = 0) {
+        auto add = [&](Duration at, Event::What what, std::size_t a = 0, std::size_t b = 0,
+                       double number = 0) {
             events.push_back({TimePoint{at}, what, a, b, number});
         };
         auto when = [&] { return Duration{1000} + (length - Duration{1000}) * draws.uniform(); };
@@ -106,13 +114,16 @@
         bool every = set.fault == Fault::All;
         auto with = [&](Fault fault) { return set.fault == fault || (every && draws.chance(0.6)); };
         // Always: no two clocks run alike; the fastest and the slowest are a hundredth apart.
-        for (std::size_t i = 0; i < all; ++i) add(Duration{0}, Event::What::Clock, i, 0, 0.995 + 0.01 * draws.uniform());
+        for (std::size_t i = 0; i < all; ++i)
+            add(Duration{0}, Event::What::Clock, i, 0, 0.995 + 0.01 * draws.uniform());
         if (set.fault == Fault::None) return;
         if (with(Fault::Loss)) add(Duration{500}, Event::What::Loss, 0, 0, 0.02 + 0.1 * draws.uniform());
         if (with(Fault::Late))
             for (int i = 0; i < 30; ++i) {
                 std::size_t a = node(), k = draws.below(set.keepers);
-                double most = 50 + 800 * draws.uniform();  // a draw a statement: compilers differ in the order of arguments
+                double most =
+                    50 +
+                    800 * draws.uniform();  // a draw a statement: compilers differ in the order of arguments
                 std::size_t to = draws.chance(0.5) ? k : a, from = draws.chance(0.5) ? a : k;
                 add(when(), Event::What::Delay, from, to, most);
             }
@@ -131,7 +142,8 @@
                 std::size_t n = node();
                 Duration from = when();
                 add(from, Event::What::Stop, n);
-                add(from + (draws.chance(0.4) ? Duration{30'000} : Duration{200 + 5000 * draws.uniform()}), Event::What::GoOn, n);
+                add(from + (draws.chance(0.4) ? Duration{30'000} : Duration{200 + 5000 * draws.uniform()}),
+                    Event::What::GoOn, n);
             }
         if (with(Fault::Crashes))
             for (int i = 0; i < 20; ++i) {
@@ -158,7 +170,8 @@
                         break;
                     case 3:  // the majority, once a day or so
                         if (draws.chance(0.5)) break;
-                        for (std::size_t o = 0; o <= set.keepers / 2; ++o) add(from, Event::What::Crash, o), add(till, Event::What::Start, o);
+                        for (std::size_t o = 0; o <= set.keepers / 2; ++o)
+                            add(from, Event::What::Crash, o), add(till, Event::What::Start, o);
                         break;
                 }
             }
@@ -168,7 +181,8 @@
                 std::size_t process = draws.below(all);
                 add(when(), Event::What::Clock, process, 0, rate);
             }
-        std::stable_sort(events.begin(), events.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
+        std::stable_sort(events.begin(), events.end(),
+                         [](const Event& a, const Event& b) { return a.at < b.at; });
     }
 };
 
@@ -188,20 +202,26 @@
           judge(settings.contradict),
           net({settings.keepers + settings.nodes + 2, Duration{0.2}, Duration{2}, 0, 0, true, settings.seed},
               {[this](std::size_t p, TimePoint own) { woken(p, own); },
-               [this](std::size_t to, std::size_t from, TimePoint own, const std::string& m) { received(to, from, own, m); }}),
+               [this](std::size_t to, std::size_t from, TimePoint own, const std::string& m) {
+                   received(to, from, own, m);
+               }}),
           draws{std::mt19937_64(settings.seed)} {
         for (std::size_t i = 0; i < set.keepers; ++i)
-            keepers.push_back(std::make_unique<KeeperProcess>(net, i, set.keepers, set.saboteur, set.seed * 100 + i));
+            keepers.push_back(
+                std::make_unique<KeeperProcess>(net, i, set.keepers, set.saboteur, set.seed * 100 + i));
         const char* zones[] = {"a", "b", "c"};
         for (std::size_t i = 0; i < set.nodes; ++i) {
             std::size_t self = set.keepers + i;
             nodes.push_back(std::make_unique<NodeProcess>(
-                net, judge, ProcessSettings{set.keepers, self, numbered("n", i), zones[i % 3], set.lease, set.saboteur, set.seed * 100 + self}));
+                net, judge,
+                ProcessSettings{set.keepers, self, numbered("n", i), zones[i % 3], set.lease, set.saboteur,
+                                set.seed * 100 + self}));
         }
         for (std::size_t i = 0; i < 2; ++i) {
             std::size_t self = set.keepers + set.nodes + i;
             operators.push_back(std::make_unique<OperatorProcess>(
-                net, ProcessSettings{set.keepers, self, numbered("operator", i), "", set.lease, Saboteur::None, set.seed * 100 + self}));
+                net, ProcessSettings{set.keepers, self, numbered("operator", i), "", set.lease,
+                                     Saboteur::None, set.seed * 100 + self}));
         }
     }
     void begin() {
@@ -247,17 +267,25 @@
         using What = Plan::Event::What;
         switch (e.what) {
             case What::Cut:
-            case What::Mend: return net.cut(e.a, e.b, e.what == What::Cut);
-            case What::Stop: return net.stop(e.a);
-            case What::GoOn: return net.go_on(e.a);
-            case What::Crash: return crash(e.a);
-            case What::Start: return start(e.a);
+            case What::Mend:
+                return net.cut(e.a, e.b, e.what == What::Cut);
+            case What::Stop:
+                return net.stop(e.a);
+            case What::GoOn:
+                return net.go_on(e.a);
+            case What::Crash:
+                return crash(e.a);
+            case What::Start:
+                return start(e.a);
             case What::Forget:
                 if (is_node(e.a) && !net.up(e.a)) nodes[e.a - set.keepers]->lose_file();
                 return;
-            case What::Loss: return net.loss(e.number), net.doubled(e.number / 2);
-            case What::Delay: return net.delay(e.a, e.b, Duration{e.number});
-            case What::Clock: return net.clock(e.a, e.number);
+            case What::Loss:
+                return net.loss(e.number), net.doubled(e.number / 2);
+            case What::Delay:
+                return net.delay(e.a, e.b, Duration{e.number});
+            case What::Clock:
+                return net.clock(e.a, e.number);
         }
     }
 
@@ -265,19 +293,31 @@
     void change(OperatorProcess& by, const Kind& kind, const std::string& who) {
         std::uint64_t token = ++tokens;
         by.look_up(kind.name, [this, &by, &kind, who, token](const agreement::Answer& seen) {
-            const agreement::DocumentStatus* status = seen.documents.empty() ? nullptr : &seen.documents.front();
+            const agreement::DocumentStatus* status =
+                seen.documents.empty() ? nullptr : &seen.documents.front();
             bool first = !status || !status->in_force;
             std::string spoilt = draws.chance(0.06) ? (draws.chance(0.5) ? "bad-all" : "bad-b") : "";
-            agreement::Document d{kind.name, 0, drawn(draws, kind.name, first ? "" : spoilt), kind.mode, kind.choice, who, 1'700'000'000 + draws.below(1000), {}, 0};
-            agreement::Proposal p{d, first ? 0 : status->in_force->version, token, true, Duration{2000 + 20'000 * draws.uniform()}};
+            agreement::Document d{kind.name,
+                                  0,
+                                  drawn(draws, kind.name, first ? "" : spoilt),
+                                  kind.mode,
+                                  kind.choice,
+                                  who,
+                                  1'700'000'000 + draws.below(1000),
+                                  {},
+                                  0};
+            agreement::Proposal p{d, first ? 0 : status->in_force->version, token, true,
+                                  Duration{2000 + 20'000 * draws.uniform()}};
             bool spoils = !first && !spoilt.empty();
             std::string command;
             if (!first && !spoils && !status->before.empty() && draws.chance(0.15)) {
                 command = agreement::back(kind.name, status->before.back().version, p);
             } else {
                 if (!first && !spoils && kind.mode == Mode::Quick && draws.chance(0.15))
-                    p.document.scope = agreement::Scope{draws.chance(0.5) ? "a" : "", "", Duration{1000 + 8000 * draws.uniform()}};
-                if (p.document.scope && p.document.scope->zone.empty()) p.document.scope->node = numbered("n", draws.below(set.nodes));
+                    p.document.scope = agreement::Scope{draws.chance(0.5) ? "a" : "", "",
+                                                        Duration{1000 + 8000 * draws.uniform()}};
+                if (p.document.scope && p.document.scope->zone.empty())
+                    p.document.scope->node = numbered("n", draws.below(set.nodes));
                 command = agreement::propose(p);
             }
             ++day.proposed;
@@ -301,17 +341,24 @@
         if (!m) return day.broken.push_back("nobody leads the keepers"), void();
         auto seen = agreement::read_answer(m->read(agreement::question("")));
         for (const auto& d : seen->documents) {
-            if (d.phase == agreement::Phase::Staging || d.phase == agreement::Phase::Draining) day.broken.push_back(d.name + ": hangs");
-            for (const auto& ended : d.ended) ++day.stopped[std::string(agreement::row(ended.why.error).code)];
+            if (d.phase == agreement::Phase::Staging || d.phase == agreement::Phase::Draining)
+                day.broken.push_back(d.name + ": hangs");
+            for (const auto& ended : d.ended)
+                ++day.stopped[std::string(agreement::row(ended.why.error).code)];
             if (!d.in_force) continue;
-            Content content = agreement::read_answer(m->read(agreement::question(d.name)))->documents.at(0).in_force->content;
+            Content content = agreement::read_answer(m->read(agreement::question(d.name)))
+                                  ->documents.at(0)
+                                  .in_force->content;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
-                // It came in force while none was there whose check refuses it: whoever does goes on without it.
+                // It came in force while none was there whose check refuses it: whoever does goes on without
+                // it.
                 if (!local_check(content, std::string(1, char('a' + i % 3))).empty()) continue;
                 for (const auto& s : nodes[i]->status())
-                    if (s.document == d.name && (s.how != How::Version || s.acted != d.in_force->version) && d.phase == agreement::Phase::None)
-                        day.broken.push_back(d.name + ": a node acts on " + std::to_string(s.acted) + " (" + std::string(agreement::name(s.how)) +
-                                             "), in force is " + std::to_string(d.in_force->version));
+                    if (s.document == d.name && (s.how != How::Version || s.acted != d.in_force->version) &&
+                        d.phase == agreement::Phase::None)
+                        day.broken.push_back(d.name + ": a node acts on " + std::to_string(s.acted) + " (" +
+                                             std::string(agreement::name(s.how)) + "), in force is " +
+                                             std::to_string(d.in_force->version));
             }
         }
     }
@@ -320,19 +367,23 @@
         day.in_force = int(judge.versions().size());
         day.stated = agreement::stated_time(agreement::timing(set.lease), Mode::Quick);
         for (const Judge::Clash& c : judge.clashes()) {
-            auto kind = std::find_if(kinds().begin(), kinds().end(), [&](const Kind& k) { return k.name == c.document; });
+            auto kind = std::find_if(kinds().begin(), kinds().end(),
+                                     [&](const Kind& k) { return k.name == c.document; });
             Duration longest = c.length - c.allowed_more;
             bool strict = kind->mode == Mode::Strict;
             if (!strict) day.longest_quick = std::max(day.longest_quick, longest);
             if (promises_quick ? !strict && longest <= day.stated : !strict) continue;
             std::ostringstream line;
-            line << c.document << (strict ? " (strict)" : " (quick)") << ": for " << c.length.count() << " ms from " << c.from.time_since_epoch().count()
-                 << " on node " << c.a << " acted on " << c.version_a << " (" << agreement::name(c.how_a) << "), node " << c.b << " on " << c.version_b
-                 << " (" << agreement::name(c.how_b) << ")";
+            line << c.document << (strict ? " (strict)" : " (quick)") << ": for " << c.length.count()
+                 << " ms from " << c.from.time_since_epoch().count() << " on node " << c.a << " acted on "
+                 << c.version_a << " (" << agreement::name(c.how_a) << "), node " << c.b << " on "
+                 << c.version_b << " (" << agreement::name(c.how_b) << ")";
             if (day.broken.size() < 20) day.broken.push_back(line.str());
         }
         for (const auto& version : judge.versions())
-            if (set.fault == Fault::None && judge.refused().contains(version)) day.broken.push_back(version.first + " " + std::to_string(version.second) + ": acted on, and some node's check had refused it");
+            if (set.fault == Fault::None && judge.refused().contains(version))
+                day.broken.push_back(version.first + " " + std::to_string(version.second) +
+                                     ": acted on, and some node's check had refused it");
         for (const auto& k : keepers)
             if (!k->stopped().empty()) day.broken.push_back("a keeper stopped at " + k->stopped());
     }
@@ -341,14 +392,24 @@
 }  // namespace
 
 std::string_view name(Fault fault) {
-    constexpr std::string_view kNames[kFaults] = {"none", "loss", "late", "cuts", "one-way cuts", "pauses", "crashes", "keepers", "all"};
+    constexpr std::string_view kNames[kFaults] = {"none",   "loss",    "late",    "cuts", "one-way cuts",
+                                                  "pauses", "crashes", "keepers", "all"};
     return kNames[std::size_t(fault)];
 }
 std::string_view name(Saboteur saboteur) {
-    constexpr std::string_view kNames[kSaboteurs] = {
-        "none",           "counts from the answer", "holds too long",         "looks too late",     "gives back at once",
-        "takes old news", "acts from disk",         "keeps over sessions",    "no draining",        "a majority gives back",
-        "extends first",  "short lease",            "no is yes"};
+    constexpr std::string_view kNames[kSaboteurs] = {"none",
+                                                     "counts from the answer",
+                                                     "holds too long",
+                                                     "looks too late",
+                                                     "gives back at once",
+                                                     "takes old news",
+                                                     "acts from disk",
+                                                     "keeps over sessions",
+                                                     "no draining",
+                                                     "a majority gives back",
+                                                     "extends first",
+                                                     "short lease",
+                                                     "no is yes"};
     return kNames[std::size_t(saboteur)];
 }
 
@@ -374,7 +435,8 @@
     for (int i = 0; i < settings.changes; ++i) {
         run_to(TimePoint{Duration{5000} + kEach * i});
         // The first ones bring each document into being.
-        const Kind& kind = kinds()[std::size_t(i) < kinds().size() ? std::size_t(i) : w.draws.below(kinds().size())];
+        const Kind& kind =
+            kinds()[std::size_t(i) < kinds().size() ? std::size_t(i) : w.draws.below(kinds().size())];
         std::size_t who = w.draws.below(2);
         w.change(*w.operators[who], kind, numbered("operator", who));
         if (w.draws.chance(0.15)) w.change(*w.operators[1 - who], kind, numbered("operator", 1 - who));
@@ -414,8 +476,8 @@
     int change = 0;
     while (now < TimePoint{length}) {
         TimePoint next_change = TimePoint{Duration{5000} + kEach * change};
-        now = std::min({decide, next_change, fault == plan.events.end() ? TimePoint{length} : fault->at, copies.empty() ? TimePoint{length} : copies.begin()->first,
-                        TimePoint{length}});
+        now = std::min({decide, next_change, fault == plan.events.end() ? TimePoint{length} : fault->at,
+                        copies.empty() ? TimePoint{length} : copies.begin()->first, TimePoint{length}});
         for (; fault != plan.events.end() && fault->at <= now; ++fault) {
             // Where the keepers' side of a link is cut, the operators' machine stands there too.
             using What = Plan::Event::What;
@@ -425,30 +487,37 @@
             if (!w.is_node(fault->a) || fault->what == What::Cut || fault->what == What::Mend) continue;
             std::size_t i = fault->a - settings.keepers;
             w.net.run_to(now);
-            if (fault->what == What::Stop || fault->what == What::GoOn || fault->what == What::Clock) w.happens(*fault);
+            if (fault->what == What::Stop || fault->what == What::GoOn || fault->what == What::Clock)
+                w.happens(*fault);
             if (fault->what == What::GoOn)
                 for (const Copy& c : std::exchange(signalled[i], {})) reload(c);
-            if (fault->what == What::Crash) w.net.crash(fault->a), w.judge.gone(fault->a), signalled[i].clear();
+            if (fault->what == What::Crash)
+                w.net.crash(fault->a), w.judge.gone(fault->a), signalled[i].clear();
             if (fault->what == What::Start) w.net.start(fault->a);
             if (fault->what == What::Forget) files[i].clear();
         }
         for (; !copies.empty() && copies.begin()->first <= now; copies.erase(copies.begin())) {
             const Copy& c = copies.begin()->second;
             std::size_t p = settings.keepers + c.node;
-            if (!w.net.up(p) || cut.contains({0, p}) || cut.contains({p, 0})) continue;  // missed: the script says so, and goes on
+            if (!w.net.up(p) || cut.contains({0, p}) || cut.contains({p, 0}))
+                continue;  // missed: the script says so, and goes on
             if (w.net.stopped(p))
                 signalled[c.node].push_back(c);
             else
                 reload(c);
         }
         if (now >= next_change && change < settings.changes) {
-            const Kind& kind = kinds()[std::size_t(change) < kinds().size() ? std::size_t(change) : w.draws.below(kinds().size())];
+            const Kind& kind = kinds()[std::size_t(change) < kinds().size() ? std::size_t(change)
+                                                                            : w.draws.below(kinds().size())];
             std::string spoilt = w.draws.chance(0.06) ? (w.draws.chance(0.5) ? "bad-all" : "bad-b") : "";
             for (int by = 0; by < (w.draws.chance(0.15) ? 2 : 1); ++by) {
-                File file{++version, std::make_shared<const Content>(drawn(w.draws, kind.name, change < int(kinds().size()) ? "" : spoilt))};
+                File file{++version, std::make_shared<const Content>(drawn(
+                                         w.draws, kind.name, change < int(kinds().size()) ? "" : spoilt))};
                 for (std::size_t i = 0; i < settings.nodes; ++i) {
-                    std::size_t node = by == 0 ? i : settings.nodes - 1 - i;  // another operator's script, another order
-                    copies.emplace(now + Duration{100.0 * double(i) + 100 * w.draws.uniform()}, Copy{node, 0, kind.name, file});
+                    std::size_t node =
+                        by == 0 ? i : settings.nodes - 1 - i;  // another operator's script, another order
+                    copies.emplace(now + Duration{100.0 * double(i) + 100 * w.draws.uniform()},
+                                   Copy{node, 0, kind.name, file});
                 }
                 ++w.day.proposed;
             }
@@ -457,7 +526,8 @@
         for (std::size_t i = 0; i < settings.nodes; ++i) {
             std::size_t p = settings.keepers + i;
             if (!w.net.up(p) || w.net.stopped(p)) continue;
-            for (const auto& [name, file] : files[i]) w.judge.acts(p, name, {How::Version, file.version, file.content}, now);
+            for (const auto& [name, file] : files[i])
+                w.judge.acts(p, name, {How::Version, file.version, file.content}, now);
         }
         if (now >= decide) decide = now + Duration{50};
         if (now >= TimePoint{length}) break;
@@ -475,8 +545,10 @@
     Draws other{std::mt19937_64(seed + 1)};
     w.net.run_to(TimePoint{Duration{5000}});
     auto propose = [&](std::uint64_t base) {
-        agreement::Document d{kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.choice, "ann", 0, {}, 0};
-        w.operators[0]->ask(agreement::propose({d, base, ++w.tokens, true, Duration{20'000}}), [](const agreement::Answer&) {});
+        agreement::Document d{kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.choice, "ann", 0,
+                              {},        0};
+        w.operators[0]->ask(agreement::propose({d, base, ++w.tokens, true, Duration{20'000}}),
+                            [](const agreement::Answer&) {});
     };
     propose(0);
     w.net.run_to(TimePoint{Duration{10'000}});
--- a/lab/bench/channel_bench.cpp
+++ b/lab/bench/channel_bench.cpp
@@ -1,13 +1,14 @@
-// What a channel costs: messages of 200 octets a second from one process to another over loopback, with and without keys, in
-// the core alone, and what an idle connection and one whose reader stands still hold in memory. lab_channel_bench [SECONDS]
+// What a channel costs: messages of 200 octets a second from one process to another over loopback, with and
+// without keys, in the core alone, and what an idle connection and one whose reader stands still hold in
+// memory. lab_channel_bench [SECONDS]
 #include <malloc.h>
-#include <csignal>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <chrono>
+#include <csignal>
 #include <cstdio>
 #include <cstdlib>
 #include <functional>
@@ -73,7 +74,8 @@
     world.until([&] { return over; });
     waitpid(child, nullptr, 0);
     keeper.close();
-    std::printf("over loopback, %s keys: %.0f messages a second\n", keys ? "with" : "without", double(got) / (ended - began));
+    std::printf("over loopback, %s keys: %.0f messages a second\n", keys ? "with" : "without",
+                double(got) / (ended - began));
 }
 
 void core_alone(bool keys, double length) {
@@ -83,7 +85,8 @@
     Channel a(one), b(other);
     std::uint64_t got = 0;
     TimePoint now{};
-    std::function<void(Channel&, Channel&, const Event&)> hand = [&](Channel& to, Channel& back, const Event& event) {
+    std::function<void(Channel&, Channel&, const Event&)> hand = [&](Channel& to, Channel& back,
+                                                                     const Event& event) {
         Actions actions;
         to.handle(now, event, actions);
         for (const Action& action : actions) {
@@ -107,7 +110,8 @@
     Event say = Say{Kind::Shard, std::string(kBody, 'x')};
     while (seconds() < began + length)
         for (int i = 0; i < 1000; ++i) hand(a, b, say);
-    std::printf("core alone, both ends, %s keys: %.0f ns a message\n", keys ? "with" : "without", (seconds() - began) / double(got) * 1e9);
+    std::printf("core alone, both ends, %s keys: %.0f ns a message\n", keys ? "with" : "without",
+                (seconds() - began) / double(got) * 1e9);
 }
 
 void memory(std::size_t connections) {
@@ -119,7 +123,8 @@
         World other;
         std::vector<std::unique_ptr<Mesh>> nodes;
         for (std::size_t i = 0; i < connections; ++i) {
-            nodes.push_back(std::make_unique<Mesh>(other.io, other.clock, std::nullopt, named(i + 2, true), i));
+            nodes.push_back(
+                std::make_unique<Mesh>(other.io, other.clock, std::nullopt, named(i + 2, true), i));
             nodes.back()->dial(address);
         }
         while (getppid() > 1) other.io.run_one_for(std::chrono::milliseconds(100));
@@ -156,7 +161,8 @@
         world.io.poll();
         most = std::max(most, mallinfo2().uordblks + mallinfo2().hblkhd - before);
     }
-    std::printf("memory: a reader that stands still: %zu octets wait, %zu octets of memory\n", keeper.queued(2), most);
+    std::printf("memory: a reader that stands still: %zu octets wait, %zu octets of memory\n",
+                keeper.queued(2), most);
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
     keeper.close();
--- a/lab/bench/decision_bench.cpp
+++ b/lab/bench/decision_bench.cpp
@@ -1,5 +1,6 @@
-// What one decision costs a node of a tier of 100: prints, for 13, 60 and 1,000 servers, ns of this machine for a request
-// from its arrival to its answer (two calls of the module, and the timers that fall due), and for a list that changes.
+// What one decision costs a node of a tier of 100: prints, for 13, 60 and 1,000 servers, ns of this machine
+// for a request from its arrival to its answer (two calls of the module, and the timers that fall due), and
+// for a list that changes.
 //
 //     lab_decision_bench [REQUESTS]
 
@@ -96,7 +97,8 @@
                 const TimePoint due = *node.wakes.begin();
                 node.wakes.erase(node.wakes.begin());
                 node.tell(due, Woken{});
-                for (ServerId server : node.probed()) node.tell(due, ProbeEnded{server, Outcome::Ok, Duration{1}, {}});
+                for (ServerId server : node.probed())
+                    node.tell(due, ProbeEnded{server, Outcome::Ok, Duration{1}, {}});
             }
             RequestArrived came;
             came.request = id;
@@ -119,7 +121,8 @@
             spent_on_lists += Clock::now() - list_from;
             ++lists;
         }
-        if (sent < requests / 2) return std::printf("only %llu sent\n", static_cast<unsigned long long>(sent)), 1;
+        if (sent < requests / 2)
+            return std::printf("only %llu sent\n", static_cast<unsigned long long>(sent)), 1;
         std::printf("%5d %7u %13.0f %23.2f %17.1f\n", gateways, servers, ns_each(spent, requests),
                     double(node.calls) / double(requests), ns_each(spent_on_lists, lists) / 1000);
     }
--- a/lab/bench/shards_bench.cpp
+++ b/lab/bench/shards_bench.cpp
@@ -1,5 +1,6 @@
-// The shards' table by 1, 2, 4 and 8 threads beside the same table with one lock: operations a second, how long one takes at
-// p99 and longest, and the longest wait of a loop that charges once a millisecond beside them.
+// The shards' table by 1, 2, 4 and 8 threads beside the same table with one lock: operations a second, how
+// long one takes at p99 and longest, and the longest wait of a loop that charges once a millisecond beside
+// them.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -22,7 +23,9 @@
 using Clock = std::chrono::steady_clock;
 constexpr std::size_t kKeys = 100'000;
 
-double us(Clock::duration d) { return std::chrono::duration<double, std::micro>(d).count(); }
+double us(Clock::duration d) {
+    return std::chrono::duration<double, std::micro>(d).count();
+}
 double cpu_seconds() {
     timespec t{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
@@ -30,7 +33,8 @@
 }
 
 struct Figures {
-    double per_second = 0, per_cpu_second = 0, cores = 0, p99 = 0, longest = 0, loop_p99 = 0, loop_longest = 0;
+    double per_second = 0, per_cpu_second = 0, cores = 0, p99 = 0, longest = 0, loop_p99 = 0,
+           loop_longest = 0;
 };
 
 /// One in five is a write, of 64 octets, by compare and swap or not. Each 16th is timed.
@@ -41,7 +45,8 @@
     std::vector<std::string> keys;
     for (std::size_t i = 0; i < kKeys; ++i) keys.push_back("tenant/client" + std::to_string(i));
     Write w;
-    w.record.kind = 1, w.record.partner = 1, w.record.life = Duration(1e7), w.record.payload = std::string(64, 'x');
+    w.record.kind = 1, w.record.partner = 1, w.record.life = Duration(1e7),
+    w.record.payload = std::string(64, 'x');
     for (const std::string& key : keys) {
         w.record.key = key;
         table.write(w, TimePoint{});
@@ -69,7 +74,8 @@
                 } else {
                     table.find(1, key, TimePoint{}, found);
                 }
-                if (timed && taken.size() < taken.capacity()) taken.push_back(float(us(Clock::now() - began)));
+                if (timed && taken.size() < taken.capacity())
+                    taken.push_back(float(us(Clock::now() - began)));
             }
             counts[t] = done;
             times[t] = std::move(taken);
@@ -77,7 +83,8 @@
     std::vector<float> loop;
     go = true;
     double cpu = cpu_seconds();
-    Clock::time_point from = Clock::now(), until = from + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
+    Clock::time_point from = Clock::now(), until = from + std::chrono::duration_cast<Clock::duration>(
+                                                              std::chrono::duration<double>(seconds));
     for (std::size_t i = 0; Clock::now() < until; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
         Clock::time_point began = Clock::now();
@@ -109,17 +116,21 @@
 int main(int argc, char** argv) {
     int rounds = argc > 1 ? std::atoi(argv[1]) : 3;
     double seconds = argc > 2 ? std::atof(argv[2]) : 1;
-    std::printf("threads  shards  million/s  a core's  cores had  p99 us  longest us  loop p99 us  loop longest us  times one lock\n");
+    std::printf(
+        "threads  shards  million/s  a core's  cores had  p99 us  longest us  loop p99 us  loop longest us  "
+        "times one lock\n");
     for (unsigned threads : {1u, 2u, 4u, 8u}) {
         // The best of several rounds, taken in turns: other work on the machine only ever makes it slower.
         Figures best[2];
         std::size_t shards[2] = {1, 256};
         for (int round = 0; round < rounds; ++round)
             for (int i = 0; i < 2; ++i)
-                if (Figures f = run(shards[i], threads, seconds); f.per_second > best[i].per_second) best[i] = f;
+                if (Figures f = run(shards[i], threads, seconds); f.per_second > best[i].per_second)
+                    best[i] = f;
         for (int i = 0; i < 2; ++i)
-            std::printf("%7u  %6zu  %9.2f  %8.2f  %9.1f  %6.1f  %10.0f  %11.1f  %15.0f  %14.1f\n", threads, shards[i], best[i].per_second * 1e-6,
-                        best[i].per_cpu_second * 1e-6, best[i].cores, best[i].p99, best[i].longest, best[i].loop_p99, best[i].loop_longest,
+            std::printf("%7u  %6zu  %9.2f  %8.2f  %9.1f  %6.1f  %10.0f  %11.1f  %15.0f  %14.1f\n", threads,
+                        shards[i], best[i].per_second * 1e-6, best[i].per_cpu_second * 1e-6, best[i].cores,
+                        best[i].p99, best[i].longest, best[i].loop_p99, best[i].loop_longest,
                         best[i].per_second / best[0].per_second);
     }
 }
--- a/lab/channel/relay.cpp
+++ b/lab/channel/relay.cpp
@@ -58,7 +58,8 @@
             : core(&c),
               near(std::move(socket)),
               far(c.io),
-              ways{Way{&near, &far, Direction::Forth, asio::steady_timer(c.io)}, Way{&far, &near, Direction::Back, asio::steady_timer(c.io)}} {}
+              ways{Way{&near, &far, Direction::Forth, asio::steady_timer(c.io)},
+                   Way{&far, &near, Direction::Back, asio::steady_timer(c.io)}} {}
 
         void start() {
             far.async_connect(core->target, [self = shared_from_this()](error_code error) {
@@ -76,22 +77,25 @@
         }
         void read(Way& way) {
             const Link& link = core->links[std::size_t(way.direction)];
-            if (over || !connected || way.reading || way.from_over || way.waits > kAhead || (link.cut && link.lost == Lost::Held)) return;
+            if (over || !connected || way.reading || way.from_over || way.waits > kAhead ||
+                (link.cut && link.lost == Lost::Held))
+                return;
             way.reading = true;
-            way.from->async_read_some(asio::buffer(way.read), [self = shared_from_this(), &way](error_code error, std::size_t got) {
-                if (self->over) return;
-                way.reading = false;
-                if (error && error != asio::error::eof) return self->end(true);
-                const Link& now = self->core->links[std::size_t(way.direction)];
-                way.from_over = bool(error);
-                if (!(now.cut && now.lost == Lost::Dropped && !error)) {
-                    auto late = std::chrono::duration_cast<Steady::duration>(now.late);
-                    way.pieces.push_back({Steady::now() + late, std::string(way.read.data(), got)});
-                    way.waits += got;
-                }
-                self->write(way);
-                self->read(way);
-            });
+            way.from->async_read_some(
+                asio::buffer(way.read), [self = shared_from_this(), &way](error_code error, std::size_t got) {
+                    if (self->over) return;
+                    way.reading = false;
+                    if (error && error != asio::error::eof) return self->end(true);
+                    const Link& now = self->core->links[std::size_t(way.direction)];
+                    way.from_over = bool(error);
+                    if (!(now.cut && now.lost == Lost::Dropped && !error)) {
+                        auto late = std::chrono::duration_cast<Steady::duration>(now.late);
+                        way.pieces.push_back({Steady::now() + late, std::string(way.read.data(), got)});
+                        way.waits += got;
+                    }
+                    self->write(way);
+                    self->read(way);
+                });
         }
         void write(Way& way) {
             const Link& link = core->links[std::size_t(way.direction)];
@@ -113,16 +117,18 @@
                     if (self->ways[0].to_over && self->ways[1].to_over) self->end(false);
                     return;
                 }
-                asio::async_write(*way.to, asio::buffer(way.pieces.front().octets), [self, &way](error_code error, std::size_t) {
-                    if (self->over) return;
-                    if (error) return self->end(true);
-                    way.writing = false;
-                    way.waits -= way.pieces.front().octets.size();
-                    self->core->crossed[std::size_t(way.direction)] += way.pieces.front().octets.size();
-                    way.pieces.pop_front();
-                    self->write(way);
-                    self->read(way);
-                });
+                asio::async_write(*way.to, asio::buffer(way.pieces.front().octets),
+                                  [self, &way](error_code error, std::size_t) {
+                                      if (self->over) return;
+                                      if (error) return self->end(true);
+                                      way.writing = false;
+                                      way.waits -= way.pieces.front().octets.size();
+                                      self->core->crossed[std::size_t(way.direction)] +=
+                                          way.pieces.front().octets.size();
+                                      way.pieces.pop_front();
+                                      self->write(way);
+                                      self->read(way);
+                                  });
             });
         }
         void end(bool hard) {
@@ -197,7 +203,8 @@
     std::thread thread;
 };
 
-Relay::Relay(const Endpoint& listen, const Endpoint& target) : core_(std::make_shared<Core>(listen, target)) {}
+Relay::Relay(const Endpoint& listen, const Endpoint& target)
+    : core_(std::make_shared<Core>(listen, target)) {}
 Relay::~Relay() = default;
 
 Relay::Endpoint Relay::at() const {
--- a/lab/cold/module.cpp
+++ b/lab/cold/module.cpp
@@ -7,7 +7,9 @@
 
 struct Shipped final : Module {
     Shipped(const Settings& settings, std::uint64_t seed) : balancer(settings, seed) {}
-    void handle(TimePoint now, const Event& event, Actions& actions) override { balancer.handle(now, event, actions); }
+    void handle(TimePoint now, const Event& event, Actions& actions) override {
+        balancer.handle(now, event, actions);
+    }
     Balancer balancer;
 };
 
--- a/lab/cold/module.h
+++ b/lab/cold/module.h
@@ -1,5 +1,6 @@
-// The decision module as shipped, and twins of it that are compiled from the same source with one sentence of the cold
-// budget changed (lab/cold/CMakeLists.txt says which): saboteurs, and the module without the budget to compare with.
+// The decision module as shipped, and twins of it that are compiled from the same source with one sentence of
+// the cold budget changed (lab/cold/CMakeLists.txt says which): saboteurs, and the module without the budget
+// to compare with.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +14,9 @@
     None,               ///< as shipped
     NoBudget,           ///< cold servers are bounded as warm ones are
     RetriesNotCounted,  ///< only a request's first send counts
-    FirstSpanWhole,     ///< takes all of a first span at once: none is drawn, nothing left for a process before it
-    ForgetsSends,       ///< forgets what it sent when told `Twinned`, as a successor that knows all else
+    FirstSpanWhole,  ///< takes all of a first span at once: none is drawn, nothing left for a process before
+                     ///< it
+    ForgetsSends,    ///< forgets what it sent when told `Twinned`, as a successor that knows all else
 };
 
 class Module {
--- a/lab/cold/runs.cpp
+++ b/lab/cold/runs.cpp
@@ -1,6 +1,6 @@
 // The ramp of cold servers at many seeds, on two threads:
-// ochrehub_lab_cold_runs [seeds for each row, 10] [part of rows' names] [saboteur] [seconds at most, 150] [processes].
-// Saboteurs: alone, no_budget, retries, whole, forgetful.
+// ochrehub_lab_cold_runs [seeds for each row, 10] [part of rows' names] [saboteur] [seconds at most, 150]
+// [processes]. Saboteurs: alone, no_budget, retries, whole, forgetful.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -41,14 +41,15 @@
         for (int t = 0; t < 2; ++t)
             threads.emplace_back([&] {
                 for (std::size_t n; (n = next++) < rows.size() * seeds;) {
-                    if (std::chrono::steady_clock::now() - began > std::chrono::duration<double>(most)) return;
+                    if (std::chrono::steady_clock::now() - began > std::chrono::duration<double>(most))
+                        return;
                     Row& row = rows[n % rows.size()];
                     row.outcomes[n / rows.size()] = run(row.day, n / rows.size() + 1);
                 }
             });
     }
-    std::printf("%-24s %9s %5s %7s %5s %8s %8s %6s %6s %6s\n", "condition", "processes", "seeds", "worst", "over", "sent",
-                "N", "part", "used", "served");
+    std::printf("%-24s %9s %5s %7s %5s %8s %8s %6s %6s %6s\n", "condition", "processes", "seeds", "worst",
+                "over", "sent", "N", "part", "used", "served");
     std::size_t over = 0, all = 0;
     for (const Row& row : rows) {
         ColdOutcome worst;
@@ -61,9 +62,9 @@
             part += o.part, used += o.used, served += o.served;
         }
         over += bad, all += played;
-        std::printf("%-24s %9d %5zu %7.2f %5zu %8.1f %8.1f %6.2f %6.2f %6.2f\n", row.day.name.c_str(), row.day.processes,
-                    played, worst.worst, bad, worst.sent, worst.budget, part / double(played), used / double(played),
-                    served / double(played));
+        std::printf("%-24s %9d %5zu %7.2f %5zu %8.1f %8.1f %6.2f %6.2f %6.2f\n", row.day.name.c_str(),
+                    row.day.processes, played, worst.worst, bad, worst.sent, worst.budget,
+                    part / double(played), used / double(played), served / double(played));
     }
     std::printf("%zu of %zu runs sent too much\n", over, all);
     return over > 0;
--- a/lab/cold/world.cpp
+++ b/lab/cold/world.cpp
@@ -18,9 +18,23 @@
 constexpr double kPatience = 1500;
 constexpr double kTurn = 5;  // requests take turns of so much CPU
 constexpr double kProbeWork = 0.24;
-constexpr int kRoom = 20;     // requests for each slot that may wait for one
-
-enum class Kind { Arrive, Wake, Reach, CpuDone, Answer, Expire, Gone, ProbeReach, ProbeBack, List, Down, Up, Restart };
+constexpr int kRoom = 20;  // requests for each slot that may wait for one
+
+enum class Kind {
+    Arrive,
+    Wake,
+    Reach,
+    CpuDone,
+    Answer,
+    Expire,
+    Gone,
+    ProbeReach,
+    ProbeBack,
+    List,
+    Down,
+    Up,
+    Restart
+};
 
 struct Item {
     double at = 0;
@@ -72,8 +86,10 @@
 public:
     World(const ColdDay& day, std::uint64_t seed) : day_(day), random_(seed * 2654435761u + 17), seed_(seed) {
         set_.balancers = day.each_alone ? 1 : day.processes;
-        set_.probes = day.probes == ColdDay::Probes::Drawn ? seed % 3 > 0 : day.probes != ColdDay::Probes::None;
-        set_.probes_report_load = day.probes == ColdDay::Probes::Drawn ? seed % 3 == 2 : day.probes == ColdDay::Probes::Reports;
+        set_.probes =
+            day.probes == ColdDay::Probes::Drawn ? seed % 3 > 0 : day.probes != ColdDay::Probes::None;
+        set_.probes_report_load =
+            day.probes == ColdDay::Probes::Drawn ? seed % 3 == 2 : day.probes == ColdDay::Probes::Reports;
         set_.max_attempts = 4;
         set_.cancel = true;
         set_.price_probe = day.price_probe;
@@ -167,7 +183,8 @@
                 put(at + 50 * uniform(), Kind::Up, i);
             } else {  // a new one in its place, while the old one leaves
                 Machine fresh;
-                fresh.size = machines_[i].size, fresh.zone = machines_[i].zone, fresh.slots = machines_[i].slots;
+                fresh.size = machines_[i].size, fresh.zone = machines_[i].zone,
+                fresh.slots = machines_[i].slots;
                 fresh.up = fresh.listed = false;
                 machines_.push_back(std::move(fresh));
                 put(at, Kind::Up, machines_.size() - 1);
@@ -178,10 +195,12 @@
         double restart_at = 1000 + 2000 * uniform();
         for (std::size_t k = 0; k < processes_.size(); ++k) {
             if (day_.restarting <= 0) break;
-            bool it = day_.restarting >= 1 || uniform() < day_.restarting || (k == 0 && processes_.size() < 4);
+            bool it =
+                day_.restarting >= 1 || uniform() < day_.restarting || (k == 0 && processes_.size() < 4);
             if (!it) continue;
             double at = day_.restart_spread ? 500 + uniform() * 7000 : restart_at + 300 * uniform();
-            for (int r = 0; r < (day_.restart_loop ? 6 : 1); ++r) put(kFirstStart + at + 1000.0 * r, Kind::Restart, k);
+            for (int r = 0; r < (day_.restart_loop ? 6 : 1); ++r)
+                put(kFirstStart + at + 1000.0 * r, Kind::Restart, k);
         }
     }
 
@@ -264,8 +283,13 @@
         disconnect(p, call.server, outcome == Outcome::Timeout || outcome == Outcome::ConnectFailed);
         bool concluded = outcome == Outcome::Ok && p.open.erase(call.request) > 0;
         served_ += concluded;
-        tell(call.process, AttemptEnded{call.request, call.number, ServerId(call.server + 1), outcome,
-                                        Duration{now_ - call.sent}, concluded, {}});
+        tell(call.process, AttemptEnded{call.request,
+                                        call.number,
+                                        ServerId(call.server + 1),
+                                        outcome,
+                                        Duration{now_ - call.sent},
+                                        concluded,
+                                        {}});
     }
 
     double warmth(const Machine& m, double at) const {
@@ -317,8 +341,10 @@
                 if (!m.up) return put(wire(), Kind::Answer, item.a, std::size_t(Outcome::ConnectFailed));
                 if (call.connects) reached(m, handshake_);
                 reached(m, day_.work[std::size_t(call.cls)].cpu);
-                if ((day_.turns_away && m.cold_start && m.started > 0) || int(m.waiting.size()) >= kRoom * m.slots)
-                    return put(day_.turned_away_after + wire(), Kind::Answer, item.a, std::size_t(Outcome::Full));
+                if ((day_.turns_away && m.cold_start && m.started > 0) ||
+                    int(m.waiting.size()) >= kRoom * m.slots)
+                    return put(day_.turned_away_after + wire(), Kind::Answer, item.a,
+                               std::size_t(Outcome::Full));
                 call.left = day_.work[std::size_t(call.cls)].cpu;
                 m.waiting.push_back(item.a);
                 return fill(m);
@@ -414,15 +440,17 @@
             double sum = 0;
             std::size_t first = 0;
             for (const auto& [at, work] : m.reached) {
-                // Of all windows that end with this send the earliest has the least budget; none begins before the
-                // server does.
+                // Of all windows that end with this send the earliest has the least budget; none begins
+                // before the server does.
                 double from = std::max(m.started, at - tip);
                 for (sum += work; m.reached[first].first <= at - tip; ++first) sum -= m.reached[first].second;
-                double budget = set_.overload_factor * day_.cores * m.size * area(from, from + tip) / mean_cpu_;
+                double budget =
+                    set_.overload_factor * day_.cores * m.size * area(from, from + tip) / mean_cpu_;
                 double excess = (sum / mean_cpu_ - budget) / (2 * std::sqrt(budget) + 2);
                 bool inside = at >= m.started + tip;
                 windows += inside, outcome_.part += inside ? sum / mean_cpu_ / budget : 0;
-                if (excess > outcome_.worst) outcome_.worst = excess, outcome_.sent = sum / mean_cpu_, outcome_.budget = budget;
+                if (excess > outcome_.worst)
+                    outcome_.worst = excess, outcome_.sent = sum / mean_cpu_, outcome_.budget = budget;
             }
             could += day_.cores * m.size * area(m.started, m.started + set_.cold_time.count());
             did += m.done;
@@ -473,29 +501,38 @@
     add("one, waits on others", [&](ColdDay& d) { d.work = waits, d.load = 1; });
     add("one, slots 5 x", [&](ColdDay& d) { d.work = waits, d.slots = 150, d.load = 1; });
     add("six in ten", [](ColdDay& d) { d.servers = 10, d.starts = Starts::SixInTen, d.load = 1; });
-    add("six in ten, load 1.3", [](ColdDay& d) { d.servers = 10, d.starts = Starts::SixInTen, d.load = 1.3; });
+    add("six in ten, load 1.3",
+        [](ColdDay& d) { d.servers = 10, d.starts = Starts::SixInTen, d.load = 1.3; });
     add("six in ten of 60", [](ColdDay& d) { d.servers = 60, d.starts = Starts::SixInTen; });
     add("third after outage", [](ColdDay& d) { d.starts = Starts::AfterOutage, d.load = 1; });
     add("half after outage", [](ColdDay& d) { d.starts = Starts::ZoneLost, d.load = 0.9; });
     add("all after outage", [](ColdDay& d) { d.starts = Starts::AllLost, d.load = 1; });
     add("all, turn away", [](ColdDay& d) { d.starts = Starts::AllLost, d.load = 1, d.turns_away = true; });
     add("all, slots 5 x", [&](ColdDay& d) { d.starts = Starts::AllLost, d.work = waits, d.slots = 150; });
-    add("all after outage, 1.3", [&](ColdDay& d) { d.starts = Starts::AllLost, d.work = waits, d.load = 1.3, d.probes = Probes::None; });
-    add("half after outage, 1.3", [&](ColdDay& d) { d.starts = Starts::ZoneLost, d.work = waits, d.load = 1.3, d.probes = Probes::None; });
+    add("all after outage, 1.3", [&](ColdDay& d) {
+        d.starts = Starts::AllLost, d.work = waits, d.load = 1.3, d.probes = Probes::None;
+    });
+    add("half after outage, 1.3", [&](ColdDay& d) {
+        d.starts = Starts::ZoneLost, d.work = waits, d.load = 1.3, d.probes = Probes::None;
+    });
     add("half, few, slots 5 x", [&](ColdDay& d) {
         d.starts = Starts::ZoneLost, d.servers = 2, d.work = waits, d.slots = 150, d.load = 1.3;
     });
-    add("three zones", [](ColdDay& d) { d.zones = 3, d.servers = 12, d.starts = Starts::AfterOutage, d.load = 1; });
+    add("three zones",
+        [](ColdDay& d) { d.zones = 3, d.servers = 12, d.starts = Starts::AfterOutage, d.load = 1; });
     add("1 in 10 restart", [](ColdDay& d) { d.restarting = 0.1, d.restart_spread = true, d.load = 1.3; });
     add("7 in 10 restart", [](ColdDay& d) { d.restarting = 0.7, d.load = 1.3; });
     add("all restart", [](ColdDay& d) { d.restarting = 1, d.load = 1.3; });
     add("all in a loop", [](ColdDay& d) { d.restarting = 1, d.restart_loop = true, d.load = 1.3; });
     add("all, turn away, a loop", [](ColdDay& d) {
-        d.starts = Starts::AllLost, d.turns_away = true, d.restarting = 1, d.restart_loop = true, d.load = 1.3;
+        d.starts = Starts::AllLost, d.turns_away = true, d.restarting = 1, d.restart_loop = true,
+        d.load = 1.3;
     });
-    add("all restart, one of two", [](ColdDay& d) { d.restarting = 1, d.servers = 2, d.load = 1.3, d.turns_away = true; });
-    // Where the cold budget itself is what binds: reports, a small factor, a long span, and few or no warm servers. Where
-    // servers turn all away, after a while, neither limits in flight nor the rest behind a refusal hold anything back.
+    add("all restart, one of two",
+        [](ColdDay& d) { d.restarting = 1, d.servers = 2, d.load = 1.3, d.turns_away = true; });
+    // Where the cold budget itself is what binds: reports, a small factor, a long span, and few or no warm
+    // servers. Where servers turn all away, after a while, neither limits in flight nor the rest behind a
+    // refusal hold anything back.
     auto binds = [&](const char* name, auto change) {
         add(name, [&](ColdDay& d) {
             d.servers = 4, d.cores = 1, d.load = 0.8, d.probes = Probes::Reports;
@@ -505,7 +542,8 @@
         });
     };
     auto waiting = [](ColdDay& d) {
-        d.starts = Starts::ZoneLost, d.load = 1.2, d.cold_time = 20000, d.cold_from = 0.2, d.turns_away = false;
+        d.starts = Starts::ZoneLost, d.load = 1.2, d.cold_time = 20000, d.cold_from = 0.2,
+        d.turns_away = false;
         d.work = {{20, 100, 1}};
     };
     auto tight = [](ColdDay& d) { d.work = {{100, 0, 1}}, d.aim = 150, d.turned_away_after = 0; };
--- a/lab/cold/world.h
+++ b/lab/cold/world.h
@@ -1,5 +1,5 @@
-// Many processes and servers of which some start cold, in virtual time: decision modules alone, no sockets, no wall
-// clock. Counts what reaches each cold server, of all processes together. Same day, same result.
+// Many processes and servers of which some start cold, in virtual time: decision modules alone, no sockets,
+// no wall clock. Counts what reaches each cold server, of all processes together. Same day, same result.
 #pragma once
 
 #include <cstdint>
@@ -25,16 +25,16 @@
     double cores = 2;
     int slots = 0;  ///< told to nobody; 0: as many as keep the cores busy, and half as many more
     std::vector<ColdWork> work = {{5, 0, 0.5}, {20, 0, 0.3}, {60, 0, 0.2}};
-    double aim = 0;     ///< ms; 0: four times what a request takes, and 400 at least
-    double load = 0.8;  ///< of all servers' capacity
+    double aim = 0;      ///< ms; 0: four times what a request takes, and 400 at least
+    double load = 0.8;   ///< of all servers' capacity
     bool uneven = true;  ///< one process in four has nine times what each of the others has
     enum class Probes { Drawn, None, Plain, Reports } probes = Probes::Drawn;  ///< Drawn: by the seed
-    bool turns_away = false;  ///< what starts cold takes nothing: each send to it comes back
+    bool turns_away = false;       ///< what starts cold takes nothing: each send to it comes back
     double turned_away_after = 0;  ///< ms
-    int zones = 1;  ///< crossing is dear where there are several
+    int zones = 1;                 ///< crossing is dear where there are several
     Starts starts = Starts::One;
-    /// Part of the processes that end and begin again, remembering nothing, 1 to 3 s after the first cold start. In a
-    /// loop: each second from then on. Spread: each at its own time.
+    /// Part of the processes that end and begin again, remembering nothing, 1 to 3 s after the first cold
+    /// start. In a loop: each second from then on. Spread: each at its own time.
     double restarting = 0;
     bool restart_loop = false, restart_spread = false;
     double list_late = 2000;  ///< ms, at most
@@ -45,7 +45,8 @@
 
     // Saboteurs, which the count must find.
     bool each_alone = false;  ///< each process believes that it is the only one
-    Twin twin = Twin::None;   ///< ForgetsSends: processes that restart know all that they did, but not what they sent
+    Twin twin =
+        Twin::None;  ///< ForgetsSends: processes that restart know all that they did, but not what they sent
 };
 
 struct ColdOutcome {
@@ -53,7 +54,7 @@
     /// 2 * sqrt(N) + 2; the worst over all cold servers. Above 1 is too much.
     double worst = -1e9;
     double sent = 0, budget = 0;  ///< in that window
-    double part = 0;  ///< sent / N, the mean over windows that lie inside cold times
+    double part = 0;              ///< sent / N, the mean over windows that lie inside cold times
     double used = 0;              ///< what cold servers did, as part of what they could
     double served = 0;            ///< answered in time, of all requests
     std::uint64_t events = 0;
--- a/lab/duty/keepers.cpp
+++ b/lab/duty/keepers.cpp
@@ -14,7 +14,8 @@
 bool Keepers::majority(std::size_t self) const {
     std::size_t reached = 0;
     for (std::size_t i = 0; i < set_.keepers; ++i)
-        reached += i == self || (net_->up(i) && !net_->stopped(i) && !net_->is_cut(self, i) && !net_->is_cut(i, self));
+        reached += i == self ||
+                   (net_->up(i) && !net_->stopped(i) && !net_->is_cut(self, i) && !net_->is_cut(i, self));
     return reached * 2 > set_.keepers;
 }
 
@@ -39,7 +40,9 @@
             auto [it, fresh] = me.armed.try_emplace({std::string(machine->kind()), one.key});
             if (fresh || it->second.revision != one.revision) it->second = {one.revision, own + one.length};
         }
-        std::erase_if(me.armed, [&](const auto& one) { return one.first.first == machine->kind() && !there.contains(one.first.second); });
+        std::erase_if(me.armed, [&](const auto& one) {
+            return one.first.first == machine->kind() && !there.contains(one.first.second);
+        });
     }
     auto all = me.armed;
     for (const auto& [key, count] : all)
@@ -113,7 +116,8 @@
         answer.body = machine(message.what).read(message.body);
     } else {
         answer.kind = Message::Kind::Did;
-        if (sessions_.contains(message.session)) answer.body = machine(message.what).apply({message.session, message.body});
+        if (sessions_.contains(message.session))
+            answer.body = machine(message.what).apply({message.session, message.body});
         count_armed(self, own);
     }
     net_->send(self, from, answer);
@@ -135,6 +139,8 @@
     return nullptr;
 }
 
-void Keepers::operate(std::string_view kind, std::string_view body) { answers_.push_back(machine(kind).apply({0, body})); }
+void Keepers::operate(std::string_view kind, std::string_view body) {
+    answers_.push_back(machine(kind).apply({0, body}));
+}
 
 }  // namespace ochrehub::lab::duty
--- a/lab/duty/keepers.h
+++ b/lab/duty/keepers.h
@@ -1,5 +1,6 @@
-// A stand-in for the keepers: one copy of the log whose leader's part moves among k processes, with leases counted as
-// keeper/machine.h says. It fails as processes do (killed, stopped, cut off, slow) but is never of two minds.
+// A stand-in for the keepers: one copy of the log whose leader's part moves among k processes, with leases
+// counted as keeper/machine.h says. It fails as processes do (killed, stopped, cut off, slow) but is never of
+// two minds.
 #pragma once
 
 #include <map>
@@ -41,7 +42,8 @@
     virtual std::optional<std::size_t> leads() const = 0;
     /// The machine as whoever is furthest has it.
     virtual const keeper::Machine* look(std::string_view kind) const = 0;
-    /// As an operator does. What it is answered comes at once, or behind what the network still has to do (`answers`).
+    /// As an operator does. What it is answered comes at once, or behind what the network still has to do
+    /// (`answers`).
     virtual void operate(std::string_view kind, std::string_view body) = 0;
     virtual std::vector<std::string>& answers() = 0;
 };
@@ -49,7 +51,8 @@
 class Keepers : public House {
 public:
     using Machines = std::vector<std::unique_ptr<keeper::Machine>>;
-    Keepers(const KeeperSettings& settings, Machines machines) : set_(settings), machines_(std::move(machines)), each_(settings.keepers) {}
+    Keepers(const KeeperSettings& settings, Machines machines)
+        : set_(settings), machines_(std::move(machines)), each_(settings.keepers) {}
     void attach(Network& net) override { net_ = &net; }
 
     void started(std::size_t self, TimePoint own) override;
--- a/lab/duty/list_world.cpp
+++ b/lab/duty/list_world.cpp
@@ -13,8 +13,12 @@
 namespace list = ochrehub::duty::list;
 
 std::string_view name(ListSaboteur saboteur) {
-    constexpr std::string_view kNames[kListSaboteurs] = {"none",         "never asks itself", "counts from the news", "reports unasked",
-                                                         "asks at once", "the owner ignores what it is told"};
+    constexpr std::string_view kNames[kListSaboteurs] = {"none",
+                                                         "never asks itself",
+                                                         "counts from the news",
+                                                         "reports unasked",
+                                                         "asks at once",
+                                                         "the owner ignores what it is told"};
     return kNames[std::size_t(saboteur)];
 }
 
@@ -53,8 +57,8 @@
     std::vector<Call> queue, watches;
     bool busy = false;
     int next = 0, drains = 0;
-    std::map<std::string, TimePoint> out;                               // when it listed a server as draining
-    std::map<std::pair<std::size_t, std::string>, TimePoint> told;      // ... and told a node so
+    std::map<std::string, TimePoint> out;                           // when it listed a server as draining
+    std::map<std::pair<std::size_t, std::string>, TimePoint> told;  // ... and told a node so
 
     void start(TimePoint own) {
         for (std::size_t i = 0; i < world.set_.servers; ++i) servers["s" + std::to_string(next++)] = "ready";
@@ -106,13 +110,16 @@
                 world.net_.send(world.discovery(), call.from, m);
             } else if (call.message.index != 0 && call.message.index == revision) {
                 watches.push_back(call);
-                timers.at(call.asked + Duration{call.message.wait}, [this, from = call.from, number = call.message.call](TimePoint at) {
-                    auto it = std::find_if(watches.begin(), watches.end(), [&](const Call& w) { return w.from == from && w.message.call == number; });
-                    if (it == watches.end()) return;
-                    Call over = *it;
-                    watches.erase(it);
-                    answer(at, over);
-                });
+                timers.at(call.asked + Duration{call.message.wait},
+                          [this, from = call.from, number = call.message.call](TimePoint at) {
+                              auto it = std::find_if(watches.begin(), watches.end(), [&](const Call& w) {
+                                  return w.from == from && w.message.call == number;
+                              });
+                              if (it == watches.end()) return;
+                              Call over = *it;
+                              watches.erase(it);
+                              answer(at, over);
+                          });
             } else {
                 answer(t, call);
             }
@@ -154,17 +161,22 @@
         own = hung = false, own_index = 0;
         list::FollowerSettings follow;
         follow.silence = saboteur() == ListSaboteur::NeverAsksItself ? Duration{1e9} : world.set_.silence;
-        follow.spread = saboteur() == ListSaboteur::AsksAtOnce ? Duration{0} : std::min(Duration{5000}, Duration{50} * double(world.set_.nodes));
+        follow.spread = saboteur() == ListSaboteur::AsksAtOnce
+                            ? Duration{0}
+                            : std::min(Duration{5000}, Duration{50} * double(world.set_.nodes));
         follow.part = world.net_.uniform();
         follower.emplace(follow, now);
         if (!restarted) view = world.discovery_->servers;
         SessionHooks hooks{
-            [this](TimePoint t, keeper::SessionId id, TimePoint until) { duty(t, core::SessionHeld{id, until}); },
+            [this](TimePoint t, keeper::SessionId id, TimePoint until) {
+                duty(t, core::SessionHeld{id, until});
+            },
             [this](TimePoint t) { duty(t, core::SessionLost{}); },
             [this](TimePoint t, keeper::SessionId id, const std::string& kind, const std::string& news) {
                 if (kind == "duty") duty(t, core::Heard{id, news});
                 if (kind == "list")
-                    follow_(t, list::Heard{client->asked(), saboteur() == ListSaboteur::CountsFromNews ? forged(news) : news});
+                    follow_(t, list::Heard{client->asked(),
+                                           saboteur() == ListSaboteur::CountsFromNews ? forged(news) : news});
             },
             [this](TimePoint t, const std::string& kind, std::uint64_t number, const std::string& answer) {
                 if (kind == "duty") duty(t, core::Answered{number, answer});
@@ -173,19 +185,24 @@
         SessionSettings session;
         session.keepers = world.set_.keepers;
         if (world.set_.real) {
-            auto member = std::make_unique<RealMember>(session, world.net_, timers, self, self * 1000 + ++lives, std::move(hooks));
-            member->whole = [this](TimePoint t, const std::string& whole) { follow_(t, list::HeardWhole{whole}); };
+            auto member = std::make_unique<RealMember>(session, world.net_, timers, self,
+                                                       self * 1000 + ++lives, std::move(hooks));
+            member->whole = [this](TimePoint t, const std::string& whole) {
+                follow_(t, list::HeardWhole{whole});
+            };
             client = std::move(member);
         } else {
             client = std::make_unique<SessionClient>(session, world.net_, timers, self, std::move(hooks));
         }
         if (world.set_.agreed) {
             duty(now, core::WantDuty{std::string(list::kDuty), 1});
-            timers.at(now + Duration{1 + 1000 * world.net_.uniform()}, [this](TimePoint t) { client->begin(t); });
+            timers.at(now + Duration{1 + 1000 * world.net_.uniform()},
+                      [this](TimePoint t) { client->begin(t); });
             timers.at(now, [this](TimePoint t) { follow_(t, list::FollowerWoken{}); });
         } else {
             own = true;
-            timers.at(now + Duration{50} * double(world.set_.nodes) * world.net_.uniform(), [this](TimePoint t) { ask_self(t); });
+            timers.at(now + Duration{50} * double(world.set_.nodes) * world.net_.uniform(),
+                      [this](TimePoint t) { ask_self(t); });
         }
         timers.at(now + Duration{100 * world.net_.uniform()}, [this](TimePoint t) { use(t); });
         timers.arm(world.net_, self);
@@ -209,7 +226,8 @@
         core::OwnerActions actions;
         duties.handle(now, event, actions);
         for (core::OwnerAction& action : actions) {
-            if (auto* say = std::get_if<core::Say>(&action)) client->say(now, say->number, say->session, "duty", say->command);
+            if (auto* say = std::get_if<core::Say>(&action))
+                client->say(now, say->number, say->session, "duty", say->command);
             if (auto* begin = std::get_if<core::Begin>(&action)) {
                 epoch = begin->epoch;
                 watch_(now, list::Began{begin->epoch});
@@ -217,9 +235,12 @@
             if (auto* stop = std::get_if<core::Stop>(&action)) {
                 watch_(now, list::Halted{});
                 epoch.reset();
-                timers.at(now, [this, stop = *stop](TimePoint t) { duty(t, core::Stopped{stop.name, stop.epoch}); });
+                timers.at(now, [this, stop = *stop](TimePoint t) {
+                    duty(t, core::Stopped{stop.name, stop.epoch});
+                });
             }
-            if (auto* at = std::get_if<core::WakeAt>(&action)) timers.at(at->at, [this](TimePoint t) { duty_woken(t); });
+            if (auto* at = std::get_if<core::WakeAt>(&action))
+                timers.at(at->at, [this](TimePoint t) { duty_woken(t); });
         }
     }
     TimePoint last_woken{-1e9 * Duration{1}};
@@ -235,29 +256,36 @@
         for (list::OwnerAction& action : actions) {
             if (auto* watch = std::get_if<list::Watch>(&action)) {
                 if (saboteur() == ListSaboteur::ReportsUnasked && watch->index) {
-                    timers.at(now + watch->wait, [this, call = watch->call, index = *watch->index](TimePoint t) {
-                        watch_(t, list::Told{call, {index, false, {}, {}}});
-                    });
+                    timers.at(now + watch->wait,
+                              [this, call = watch->call, index = *watch->index](TimePoint t) {
+                                  watch_(t, list::Told{call, {index, false, {}, {}}});
+                              });
                 } else {
                     ask(watch->call, watch->index.value_or(0), watch->wait);
                 }
             }
-            if (auto* use = std::get_if<list::UseTold>(&action); use && saboteur() != ListSaboteur::OwnerIgnoresTold) {
+            if (auto* use = std::get_if<list::UseTold>(&action);
+                use && saboteur() != ListSaboteur::OwnerIgnoresTold) {
                 take(use->listing);
                 follow_(now, list::OwnTold{});
             }
-            if (auto* say = std::get_if<list::Say>(&action)) client->say(now, say->number, duties.session(), "list", say->command);
+            if (auto* say = std::get_if<list::Say>(&action))
+                client->say(now, say->number, duties.session(), "list", say->command);
             if (std::get_if<list::GiveBack>(&action) && epoch) {
-                timers.at(now, [this, e = *epoch](TimePoint t) { duty(t, core::HandBack{std::string(list::kDuty), e}); });
+                timers.at(now, [this, e = *epoch](TimePoint t) {
+                    duty(t, core::HandBack{std::string(list::kDuty), e});
+                });
             }
-            if (auto* at = std::get_if<list::OwnerWakeAt>(&action)) timers.at(at->at, [this](TimePoint t) { watch_(t, list::OwnerWoken{}); });
+            if (auto* at = std::get_if<list::OwnerWakeAt>(&action))
+                timers.at(at->at, [this](TimePoint t) { watch_(t, list::OwnerWoken{}); });
         }
     }
     void follow_(TimePoint now, const list::FollowerEvent& event) {
         list::FollowerActions actions;
         follower->handle(now, event, actions);
         for (list::FollowerAction& action : actions) {
-            if (auto* whole = std::get_if<list::UseWhole>(&action)) view = {whole->entries.begin(), whole->entries.end()};
+            if (auto* whole = std::get_if<list::UseWhole>(&action))
+                view = {whole->entries.begin(), whole->entries.end()};
             if (auto* change = std::get_if<list::UseChange>(&action)) {
                 for (const auto& [id, body] : change->put) view[id] = body;
                 for (const std::string& id : change->gone) view.erase(id);
@@ -297,9 +325,10 @@
         if (!own) return;
         const std::uint64_t call = ++own_call;
         ask(kOwn + call, own_index, world.set_.own_wait);
-        timers.at(now + (own_index ? world.set_.own_wait : Duration{0}) + Duration{2500}, [this, call](TimePoint t) {
-            if (own && own_call == call) ask_self(t);
-        });
+        timers.at(now + (own_index ? world.set_.own_wait : Duration{0}) + Duration{2500},
+                  [this, call](TimePoint t) {
+                      if (own && own_call == call) ask_self(t);
+                  });
     }
     void received(std::size_t from, TimePoint now, const Message& m) {
         if (from < world.set_.keepers) {
@@ -313,7 +342,8 @@
         if (m.kind == Message::Kind::Failed) {
             if (!mine) return watch_(now, list::Failed{m.call});
             if (own && m.call == kOwn + own_call)
-                timers.at(now + Duration{250 + 1000 * world.net_.uniform()}, [this](TimePoint t) { ask_self(t); });
+                timers.at(now + Duration{250 + 1000 * world.net_.uniform()},
+                          [this](TimePoint t) { ask_self(t); });
             return;
         }
         list::Listing listing{m.index, m.step == 1, {}, {}};
@@ -347,7 +377,8 @@
     const Node& node = *world.nodes_[call.from - world.set_.keepers];
     if (!world.net_.is_cut(world.discovery(), call.from) && (!node.hung || call.message.call > Node::kOwn))
         for (const auto& [id, at] : out)
-            if (!servers.contains(id) || servers[id] == "drain") told.try_emplace({call.from, id}, world.net_.now());
+            if (!servers.contains(id) || servers[id] == "drain")
+                told.try_emplace({call.from, id}, world.net_.now());
     world.net_.send(world.discovery(), call.from, m);
 }
 
@@ -367,7 +398,8 @@
                event(process);
                if (!net_.up(process)) return;
                if (process < set_.keepers) return keepers_->woken(process, own);
-               Timers& timers = process == discovery() ? discovery_->timers : nodes_[process - set_.keepers]->timers;
+               Timers& timers =
+                   process == discovery() ? discovery_->timers : nodes_[process - set_.keepers]->timers;
                timers.run_one(own);
                timers.arm(net_, process);
            },
@@ -403,11 +435,15 @@
     for (const Plan& plan : plans_)
         if (plan.event == events_) hit(plan.hit, plan.back);
 }
-void ListWorld::hit_at(std::uint64_t n, Hit hit, Duration back) { plans_.push_back({n, hit, back}); }
+void ListWorld::hit_at(std::uint64_t n, Hit hit, Duration back) {
+    plans_.push_back({n, hit, back});
+}
 
 std::optional<std::size_t> ListWorld::owner() const {
     for (const auto& node : nodes_)
-        if (node->epoch && net_.up(node->self) && !net_.stopped(node->self) && node->duties.may(net_.own(node->self), list::kDuty)) return node->self;
+        if (node->epoch && net_.up(node->self) && !net_.stopped(node->self) &&
+            node->duties.may(net_.own(node->self), list::kDuty))
+            return node->self;
     return std::nullopt;
 }
 
@@ -423,7 +459,9 @@
     if (hit == Hit::Hang) {
         nodes_[*who - set_.keepers]->hung = true;
         // What is on its way finds nobody who reads it.
-        std::erase_if(discovery_->told, [&](const auto& one) { return one.first.first == *who && one.second > net_.now() - Duration{3}; });
+        std::erase_if(discovery_->told, [&](const auto& one) {
+            return one.first.first == *who && one.second > net_.now() - Duration{3};
+        });
     }
     if (hit == Hit::Stop) net_.stop(*who);
     for (std::size_t k = 0; k < set_.keepers; ++k) {
@@ -448,13 +486,16 @@
             for (std::size_t k = 0; k < set_.keepers; ++k) net_.start(k), keepers_->started(k, net_.own(k));
         if (undo.hit == Hit::Kill) {
             net_.start(undo.process);
-            std::erase_if(discovery_->told, [&](const auto& one) { return one.first.first == undo.process; });  // its last life was
+            std::erase_if(discovery_->told, [&](const auto& one) {
+                return one.first.first == undo.process;
+            });  // its last life was
             nodes_[undo.process - set_.keepers]->restarted = true;
             nodes_[undo.process - set_.keepers]->started(net_.own(undo.process));
         }
         if (undo.hit == Hit::Hang) nodes_[undo.process - set_.keepers]->hung = false;
         if (undo.hit == Hit::Stop) net_.go_on(undo.process);
-        for (std::size_t k = 0; k < set_.keepers && undo.hit != Hit::KeepersGone; ++k) net_.cut(undo.process, k, false), net_.cut(k, undo.process, false);
+        for (std::size_t k = 0; k < set_.keepers && undo.hit != Hit::KeepersGone; ++k)
+            net_.cut(undo.process, k, false), net_.cut(k, undo.process, false);
         net_.cut(undo.process, discovery(), false), net_.cut(discovery(), undo.process, false);
     }
 }
@@ -485,7 +526,8 @@
             TimePoint limit = from + set_.ask_within + set_.told_limit;
             auto told = discovery_->told.find({node->self, id});
             if (told != discovery_->told.end()) {
-                TimePoint by = std::max(told->second, excused == excused_.end() ? told->second : excused->second);
+                TimePoint by =
+                    std::max(told->second, excused == excused_.end() ? told->second : excused->second);
                 // Where the way to the node was cut then, it counts six seconds later.
                 limit = std::min(limit, by + set_.told_limit);
             }
@@ -493,7 +535,8 @@
                 ++out.requests_late;
                 out.wrong.push_back(id + " was sent requests by " + std::to_string(node->self) + " for " +
                                     std::to_string(int((last->second - listed).count())) + " ms, " +
-                                    std::to_string(int((last->second - limit).count())) + " ms beyond the limit");
+                                    std::to_string(int((last->second - limit).count())) +
+                                    " ms beyond the limit");
             }
         }
     }
@@ -504,7 +547,15 @@
 // ---- Trials
 
 std::string_view name(Hit hit) {
-    constexpr std::string_view kNames[] = {"killed", "stopped", "cut to the keepers", "cut from the keepers", "cut to discovery", "cut from discovery", "hung", "keepers gone", "keepers gone and back"};
+    constexpr std::string_view kNames[] = {"killed",
+                                           "stopped",
+                                           "cut to the keepers",
+                                           "cut from the keepers",
+                                           "cut to discovery",
+                                           "cut from discovery",
+                                           "hung",
+                                           "keepers gone",
+                                           "keepers gone and back"};
     return kNames[std::size_t(hit)];
 }
 
@@ -517,7 +568,8 @@
     if (wrong++ == 0) first = which + ": " + outcome.wrong.front();
 }
 
-ListTrial hit_each(const ListSettings& settings, Hit hit, Duration back, std::uint64_t from, std::uint64_t stride) {
+ListTrial hit_each(const ListSettings& settings, Hit hit, Duration back, std::uint64_t from,
+                   std::uint64_t stride) {
     ListTrial trial;
     ListWorld plain(settings);
     plain.run_to(TimePoint{Duration{5000}});
@@ -535,11 +587,13 @@
 ListTrial list_shown_by(ListSaboteur what_for, ListSaboteur in_it) {
     ListSettings settings;
     settings.saboteur = in_it;
-    if (what_for == ListSaboteur::OwnerIgnoresTold) return hit_each(settings, Hit::CutToKeepers, Duration{20'000}, 1, 47);
+    if (what_for == ListSaboteur::OwnerIgnoresTold)
+        return hit_each(settings, Hit::CutToKeepers, Duration{20'000}, 1, 47);
     if (what_for == ListSaboteur::NeverAsksItself || what_for == ListSaboteur::CountsFromNews)
         return hit_each(settings, Hit::Hang, Duration{25'000}, 1, 199);
     ListTrial trial;
-    if (what_for == ListSaboteur::AsksAtOnce) settings.nodes = 100, settings.calls_per_s = 40, settings.every = Duration{1e9};
+    if (what_for == ListSaboteur::AsksAtOnce)
+        settings.nodes = 100, settings.calls_per_s = 40, settings.every = Duration{1e9};
     ListWorld world(settings);
     world.run_to(TimePoint{Duration{10'000}});
     if (what_for == ListSaboteur::AsksAtOnce) world.hit(Hit::KeepersGone, Duration{60'000});
--- a/lab/duty/list_world.h
+++ b/lab/duty/list_world.h
@@ -1,5 +1,6 @@
-// A tier whose nodes go by the agreed list, in virtual time: keepers, nodes with every core as shipped, discovery that answers calls
-// at a limited rate. Judged from what discovery told whom and when, and from what drained servers were still sent.
+// A tier whose nodes go by the agreed list, in virtual time: keepers, nodes with every core as shipped,
+// discovery that answers calls at a limited rate. Judged from what discovery told whom and when, and from
+// what drained servers were still sent.
 #pragma once
 
 #include <memory>
@@ -27,9 +28,9 @@
 
 struct ListSettings {
     std::size_t keepers = 3, nodes = 5, servers = 20;
-    bool real = false;             ///< Raft, replicas and sessions as shipped; else their stand-in
-    bool agreed = true;            ///< false: each node watches discovery by itself, as without keepers
-    Duration every{3000};          ///< a server drains, is gone 3 s later, and another comes
+    bool real = false;     ///< Raft, replicas and sessions as shipped; else their stand-in
+    bool agreed = true;    ///< false: each node watches discovery by itself, as without keepers
+    Duration every{3000};  ///< a server drains, is gone 3 s later, and another comes
     double calls_per_s = 200;
     Duration owner_wait{2000}, silence{6000}, own_wait{5000};
     Duration told_limit{2000}, ask_within{10'000};
@@ -37,7 +38,17 @@
     ListSaboteur saboteur = ListSaboteur::None;
 };
 
-enum class Hit { Kill, Stop, CutToKeepers, CutFromKeepers, CutToDiscovery, CutFromDiscovery, Hang, KeepersGone, KeepersAndBack };
+enum class Hit {
+    Kill,
+    Stop,
+    CutToKeepers,
+    CutFromKeepers,
+    CutToDiscovery,
+    CutFromDiscovery,
+    Hang,
+    KeepersGone,
+    KeepersAndBack
+};
 
 struct ListOutcome {
     std::uint64_t calls = 0, failed = 0, drains = 0, requests_late = 0;
@@ -96,8 +107,10 @@
     std::string first;
     void add(ListWorld& world, const std::string& which);
 };
-/// The list's owner is hit at event `from`, `from + stride`, ... between the 5th and the 15th second; 45 s each.
-ListTrial hit_each(const ListSettings& settings, Hit hit, Duration back, std::uint64_t from, std::uint64_t stride);
+/// The list's owner is hit at event `from`, `from + stride`, ... between the 5th and the 15th second; 45 s
+/// each.
+ListTrial hit_each(const ListSettings& settings, Hit hit, Duration back, std::uint64_t from,
+                   std::uint64_t stride);
 std::string_view name(Hit hit);
 ListTrial list_shown_by(ListSaboteur what_for, ListSaboteur in_it);
 
--- a/lab/duty/message.h
+++ b/lab/duty/message.h
@@ -11,12 +11,22 @@
 
 struct Message {
     enum class Kind {
-        Beat,                                    // among keepers
-        Renew, Renewed, NotLeader,               // a session; session zero: a new one
-        Do, Did,                                 // a command and its answer
-        Effect, Look, Retire, Verdict,           // owner and receiver
-        Ask, List, Failed,                       // a node and discovery
-        Raft, Asked, Answered                    // among real keepers, and with their sessions
+        Beat,  // among keepers
+        Renew,
+        Renewed,
+        NotLeader,  // a session; session zero: a new one
+        Do,
+        Did,  // a command and its answer
+        Effect,
+        Look,
+        Retire,
+        Verdict,  // owner and receiver
+        Ask,
+        List,
+        Failed,  // a node and discovery
+        Raft,
+        Asked,
+        Answered  // among real keepers, and with their sessions
     } kind{};
     std::uint64_t call = 0;
     keeper::SessionId session = 0;
--- a/lab/duty/process.h
+++ b/lab/duty/process.h
@@ -15,7 +15,8 @@
 public:
     void at(TimePoint own, std::function<void(TimePoint)> then) { all_.emplace(own, std::move(then)); }
     void run_one(TimePoint own) {
-        if (all_.empty() || all_.begin()->first > own + Duration{1e-6}) return;  // clocks are computed, and a hair off
+        if (all_.empty() || all_.begin()->first > own + Duration{1e-6})
+            return;  // clocks are computed, and a hair off
         auto first = all_.extract(all_.begin());
         first.mapped()(std::max(own, first.key()));
     }
@@ -31,14 +32,18 @@
 struct SessionSettings {
     std::size_t keepers = 3;
     Duration lease{3000}, patience{400};
-    bool from_the_answer = false;  ///< a saboteur: the lease is counted from when it was granted, not from when it was asked for
+    bool from_the_answer =
+        false;  ///< a saboteur: the lease is counted from when it was granted, not from when it was asked for
 };
 
 struct SessionHooks {
     std::function<void(TimePoint own, keeper::SessionId, TimePoint until)> held;
     std::function<void(TimePoint own)> lost;
-    std::function<void(TimePoint own, keeper::SessionId, const std::string& kind, const std::string& news)> news;
-    std::function<void(TimePoint own, const std::string& kind, std::uint64_t number, const std::string& answer)> answered;
+    std::function<void(TimePoint own, keeper::SessionId, const std::string& kind, const std::string& news)>
+        news;
+    std::function<void(TimePoint own, const std::string& kind, std::uint64_t number,
+                       const std::string& answer)>
+        answered;
 };
 
 /// A process's session with whoever plays the keepers.
@@ -46,7 +51,8 @@
 public:
     virtual ~Member() = default;
     virtual void begin(TimePoint own) = 0;
-    virtual void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what, const std::string& body) = 0;
+    virtual void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what,
+                     const std::string& body) = 0;
     /// True: it was the session's.
     virtual bool received(std::size_t from, TimePoint own, const Message& m) = 0;
     /// The machine's `read`; the answer comes as Kind::List.
@@ -57,11 +63,18 @@
 class SessionClient : public Member {
 public:
     using Hooks = SessionHooks;
-    SessionClient(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self, Hooks hooks)
-        : set_(settings), net_(net), timers_(timers), self_(self), keeper_(self % settings.keepers), hooks_(std::move(hooks)) {}
+    SessionClient(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
+                  Hooks hooks)
+        : set_(settings),
+          net_(net),
+          timers_(timers),
+          self_(self),
+          keeper_(self % settings.keepers),
+          hooks_(std::move(hooks)) {}
 
     void begin(TimePoint own) override { renew(own); }
-    void say(TimePoint, std::uint64_t number, keeper::SessionId session, const std::string& what, const std::string& body) override {
+    void say(TimePoint, std::uint64_t number, keeper::SessionId session, const std::string& what,
+             const std::string& body) override {
         Message m;
         m.kind = Message::Kind::Do;
         m.call = number, m.session = session, m.what = what, m.body = body;
@@ -114,7 +127,8 @@
         });
     }
     void renewed(TimePoint own, const Message& m) {
-        // A renewal that was given up may be answered late: what it grants counts from when it was asked for, and it is not taken.
+        // A renewal that was given up may be answered late: what it grants counts from when it was asked for,
+        // and it is not taken.
         auto found = asked_.find(m.call);
         if (found == asked_.end()) return;
         TimePoint asked = asked_at_ = found->second;
@@ -144,8 +158,14 @@
 /// keeper::Session as shipped.
 class RealMember : public Member {
 public:
-    RealMember(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self, std::uint64_t instance, SessionHooks hooks)
-        : net_(net), timers_(timers), self_(self), lease_(settings.lease), hooks_(std::move(hooks)), session_([&] {
+    RealMember(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
+               std::uint64_t instance, SessionHooks hooks)
+        : net_(net),
+          timers_(timers),
+          self_(self),
+          lease_(settings.lease),
+          hooks_(std::move(hooks)),
+          session_([&] {
               keeper::SessionSettings set;
               for (std::size_t i = 0; i < settings.keepers; ++i) set.keepers.push_back(address(i));
               set.name = address(self), set.instance = instance, set.seed = instance;
@@ -156,7 +176,8 @@
     static std::string address(std::size_t keeper) { return std::to_string(keeper + 1).insert(0, 1, 'k'); }
 
     void begin(TimePoint own) override { handle(own, keeper::SessionWoken{}); }
-    void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what, const std::string& body) override {
+    void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what,
+             const std::string& body) override {
         if (session != session_.id()) return;
         calls_[++call_] = {what, number};
         handle(own, keeper::Submit{call_, what, body});
--- a/lab/duty/record.cpp
+++ b/lab/duty/record.cpp
@@ -9,9 +9,10 @@
 std::vector<std::string> judge(const Records& records, const JudgeSettings& settings) {
     std::vector<std::string> wrong;
     auto said = [&](const EffectSeen& e, const char* what) {
-        wrong.push_back(std::string(what) + ": " + e.duty + " item " + std::to_string(e.item) + " under epoch " +
-                        std::to_string(e.epoch) + " at receiver " + std::to_string(e.receiver) + ", from " +
-                        std::to_string(e.sender) + ", at " + std::to_string(int(e.at.time_since_epoch().count())) + " ms");
+        wrong.push_back(std::string(what) + ": " + e.duty + " item " + std::to_string(e.item) +
+                        " under epoch " + std::to_string(e.epoch) + " at receiver " +
+                        std::to_string(e.receiver) + ", from " + std::to_string(e.sender) + ", at " +
+                        std::to_string(int(e.at.time_since_epoch().count())) + " ms");
     };
     std::map<std::pair<std::string, std::uint64_t>, std::size_t> items, senders;
     std::map<std::pair<std::string, std::size_t>, std::uint64_t> at_receiver;
@@ -31,8 +32,9 @@
     std::map<std::tuple<std::string, std::uint64_t, std::size_t>, std::size_t> late;
     for (const RefusedSeen& r : records.refused)
         if (r.since > settings.on_the_way && ++late[{r.duty, r.epoch, r.sender}] == settings.late + 1)
-            wrong.push_back("went on: " + r.duty + " under epoch " + std::to_string(r.epoch) + " from " + std::to_string(r.sender) +
-                            ", " + std::to_string(int(r.since.count())) + " ms behind a newer owner");
+            wrong.push_back("went on: " + r.duty + " under epoch " + std::to_string(r.epoch) + " from " +
+                            std::to_string(r.sender) + ", " + std::to_string(int(r.since.count())) +
+                            " ms behind a newer owner");
     for (const std::string& one : records.undone) wrong.push_back("undone: " + one);
     return wrong;
 }
--- a/lab/duty/replicas.cpp
+++ b/lab/duty/replicas.cpp
@@ -17,7 +17,8 @@
 void Replicas::started(std::size_t self, TimePoint own) {
     Each& me = each_[self];
     if (me.lives == 0)
-        for (std::size_t i = 0; i < each_.size(); ++i) me.disk.members.push_back({raft::KeeperId(i + 1), true, std::to_string(i + 1).insert(0, 1, 'k')});
+        for (std::size_t i = 0; i < each_.size(); ++i)
+            me.disk.members.push_back({raft::KeeperId(i + 1), true, std::to_string(i + 1).insert(0, 1, 'k')});
     raft::Settings settings;
     settings.self = raft::KeeperId(self + 1);
     keeper::ReplicaSettings replica;
@@ -26,20 +27,27 @@
     me.raft = std::make_unique<raft::Raft>(settings, me.disk, seed_ * 1000 + self * 100 + ++me.lives);
     me.replica = std::make_unique<keeper::Replica>(
         replica, machines_,
-        [this, self](TimePoint now, const raft::Event& event, raft::Actions& actions) { each_[self].raft->handle(now, event, actions); }, me.disk);
+        [this, self](TimePoint now, const raft::Event& event, raft::Actions& actions) {
+            each_[self].raft->handle(now, event, actions);
+        },
+        me.disk);
     me.wake = TimePoint::max();
     handle(self, own, keeper::Woken{});
 }
 
 void Replicas::take(raft::Disk& d, const raft::Write& write) {
     if (write.vote) d.vote = *write.vote;
-    if (write.cut) d.entries.resize(*write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
+    if (write.cut)
+        d.entries.resize(
+            *write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
     d.entries.insert(d.entries.end(), write.append.begin(), write.append.end());
     if (write.snapshot) {
         std::uint64_t index = write.snapshot->index, last = d.first + d.entries.size() - 1;
-        bool other = index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
+        bool other =
+            index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
         std::size_t gone = index < d.first ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first + 1);
-        d.entries.erase(d.entries.begin(), other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
+        d.entries.erase(d.entries.begin(),
+                        other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
         d.first = index + 1;
         d.snapshot = write.snapshot;
     }
@@ -71,7 +79,8 @@
         } else if (auto* answer = std::get_if<keeper::Answer>(&action)) {
             if (answer->who == kOperator) {
                 keeper::wire::Answer said;
-                if (said.ParseFromString(answer->body) && said.error() == 0) answers_.push_back(said.result());
+                if (said.ParseFromString(answer->body) && said.error() == 0)
+                    answers_.push_back(said.result());
                 continue;
             }
             Message m;
@@ -126,7 +135,8 @@
 const keeper::Machine* Replicas::look(std::string_view kind) const {
     const keeper::Replica* furthest = nullptr;
     for (const Each& one : each_)
-        if (one.replica && (!furthest || one.replica->applied() > furthest->applied())) furthest = one.replica.get();
+        if (one.replica && (!furthest || one.replica->applied() > furthest->applied()))
+            furthest = one.replica.get();
     return furthest ? furthest->state().machine(kind) : nullptr;
 }
 
--- a/lab/duty/replicas.h
+++ b/lab/duty/replicas.h
@@ -1,5 +1,5 @@
-// The real keepers in the virtual world: Raft and replicas as shipped, each with a disk that takes its time and may lose in a
-// crash any part of what it had not written.
+// The real keepers in the virtual world: Raft and replicas as shipped, each with a disk that takes its time
+// and may lose in a crash any part of what it had not written.
 #pragma once
 
 #include <deque>
--- a/lab/duty/trial.cpp
+++ b/lab/duty/trial.cpp
@@ -10,7 +10,9 @@
 
 constexpr Duration kBack{4500};  // longer than a lease
 
-std::string number(std::uint64_t n) { return std::to_string(n); }
+std::string number(std::uint64_t n) {
+    return std::to_string(n);
+}
 
 }  // namespace
 
@@ -36,7 +38,8 @@
     return settings;
 }
 
-Trial strike_each(const WorldSettings& settings, Blow blow, std::uint64_t from, std::uint64_t stride, bool twice) {
+Trial strike_each(const WorldSettings& settings, Blow blow, std::uint64_t from, std::uint64_t stride,
+                  bool twice) {
     Trial trial;
     JudgeSettings strict;
     strict.late = blow == Blow::Stop ? 1 : 0;
@@ -83,15 +86,20 @@
         World world(settings);
         for (double t = 500 + 1000 * uniform(); t < 20'000; t += 300 + 2500 * uniform()) {
             world.run_to(world.begun() + Duration{t});
-            std::size_t who = uniform() < 0.4 && world.working() ? *world.working() : std::size_t(uniform() * double(world.net().size()));
+            std::size_t who = uniform() < 0.4 && world.working()
+                                  ? *world.working()
+                                  : std::size_t(uniform() * double(world.net().size()));
             double what = uniform();
             Duration back{100 + 6000 * uniform()};
-            if (who < settings.keepers && what < 0.4) back = Duration{100 + 3000 * uniform()};  // else there is seldom a majority
+            if (who < settings.keepers && what < 0.4)
+                back = Duration{100 + 3000 * uniform()};  // else there is seldom a majority
             Blow blow = what < 0.4 ? Blow::Kill : what < 0.7 && stops ? Blow::Stop : Blow::CutToKeepers;
             if (blow == Blow::Stop)  // the moment that no clock closes
-                for (int i = 0; i < 1000 && world.working() == who && !world.armed(who); ++i) world.run_to(world.net().now() + Duration{0.3});
+                for (int i = 0; i < 1000 && world.working() == who && !world.armed(who); ++i)
+                    world.run_to(world.net().now() + Duration{0.3});
             world.strike(who, blow, back);
-            if (uniform() < 0.2) world.strike(std::size_t(uniform() * double(world.net().size())), blow, back);
+            if (uniform() < 0.2)
+                world.strike(std::size_t(uniform() * double(world.net().size())), blow, back);
         }
         world.run(Duration{120'000});
         JudgeSettings strict;
@@ -119,7 +127,9 @@
         if (change == Change::Move) {
             world.keepers().operate("duty", ochrehub::duty::move_away("duty0"));
         } else {
-            Blow blow = change == Change::Kill ? Blow::Kill : change == Change::Stop ? Blow::Stop : Blow::CutToKeepers;
+            Blow blow = change == Change::Kill   ? Blow::Kill
+                        : change == Change::Stop ? Blow::Stop
+                                                 : Blow::CutToKeepers;
             world.strike(*who, blow, Duration{60'000});
         }
         std::size_t before = world.records().effects.size();
@@ -189,7 +199,8 @@
         one.items = 160;
         one.move_at = Duration{2000 + 137.0 * double(seed)};
         one.pace = Duration{50};
-        if (what_for != Saboteur::HandsOverAtWork && what_for != Saboteur::GrantsBeforeRest) one.move_at.reset();
+        if (what_for != Saboteur::HandsOverAtWork && what_for != Saboteur::GrantsBeforeRest)
+            one.move_at.reset();
         if (what_for == Saboteur::RepeatsWithoutAsking) one.loss = 0.2;
         if (what_for == Saboteur::LeaseFromAnswer) one.patience = Duration{2200};
         World world(one);
@@ -204,7 +215,8 @@
                 who = world.working();
             }
             if (who) world.strike(*who, Blow::CutToKeepers, Duration{20'000});
-            if (who && what_for == Saboteur::LeaderGivesLess) world.strike(world.keepers().leads().value_or(0), Blow::Kill, Duration{20'000});
+            if (who && what_for == Saboteur::LeaderGivesLess)
+                world.strike(world.keepers().leads().value_or(0), Blow::Kill, Duration{20'000});
         }
         world.run(Duration{90'000});
         trial.add(world, {}, "seed " + number(seed));
--- a/lab/duty/trial.h
+++ b/lab/duty/trial.h
@@ -1,5 +1,5 @@
-// Runs of the world: a scripted one struck at each of its events, seeds with everything at once, the time without an owner, and
-// the saboteurs, each with the fault that shows it.
+// Runs of the world: a scripted one struck at each of its events, seeds with everything at once, the time
+// without an owner, and the saboteurs, each with the fault that shows it.
 #pragma once
 
 #include "lab/duty/world.h"
@@ -7,7 +7,8 @@
 namespace ochrehub::lab::duty {
 
 struct Trial {
-    std::uint64_t runs = 0, events = 0, effects = 0, refused = 0, owners = 0;  ///< owners: changes seen by receivers
+    std::uint64_t runs = 0, events = 0, effects = 0, refused = 0,
+                  owners = 0;  ///< owners: changes seen by receivers
     std::uint64_t wrong = 0;
     std::string first;  ///< the first thing that was wrong, with the run that shows it
     void add(const World& world, const JudgeSettings& settings, const std::string& which);
@@ -15,9 +16,12 @@
 
 /// Three owners, three keepers, two receivers, one job; an operator moves it in the middle.
 WorldSettings scripted(std::uint64_t items, std::uint64_t seed = 1);
-/// Struck at event `from`, `from + stride`, ... until the run has no more. `twice`: and once more, at each `stride`-th behind it.
-Trial strike_each(const WorldSettings& settings, Blow blow, std::uint64_t from, std::uint64_t stride, bool twice = false);
-/// Kills, stops, one-sided cuts, loss, late and doubled messages at once, for 20 s, three jobs. Odd seeds stop nobody.
+/// Struck at event `from`, `from + stride`, ... until the run has no more. `twice`: and once more, at each
+/// `stride`-th behind it.
+Trial strike_each(const WorldSettings& settings, Blow blow, std::uint64_t from, std::uint64_t stride,
+                  bool twice = false);
+/// Kills, stops, one-sided cuts, loss, late and doubled messages at once, for 20 s, three jobs. Odd seeds
+/// stop nobody.
 Trial chaos(std::uint64_t from, std::uint64_t to, bool real = false);
 
 struct Gaps {
--- a/lab/duty/world.cpp
+++ b/lab/duty/world.cpp
@@ -1,25 +1,35 @@
 #include "lab/duty/world.h"
 
-#include "lab/duty/replicas.h"
-
 #include <algorithm>
 
+#include "lab/duty/replicas.h"
+
 namespace ochrehub::lab::duty {
 
+using fence::Verdict;
 using ochrehub::duty::Epoch;
 using ochrehub::duty::Owner;
 using ochrehub::duty::OwnerAction;
 using ochrehub::duty::OwnerActions;
 using ochrehub::duty::OwnerEvent;
 using ochrehub::duty::OwnerSettings;
-using fence::Verdict;
 namespace core = ochrehub::duty;
 
 std::string_view name(Saboteur saboteur) {
-    constexpr std::string_view kNames[kSaboteurs] = {
-        "none",           "epoch not raised",   "lease from the answer", "no fence",           "effect before it is written",
-        "repeats without asking", "hands over at work", "new leader gives less", "ignores its lease",  "keepers count less",
-        "grants before rest", "forgets what is retired", "retires before the end", "next owner asks nothing"};
+    constexpr std::string_view kNames[kSaboteurs] = {"none",
+                                                     "epoch not raised",
+                                                     "lease from the answer",
+                                                     "no fence",
+                                                     "effect before it is written",
+                                                     "repeats without asking",
+                                                     "hands over at work",
+                                                     "new leader gives less",
+                                                     "ignores its lease",
+                                                     "keepers count less",
+                                                     "grants before rest",
+                                                     "forgets what is retired",
+                                                     "retires before the end",
+                                                     "next owner asks nothing"};
     return kNames[std::size_t(saboteur)];
 }
 
@@ -56,8 +66,10 @@
 }
 
 std::unique_ptr<House> play(const WorldSettings& settings) {
-    if (!settings.real) return std::make_unique<Keepers>(keeper_settings(settings), machines(settings.saboteur));
-    return std::make_unique<Replicas>(settings.keepers, settings.seed, [saboteur = settings.saboteur] { return machines(saboteur); });
+    if (!settings.real)
+        return std::make_unique<Keepers>(keeper_settings(settings), machines(settings.saboteur));
+    return std::make_unique<Replicas>(settings.keepers, settings.seed,
+                                      [saboteur = settings.saboteur] { return machines(saboteur); });
 }
 
 }  // namespace
@@ -74,7 +86,7 @@
     Timers timers;
     std::map<std::pair<std::string, std::uint64_t>, Message> doing;
     std::map<std::string, std::pair<std::uint64_t, TimePoint>> newest;  // epoch, and when it came first
-    std::set<std::pair<std::string, std::uint64_t>> unknown;            // begun, written, and killed before the effect
+    std::set<std::pair<std::string, std::uint64_t>> unknown;  // begun, written, and killed before the effect
     std::set<std::pair<std::string, std::uint64_t>> landed;
 
     void write() {
@@ -118,7 +130,8 @@
         saw(m, a.verdict);
         auto newer = newest.find(m.what);
         if (newer != newest.end() && newer->second.first > m.epoch)
-            world.records_.refused.push_back({world.net_.now(), self, from, m.what, m.epoch, world.net_.now() - newer->second.second});
+            world.records_.refused.push_back(
+                {world.net_.now(), self, from, m.what, m.epoch, world.net_.now() - newer->second.second});
         if (saboteur != Saboteur::EffectBeforeWritten) write();
         bool unfenced = saboteur == Saboteur::NoFence && a.verdict == Verdict::Stale;
         if (a.verdict != Verdict::Do && !unfenced) return answer(from, m, a.verdict);
@@ -147,7 +160,8 @@
     enum class Item : char { Unknown, Todo, Done };
     struct Run {
         Epoch epoch = 0;
-        bool stopping = false, retiring = false, finished = false, armed = false, flying = false, zombie = false;
+        bool stopping = false, retiring = false, finished = false, armed = false, flying = false,
+             zombie = false;
         TimePoint until{};  // of a zombie
         std::vector<Item> items;
         std::set<std::size_t> told;
@@ -173,19 +187,29 @@
         if (world.set_.real) settings.again = Duration{0};
         owner = std::make_unique<Owner>(settings);
         SessionSettings session;
-        session.keepers = world.set_.keepers, session.lease = world.set_.lease, session.patience = world.set_.patience;
+        session.keepers = world.set_.keepers, session.lease = world.set_.lease,
+        session.patience = world.set_.patience;
         session.from_the_answer = saboteur() == Saboteur::LeaseFromAnswer;
         SessionHooks hooks{
-            [this](TimePoint t, keeper::SessionId id, TimePoint until) { handle(t, core::SessionHeld{id, until}); },
+            [this](TimePoint t, keeper::SessionId id, TimePoint until) {
+                handle(t, core::SessionHeld{id, until});
+            },
             [this](TimePoint t) { handle(t, core::SessionLost{}); },
-            [this](TimePoint t, keeper::SessionId id, const std::string&, const std::string& news) { handle(t, core::Heard{id, news}); },
-            [this](TimePoint t, const std::string&, std::uint64_t number, const std::string& answer) { handle(t, core::Answered{number, answer}); }};
+            [this](TimePoint t, keeper::SessionId id, const std::string&, const std::string& news) {
+                handle(t, core::Heard{id, news});
+            },
+            [this](TimePoint t, const std::string&, std::uint64_t number, const std::string& answer) {
+                handle(t, core::Answered{number, answer});
+            }};
         if (world.set_.real)
-            client = std::make_unique<RealMember>(session, world.net_, timers, self, self * 1000 + ++lives, std::move(hooks));
+            client = std::make_unique<RealMember>(session, world.net_, timers, self, self * 1000 + ++lives,
+                                                  std::move(hooks));
         else
             client = std::make_unique<SessionClient>(session, world.net_, timers, self, std::move(hooks));
         for (const std::string& job : world.jobs_) handle(own, core::WantDuty{job, 1});
-        timers.at(own + Duration{1.0 + 331.0 * double(self - world.set_.keepers) + 300 * world.net_.uniform()}, [this](TimePoint t) { client->begin(t); });
+        timers.at(
+            own + Duration{1.0 + 331.0 * double(self - world.set_.keepers) + 300 * world.net_.uniform()},
+            [this](TimePoint t) { client->begin(t); });
         timers.arm(world.net_, self);
     }
     void handle(TimePoint own, const OwnerEvent& event) {
@@ -193,9 +217,11 @@
         owner->handle(own, event, actions);
         for (OwnerAction& action : actions) {
             if (auto* begin = std::get_if<core::Begin>(&action)) start(own, begin->name, begin->epoch, false);
-            if (auto* retire = std::get_if<core::Retire>(&action)) start(own, retire->name, retire->epoch, true);
+            if (auto* retire = std::get_if<core::Retire>(&action))
+                start(own, retire->name, retire->epoch, true);
             if (auto* stop = std::get_if<core::Stop>(&action)) stopped(own, *stop);
-            if (auto* say = std::get_if<core::Say>(&action)) client->say(own, say->number, say->session, "duty", say->command);
+            if (auto* say = std::get_if<core::Say>(&action))
+                client->say(own, say->number, say->session, "duty", say->command);
             if (auto* at = std::get_if<core::WakeAt>(&action); at && wake != at->at) {
                 wake = at->at;
                 timers.at(at->at, [this, when = at->at](TimePoint t) {
@@ -210,7 +236,8 @@
         Run& run = runs[duty];
         if (!(retiring && run.epoch == epoch)) run = {};
         run.epoch = epoch, run.retiring = retiring;
-        run.items.assign(world.set_.endless ? 0 : world.set_.items, saboteur() == Saboteur::NextAsksNothing ? Item::Todo : Item::Unknown);
+        run.items.assign(world.set_.endless ? 0 : world.set_.items,
+                         saboteur() == Saboteur::NextAsksNothing ? Item::Todo : Item::Unknown);
         timers.at(own, [this, duty, epoch](TimePoint t) { tick(t, duty, epoch); });
     }
     void stopped(TimePoint own, const core::Stop& stop) {
@@ -256,13 +283,15 @@
         if (run.retiring) {
             tell_retired(duty, run);
             if (run.told.size() == world.set_.receivers) return handle(own, core::Told{duty, epoch});
-        } else if (auto open = std::find(run.items.begin(), run.items.end(), Item::Unknown); open != run.items.end()) {
+        } else if (auto open = std::find(run.items.begin(), run.items.end(), Item::Unknown);
+                   open != run.items.end()) {
             if (may(own, duty, run))
                 for (std::size_t i = 0; i < run.items.size(); ++i)
                     if (run.items[i] == Item::Unknown) look(duty, run, i + 1);
         } else if (world.set_.endless && run.told.size() < world.set_.receivers) {
             if (may(own, duty, run))
-                for (std::size_t i = 0; i < world.set_.receivers; ++i) look(duty, run, i + world.set_.receivers);
+                for (std::size_t i = 0; i < world.set_.receivers; ++i)
+                    look(duty, run, i + world.set_.receivers);
         } else if (!run.flying && !run.armed) {
             next = step(own, duty, run);
         }
@@ -275,7 +304,8 @@
     }
     void tell_retired(const std::string& duty, const Run& run) {
         for (std::size_t i = 0; i < world.set_.receivers; ++i)
-            if (!run.told.contains(i)) world.net_.send(self, world.receiver(i), message(Message::Kind::Retire, duty, run));
+            if (!run.told.contains(i))
+                world.net_.send(self, world.receiver(i), message(Message::Kind::Retire, duty, run));
     }
     Duration step(TimePoint own, const std::string& duty, Run& run) {
         std::uint64_t item = 0, number = 0;
@@ -309,7 +339,8 @@
             world.net_.send(self, place(item), m);
             timers.at(t + Duration{100}, [this, duty, epoch, out](TimePoint) {
                 auto run_it = runs.find(duty);
-                if (run_it != runs.end() && run_it->second.epoch == epoch && run_it->second.out == out) run_it->second.flying = false;
+                if (run_it != runs.end() && run_it->second.epoch == epoch && run_it->second.out == out)
+                    run_it->second.flying = false;
             });
         });
         return world.set_.pace;
@@ -327,7 +358,8 @@
         if (m.verdict == Verdict::Stale || m.verdict == Verdict::Behind) return;
         if (world.set_.endless) {
             if (m.index == 1) run.told.insert(from - world.receiver(0));
-            if (m.verdict == Verdict::Done && m.index != 1 && m.item == (run.epoch << 24) + run.next + 1) ++run.next;
+            if (m.verdict == Verdict::Done && m.index != 1 && m.item == (run.epoch << 24) + run.next + 1)
+                ++run.next;
             return;
         }
         if (m.item == 0 || m.item > run.items.size()) return;
@@ -335,7 +367,8 @@
         if (m.verdict == Verdict::Never && item == Item::Unknown) item = Item::Todo;
         if (m.verdict == Verdict::Done || m.verdict == Verdict::Settled) item = Item::Done;
         if (m.verdict == Verdict::Doing) {
-            // It ends soon, or ended with a crash of the receiver: what became of it nobody knows, and it is not done again.
+            // It ends soon, or ended with a crash of the receiver: what became of it nobody knows, and it is
+            // not done again.
             TimePoint since = run.doing.try_emplace(m.item, own).first->second;
             item = own - since > Duration{400} ? Item::Done : Item::Unknown;
         }
@@ -356,7 +389,9 @@
               return net;
           }(),
           {[this](std::size_t process, TimePoint own) { woken(process, own); },
-           [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) { received(to, from, own, m); }}),
+           [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) {
+               received(to, from, own, m);
+           }}),
       keepers_(play(settings)) {
     keepers_->attach(net_);
     for (std::size_t i = 0; i < set_.owners; ++i)
@@ -395,7 +430,9 @@
         receivers_[process - receiver(0)]->started();
 }
 
-void World::strike_at(std::uint64_t n, Blow blow, Duration back) { plans_.push_back({n, blow, back}); }
+void World::strike_at(std::uint64_t n, Blow blow, Duration back) {
+    plans_.push_back({n, blow, back});
+}
 
 void World::strike(std::size_t process, Blow blow, Duration back) {
     if (!net_.up(process)) return;
@@ -439,7 +476,8 @@
 void World::woken(std::size_t process, TimePoint own) {
     if (struck(process)) return;
     if (process < set_.keepers) return keepers_->woken(process, own);
-    Timers& timers = process < receiver(0) ? owners_[process - owner(0)]->timers : receivers_[process - receiver(0)]->timers;
+    Timers& timers = process < receiver(0) ? owners_[process - owner(0)]->timers
+                                           : receivers_[process - receiver(0)]->timers;
     timers.run_one(own);
     timers.arm(net_, process);
 }
@@ -471,7 +509,8 @@
     const auto* machine = keepers_->look("duty");
     if (!machine) return false;
     const auto& duties = static_cast<const core::Duties*>(machine)->duties();
-    return std::none_of(jobs_.begin(), jobs_.end(), [&](const std::string& job) { return duties.contains(job); });
+    return std::none_of(jobs_.begin(), jobs_.end(),
+                        [&](const std::string& job) { return duties.contains(job); });
 }
 
 void World::run(Duration most) {
@@ -493,7 +532,9 @@
     run_to(net_.now() + Duration{200});
     records_.refused.resize(refused);
     std::set<std::pair<std::string, std::uint64_t>> landed, unknown;
-    for (const auto& one : receivers_) landed.insert(one->landed.begin(), one->landed.end()), unknown.insert(one->unknown.begin(), one->unknown.end());
+    for (const auto& one : receivers_)
+        landed.insert(one->landed.begin(), one->landed.end()),
+            unknown.insert(one->unknown.begin(), one->unknown.end());
     for (const std::string& job : jobs_)
         for (std::uint64_t item = 1; item <= set_.items; ++item)
             if (!landed.contains({job, item}) && !unknown.contains({job, item}))
@@ -508,7 +549,9 @@
 
 std::optional<std::size_t> World::working() const {
     for (const auto& one : owners_)
-        if (net_.up(one->self) && !net_.stopped(one->self) && one->owner->may(net_.own(one->self), jobs_.front())) return one->self;
+        if (net_.up(one->self) && !net_.stopped(one->self) &&
+            one->owner->may(net_.own(one->self), jobs_.front()))
+            return one->self;
     return std::nullopt;
 }
 
--- a/lab/duty/world.h
+++ b/lab/duty/world.h
@@ -1,6 +1,6 @@
-// Owners, receivers and keepers in virtual time: duties are jobs of so many items, each an effect at a receiver. Owners are
-// duty::Owner as shipped, receivers have fence::Fence as shipped and a disk; faults come from a script, an event's number or a seed.
-// The verdict is made from the receivers' records alone.
+// Owners, receivers and keepers in virtual time: duties are jobs of so many items, each an effect at a
+// receiver. Owners are duty::Owner as shipped, receivers have fence::Fence as shipped and a disk; faults come
+// from a script, an event's number or a seed. The verdict is made from the receivers' records alone.
 #pragma once
 
 #include <memory>
@@ -35,15 +35,16 @@
 inline constexpr std::size_t kSaboteurs = 14;  ///< with None
 
 struct WorldSettings {
-    bool real = false;         ///< Raft, replicas and sessions as shipped; else their stand-in
+    bool real = false;  ///< Raft, replicas and sessions as shipped; else their stand-in
     std::size_t keepers = 3, owners = 3, receivers = 2, jobs = 1;
     std::uint64_t items = 20;
     Duration pace{50};
-    bool endless = false;      ///< a standing duty whose items never end, for the time without an owner
+    bool endless = false;  ///< a standing duty whose items never end, for the time without an owner
     Duration lease{3000};
-    bool skewed = true;        ///< clocks 1% apart, alternately
-    std::optional<Duration> move_at;  ///< behind the start: an operator asks the first job's owner to give it back
-    bool late_copies = true;           ///< behind the end all that was sent comes once more
+    bool skewed = true;  ///< clocks 1% apart, alternately
+    std::optional<Duration>
+        move_at;              ///< behind the start: an operator asks the first job's owner to give it back
+    bool late_copies = true;  ///< behind the end all that was sent comes once more
     double loss = 0, doubled = 0;
     Duration delay_most{2}, patience{400};
     std::uint64_t seed = 1;
@@ -69,11 +70,13 @@
     void strike_at(std::uint64_t n, Blow blow, Duration back);
     void strike(std::size_t process, Blow blow, Duration back);
     void restart(std::size_t process);
-    /// Runs to the end of all jobs, or to `most`, whichever is first; then every effect that was ever sent comes once more.
+    /// Runs to the end of all jobs, or to `most`, whichever is first; then every effect that was ever sent
+    /// comes once more.
     void run(Duration most);
     void run_to(TimePoint at);
     bool all_over();
-    /// Which process began most recently, and has not stopped, as owner of the first job. For aiming faults alone.
+    /// Which process began most recently, and has not stopped, as owner of the first job. For aiming faults
+    /// alone.
     std::optional<std::size_t> working() const;
     /// This process has looked at its lease and is about to send. For aiming faults alone.
     bool armed(std::size_t process) const;
--- a/lab/fleet/day.cpp
+++ b/lab/fleet/day.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kSlowPeriod_s = 0.1, kSlowRuns_s = 0.01;
-constexpr const char* kNames[] = {"cut",  "loss",  "late",   "doubled", "reorder", "pause", "slow",
-                                  "kill", "leave", "replay", "clock",   "stall",   "reset", "crawl", "rekey"};
+constexpr const char* kNames[] = {"cut",   "loss",   "late",  "doubled", "reorder", "pause", "slow", "kill",
+                                  "leave", "replay", "clock", "stall",   "reset",   "crawl", "rekey"};
 
 bool holds(const std::vector<int>& list, int one) {
     return std::find(list.begin(), list.end(), one) != list.end();
@@ -46,13 +46,16 @@
     if (ms != 0) std::snprintf(line, sizeof line, ", %.0f ms", ms), out += line;
     if (!keys.empty()) out += ", keys " + keys;
     if (kind == FaultKind::Clock) std::snprintf(line, sizeof line, ", at %.3f", rate), out += line;
-    if (back_s >= 0) std::snprintf(line, sizeof line, ", back after %.2f s%s", back_s, empty ? ", empty" : ""), out += line;
+    if (back_s >= 0)
+        std::snprintf(line, sizeof line, ", back after %.2f s%s", back_s, empty ? ", empty" : ""),
+            out += line;
     return out;
 }
 
 double Day::calm_from_s() const {
     double last = 0;
-    for (const Fault& fault : faults) last = std::max(last, fault.at_s + std::max({0.0, fault.for_s, fault.back_s}));
+    for (const Fault& fault : faults)
+        last = std::max(last, fault.at_s + std::max({0.0, fault.for_s, fault.back_s}));
     return last;
 }
 
--- a/lab/fleet/day.h
+++ b/lab/fleet/day.h
@@ -1,5 +1,5 @@
-// One run of a fleet: how many members, what goes wrong and when, what is expected of it. Times are seconds, from when all
-// know all. Drawn from a scenario and a seed; both worlds run the same day.
+// One run of a fleet: how many members, what goes wrong and when, what is expected of it. Times are seconds,
+// from when all know all. Drawn from a scenario and a seed; both worlds run the same day.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,8 @@
     Stall,    ///< connections to servers stand still without being closed
     Reset,    ///< ... are reset in the middle of a message
     Crawl,    ///< ... carry `bytes_s`
-    Rekey,    ///< the file of keys of `who` now holds `keys`, and the process is told (SIGHUP); on processes alone
+    Rekey,    ///< the file of keys of `who` now holds `keys`, and the process is told (SIGHUP); on processes
+              ///< alone
 };
 const char* name(FaultKind kind);
 
@@ -49,14 +50,15 @@
 
 /// What is asked; negative: is not.
 struct Expect {
-    double deaths = 0;     ///< times that a live one is taken for dead, by anybody but those that may die themselves
-    double known_s = -1;   ///< a killed one is dead to all others
-    double undone_s = -1;  ///< behind a pause's end all have it back
+    double deaths =
+        0;  ///< times that a live one is taken for dead, by anybody but those that may die themselves
+    double known_s = -1;     ///< a killed one is dead to all others
+    double undone_s = -1;    ///< behind a pause's end all have it back
     double isolated_s = -1;  ///< one that is cut off, one way or both, says so, and is dead to all others
-    double left_s = -1;    ///< one that leaves has left to all others
-    double healed_s = -1;  ///< behind the last fault's end all is right
-    double whole_s = -1;   ///< behind a kill, parts of those that are left add up to the whole again
-    double served = -1;    ///< of the requests sent to those that run, this share at least
+    double left_s = -1;      ///< one that leaves has left to all others
+    double healed_s = -1;    ///< behind the last fault's end all is right
+    double whole_s = -1;     ///< behind a kill, parts of those that are left add up to the whole again
+    double served = -1;      ///< of the requests sent to those that run, this share at least
 };
 
 struct Day {
--- a/lab/fleet/flood.cpp
+++ b/lab/fleet/flood.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <thread>
 
-#include "lab/play/address.h"
 #include "fleet/membership/datagram.h"
+#include "lab/play/address.h"
 
 namespace ochrehub::lab::fleet {
 
@@ -31,8 +31,10 @@
             if (random() % 2 == 0) {
                 membership::Datagram datagram;
                 datagram.kind = membership::Kind::Ping;
-                datagram.from.who = {0x7f000000 + std::uint32_t(random() % 0xffffff), std::uint16_t(1 + random() % 65535)};
-                octets = membership::encode(datagram, membership::Keys(), membership::fingerprint("ochrehub"));
+                datagram.from.who = {0x7f000000 + std::uint32_t(random() % 0xffffff),
+                                     std::uint16_t(1 + random() % 65535)};
+                octets =
+                    membership::encode(datagram, membership::Keys(), membership::fingerprint("ochrehub"));
             } else {
                 octets.resize(1 + random() % 256);
                 for (char& c : octets) c = char(random());
--- a/lab/fleet/heartbeats.cpp
+++ b/lab/fleet/heartbeats.cpp
@@ -49,7 +49,12 @@
 class World {
 public:
     World(const Day& day, Detector detector)
-        : day_(day), detector_(detector), links_(day), watch_(std::size_t(day.members)), random_(day.seed), n_(std::size_t(day.members)) {}
+        : day_(day),
+          detector_(detector),
+          links_(day),
+          watch_(std::size_t(day.members)),
+          random_(day.seed),
+          n_(std::size_t(day.members)) {}
 
     std::vector<Event> run() {
         std::vector<double> next(n_);
@@ -70,7 +75,8 @@
                 if (!watch_.now().up[i] || watch_.now().stopped[i]) continue;
                 for (std::size_t to = 0; to < n_; ++to)
                     if (to != i)
-                        for (Duration late : links_.fate(int(i), int(to))) flying_.push_back({now + late.count() / 1000, i, to});
+                        for (Duration late : links_.fate(int(i), int(to)))
+                            flying_.push_back({now + late.count() / 1000, i, to});
             }
             std::erase_if(flying_, [&](const auto& one) {
                 auto [at, from, to] = one;
@@ -109,7 +115,8 @@
             Watch::Look look;
             look.shares = int(n_);
             for (std::size_t about = 0; about < n_; ++about)
-                look.of.push_back(about != of && heard_[of][about].dead(now, detector_) ? Seen::Dead : Seen::Alive);
+                look.of.push_back(about != of && heard_[of][about].dead(now, detector_) ? Seen::Dead
+                                                                                        : Seen::Alive);
             watch_.look(now, of, look);
         }
     }
--- a/lab/fleet/judge.h
+++ b/lab/fleet/judge.h
@@ -1,4 +1,5 @@
-// Judges a run by what was seen of it from outside. It knows the day and the events, nothing of the members' code.
+// Judges a run by what was seen of it from outside. It knows the day and the events, nothing of the members'
+// code.
 #pragma once
 
 #include <map>
@@ -18,7 +19,8 @@
 
 struct Verdict {
     std::vector<Broken> broken;
-    /// Seconds but for "deaths" and "served": what was measured, one value each time it came up; negative: never.
+    /// Seconds but for "deaths" and "served": what was measured, one value each time it came up; negative:
+    /// never.
     std::map<std::string, std::vector<double>> figures;
 };
 
--- a/lab/fleet/links.h
+++ b/lab/fleet/links.h
@@ -1,4 +1,5 @@
-// What becomes of what crosses a link, by the faults that hold now. Decided from a seed alone, the same in both worlds.
+// What becomes of what crosses a link, by the faults that hold now. Decided from a seed alone, the same in
+// both worlds.
 #pragma once
 
 #include <algorithm>
--- a/lab/fleet/page.cpp
+++ b/lab/fleet/page.cpp
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "fleet/membership/view.h"
 #include "lab/fleet/outcome.h"
 #include "lab/result/svg.h"
-#include "fleet/membership/view.h"
 
 namespace ochrehub::lab::fleet {
 namespace {
@@ -16,7 +16,7 @@
 using What = Event::What;
 
 constexpr double kWidth = 1100, kLeft = 90, kRight = 10, kTop = 24, kBottom = 22;
-constexpr int kRowsEach = 16;      // up to so many members each one's view has a row; beyond, how many see what
+constexpr int kRowsEach = 16;  // up to so many members each one's view has a row; beyond, how many see what
 constexpr std::size_t kRunsMost = 8;  // that are drawn; figures are of all
 
 constexpr const char* kCss = R"css(
@@ -40,7 +40,8 @@
 class Drawing {
 public:
     explicit Drawing(const Outcome& run) : run_(run), members_(std::size_t(run.day.members)) {
-        for (const Event& event : run.events) to_ = std::max(to_, event.at_s), from_ = std::min(from_, event.at_s);
+        for (const Event& event : run.events)
+            to_ = std::max(to_, event.at_s), from_ = std::min(from_, event.at_s);
         if (to_ <= from_) to_ = from_ + 1;
         each_ = run.day.members <= kRowsEach;
         row_ = each_ ? 3.5 : 10;
@@ -69,10 +70,11 @@
             if (event.what == What::Down || event.what == What::Ended) live(who, "down", event.at_s);
             if (event.what == What::Stopped) live(who, "stopped", event.at_s);
             if (event.what == What::Up || event.what == What::Down)
-                for (std::size_t about = 0; about < members_; ++about) see(who, about, Seen::Unknown, event.at_s);
+                for (std::size_t about = 0; about < members_; ++about)
+                    see(who, about, Seen::Unknown, event.at_s);
             if (event.what == What::Says && event.value != 0)
-                put("<text x=\"%.1f\" y=\"%.1f\" font-size=\"9\">%s</text>\n", x(event.at_s) + 2, top(who) + 5,
-                    membership::words(std::uint8_t(event.value)).c_str());
+                put("<text x=\"%.1f\" y=\"%.1f\" font-size=\"9\">%s</text>\n", x(event.at_s) + 2,
+                    top(who) + 5, membership::words(std::uint8_t(event.value)).c_str());
         }
         for (std::size_t of = 0; of < members_; ++of) {
             for (std::size_t about = 0; about < members_; ++about) see(of, about, seen[of][about], to_);
@@ -97,26 +99,33 @@
     void bands(double height) {
         for (std::size_t i = 0; i < run_.day.faults.size(); ++i) {
             const Fault& fault = run_.day.faults[i];
-            double end = fault.for_s > 0 ? fault.at_s + fault.for_s : fault.of_links() ? to_ : fault.at_s + std::max(0.0, fault.back_s);
+            double end = fault.for_s > 0    ? fault.at_s + fault.for_s
+                         : fault.of_links() ? to_
+                                            : fault.at_s + std::max(0.0, fault.back_s);
             end = std::min(end, to_);
             if (fault.at_s > to_) continue;
-            put("<rect class=\"band\" x=\"%.1f\" y=\"%.0f\" width=\"%.1f\" height=\"%.1f\"/>", x(fault.at_s), kTop, x(end) - x(fault.at_s),
-                height - kTop - kBottom);
-            put("<line class=\"bandedge\" x1=\"%.1f\" x2=\"%.1f\" y1=\"%.0f\" y2=\"%.1f\"/>", x(fault.at_s), x(fault.at_s), kTop, height - kBottom);
-            put("<text x=\"%.1f\" y=\"%.0f\" font-size=\"9\">%s</text>\n", x(fault.at_s) + 1, 10.0 + 9 * double(i % 2), name(fault.kind));
+            put("<rect class=\"band\" x=\"%.1f\" y=\"%.0f\" width=\"%.1f\" height=\"%.1f\"/>", x(fault.at_s),
+                kTop, x(end) - x(fault.at_s), height - kTop - kBottom);
+            put("<line class=\"bandedge\" x1=\"%.1f\" x2=\"%.1f\" y1=\"%.0f\" y2=\"%.1f\"/>", x(fault.at_s),
+                x(fault.at_s), kTop, height - kBottom);
+            put("<text x=\"%.1f\" y=\"%.0f\" font-size=\"9\">%s</text>\n", x(fault.at_s) + 1,
+                10.0 + 9 * double(i % 2), name(fault.kind));
         }
     }
     /// What `of` shows of `about`: a thin row in the block of `about`.
     void box(std::size_t of, std::size_t about, const char* what, double from, double to) {
         if (to <= from || std::string_view(what) == "unknown") return;
         std::size_t row = of < about ? of : of - 1;
-        put("<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.2f\" height=\"%.1f\"><title>%zu shows %zu as %s, %.2f to %.2f s</title></rect>\n",
-            what, x(from), top(about) + 7 + row_ * double(row), x(to) - x(from), row_ - 0.7, of, about, what, from, to);
+        put("<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.2f\" height=\"%.1f\"><title>%zu shows %zu as "
+            "%s, %.2f to %.2f s</title></rect>\n",
+            what, x(from), top(about) + 7 + row_ * double(row), x(to) - x(from), row_ - 0.7, of, about, what,
+            from, to);
     }
     /// Its own row: down, stopped.
     void own(std::size_t who, const char* what, double from, double to) {
         if (to <= from) return;
-        put("<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.2f\" height=\"%.1f\"/>\n", what, x(from), top(who), x(to) - x(from), each_ ? 5.0 : 8.0);
+        put("<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.2f\" height=\"%.1f\"/>\n", what, x(from),
+            top(who), x(to) - x(from), each_ ? 5.0 : 8.0);
     }
 
     const Outcome& run_;
@@ -131,22 +140,30 @@
 std::string page(const std::vector<Outcome>& outcomes) {
     if (outcomes.empty()) throw std::runtime_error("no run to show");
     const Outcome& first = outcomes.front();
-    std::string out = "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta name=\"viewport\" "
-                      "content=\"width=device-width,initial-scale=1\"><title>" +
-                      escaped(first.day.name) + "</title><style>" + kCss + "</style></head><body>\n<h1>" + escaped(first.day.name) + ", " +
-                      escaped(first.world) + "</h1>\n<p class=\"soft\">" + std::to_string(outcomes.size()) + " runs of " +
-                      std::to_string(first.day.members) + " members, from seed " + std::to_string(first.day.seed) + " on.</p>\n<h2>Figures</h2>\n<pre>" +
-                      escaped(summary(outcomes)) + "</pre>\n";
+    std::string out =
+        "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta name=\"viewport\" "
+        "content=\"width=device-width,initial-scale=1\"><title>" +
+        escaped(first.day.name) + "</title><style>" + kCss + "</style></head><body>\n<h1>" +
+        escaped(first.day.name) + ", " + escaped(first.world) + "</h1>\n<p class=\"soft\">" +
+        std::to_string(outcomes.size()) + " runs of " + std::to_string(first.day.members) +
+        " members, from seed " + std::to_string(first.day.seed) + " on.</p>\n<h2>Figures</h2>\n<pre>" +
+        escaped(summary(outcomes)) + "</pre>\n";
     out += "<p class=\"key soft\">What each member shows of the one whose block it is:";
-    for (const char* one : {"alive", "suspect", "dead", "left"}) out += std::string("<span class=\"") + one + "\"></span>" + one;
-    out += "; the block's first row, of the member itself:<span class=\"down\"></span>down<span class=\"stopped\"></span>stopped. Faults are the "
-           "bands behind.</p>\n";
+    for (const char* one : {"alive", "suspect", "dead", "left"})
+        out += std::string("<span class=\"") + one + "\"></span>" + one;
+    out +=
+        "; the block's first row, of the member itself:<span class=\"down\"></span>down<span "
+        "class=\"stopped\"></span>stopped. Faults are the "
+        "bands behind.</p>\n";
     for (std::size_t i = 0; i < std::min(outcomes.size(), kRunsMost); ++i) {
         const Outcome& run = outcomes[i];
-        out += "<h2>Seed " + std::to_string(run.day.seed) + (run.verdict.broken.empty() ? "" : " <span class=\"bad\">broken</span>") + "</h2>\n";
+        out += "<h2>Seed " + std::to_string(run.day.seed) +
+               (run.verdict.broken.empty() ? "" : " <span class=\"bad\">broken</span>") + "</h2>\n";
         out += Drawing(run).svg();
     }
-    if (outcomes.size() > kRunsMost) out += "<p class=\"soft\">" + std::to_string(outcomes.size() - kRunsMost) + " more are not drawn.</p>\n";
+    if (outcomes.size() > kRunsMost)
+        out +=
+            "<p class=\"soft\">" + std::to_string(outcomes.size() - kRunsMost) + " more are not drawn.</p>\n";
     return out + "</body></html>\n";
 }
 
--- a/lab/fleet/processes.cpp
+++ b/lab/fleet/processes.cpp
@@ -12,6 +12,7 @@
 #include <thread>
 #include <unordered_map>
 
+#include "fleet/membership/member.h"
 #include "lab/fleet/ask.h"
 #include "lab/fleet/links.h"
 #include "lab/fleet/relays.h"
@@ -19,7 +20,6 @@
 #include "lab/play/node_process.h"
 #include "lab/play/plain_server.h"
 #include "lab/play/temporary_folder.h"
-#include "fleet/membership/member.h"
 
 namespace ochrehub::lab::fleet {
 namespace {
@@ -36,8 +36,8 @@
 constexpr std::chrono::milliseconds kTick{5};
 constexpr double kAnswerWithin_s = 1, kRequestEvery_s = 0.02;
 
-/// Ports that nobody has just now, at addresses that are this process's own. All are held until the last has been found: one
-/// that is let go may be the next that the system gives.
+/// Ports that nobody has just now, at addresses that are this process's own. All are held until the last has
+/// been found: one that is let go may be the next that the system gives.
 class FreePorts {
 public:
     template <class Socket, class At>
@@ -56,12 +56,21 @@
 class Run {
 public:
     Run(const Day& day, const ProcessOptions& options)
-        : day_(day), options_(options), folder_(options.logs.string()), loop_{Clock()}, links_(day), watch_(std::size_t(day.members)) {
+        : day_(day),
+          options_(options),
+          folder_(options.logs.string()),
+          loop_{Clock()},
+          links_(day),
+          watch_(std::size_t(day.members)) {
         for (const Fault& fault : day.faults)
-            if (fault.kind == FaultKind::Clock) throw std::invalid_argument("processes have one clock: a fault of clocks is for --world virtual");
+            if (fault.kind == FaultKind::Clock)
+                throw std::invalid_argument(
+                    "processes have one clock: a fault of clocks is for --world virtual");
         program_ = options.program;
-        if (program_.empty()) program_ = std::filesystem::canonical("/proc/self/exe").parent_path() / "ochrehub";
-        if (!std::filesystem::exists(program_)) throw std::invalid_argument(program_.string() + " is not there: --node names the program");
+        if (program_.empty())
+            program_ = std::filesystem::canonical("/proc/self/exe").parent_path() / "ochrehub";
+        if (!std::filesystem::exists(program_))
+            throw std::invalid_argument(program_.string() + " is not there: --node names the program");
         raise_descriptor_limit();
         std::vector<boost::asio::ip::udp::endpoint> places;
         auto ports = std::make_unique<FreePorts>();
@@ -70,7 +79,8 @@
             boost::asio::ip::udp::endpoint place(machine(kMembersMachine), 0);
             one.place = ports->find<boost::asio::ip::udp::socket>(place);
             places.push_back(place);
-            for (auto [into, text] : {std::pair(&one.serve, &one.serve_text), std::pair(&one.control, &one.control_text)}) {
+            for (auto [into, text] :
+                 {std::pair(&one.serve, &one.serve_text), std::pair(&one.control, &one.control_text)}) {
                 *into = Endpoint(machine(kMembersMachine), 0);
                 *text = ports->find<boost::asio::ip::tcp::socket>(*into);
             }
@@ -81,7 +91,8 @@
         if (options.meddles)
             relays_->meddles = [this](std::size_t from, std::string& octets) {
                 membership::Send send;
-                if (membership::decode(octets, keys_, send.datagram, cluster_) != membership::Fault::None) return true;
+                if (membership::decode(octets, keys_, send.datagram, cluster_) != membership::Fault::None)
+                    return true;
                 if (!options_.meddles(from, send)) return false;
                 octets = membership::encode(send.datagram, keys_, cluster_);
                 return true;
@@ -91,7 +102,8 @@
             places_[relays_->shown(std::size_t(i))] = std::size_t(i);
             for (int s = 0; s < day.servers; ++s)
                 members_[std::size_t(i)]->to_servers.push_back(std::make_unique<ConnectionRelay>(
-                    loop_, links_, i, day.members + s, servers_[std::size_t(s)]->address(), machine(kServersRelays + unsigned(s) % 50)));
+                    loop_, links_, i, day.members + s, servers_[std::size_t(s)]->address(),
+                    machine(kServersRelays + unsigned(s) % 50)));
         }
         for (std::size_t i = 0; i < members_.size(); ++i) {
             prepare(i);
@@ -157,12 +169,16 @@
     };
 
     double now_s() const { return duration<double>(steady_clock::now() - begin_).count(); }
-    std::filesystem::path home(std::size_t i) const { return folder_.path() / std::string("m").append(std::to_string(i)); }
+    std::filesystem::path home(std::size_t i) const {
+        return folder_.path() / std::string("m").append(std::to_string(i));
+    }
     std::filesystem::path beside(std::size_t i, const char* ending) const {
         std::filesystem::path path = home(i);
         return path += ending;
     }
-    bool enough() const { return day_.expect.whole_s < 0 || now_s() > day_.calm_from_s() + day_.expect.whole_s; }
+    bool enough() const {
+        return day_.expect.whole_s < 0 || now_s() > day_.calm_from_s() + day_.expect.whole_s;
+    }
     bool settled() {
         std::lock_guard lock(mutex_);
         return watch_.now().settled();
@@ -187,13 +203,18 @@
         std::filesystem::create_directories(home(i));
         const One& one = *members_[i];
         std::ofstream out(home(i) / "node.toml");
-        out << "listen = \"" << one.serve_text << "\"\ncontrol = \"" << one.control_text << "\"\nname = \"m" << i
-            << "\"\nnodes = " << day_.members << "\n"
+        out << "listen = \"" << one.serve_text << "\"\ncontrol = \"" << one.control_text << "\"\nname = \"m"
+            << i << "\"\nnodes = " << day_.members << "\n"
             << day_.settings << "\n[[class]]\nname = \"read\"\neffect = \"free\"\n";
-        for (const auto& relay : one.to_servers) out << "[[server]]\naddress = \"" << text_of(relay->shown()) << "\"\n";
-        if (one.to_servers.empty()) out << "[[server]]\naddress = \"" << one.serve.address().to_string() << ":9\"\n[health]\nprobes = false\n";
-        out << "[fleet]\nlisten = \"" << one.place << "\"\nadvertise = \"" << relays_->shown(i) << "\"\njoin = [";
-        for (std::size_t s = 0; s < std::size_t(day_.seeds); ++s) out << (s > 0 ? ", " : "") << '"' << relays_->shown(s) << '"';
+        for (const auto& relay : one.to_servers)
+            out << "[[server]]\naddress = \"" << text_of(relay->shown()) << "\"\n";
+        if (one.to_servers.empty())
+            out << "[[server]]\naddress = \"" << one.serve.address().to_string()
+                << ":9\"\n[health]\nprobes = false\n";
+        out << "[fleet]\nlisten = \"" << one.place << "\"\nadvertise = \"" << relays_->shown(i)
+            << "\"\njoin = [";
+        for (std::size_t s = 0; s < std::size_t(day_.seeds); ++s)
+            out << (s > 0 ? ", " : "") << '"' << relays_->shown(s) << '"';
         out << "]\nkey_file = \"" << beside(i, ".keys").string() << "\"\ninterval_ms = " << day_.interval_ms
             << "\nisolated_ms = " << day_.isolated_ms << "\n";
         out.close();
@@ -210,7 +231,8 @@
     void start(std::size_t i) {
         One& one = *members_[i];
         one.process->start();
-        if (!options_.logs.empty()) std::ofstream(folder_.path() / "pids", std::ios::app) << one.process->pid() << "\n";
+        if (!options_.logs.empty())
+            std::ofstream(folder_.path() / "pids", std::ios::app) << one.process->pid() << "\n";
         note(What::Up, int(i));
         one.stopped = false;
         ++one.life;
@@ -256,7 +278,9 @@
                     return 0;
                 });
                 note(on ? What::FaultOn : What::FaultOff, -1, step.fault);
-                if (options_.progress) options_.progress(day_.faults[std::size_t(step.fault)].text() + (on ? ": begins" : ": over"));
+                if (options_.progress)
+                    options_.progress(day_.faults[std::size_t(step.fault)].text() +
+                                      (on ? ": begins" : ": over"));
                 break;
             }
             case Do::Stop:
@@ -306,7 +330,8 @@
         if (membership::decode(octets, keys_, datagram, cluster_) != membership::Fault::None) return;
         for (const membership::Update& update : datagram.updates) {
             if (update.state != membership::State::Dead) continue;
-            auto about = places_.find(boost::asio::ip::address_v4(update.who.host).to_string() + ":" + std::to_string(update.who.port));
+            auto about = places_.find(boost::asio::ip::address_v4(update.who.host).to_string() + ":" +
+                                      std::to_string(update.who.port));
             if (about == places_.end()) continue;
             std::lock_guard lock(mutex_);  // also for the time, which begins anew
             watch_.claim(now_s(), from, about->second, update.incarnation);
@@ -320,7 +345,8 @@
             std::this_thread::sleep_for(duration<double>(kLookEvery_s));
             if (!one.up || one.stopped) continue;
             const int life = one.life;
-            std::string answer = ask(one.control, "GET /ops/members HTTP/1.1\r\nHost: o\r\n\r\n", kAnswerWithin_s).body;
+            std::string answer =
+                ask(one.control, "GET /ops/members HTTP/1.1\r\nHost: o\r\n\r\n", kAnswerWithin_s).body;
             if (answer.empty() || one.stopped || life != one.life) continue;
             boost::system::error_code error;
             json::value all = json::parse(answer, error);
@@ -330,7 +356,8 @@
             try {
                 const json::object& root = all.as_object();
                 std::string_view says = root.at("self").at("says").as_string();
-                for (auto [word, bit] : {std::pair("deaf", membership::kSaysDeaf), std::pair("unheard", membership::kSaysUnheard),
+                for (auto [word, bit] : {std::pair("deaf", membership::kSaysDeaf),
+                                         std::pair("unheard", membership::kSaysUnheard),
                                          std::pair("stalled", membership::kSaysStalled)})
                     if (says.find(word) != std::string_view::npos) look.said |= bit;
                 look.shares = int(root.at("sharing").to_number<int>());
@@ -361,7 +388,8 @@
                 continue;
             }
             const int life = one.life;
-            std::string request = "GET /read HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + std::to_string(id++) + "\r\n\r\n";
+            std::string request =
+                "GET /read HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + std::to_string(id++) + "\r\n\r\n";
             int status = ask(one.serve, request, kAnswerWithin_s).status;
             // Who was stopped or killed meanwhile is no server's or member's loss.
             if (over_ || !one.up || one.stopped || life != one.life) continue;
--- a/lab/fleet/relays.cpp
+++ b/lab/fleet/relays.cpp
@@ -8,8 +8,8 @@
 namespace ochrehub::lab::fleet {
 
 namespace asio = boost::asio;
-using boost::system::error_code;
 using asio::ip::tcp;
+using boost::system::error_code;
 
 namespace {
 constexpr unsigned kRelaysMachine = 200;
@@ -45,29 +45,31 @@
 
 void DatagramRelays::receive(std::size_t to) {
     Port& port = *ports_[to];
-    port.socket.async_receive_from(asio::buffer(port.bytes), port.from, [this, to](error_code error, std::size_t got) {
-        if (closed_) return;
-        Port& at = *ports_[to];
-        // Whose it is shows by where it comes from, not by what it says.
-        auto sender = std::find(places_.begin(), places_.end(), at.from);
-        if (!error && sender == places_.end()) ++strangers_;
-        if (!error && sender != places_.end()) {
-            ++taken_;
-            std::string octets(at.bytes.data(), got);
-            if (meddles && !meddles(std::size_t(sender - places_.begin()), octets)) return receive(to);
-            Crossed one{std::size_t(sender - places_.begin()), to, std::make_shared<const std::string>(std::move(octets))};
-            if (seen) seen(one.from, *one.octets);
-            remembered_.push_back(one);
-            if (remembered_.size() > kRemembered) remembered_.pop_front();
-            for (Duration late : links_.fate(int(one.from), int(to))) {
-                if (late.count() <= 0)
-                    deliver(one);
-                else
-                    loop_.scheduler().call_at(loop_.now() + late, [this, one] { deliver(one); });
+    port.socket.async_receive_from(
+        asio::buffer(port.bytes), port.from, [this, to](error_code error, std::size_t got) {
+            if (closed_) return;
+            Port& at = *ports_[to];
+            // Whose it is shows by where it comes from, not by what it says.
+            auto sender = std::find(places_.begin(), places_.end(), at.from);
+            if (!error && sender == places_.end()) ++strangers_;
+            if (!error && sender != places_.end()) {
+                ++taken_;
+                std::string octets(at.bytes.data(), got);
+                if (meddles && !meddles(std::size_t(sender - places_.begin()), octets)) return receive(to);
+                Crossed one{std::size_t(sender - places_.begin()), to,
+                            std::make_shared<const std::string>(std::move(octets))};
+                if (seen) seen(one.from, *one.octets);
+                remembered_.push_back(one);
+                if (remembered_.size() > kRemembered) remembered_.pop_front();
+                for (Duration late : links_.fate(int(one.from), int(to))) {
+                    if (late.count() <= 0)
+                        deliver(one);
+                    else
+                        loop_.scheduler().call_at(loop_.now() + late, [this, one] { deliver(one); });
+                }
             }
-        }
-        receive(to);
-    });
+            receive(to);
+        });
 }
 
 void DatagramRelays::deliver(const Crossed& one) {
@@ -90,7 +92,8 @@
 
 class ConnectionRelay::Pair : public std::enable_shared_from_this<Pair> {
 public:
-    Pair(ConnectionRelay& relay, tcp::socket near) : relay_(&relay), loop_(relay.loop_), near_(std::move(near)), far_(loop_.io()) {}
+    Pair(ConnectionRelay& relay, tcp::socket near)
+        : relay_(&relay), loop_(relay.loop_), near_(std::move(near)), far_(loop_.io()) {}
 
     void start() {
         far_.async_connect(relay_->target_, [self = shared_from_this()](error_code error) {
@@ -112,7 +115,8 @@
         bool waits = false;
     };
     Links::Connection now(const Way& way) const {
-        return way.forth ? relay_->links_.connection(relay_->from_, relay_->to_) : relay_->links_.connection(relay_->to_, relay_->from_);
+        return way.forth ? relay_->links_.connection(relay_->from_, relay_->to_)
+                         : relay_->links_.connection(relay_->to_, relay_->from_);
     }
     void pump(Way& way) {
         if (!relay_ || over_) return;
@@ -121,12 +125,14 @@
             way.waits = true;
             return later(way, kLookAgain);
         }
-        std::size_t some = link.bytes_s > 0 ? std::clamp(std::size_t(link.bytes_s / 20), std::size_t{1}, kPiece) : kPiece;
-        way.from->async_read_some(asio::buffer(way.bytes.data(), some), [self = shared_from_this(), &way](error_code error, std::size_t got) {
-            if (!self->relay_ || self->over_) return;
-            if (error) return self->end(error == asio::error::connection_reset);
-            self->pass(way, got);
-        });
+        std::size_t some =
+            link.bytes_s > 0 ? std::clamp(std::size_t(link.bytes_s / 20), std::size_t{1}, kPiece) : kPiece;
+        way.from->async_read_some(asio::buffer(way.bytes.data(), some),
+                                  [self = shared_from_this(), &way](error_code error, std::size_t got) {
+                                      if (!self->relay_ || self->over_) return;
+                                      if (error) return self->end(error == asio::error::connection_reset);
+                                      self->pass(way, got);
+                                  });
     }
     void pass(Way& way, std::size_t got) {
         Links::Connection link = now(way);
@@ -138,16 +144,17 @@
         }
         bool cut_short = link.reset;
         if (cut_short) got = (got + 1) / 2;
-        asio::async_write(*way.to, asio::buffer(way.bytes.data(), got), [self = shared_from_this(), &way, cut_short, link](error_code error, std::size_t) {
-            if (!self->relay_ || self->over_) return;
-            if (error || cut_short) {
-                self->relay_->resets_ += cut_short;
-                return self->end(true);
-            }
-            if (link.bytes_s <= 0) return self->pump(way);
-            way.waits = true;
-            self->later(way, Duration{50});
-        });
+        asio::async_write(*way.to, asio::buffer(way.bytes.data(), got),
+                          [self = shared_from_this(), &way, cut_short, link](error_code error, std::size_t) {
+                              if (!self->relay_ || self->over_) return;
+                              if (error || cut_short) {
+                                  self->relay_->resets_ += cut_short;
+                                  return self->end(true);
+                              }
+                              if (link.bytes_s <= 0) return self->pump(way);
+                              way.waits = true;
+                              self->later(way, Duration{50});
+                          });
     }
     void later(Way& way, Duration behind) {
         loop_.scheduler().call_at(loop_.now() + behind, [self = shared_from_this(), &way] {
@@ -170,8 +177,14 @@
     bool over_ = false;
 };
 
-ConnectionRelay::ConnectionRelay(Loop& loop, const Links& links, int from, int to, Endpoint target, const asio::ip::address_v4& own)
-    : loop_(loop), links_(links), from_(from), to_(to), target_(target), acceptor_(listen_at(loop.io(), {own, 0})) {
+ConnectionRelay::ConnectionRelay(Loop& loop, const Links& links, int from, int to, Endpoint target,
+                                 const asio::ip::address_v4& own)
+    : loop_(loop),
+      links_(links),
+      from_(from),
+      to_(to),
+      target_(target),
+      acceptor_(listen_at(loop.io(), {own, 0})) {
     at_ = acceptor_.local_endpoint();
     accept();
 }
--- a/lab/fleet/relays.h
+++ b/lab/fleet/relays.h
@@ -1,5 +1,6 @@
-// What stands between processes: a socket at each place that members are told of another, and one for each member's way to
-// each server. Whatever crosses is handed on, late, twice or not at all, as the faults of the day say.
+// What stands between processes: a socket at each place that members are told of another, and one for each
+// member's way to each server. Whatever crosses is handed on, late, twice or not at all, as the faults of the
+// day say.
 #pragma once
 
 #include <array>
@@ -11,10 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "fleet/membership/datagram.h"
 #include "lab/fleet/links.h"
 #include "lab/play/address.h"
 #include "lab/play/loop.h"
-#include "fleet/membership/datagram.h"
 
 namespace ochrehub::lab::fleet {
 
@@ -60,7 +61,8 @@
 /// Connections of one process to one other, byte for byte, each direction by what its own link does now.
 class ConnectionRelay {
 public:
-    ConnectionRelay(Loop& loop, const Links& links, int from, int to, Endpoint target, const boost::asio::ip::address_v4& own);
+    ConnectionRelay(Loop& loop, const Links& links, int from, int to, Endpoint target,
+                    const boost::asio::ip::address_v4& own);
     ~ConnectionRelay();
 
     Endpoint shown() const { return at_; }
--- a/lab/fleet/scenario.h
+++ b/lab/fleet/scenario.h
@@ -1,5 +1,5 @@
-// Scenarios of fleets: TOML files, read by the tables that the program's own files are read by. A day of it is drawn from a
-// seed.
+// Scenarios of fleets: TOML files, read by the tables that the program's own files are read by. A day of it
+// is drawn from a seed.
 #pragma once
 
 #include <stdexcept>
@@ -32,7 +32,8 @@
     };
     struct Told {  // a fault as it stands in the file
         FaultKind kind = FaultKind::Cut;
-        double at_s = 0, for_s = 0, part = 1, ms = 0, rate = 1, bytes_s = 1000, back_s = -1, every_s = 0, jitter_s = 0;
+        double at_s = 0, for_s = 0, part = 1, ms = 0, rate = 1, bytes_s = 1000, back_s = -1, every_s = 0,
+               jitter_s = 0;
         int times = 1;
         std::string who = "any 1", to = "others", keys;
         bool both = false, empty = false;
--- a/lab/fleet/shrink.cpp
+++ b/lab/fleet/shrink.cpp
@@ -13,13 +13,15 @@
         out.day = std::move(smaller);
         return true;
     };
-    // Pieces of half the list, of a quarter ... of one, until none can go (Zeller's delta debugging, without complements).
+    // Pieces of half the list, of a quarter ... of one, until none can go (Zeller's delta debugging, without
+    // complements).
     for (std::size_t piece = std::max<std::size_t>(1, out.day.faults.size() / 2); !out.day.faults.empty();) {
         bool fewer = false;
         for (std::size_t from = 0; from < out.day.faults.size();) {
             Day smaller = out.day;
             auto begin = smaller.faults.begin() + std::ptrdiff_t(from);
-            smaller.faults.erase(begin, begin + std::ptrdiff_t(std::min(piece, smaller.faults.size() - from)));
+            smaller.faults.erase(begin,
+                                 begin + std::ptrdiff_t(std::min(piece, smaller.faults.size() - from)));
             if (try_it(std::move(smaller)))
                 fewer = true;
             else
@@ -34,7 +36,8 @@
             smaller.faults[i].for_s /= 2;
             shorter = try_it(std::move(smaller));
         }
-        for (bool fewer = true; fewer && (out.day.faults[i].who.size() > 1 || out.day.faults[i].to.size() > 1);) {
+        for (bool fewer = true;
+             fewer && (out.day.faults[i].who.size() > 1 || out.day.faults[i].to.size() > 1);) {
             fewer = false;
             for (auto list : {&Fault::who, &Fault::to}) {
                 if ((out.day.faults[i].*list).size() < 2) continue;
--- a/lab/fleet/virtual.cpp
+++ b/lab/fleet/virtual.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "fleet/membership/share.h"
 #include "lab/fleet/links.h"
 #include "lab/swarm/swarm.h"
-#include "fleet/membership/share.h"
 
 namespace ochrehub::lab::fleet {
 namespace {
@@ -15,7 +15,8 @@
 
 class World {
 public:
-    World(const Day& day, const VirtualOptions& options) : day_(day), links_(day), watch_(std::size_t(day.members)), swarm_(settings(day, options)) {
+    World(const Day& day, const VirtualOptions& options)
+        : day_(day), links_(day), watch_(std::size_t(day.members)), swarm_(settings(day, options)) {
         swarm_.way = [this](std::size_t from, std::size_t to) { return links_.fate(int(from), int(to)); };
         swarm_.meddles = options.meddles;
         swarm_.seen = [this](std::size_t from, const membership::Datagram& datagram) {
@@ -24,7 +25,8 @@
                     watch_.claim(now_s(), from, *about, update.incarnation);
         };
         const int least = (day.members + 1) / 2;
-        shares_.assign(std::size_t(day.members), membership::Share({day.members, least, Duration{5000}, Duration{1000}}));
+        shares_.assign(std::size_t(day.members),
+                       membership::Share({day.members, least, Duration{5000}, Duration{1000}}));
         shared_anew_ = shares_;
     }
 
@@ -92,7 +94,8 @@
             case Do::FaultOn:
             case Do::FaultOff:
                 links_.set(step.fault, step.what == Do::FaultOn);
-                watch_.note({now_s(), step.what == Do::FaultOn ? What::FaultOn : What::FaultOff, -1, -1, step.fault});
+                watch_.note(
+                    {now_s(), step.what == Do::FaultOn ? What::FaultOn : What::FaultOff, -1, -1, step.fault});
                 break;
             case Do::Stop:
                 if (!swarm_.up(who)) break;
@@ -163,7 +166,9 @@
 
 std::vector<Event> run_virtual(const Day& day, const VirtualOptions& options) {
     for (const Fault& fault : day.faults)
-        if (fault.kind == FaultKind::Rekey) throw std::invalid_argument("keys are files of processes: a fault of them is not for --world virtual");
+        if (fault.kind == FaultKind::Rekey)
+            throw std::invalid_argument(
+                "keys are files of processes: a fault of them is not for --world virtual");
     return World(day, options).run();
 }
 
--- a/lab/fleet/virtual.h
+++ b/lab/fleet/virtual.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <vector>
 
+#include "fleet/membership/membership.h"
 #include "lab/fleet/day.h"
 #include "lab/fleet/watch.h"
-#include "fleet/membership/membership.h"
 
 namespace ochrehub::lab::fleet {
 
@@ -18,7 +18,8 @@
     std::function<bool(std::size_t from, membership::Send&)> meddles;
 };
 
-/// Throws std::invalid_argument for a day with faults of keys. Faults of connections have nothing to touch here and do nothing. Restarts forget everything, as processes do.
+/// Throws std::invalid_argument for a day with faults of keys. Faults of connections have nothing to touch
+/// here and do nothing. Restarts forget everything, as processes do.
 std::vector<Event> run_virtual(const Day& day, const VirtualOptions& options = {});
 
 inline constexpr double kLookEvery_s = 0.1;  ///< at what operators are shown, in both worlds
--- a/lab/fleet/watch.cpp
+++ b/lab/fleet/watch.cpp
@@ -61,11 +61,13 @@
 
 std::string Event::text() const {
     char line[160];
-    const char* done[] = {"starts", "is gone", "has ended by itself", "is stopped", "goes on", "is told to leave"};
+    const char* done[] = {"starts",     "is gone", "has ended by itself",
+                          "is stopped", "goes on", "is told to leave"};
     if (what <= What::Leaves)
         std::snprintf(line, sizeof line, "%.2f s: %d %s", at_s, who, done[std::size_t(what)]);
     else if (what == What::FaultOn || what == What::FaultOff)
-        std::snprintf(line, sizeof line, "%.2f s: fault %d %s", at_s, value, what == What::FaultOn ? "begins" : "ends");
+        std::snprintf(line, sizeof line, "%.2f s: fault %d %s", at_s, value,
+                      what == What::FaultOn ? "begins" : "ends");
     else if (what == What::Sees)
         std::snprintf(line, sizeof line, "%.2f s: %d shows %d as %s", at_s, who, about, name(Seen(value)));
     else if (what == What::Claims)
@@ -76,7 +78,8 @@
     else if (what == What::Shares)
         std::snprintf(line, sizeof line, "%.2f s: %d divides by %d", at_s, who, value);
     else if (what == What::Served || what == What::Unserved)
-        std::snprintf(line, sizeof line, "%.2f s: %d requests to %d %s", at_s, value, who, what == What::Served ? "served" : "not served");
+        std::snprintf(line, sizeof line, "%.2f s: %d requests to %d %s", at_s, value, who,
+                      what == What::Served ? "served" : "not served");
     else
         std::snprintf(line, sizeof line, "%.2f s: %s", at_s, what == What::Begins ? "all know all" : "over");
     return line;
--- a/lab/fleet/watch.h
+++ b/lab/fleet/watch.h
@@ -1,5 +1,5 @@
-// What is seen of a fleet from outside, as events in the order of time: what was done to it, what operators are shown by
-// each member, and what crossed the links. The judge has nothing else.
+// What is seen of a fleet from outside, as events in the order of time: what was done to it, what operators
+// are shown by each member, and what crossed the links. The judge has nothing else.
 #pragma once
 
 #include <array>
@@ -18,13 +18,21 @@
 
 struct Event {
     enum class What {
-        Up, Down, Ended, Stopped, GoesOn, Leaves, FaultOn, FaultOff,  // done to `who`, or fault `value`
-        Sees,    ///< `who` shows `about` as Seen(value)
-        Claims,  ///< a datagram of `who` says that `about` is dead
-        Says,    ///< `who` shows bits of membership::kSays... of itself
-        Shares,  ///< `who` divides by `value`
-        Served, Unserved,  ///< requests sent to `who` since the last such event
-        Begins,  ///< all know all; faults begin at 0; value: 1 where requests are sent
+        Up,
+        Down,
+        Ended,
+        Stopped,
+        GoesOn,
+        Leaves,
+        FaultOn,
+        FaultOff,  // done to `who`, or fault `value`
+        Sees,      ///< `who` shows `about` as Seen(value)
+        Claims,    ///< a datagram of `who` says that `about` is dead
+        Says,      ///< `who` shows bits of membership::kSays... of itself
+        Shares,    ///< `who` divides by `value`
+        Served,
+        Unserved,  ///< requests sent to `who` since the last such event
+        Begins,    ///< all know all; faults begin at 0; value: 1 where requests are sent
         Over,
     };
     double at_s = 0;
@@ -37,9 +45,15 @@
 /// The state of things behind so many events.
 struct Picture {
     explicit Picture(std::size_t members)
-        : up(members), stopped(members), leaving(members), said(members), shares(members), seen(members, std::vector<Seen>(members, Seen::Unknown)) {}
+        : up(members),
+          stopped(members),
+          leaving(members),
+          said(members),
+          shares(members),
+          seen(members, std::vector<Seen>(members, Seen::Unknown)) {}
     void take(const Event& event);
-    /// All that are up and run show all that are up as here, nobody else so, and nothing is amiss with themselves.
+    /// All that are up and run show all that are up as here, nobody else so, and nothing is amiss with
+    /// themselves.
     bool settled() const;
     bool runs(std::size_t i) const { return up[i] && !stopped[i] && !leaving[i]; }
     std::size_t size() const { return up.size(); }
--- a/lab/keeper/judge.cpp
+++ b/lab/keeper/judge.cpp
@@ -38,7 +38,8 @@
 }
 
 void ListMachine::armed(std::vector<keeper::Armed>& armed) const {
-    for (const auto& [session, hold] : holds_) armed.push_back({session, hold.revision, Duration{hold.length}});
+    for (const auto& [session, hold] : holds_)
+        armed.push_back({session, hold.revision, Duration{hold.length}});
 }
 
 std::string ListMachine::over(std::uint64_t key, std::uint64_t revision) const {
@@ -48,7 +49,8 @@
 std::string ListMachine::snapshot() const {
     std::ostringstream out;
     out << revision_ << " " << holds_.size();
-    for (const auto& [session, hold] : holds_) out << " " << session << " " << hold.revision << " " << hold.length;
+    for (const auto& [session, hold] : holds_)
+        out << " " << session << " " << hold.revision << " " << hold.length;
     out << " " << list_.size();
     for (const std::string& tag : list_) out << " " << tag;
     return out.str();
@@ -89,7 +91,8 @@
     if (found == sessions_.end() || found->second.given_up) return;
     TimePoint own_time = own(world, found->second.process);
     if (own_time < found->second.until)
-        wrong("session " + std::to_string(session) + " is over at a keeper, and held by process " + std::to_string(found->second.process) + " for " +
+        wrong("session " + std::to_string(session) + " is over at a keeper, and held by process " +
+              std::to_string(found->second.process) + " for " +
               std::to_string((found->second.until - own_time).count()) + " ms more");
 }
 
@@ -99,7 +102,8 @@
     if (found == times_.end() || found->second.given_up) return;
     TimePoint own_time = own(world, found->second.process);
     if (own_time < found->second.until)
-        wrong("time " + std::to_string(revision) + " is over at a keeper, and held for " + std::to_string((found->second.until - own_time).count()) + " ms more");
+        wrong("time " + std::to_string(revision) + " is over at a keeper, and held for " +
+              std::to_string((found->second.until - own_time).count()) + " ms more");
 }
 
 void KeeperJudge::appended(std::size_t keeper, std::uint64_t place, const std::string& tag) {
@@ -111,7 +115,9 @@
 
 void KeeperJudge::state(std::size_t keeper, std::uint64_t index, std::uint64_t hash) {
     auto [at, fresh] = states_.emplace(index, hash);
-    if (!fresh && at->second != hash) wrong("keeper " + std::to_string(keeper + 1) + " holds something else as of entry " + std::to_string(index));
+    if (!fresh && at->second != hash)
+        wrong("keeper " + std::to_string(keeper + 1) + " holds something else as of entry " +
+              std::to_string(index));
 }
 
 std::size_t KeeperJudge::ask(TimePoint now, bool append, const std::string& tag) {
@@ -126,7 +132,8 @@
     one.answered = now, one.done = true, one.place = place, one.last = last;
 }
 
-/// After Wing and Gong's definition, which for a list with unique elements needs no search: the list is the order.
+/// After Wing and Gong's definition, which for a list with unique elements needs no search: the list is the
+/// order.
 void KeeperJudge::finish() {
     std::map<std::string, std::uint64_t> places;
     for (std::size_t i = 0; i < list_.size(); ++i)
@@ -137,20 +144,24 @@
         if (op.append && op.done && (at == places.end() || at->second != op.place))
             wrong(op.tag + " was answered, and is not in its place");
         if (!op.append && op.done) {
-            if (op.place > list_.size() || (op.place > 0 && list_[op.place - 1] != op.last)) wrong("a read of what nobody wrote: " + op.last);
+            if (op.place > list_.size() || (op.place > 0 && list_[op.place - 1] != op.last))
+                wrong("a read of what nobody wrote: " + op.last);
         }
         if (op.append && !op.done && at != places.end()) op.place = at->second;
         if (op.done) complete.emplace_back(op.answered, op.append ? op.place + 1 : op.place);
     }
     std::sort(complete.begin(), complete.end());
-    for (std::size_t i = 1; i < complete.size(); ++i) complete[i].second = std::max(complete[i].second, complete[i - 1].second);
+    for (std::size_t i = 1; i < complete.size(); ++i)
+        complete[i].second = std::max(complete[i].second, complete[i - 1].second);
     for (const Op& op : ops_) {
         if (!op.done && (!op.append || !places.contains(op.tag))) continue;
-        auto before = std::lower_bound(complete.begin(), complete.end(), std::pair<TimePoint, std::uint64_t>{op.asked, 0});
+        auto before = std::lower_bound(complete.begin(), complete.end(),
+                                       std::pair<TimePoint, std::uint64_t>{op.asked, 0});
         if (before == complete.begin()) continue;
         std::uint64_t least = std::prev(before)->second;
         if (op.place < least)
-            wrong((op.append ? op.tag : "a read") + " has place " + std::to_string(op.place) + ", and " + std::to_string(least) + " were complete before it was asked for");
+            wrong((op.append ? op.tag : "a read") + " has place " + std::to_string(op.place) + ", and " +
+                  std::to_string(least) + " were complete before it was asked for");
     }
 }
 
--- a/lab/keeper/judge.h
+++ b/lab/keeper/judge.h
@@ -1,4 +1,5 @@
-// The judge of lab/keeper: what machines carried out, against what processes asked and were answered. Times are the world's.
+// The judge of lab/keeper: what machines carried out, against what processes asked and were answered. Times
+// are the world's.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,8 @@
 
 namespace ochrehub::lab {
 
-/// A list that commands append to; a read tells how long it is and what its last is. `hold MS` arms a time for the session.
+/// A list that commands append to; a read tells how long it is and what its last is. `hold MS` arms a time
+/// for the session.
 class ListMachine : public keeper::Machine {
 public:
     explicit ListMachine(class KeeperJudge* judge, std::size_t at) : judge_(judge), at_(at) {}
@@ -44,9 +46,9 @@
     struct Op {
         TimePoint asked{}, answered = TimePoint::max();
         bool append = true, done = false;
-        std::string tag;         ///< of an append
-        std::uint64_t place = 0; ///< in the list; of a read: its length
-        std::string last;        ///< of a read
+        std::string tag;          ///< of an append
+        std::uint64_t place = 0;  ///< in the list; of a read: its length
+        std::string last;         ///< of a read
     };
     void wrong(const std::string& what) {
         if (wrong_.size() < 8) wrong_.push_back(what);
@@ -59,9 +61,14 @@
     };
 
     // What processes believe.
-    void held(keeper::SessionId session, std::size_t process, TimePoint until) { auto& b = sessions_[session]; b.process = process, b.until = std::max(b.until, until); }
+    void held(keeper::SessionId session, std::size_t process, TimePoint until) {
+        auto& b = sessions_[session];
+        b.process = process, b.until = std::max(b.until, until);
+    }
     void gave_up(keeper::SessionId session) { sessions_[session].given_up = true; }
-    void held_time(std::uint64_t revision, std::size_t process, TimePoint until) { times_[revision] = {until, process, false}; }
+    void held_time(std::uint64_t revision, std::size_t process, TimePoint until) {
+        times_[revision] = {until, process, false};
+    }
     void gave_up_time(std::uint64_t revision) { times_[revision].given_up = true; }
     void crashed(std::size_t process);
     // What machines carry out.
