--- a/lab/keeper/measure.cpp
+++ b/lab/keeper/measure.cpp
@@ -1,5 +1,6 @@
-// ochrehub_keeper_measure PROGRAM FOLDER [ROUNDS]: three real keepers in a folder. Commands a second beside a plain loop of writes
-// that are synced one by one, and how long nothing is answered when the leader is killed, stopped or cut one way.
+// ochrehub_keeper_measure PROGRAM FOLDER [ROUNDS]: three real keepers in a folder. Commands a second beside a
+// plain loop of writes that are synced one by one, and how long nothing is answered when the leader is
+// killed, stopped or cut one way.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -51,7 +52,8 @@
     Steady::time_point last = Steady::now();
     double longest = 0;
 
-    Load(const std::vector<std::string>& keepers, const std::string& called) : side(settings(keepers, called), Clock()), name(called) {
+    Load(const std::vector<std::string>& keepers, const std::string& called)
+        : side(settings(keepers, called), Clock()), name(called) {
         side.listen([this](const keeper::SessionSide::Told& told) {
             if (const auto* held = std::get_if<keeper::Held>(&told); held && held->session != session) {
                 session = held->session, ++sessions;
@@ -69,19 +71,20 @@
         if (ends) return;
         std::string duty_name = name;
         duty_name.append(".").append(std::to_string(i));
-        side.submit("duty", want ? duty::want(duty_name) : duty::unwant(duty_name), [this, i, want](keeper::Error error, std::string) {
-            if (error != keeper::Error::None) {
-                ++errors;  // a session anew begins anew
-                return;
-            }
-            ++commands, grants += want;
-            {
-                std::lock_guard lock(mutex);
-                longest = std::max(longest, since(last));
-                last = Steady::now();
-            }
-            go(i, !want);
-        });
+        side.submit("duty", want ? duty::want(duty_name) : duty::unwant(duty_name),
+                    [this, i, want](keeper::Error error, std::string) {
+                        if (error != keeper::Error::None) {
+                            ++errors;  // a session anew begins anew
+                            return;
+                        }
+                        ++commands, grants += want;
+                        {
+                            std::lock_guard lock(mutex);
+                            longest = std::max(longest, since(last));
+                            last = Steady::now();
+                        }
+                        go(i, !want);
+                    });
     }
     double take_longest() {
         std::lock_guard lock(mutex);
@@ -104,7 +107,8 @@
         if (rig.await_leader() == 3) return 1;
         double before = plain(folder, 2);
         std::vector<std::unique_ptr<Load>> loads;
-        for (int i = 0; i < 8; ++i) loads.push_back(std::make_unique<Load>(rig.addresses(), std::string(1, char('a' + i))));
+        for (int i = 0; i < 8; ++i)
+            loads.push_back(std::make_unique<Load>(rig.addresses(), std::string(1, char('a' + i))));
         std::this_thread::sleep_for(std::chrono::seconds(2));
         std::uint64_t commands = 0, grants = 0;
         for (auto& load : loads) commands -= load->commands, grants -= load->grants;
@@ -115,8 +119,11 @@
         for (auto& load : loads) load->ends = true;
         loads.clear();
         double after = plain(folder, 2), loop = (before + after) / 2;
-        std::printf("plain write and fdatasync: %.0f a second (%.0f before, %.0f after); commands %.0f a second (%.2f of it), grants %.0f (%.2f)\n", loop, before, after,
-                    double(commands) / took, double(commands) / took / loop, double(grants) / took, double(grants) / took / loop);
+        std::printf(
+            "plain write and fdatasync: %.0f a second (%.0f before, %.0f after); commands %.0f a second "
+            "(%.2f of it), grants %.0f (%.2f)\n",
+            loop, before, after, double(commands) / took, double(commands) / took / loop,
+            double(grants) / took, double(grants) / took / loop);
     }
     for (const char* fault : {"kill", "stop", "cut"}) {
         KeeperRig rig({texts[1], folder + "/" + fault, 100, 500, true});
@@ -139,8 +146,9 @@
         }
         load.ends = true;
         std::sort(gaps.begin(), gaps.end());
-        std::printf("%s: nothing answered for %.2f s in the median of %d, %.2f s at worst; sessions lost: %llu\n", fault, gaps[gaps.size() / 2], rounds, gaps.back(),
-                    (unsigned long long)(load.sessions - 1));
+        std::printf(
+            "%s: nothing answered for %.2f s in the median of %d, %.2f s at worst; sessions lost: %llu\n",
+            fault, gaps[gaps.size() / 2], rounds, gaps.back(), (unsigned long long)(load.sessions - 1));
         std::fflush(stdout);
     }
     std::filesystem::remove_all(folder);
--- a/lab/keeper/rig.cpp
+++ b/lab/keeper/rig.cpp
@@ -29,14 +29,16 @@
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(0x7f400000u + (std::uint32_t(getpid()) & 0x3fffffu) + 1);
     socklen_t size = sizeof at;
-    bool bound = bind(fd, reinterpret_cast<sockaddr*>(&at), size) == 0 && getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) == 0;
+    bool bound = bind(fd, reinterpret_cast<sockaddr*>(&at), size) == 0 &&
+                 getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) == 0;
     close(fd);
     if (!bound) throw std::runtime_error("no loopback address");
     std::string text = inet_ntoa(at.sin_addr);
     return text.append(":").append(std::to_string(ntohs(at.sin_port)));
 }
 
-std::vector<std::pair<std::size_t, keeper::wire::StatusIs>> statuses(const std::vector<std::string>& addresses, Duration patience) {
+std::vector<std::pair<std::size_t, keeper::wire::StatusIs>> statuses(
+    const std::vector<std::string>& addresses, Duration patience) {
     keeper::wire::Ask ask;
     ask.set_call(1);
     ask.mutable_status();
@@ -44,7 +46,8 @@
     std::vector<std::pair<std::size_t, keeper::wire::StatusIs>> all;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         keeper::wire::Answer answer;
-        if (auto found = answers.find(addresses[i]); found != answers.end() && answer.ParseFromString(found->second))
+        if (auto found = answers.find(addresses[i]);
+            found != answers.end() && answer.ParseFromString(found->second))
             all.emplace_back(i, answer.status());
     }
     return all;
@@ -57,12 +60,15 @@
     for (std::string& address : listen_) address = free_address();
     for (std::size_t i = 0; i < kKeepers; ++i) {
         std::ofstream file(config(i));
-        file << "[keeper]\nnumber = " << i + 1 << "\nlisten = \"" << listen_[i] << "\"\nfolder = \"" << folder(i) << "\"\ncluster = \"rig\"\nheartbeat_ms = "
-             << set_.heartbeat_ms << "\nelection_ms = " << set_.election_ms << "\n";
+        file << "[keeper]\nnumber = " << i + 1 << "\nlisten = \"" << listen_[i] << "\"\nfolder = \""
+             << folder(i) << "\"\ncluster = \"rig\"\nheartbeat_ms = " << set_.heartbeat_ms
+             << "\nelection_ms = " << set_.election_ms << "\n";
         for (std::size_t k = 0; k < kKeepers; ++k) {
             std::string address = listen_[k];
             if (k != i && set_.relays) {
-                relays_[i][k] = std::make_unique<Relay>(Relay::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), *channel::Mesh::endpoint(listen_[k]));
+                relays_[i][k] =
+                    std::make_unique<Relay>(Relay::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0),
+                                            *channel::Mesh::endpoint(listen_[k]));
                 address = relays_[i][k]->address();
             }
             file << "[[member]]\nnumber = " << k + 1 << "\naddress = \"" << address << "\"\n";
@@ -85,7 +91,8 @@
         if (getppid() != parent) _exit(127);
         int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
         dup2(fd, 1), dup2(fd, 2);
-        execl(set_.program.c_str(), set_.program.c_str(), "keeper", "--config", file.c_str(), how.empty() ? nullptr : how.c_str(), nullptr);
+        execl(set_.program.c_str(), set_.program.c_str(), "keeper", "--config", file.c_str(),
+              how.empty() ? nullptr : how.c_str(), nullptr);
         _exit(127);
     }
     pids_[keeper] = pid;
@@ -153,7 +160,8 @@
 }
 
 bool KeeperRig::trusted(std::size_t keeper) const {
-    for (const auto& [i, is] : statuses({listen_[keeper]}, Duration{500})) return is.trusted() && is.members_size() > 0;
+    for (const auto& [i, is] : statuses({listen_[keeper]}, Duration{500}))
+        return is.trusted() && is.members_size() > 0;
     return false;
 }
 
--- a/lab/keeper/rig.h
+++ b/lab/keeper/rig.h
@@ -1,5 +1,5 @@
-// Three keepers as processes of the program on loopback, each link between two of them through a relay; what a test does to them.
-// Ends only what it has started.
+// Three keepers as processes of the program on loopback, each link between two of them through a relay; what
+// a test does to them. Ends only what it has started.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +19,7 @@
 public:
     static constexpr std::size_t kKeepers = 3;
     struct Settings {
-        std::string program, folder;          ///< the folder is made, and left to whoever has it
+        std::string program, folder;  ///< the folder is made, and left to whoever has it
         int heartbeat_ms = 50, election_ms = 300;
         bool relays = true;
     };
@@ -28,8 +28,8 @@
 
     /// `how`: --new, --join, --lost or nothing.
     void start(std::size_t keeper, const std::string& how = {});
-    void kill(std::size_t keeper);            ///< and waits for its end
-    void stop(std::size_t keeper);            ///< as SIGSTOP does
+    void kill(std::size_t keeper);  ///< and waits for its end
+    void stop(std::size_t keeper);  ///< as SIGSTOP does
     void go_on(std::size_t keeper);
     /// SIGTERM; its exit status.
     int end(std::size_t keeper);
@@ -41,7 +41,9 @@
     bool runs(std::size_t keeper) const { return pids_[keeper] > 0; }
 
     std::vector<std::string> addresses() const;
-    std::string config(std::size_t keeper) const { return folder_ + "/k" + std::to_string(keeper + 1) + ".toml"; }
+    std::string config(std::size_t keeper) const {
+        return folder_ + "/k" + std::to_string(keeper + 1) + ".toml";
+    }
     std::string folder(std::size_t keeper) const { return folder_ + "/f" + std::to_string(keeper + 1); }
     /// Who leads by its own word, the one of the highest term; nobody: none does.
     std::optional<std::size_t> leader() const;
--- a/lab/keeper/world.cpp
+++ b/lab/keeper/world.cpp
@@ -48,13 +48,18 @@
     void apply(const raft::Write& write) {
         raft::Disk& d = durable;
         if (write.vote) d.vote = *write.vote;
-        if (write.cut) d.entries.resize(*write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
+        if (write.cut)
+            d.entries.resize(
+                *write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
         d.entries.insert(d.entries.end(), write.append.begin(), write.append.end());
         if (write.snapshot) {
             std::uint64_t index = write.snapshot->index, last = d.first + d.entries.size() - 1;
-            bool other = index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
-            std::size_t gone = index < d.first ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first + 1);
-            d.entries.erase(d.entries.begin(), other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
+            bool other =
+                index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
+            std::size_t gone =
+                index < d.first ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first + 1);
+            d.entries.erase(d.entries.begin(),
+                            other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
             d.first = index + 1;
             d.snapshot = write.snapshot;
         }
@@ -68,17 +73,24 @@
         : set_(set),
           net_({set.keepers + set.processes, Duration{0.2}, Duration{2}, 0, 0, true, set.seed},
                {[this](std::size_t at, TimePoint own) { woken(at, own); },
-                [this](std::size_t to, std::size_t from, TimePoint own, const std::string& m) { received(to, from, own, m); }}),
+                [this](std::size_t to, std::size_t from, TimePoint own, const std::string& m) {
+                    received(to, from, own, m);
+                }}),
           keepers_(set.keepers),
           processes_(set.processes) {
         judge_.world = this;
-        judge_.own = [](const void* world, std::size_t at) { return static_cast<const World*>(world)->net_.own(at); };
-        for (std::size_t i = 0; i < set.keepers; ++i) members_.push_back({raft::KeeperId(i + 1), true, numbered('k', i + 1)});
-        for (std::size_t i = 0; i < net_.size(); ++i) net_.clock(i, set.quiet ? 1 : 0.995 + 0.01 * std::size_t(net_.uniform() * 3) / 2);
+        judge_.own = [](const void* world, std::size_t at) {
+            return static_cast<const World*>(world)->net_.own(at);
+        };
+        for (std::size_t i = 0; i < set.keepers; ++i)
+            members_.push_back({raft::KeeperId(i + 1), true, numbered('k', i + 1)});
+        for (std::size_t i = 0; i < net_.size(); ++i)
+            net_.clock(i, set.quiet ? 1 : 0.995 + 0.01 * std::size_t(net_.uniform() * 3) / 2);
     }
 
     KeeperVerdict go() {
-        for (std::size_t i = 0; i < keepers_.size(); ++i) keepers_[i].disk.durable.members = members_, begin_keeper(i);
+        for (std::size_t i = 0; i < keepers_.size(); ++i)
+            keepers_[i].disk.durable.members = members_, begin_keeper(i);
         for (std::size_t i = 0; i < processes_.size(); ++i) begin_process(i);
         heal();
         TimePoint over = net_.now() + set_.faults;
@@ -89,7 +101,8 @@
                 crash_keeper(set_.crash_who, false);
                 restart_at_ = net_.now() + Duration{1000};
             }
-            if (crashed_ && restart_at_ && net_.now() >= *restart_at_) restart_at_.reset(), restart_keeper(set_.crash_who);
+            if (crashed_ && restart_at_ && net_.now() >= *restart_at_)
+                restart_at_.reset(), restart_keeper(set_.crash_who);
             if (!set_.quiet && net_.now() >= next_fault) {
                 fault();
                 next_fault = net_.now() + Duration{100 + 900 * net_.uniform()};
@@ -134,17 +147,25 @@
     void begin_keeper(std::size_t at) {
         Keeper& k = keepers_[at];
         raft::Settings raft_set;
-        raft_set.self = raft::KeeperId(at + 1), raft_set.heartbeat = kHeartbeat, raft_set.election = kElection;
+        raft_set.self = raft::KeeperId(at + 1), raft_set.heartbeat = kHeartbeat,
+        raft_set.election = kElection;
         raft_set.piece = 300;  // so that snapshots come in several
         ReplicaSettings set;
         set.self = raft_set.self, set.snapshot_entries = set_.snapshot_entries;
-        k.raft = std::make_unique<raft::Raft>(raft_set, k.disk.durable, set_.seed * 1000 + at * 100 + ++k.lives);
+        k.raft =
+            std::make_unique<raft::Raft>(raft_set, k.disk.durable, set_.seed * 1000 + at * 100 + ++k.lives);
         k.lied = false;
-        k.replica = std::make_unique<Replica>(set, [this, at] {
-            Machines all;
-            all.push_back(std::make_unique<ListMachine>(&judge_, at));
-            return all;
-        }, [this, at](TimePoint now, const raft::Event& event, raft::Actions& actions) { agree(at, now, event, actions); }, k.disk.durable);
+        k.replica = std::make_unique<Replica>(
+            set,
+            [this, at] {
+                Machines all;
+                all.push_back(std::make_unique<ListMachine>(&judge_, at));
+                return all;
+            },
+            [this, at](TimePoint now, const raft::Event& event, raft::Actions& actions) {
+                agree(at, now, event, actions);
+            },
+            k.disk.durable);
         to_keeper(at, net_.own(at), keeper::Woken{});
     }
 
@@ -193,12 +214,14 @@
             } else if (auto* write = std::get_if<raft::Write>(&action)) {
                 Duration takes{0.1 + 3 * net_.uniform()};
                 if (is(Saboteur::WrittenTooSoon)) takes += Duration{250}, too_soon = write->number;
-                TimePoint done = std::max(own + takes, k.disk.pending.empty() ? own : k.disk.pending.back().done);
+                TimePoint done =
+                    std::max(own + takes, k.disk.pending.empty() ? own : k.disk.pending.back().done);
                 k.disk.pending.push_back({done, std::move(*write)});
             } else if (auto* answer = std::get_if<Answer>(&action)) {
                 // A connection ends with its process: the next one is not answered what another asked.
                 std::size_t to = std::size_t(answer->who % kProcesses);
-                if (processes_[to - keepers_.size()].instance == answer->who / kProcesses) net_.send(at, to, marked('N', answer->body));
+                if (processes_[to - keepers_.size()].instance == answer->who / kProcesses)
+                    net_.send(at, to, marked('N', answer->body));
             } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
                 k.wake = TimePoint{wake->at.time_since_epoch() / rate};
             } else if (const auto* became = std::get_if<raft::Became>(&action)) {
@@ -207,7 +230,8 @@
                 judge_.wrong("keeper " + std::to_string(at + 1) + " stopped at " + stop->about);
             }
         }
-        if (k.replica->applied() != before) judge_.state(at, k.replica->applied(), std::hash<std::string>()(k.replica->state().snapshot()));
+        if (k.replica->applied() != before)
+            judge_.state(at, k.replica->applied(), std::hash<std::string>()(k.replica->state().snapshot()));
         if (too_soon && k.lives == life) to_keeper(at, own, Written{*too_soon});
         wake_keeper(at);
     }
@@ -218,7 +242,9 @@
         if (next != TimePoint::max()) wake_at(at, next);
     }
     /// Never at this very moment: two clocks' rounding might have it come before its time again and again.
-    void wake_at(std::size_t at, TimePoint own) { net_.wake_at(at, std::max(own, net_.own(at) + Duration{1e-6})); }
+    void wake_at(std::size_t at, TimePoint own) {
+        net_.wake_at(at, std::max(own, net_.own(at) + Duration{1e-6}));
+    }
 
     void crash_keeper(std::size_t at, bool disk_too) {
         Keeper& k = keepers_[at];
@@ -227,7 +253,8 @@
         net_.crash(at);
         // Any part of what was not written may be there.
         std::size_t there = std::size_t(net_.uniform() * double(k.disk.pending.size() + 1));
-        for (std::size_t i = 0; i < there && i < k.disk.pending.size(); ++i) k.disk.apply(k.disk.pending[i].write);
+        for (std::size_t i = 0; i < there && i < k.disk.pending.size(); ++i)
+            k.disk.apply(k.disk.pending[i].write);
         k.disk.pending.clear();
         k.replica.reset(), k.raft.reset();
         k.wake = TimePoint::max();
@@ -262,7 +289,8 @@
         one.session->handle(own, event, actions);
         for (SessionAction& action : actions) {
             if (auto* say = std::get_if<Say>(&action)) {
-                net_.send(net_of(p), std::stoul(say->to.substr(1)) - 1, marked('A', std::to_string(one.instance) + " " + say->body));
+                net_.send(net_of(p), std::stoul(say->to.substr(1)) - 1,
+                          marked('A', std::to_string(one.instance) + " " + say->body));
             } else if (const auto* held = std::get_if<Held>(&action)) {
                 verdict_.sessions += one.held != held->session;
                 one.held = held->session;
@@ -272,7 +300,8 @@
                 if (is(Saboteur::PauseUnseen)) until = TimePoint::max();
                 judge_.held(held->session, net_of(p), until);
             } else if (const auto* lost = std::get_if<Lost>(&action)) {
-                // Who does not look at his clock hears of it with what made him look; that it is said first is another's test.
+                // Who does not look at his clock hears of it with what made him look; that it is said first
+                // is another's test.
                 judge_.gave_up(lost->session);
                 for (std::uint64_t time : std::exchange(one.times, {})) judge_.gave_up_time(time);
                 one.held = 0;
@@ -292,8 +321,9 @@
         Call call = found->second;
         one.calls.erase(found);
         verdict_.uncertain += answered.error == Error::Uncertain;
-        bool expected = answered.error == Error::None || answered.error == Error::Uncertain || answered.error == Error::NoSession ||
-                        answered.error == Error::Unreachable || answered.error == Error::Busy;
+        bool expected = answered.error == Error::None || answered.error == Error::Uncertain ||
+                        answered.error == Error::NoSession || answered.error == Error::Unreachable ||
+                        answered.error == Error::Busy;
         if (!expected) judge_.wrong("a command was answered " + std::string(row(answered.error).code));
         if (answered.error != Error::None) return;
         if (last_phase_) one.last_answered = true;
@@ -305,7 +335,8 @@
         }
         std::size_t space = answered.result.find(' ');
         ++(space == std::string::npos ? verdict_.commands : verdict_.reads);
-        judge_.answer(*call.op, net_.now(), std::stoull(answered.result), space == std::string::npos ? "" : answered.result.substr(space + 1));
+        judge_.answer(*call.op, net_.now(), std::stoull(answered.result),
+                      space == std::string::npos ? "" : answered.result.substr(space + 1));
     }
 
     void act(std::size_t p, TimePoint own) {
@@ -322,7 +353,8 @@
             one.calls[call] = {std::nullopt, own, length};
             to_process(p, own, Submit{call, "list", "hold " + std::to_string(length)});
         } else {
-            std::string tag = numbered('p', p) + "." + std::to_string(one.instance) + "." + std::to_string(++one.tags);
+            std::string tag =
+                numbered('p', p) + "." + std::to_string(one.instance) + "." + std::to_string(++one.tags);
             one.calls[call] = {judge_.ask(net_.now(), true, tag), own, 0};
             to_process(p, own, Submit{call, "list", tag});
         }
@@ -376,12 +408,15 @@
         std::uint64_t who = std::stoull(m.substr(1, space - 1)) * kProcesses + from;
         wire::Ask ask;
         if (ask.ParseFromString(m.substr(space + 1)) && ask.has_do_())
-            verdict_.again += keepers_[to].replica->state().answered(ask.do_().session(), ask.do_().number()).has_value();
+            verdict_.again +=
+                keepers_[to].replica->state().answered(ask.do_().session(), ask.do_().number()).has_value();
         to_keeper(to, own, Asked{who, m.substr(space + 1)});
     }
 
     // ---- Faults
-    std::size_t any(std::size_t many) { return std::min(many - 1, std::size_t(net_.uniform() * double(many))); }
+    std::size_t any(std::size_t many) {
+        return std::min(many - 1, std::size_t(net_.uniform() * double(many)));
+    }
     std::size_t leader() {
         for (std::size_t i = 0; i < keepers_.size(); ++i)
             if (keepers_[i].raft && keepers_[i].raft->role() == raft::Role::Leader) return i;
@@ -396,7 +431,8 @@
         std::size_t p = any(processes_.size());
         if (what < 0.16) {
             if (!net_.up(k)) return;
-            bool all_trusted = std::all_of(keepers_.begin(), keepers_.end(), [](const Keeper& one) { return one.disk.durable.trusted; });
+            bool all_trusted = std::all_of(keepers_.begin(), keepers_.end(),
+                                           [](const Keeper& one) { return one.disk.durable.trusted; });
             crash_keeper(k, all_trusted && net_.uniform() < 0.12);
             keepers_[k].start_at = net_.now() + (net_.uniform() < 0.3 ? some(2, 60) : some(60, 2500));
         } else if (what < 0.32) {
@@ -424,7 +460,8 @@
             bool little = net_.uniform() < 0.6;  // less than makes a process look for another keeper
             for (std::size_t i = 0; i < net_.size(); ++i)
                 if (i != k) net_.delay(k, i, little ? some(100, 300) : some(0, 1200));
-            if (little && net_.up(net_of(p)) && !net_.stopped(net_of(p)) && net_.uniform() < 0.5) stop_at_ = net_.now() + some(500, 2000);
+            if (little && net_.up(net_of(p)) && !net_.stopped(net_of(p)) && net_.uniform() < 0.5)
+                stop_at_ = net_.now() + some(500, 2000);
         } else {
             heal(), net_.loss(0), net_.doubled(0);
         }
@@ -433,14 +470,16 @@
         net_.heal();
         if (set_.answers_late > Duration{0})
             for (std::size_t k = 0; k < keepers_.size(); ++k)
-                for (std::size_t p = 0; p < processes_.size(); ++p) net_.delay(k, net_of(p), set_.answers_late);
+                for (std::size_t p = 0; p < processes_.size(); ++p)
+                    net_.delay(k, net_of(p), set_.answers_late);
     }
     void mend() {
         if (net_.now() >= heal_at_) heal_at_ = TimePoint::max(), heal();
         if (net_.now() >= stop_at_) {
             stop_at_ = TimePoint::max();
             std::size_t p = any(processes_.size());
-            if (net_.up(net_of(p)) && !net_.stopped(net_of(p))) net_.stop(net_of(p)), processes_[p].go_on_at = net_.now() + some(2500, 5000);
+            if (net_.up(net_of(p)) && !net_.stopped(net_of(p)))
+                net_.stop(net_of(p)), processes_[p].go_on_at = net_.now() + some(2500, 5000);
         }
         for (std::size_t i = 0; i < keepers_.size(); ++i) {
             if (keepers_[i].start_at <= net_.now()) restart_keeper(i);
@@ -448,7 +487,8 @@
         }
         for (std::size_t i = 0; i < processes_.size(); ++i) {
             Process& one = processes_[i];
-            if (one.start_at <= net_.now()) one.start_at = TimePoint::max(), net_.start(net_of(i)), begin_process(i);
+            if (one.start_at <= net_.now())
+                one.start_at = TimePoint::max(), net_.start(net_of(i)), begin_process(i);
             if (one.go_on_at <= net_.now()) one.go_on_at = TimePoint::max(), net_.go_on(net_of(i));
         }
     }
@@ -468,11 +508,14 @@
         last_phase_ = true;
         net_.run_to(net_.now() + set_.settles * 0.3);
         for (std::size_t p = 0; p < processes_.size(); ++p) {
-            if (processes_[p].held == 0) judge_.wrong("process " + std::to_string(p) + " has no session, though all is healed");
-            if (!processes_[p].last_answered) judge_.wrong("process " + std::to_string(p) + " has no answer, though all is healed");
+            if (processes_[p].held == 0)
+                judge_.wrong("process " + std::to_string(p) + " has no session, though all is healed");
+            if (!processes_[p].last_answered)
+                judge_.wrong("process " + std::to_string(p) + " has no answer, though all is healed");
         }
         for (std::size_t i = 0; i < keepers_.size(); ++i)
-            if (!keepers_[i].disk.durable.trusted) judge_.wrong("keeper " + std::to_string(i + 1) + " is not trusted, though all is healed");
+            if (!keepers_[i].disk.durable.trusted)
+                judge_.wrong("keeper " + std::to_string(i + 1) + " is not trusted, though all is healed");
     }
 
     KeeperVerdict verdict() {
@@ -499,9 +542,18 @@
 }  // namespace
 
 const char* name(KeeperSaboteur saboteur) {
-    static constexpr std::array<const char*, std::size_t(KeeperSaboteur::Count)> names{
-        "none",          "lease-from-answer", "pause-unseen",   "no-margin",       "old-deadlines",    "fast-leader", "twice-applied",
-        "read-unconfirmed", "forgets-sessions",  "forgets-numbers", "forgets-machines", "written-too-soon"};
+    static constexpr std::array<const char*, std::size_t(KeeperSaboteur::Count)> names{"none",
+                                                                                       "lease-from-answer",
+                                                                                       "pause-unseen",
+                                                                                       "no-margin",
+                                                                                       "old-deadlines",
+                                                                                       "fast-leader",
+                                                                                       "twice-applied",
+                                                                                       "read-unconfirmed",
+                                                                                       "forgets-sessions",
+                                                                                       "forgets-numbers",
+                                                                                       "forgets-machines",
+                                                                                       "written-too-soon"};
     return names[std::size_t(saboteur)];
 }
 
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,5 +1,5 @@
-// ochrehub_lab: emulated fleets, load, experiments and their reports. All traffic stays on loopback, and every run
-// ends by itself.
+// ochrehub_lab: emulated fleets, load, experiments and their reports. All traffic stays on loopback, and
+// every run ends by itself.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <array>
@@ -30,9 +30,9 @@
 #include "lab/play/load.h"
 #include "lab/play/play.h"
 #include "lab/play/serve.h"
-#include "lab/result/compare.h"
 #include "lab/record/parallel.h"
 #include "lab/record/trace.h"
+#include "lab/result/compare.h"
 #include "lab/result/report.h"
 #include "lab/result/result.h"
 #include "lab/scenario/scenario.h"
@@ -87,14 +87,17 @@
     if (!out) throw Usage("--json: cannot write " + path);
 }
 
-/// What each class and tenant got, as the standing test's gate counts it: worth served of the worth asked for.
+/// What each class and tenant got, as the standing test's gate counts it: worth served of the worth asked
+/// for.
 void tell_groups(const Result& r) {
     auto tell_each = [](const char* what, const std::vector<GroupResult>& groups) {
         for (const GroupResult& g : groups)
-            std::printf("%s %-16s served %.4f of its worth, %llu calls: %llu served (%llu late), %llu refused, %llu failed\n", what,
-                        g.name.c_str(), g.worth.share(), static_cast<unsigned long long>(g.calls),
-                        static_cast<unsigned long long>(g.served), static_cast<unsigned long long>(g.served_late),
-                        static_cast<unsigned long long>(g.refused), static_cast<unsigned long long>(g.failed));
+            std::printf(
+                "%s %-16s served %.4f of its worth, %llu calls: %llu served (%llu late), %llu refused, %llu "
+                "failed\n",
+                what, g.name.c_str(), g.worth.share(), static_cast<unsigned long long>(g.calls),
+                static_cast<unsigned long long>(g.served), static_cast<unsigned long long>(g.served_late),
+                static_cast<unsigned long long>(g.refused), static_cast<unsigned long long>(g.failed));
     };
     tell_each("class ", r.classes);
     tell_each("tenant", r.tenants);
@@ -106,27 +109,31 @@
     for (const Result& r : results)
         for (const Floor& floor : floors(r)) {
             const std::string name = floor.of + " " + floor.name;
-            auto known = std::find_if(least.begin(), least.end(), [&](const auto& f) { return f.second == name; });
+            auto known =
+                std::find_if(least.begin(), least.end(), [&](const auto& f) { return f.second == name; });
             if (known == least.end()) known = least.insert(least.end(), {1, name});
             known->first = std::min(known->first, floor.worth.share());
         }
-    std::stable_sort(least.begin(), least.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+    std::stable_sort(least.begin(), least.end(),
+                     [](const auto& a, const auto& b) { return a.first < b.first; });
     std::printf("floors:");
-    for (const auto& [share, name] : least) std::printf(" %s %.4f%s", name.c_str(), share, &name == &least.back().second ? "" : ",");
+    for (const auto& [share, name] : least)
+        std::printf(" %s %.4f%s", name.c_str(), share, &name == &least.back().second ? "" : ",");
     std::printf("\n");
 }
 
-/// One line a seed, or of a single one its classes and tenants too, then what broke and what was missed. The status that the
-/// command ends with.
+/// One line a seed, or of a single one its classes and tenants too, then what broke and what was missed. The
+/// status that the command ends with.
 int tell(const Scenario& scenario, const std::vector<Result>& results, bool quiet) {
     if (!quiet) {
-        std::printf("%-8s %7s %7s %7s %7s %8s %8s %7s %7s %8s\n", "seed", "worth", "10 s", "tenant", "score", "calls",
-                    "tries/c", "p50 ms", "p99 ms", "breaches");
+        std::printf("%-8s %7s %7s %7s %7s %8s %8s %7s %7s %8s\n", "seed", "worth", "10 s", "tenant", "score",
+                    "calls", "tries/c", "p50 ms", "p99 ms", "breaches");
         for (const Result& r : results)
             std::printf("%-8llu %7.4f %7.4f %7.4f %7.4f %8llu %8.3f %7.1f %7.1f %8llu\n",
-                        static_cast<unsigned long long>(r.seed), r.worth.share(), r.worst_10s, r.worst_tenant, r.score,
-                        static_cast<unsigned long long>(r.calls), r.tries_per_call, r.latency.quantile_ms(0.5),
-                        r.latency.quantile_ms(0.99), static_cast<unsigned long long>(r.breach_count));
+                        static_cast<unsigned long long>(r.seed), r.worth.share(), r.worst_10s, r.worst_tenant,
+                        r.score, static_cast<unsigned long long>(r.calls), r.tries_per_call,
+                        r.latency.quantile_ms(0.5), r.latency.quantile_ms(0.99),
+                        static_cast<unsigned long long>(r.breach_count));
         if (results.size() == 1) tell_groups(results.front());
         tell_floors(results);
     }
@@ -141,8 +148,8 @@
         broken = true;
         std::string which = missed.seed ? " of seed " + std::to_string(*missed.seed) : "";
         std::printf("expected %s%s %s %g: it is %g\n", missed.expectation.figure.c_str(), which.c_str(),
-                    missed.expectation.how == Expectation::How::AtLeast ? ">=" : "<=", missed.expectation.bound,
-                    missed.value);
+                    missed.expectation.how == Expectation::How::AtLeast ? ">=" : "<=",
+                    missed.expectation.bound, missed.value);
     }
     return broken ? kBroken : kDone;
 }
@@ -182,7 +189,8 @@
             Trace trace(common.trace, start, nullptr);
             for (const Record& record : records) trace.note(record);
         };
-    if (!common.quiet) options.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
+    if (!common.quiet)
+        options.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
     std::vector<Result> results;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed)
         results.push_back(play(scenario.draw(seed), options));
@@ -203,7 +211,8 @@
 int run_load(const Common& common, const std::string& to, LoadOptions options) {
     Day day = Scenario::read(common.scenario).draw(common.seed);
     options.seed = common.seed;
-    if (!common.quiet) options.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
+    if (!common.quiet)
+        options.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
     std::printf("%s", summary(load(day, to, options)).c_str());
     return kDone;
 }
@@ -217,9 +226,9 @@
 /// A line a file: how many of its seeds recovered from their troubles, how soon, and what that took.
 int run_recovery(const std::vector<std::string>& files, bool head) {
     if (head)
-        std::printf("%-15s %5s %5s %5s %6s  %6s %6s %6s %6s %6s  %6s %6s %6s %6s %8s %8s\n", "scenario", "seeds",
-                    "in 5s", "in 30s", "p90 s", "worth", "least", "before", "during", "after", "tries", "refuse",
-                    "peak", "score", "connects", "breaches");
+        std::printf("%-15s %5s %5s %5s %6s  %6s %6s %6s %6s %6s  %6s %6s %6s %6s %8s %8s\n", "scenario",
+                    "seeds", "in 5s", "in 30s", "p90 s", "worth", "least", "before", "during", "after",
+                    "tries", "refuse", "peak", "score", "connects", "breaches");
     for (const std::string& file : files) {
         std::vector<Result> results = read_results(file);
         if (results.empty()) continue;
@@ -242,7 +251,8 @@
         };
         const double n = double(results.size());
         std::printf(
-            "%-15s %5.0f %5.0f %5.0f %6.1f  %6.3f %6.3f %6.3f %6.3f %6.3f  %6.2f %6.3f %6.2f %6.3f %8.0f %8.0f\n",
+            "%-15s %5.0f %5.0f %5.0f %6.1f  %6.3f %6.3f %6.3f %6.3f %6.3f  %6.2f %6.3f %6.2f %6.3f %8.0f "
+            "%8.0f\n",
             results.front().scenario.c_str(), n, in5, in30, back[std::size_t(0.9 * (n - 1))],
             mean([](const Result& r) { return r.worth.share(); }, n), least,
             mean([](const Result& r) { return r.recovery.before; }, n),
@@ -293,8 +303,8 @@
     return kDone;
 }
 
-/// What nodes call: in how many seeds, how soon behind the first fault's begin (the day's, where there is none), and for
-/// how long over all nodes.
+/// What nodes call: in how many seeds, how soon behind the first fault's begin (the day's, where there is
+/// none), and for how long over all nodes.
 int run_weather(const Common& common, int jobs, bool changes) {
     using State = ochrehub::LoadState::State;
     constexpr std::size_t kStates = ochrehub::LoadState::kStates;
@@ -329,13 +339,15 @@
             if (!changes) return;
             const ochrehub::LoadState::Signs& why = change.why;
             char line[400];
-            std::snprintf(line, sizeof line,
-                          "seed %llu node %d %.2f s (%+.2f): %s, was %s; tries %.0f (usual %.0f) repeats %.2f refused "
-                          "%.2f late %.2f served %.0f of %.0f slow %.2f opened %.0f (usual %.0f) leaving %d new %d tenant %d grew %.1f\n",
-                          static_cast<unsigned long long>(seed), node, at / 1000, (at - cause) / 1000,
-                          ochrehub::LoadState::name(change.to), ochrehub::LoadState::name(change.from), why.tries,
-                          why.usual_first, why.repeats, why.refused, why.late, why.served, why.capacity, why.slow,
-                          why.opened, why.usual_opened, why.draining, why.fresh, why.tenant, why.grew);
+            std::snprintf(
+                line, sizeof line,
+                "seed %llu node %d %.2f s (%+.2f): %s, was %s; tries %.0f (usual %.0f) repeats %.2f refused "
+                "%.2f late %.2f served %.0f of %.0f slow %.2f opened %.0f (usual %.0f) leaving %d new %d "
+                "tenant %d grew %.1f\n",
+                static_cast<unsigned long long>(seed), node, at / 1000, (at - cause) / 1000,
+                ochrehub::LoadState::name(change.to), ochrehub::LoadState::name(change.from), why.tries,
+                why.usual_first, why.repeats, why.refused, why.late, why.served, why.capacity, why.slow,
+                why.opened, why.usual_opened, why.draining, why.fresh, why.tenant, why.grew);
             into.lines += line;
         };
         simulate(day, options);
@@ -396,7 +408,8 @@
         in_parallel(outcomes.size(), jobs, [&](std::size_t i) {
             run(i, [&](const fleet::Day& day) {
                 if (options.world == "virtual") return fleet::run_virtual(day);
-                return fleet::run_heartbeats(day, options.world == "phi" ? fleet::Detector::Phi : fleet::Detector::Timeout);
+                return fleet::run_heartbeats(
+                    day, options.world == "phi" ? fleet::Detector::Phi : fleet::Detector::Timeout);
             });
         });
     } else {
@@ -405,32 +418,43 @@
         fleet::ProcessOptions how;
         how.program = options.program;
         how.stop = &interrupted;
-        if (!common.quiet) how.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
+        if (!common.quiet)
+            how.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
         for (std::size_t i = 0; i < outcomes.size(); ++i) {
-            if (!options.logs.empty()) how.logs = std::filesystem::path(options.logs) / std::to_string(seeds.first + i);
+            if (!options.logs.empty())
+                how.logs = std::filesystem::path(options.logs) / std::to_string(seeds.first + i);
             run(i, [&](const fleet::Day& day) { return fleet::run_processes(day, how); });
-            if (!common.quiet) std::fprintf(stderr, "seed %llu: %zu promises broken\n", static_cast<unsigned long long>(outcomes[i].day.seed), outcomes[i].verdict.broken.size());
+            if (!common.quiet)
+                std::fprintf(stderr, "seed %llu: %zu promises broken\n",
+                             static_cast<unsigned long long>(outcomes[i].day.seed),
+                             outcomes[i].verdict.broken.size());
         }
     }
     if (!common.json.empty()) write_file(common.json, fleet::to_json(outcomes));
     std::printf("%s", fleet::summary(outcomes).c_str());
-    auto broken = std::find_if(outcomes.begin(), outcomes.end(), [](const fleet::Outcome& one) { return !one.verdict.broken.empty(); });
+    auto broken = std::find_if(outcomes.begin(), outcomes.end(),
+                               [](const fleet::Outcome& one) { return !one.verdict.broken.empty(); });
     if (broken == outcomes.end()) return kDone;
     if (options.shrink) {
         // Another promise that a smaller day breaks is another story.
         std::string promise = broken->verdict.broken.front().promise;
-        promise = promise.substr(0, std::min({promise.find(" ("), promise.find(" within"), promise.find(':'), promise.size()}));
+        promise = promise.substr(
+            0, std::min({promise.find(" ("), promise.find(" within"), promise.find(':'), promise.size()}));
         auto breaks = [&](const fleet::Day& day) {
             for (const fleet::Broken& one : fleet::judge(day, fleet::run_virtual(day)).broken)
                 if (one.promise.starts_with(promise)) return true;
             return false;
         };
         if (!breaks(broken->day)) {
-            std::printf("seed %llu breaks nothing in virtual time: nothing to shrink\n", static_cast<unsigned long long>(broken->day.seed));
+            std::printf("seed %llu breaks nothing in virtual time: nothing to shrink\n",
+                        static_cast<unsigned long long>(broken->day.seed));
         } else {
             fleet::Shrunk smallest = fleet::shrink(broken->day, breaks);
-            std::printf("seed %llu, shrunk from %zu faults in %d runs:\n", static_cast<unsigned long long>(broken->day.seed), broken->day.faults.size(), smallest.runs);
-            for (const fleet::Fault& fault : smallest.day.faults) std::printf("    %s\n", fault.text().c_str());
+            std::printf("seed %llu, shrunk from %zu faults in %d runs:\n",
+                        static_cast<unsigned long long>(broken->day.seed), broken->day.faults.size(),
+                        smallest.runs);
+            for (const fleet::Fault& fault : smallest.day.faults)
+                std::printf("    %s\n", fault.text().c_str());
         }
     }
     return kBroken;
@@ -451,9 +475,10 @@
         all.cuts = cuts;
         all.pauses = pauses;
         Explored found = explore(all);
-        std::printf("%-26s %llu states, %llu ends, right again after %.1f s at most, %llu promises broken\n", name,
-                    static_cast<unsigned long long>(found.states), static_cast<unsigned long long>(found.ends),
-                    found.slowest_ms / 1000, static_cast<unsigned long long>(found.broken_count));
+        std::printf("%-26s %llu states, %llu ends, right again after %.1f s at most, %llu promises broken\n",
+                    name, static_cast<unsigned long long>(found.states),
+                    static_cast<unsigned long long>(found.ends), found.slowest_ms / 1000,
+                    static_cast<unsigned long long>(found.broken_count));
         for (const std::string& one : found.broken) std::printf("  %s\n", one.c_str());
         broken = broken || found.broken_count > 0;
     }
@@ -483,7 +508,8 @@
     std::string folder = "report", a, b;
 
     auto scenario_of = [&](CLI::App* command) {
-        command->add_option("scenario", common.scenario, "a shipped scenario's name, or a TOML file")->required();
+        command->add_option("scenario", common.scenario, "a shipped scenario's name, or a TOML file")
+            ->required();
     };
     auto seeded = [&](CLI::App* command) {
         auto* one = command->add_option("--seed", common.seed, "the day's seed")->capture_default_str();
@@ -495,50 +521,68 @@
     CLI::App* simulate_command = app.add_subcommand("simulate", "play days in virtual time, in one process");
     scenario_of(simulate_command);
     seeded(simulate_command);
-    simulate_command->add_flag("--in-order", in_order, "nodes read all in its order, however old: for comparing");
-    simulate_command->add_flag("--fleet", world.fleet, "nodes know each other, as by [fleet], and divide by those that are here");
-    simulate_command->add_option("--jobs", jobs, "days at a time")->check(CLI::Range(1, 256))->capture_default_str();
+    simulate_command->add_flag("--in-order", in_order,
+                               "nodes read all in its order, however old: for comparing");
+    simulate_command->add_flag("--fleet", world.fleet,
+                               "nodes know each other, as by [fleet], and divide by those that are here");
+    simulate_command->add_option("--jobs", jobs, "days at a time")
+        ->check(CLI::Range(1, 256))
+        ->capture_default_str();
     PlayOptions play_options;
     bool changes = false;
-    CLI::App* weather_command = app.add_subcommand("weather", "what nodes call storm, brownout and release, in virtual time");
+    CLI::App* weather_command =
+        app.add_subcommand("weather", "what nodes call storm, brownout and release, in virtual time");
     scenario_of(weather_command);
     weather_command->add_option("--seeds", common.seeds, "FIRST..LAST: a day for each");
-    weather_command->add_option("--jobs", jobs, "days at a time")->check(CLI::Range(1, 256))->capture_default_str();
+    weather_command->add_option("--jobs", jobs, "days at a time")
+        ->check(CLI::Range(1, 256))
+        ->capture_default_str();
     weather_command->add_flag("--changes", changes, "each change of each node, with its reasons");
     CLI::App* play_command = app.add_subcommand("play", "play days on sockets: real nodes, a process each");
     scenario_of(play_command);
     seeded(play_command);
-    play_command->add_option("--node", play_options.node, "a node's program; default: ochrehub beside this one")
+    play_command
+        ->add_option("--node", play_options.node, "a node's program; default: ochrehub beside this one")
         ->check(CLI::ExistingFile);
     play_command->add_option("--logs", play_options.log_dir, "keep the nodes' logs and configurations there");
     ServeOptions serve_options;
     CLI::App* serve_command = app.add_subcommand("serve", "the stand-in servers and discovery alone");
     scenario_of(serve_command);
     serve_command->add_option("--seed", common.seed, "the day's seed")->capture_default_str();
-    serve_command->add_option("--for", serve_options.seconds, "seconds; default: the day's")->check(CLI::Range(0.1, 3600.0));
-    serve_command->add_option("--plain", serve_options.plain_threads, "no model: answer at once, on so many threads")
+    serve_command->add_option("--for", serve_options.seconds, "seconds; default: the day's")
+        ->check(CLI::Range(0.1, 3600.0));
+    serve_command
+        ->add_option("--plain", serve_options.plain_threads, "no model: answer at once, on so many threads")
         ->check(CLI::Range(1, 64));
     LoadOptions load_options;
     double load_seconds = 0, give_up_ms = 0, storm_seconds = 0;
     std::string to;
-    CLI::App* load_command = app.add_subcommand("load", "the clients alone, against anything that speaks the protocol");
+    CLI::App* load_command =
+        app.add_subcommand("load", "the clients alone, against anything that speaks the protocol");
     scenario_of(load_command);
     load_command->add_option("--to", to, "127.b.c.d:port")->required();
     load_command->add_option("--seed", common.seed, "the day's seed")->capture_default_str();
-    load_command->add_option("--rate", load_options.rate, "requests a second; default: the day's clients, retries and all")
+    load_command
+        ->add_option("--rate", load_options.rate,
+                     "requests a second; default: the day's clients, retries and all")
         ->check(CLI::Range(0.0, 1e6));
-    load_command->add_option("--for", load_seconds, "seconds; default: the day's")->check(CLI::Range(0.1, 3600.0));
-    load_command->add_option("--loops", load_options.loops, "threads, with a rate")->check(CLI::Range(1, 64))
+    load_command->add_option("--for", load_seconds, "seconds; default: the day's")
+        ->check(CLI::Range(0.1, 3600.0));
+    load_command->add_option("--loops", load_options.loops, "threads, with a rate")
+        ->check(CLI::Range(1, 64))
         ->capture_default_str();
     load_command->add_option("--connections", load_options.connections, "of each thread at most, with a rate")
-        ->check(CLI::Range(1, 20000))->capture_default_str();
+        ->check(CLI::Range(1, 20000))
+        ->capture_default_str();
     load_command->add_option("--give-up-ms", give_up_ms, "with a rate: clients wait so long and then close")
         ->check(CLI::Range(0.0, 1e5));
-    load_command->add_option("--storm-rate", load_options.storm_rate, "with a rate: of the first --storm-for seconds")
+    load_command
+        ->add_option("--storm-rate", load_options.storm_rate, "with a rate: of the first --storm-for seconds")
         ->check(CLI::Range(0.0, 1e6));
     load_command->add_option("--storm-for", storm_seconds, "seconds")->check(CLI::Range(0.0, 3600.0));
     load_command->add_flag("--quiet", common.quiet, "only the result");
-    CLI::App* report_command = app.add_subcommand("report", "a page with plots: one run, or runs side by side");
+    CLI::App* report_command =
+        app.add_subcommand("report", "a page with plots: one run, or runs side by side");
     report_command->add_option("results", files, "results in JSON")->required()->check(CLI::ExistingFile);
     report_command->add_option("-o", folder, "the folder it goes to")->capture_default_str();
     CLI::App* compare_command = app.add_subcommand("compare", "figures of two runs, paired over their seeds");
@@ -548,44 +592,83 @@
     figure_command->add_option("name", a, "such as worth.whole or latency.p99_ms")->required();
     figure_command->add_option("results", files, "results in JSON")->required()->check(CLI::ExistingFile);
     bool head = false;
-    CLI::App* recovery_command = app.add_subcommand("recovery", "a line a file: seeds back after their troubles, and how");
+    CLI::App* recovery_command =
+        app.add_subcommand("recovery", "a line a file: seeds back after their troubles, and how");
     recovery_command->add_option("results", files, "results in JSON")->check(CLI::ExistingFile);
     recovery_command->add_flag("--head", head, "the names of the columns first");
     SwarmTrial trial;
     double calm_seconds = trial.calm.count() / 1000;
-    CLI::App* members_command = app.add_subcommand("members", "a tier's membership by gossip, in virtual time: what it costs and sees");
-    members_command->add_option("--members", trial.swarm.members, "how many")->check(CLI::Range(2, 4000))->capture_default_str();
-    members_command->add_option("--loss", trial.swarm.loss, "part of the datagrams that is lost")->check(CLI::Range(0.0, 0.9))->capture_default_str();
-    members_command->add_option("--for", calm_seconds, "seconds of calm, before one of them dies")->check(CLI::Range(1.0, 1e6))->capture_default_str();
+    CLI::App* members_command = app.add_subcommand(
+        "members", "a tier's membership by gossip, in virtual time: what it costs and sees");
+    members_command->add_option("--members", trial.swarm.members, "how many")
+        ->check(CLI::Range(2, 4000))
+        ->capture_default_str();
+    members_command->add_option("--loss", trial.swarm.loss, "part of the datagrams that is lost")
+        ->check(CLI::Range(0.0, 0.9))
+        ->capture_default_str();
+    members_command->add_option("--for", calm_seconds, "seconds of calm, before one of them dies")
+        ->check(CLI::Range(1.0, 1e6))
+        ->capture_default_str();
     members_command->add_option("--seeds", common.seeds, "FIRST..LAST: a tier for each");
-    members_command->add_option("--jobs", jobs, "tiers at a time")->check(CLI::Range(1, 256))->capture_default_str();
+    members_command->add_option("--jobs", jobs, "tiers at a time")
+        ->check(CLI::Range(1, 256))
+        ->capture_default_str();
     bool plain = false;
-    members_command->add_option("--pauses", trial.pauses, "of each member an hour, up to 3 s each, in that time")->check(CLI::Range(0.0, 1e4));
-    members_command->add_option("--one-sided", trial.one_sided, "so many of a hundred are not heard by one other, in that time")->check(CLI::Range(0, 100));
+    members_command
+        ->add_option("--pauses", trial.pauses, "of each member an hour, up to 3 s each, in that time")
+        ->check(CLI::Range(0.0, 1e4));
+    members_command
+        ->add_option("--one-sided", trial.one_sided,
+                     "so many of a hundred are not heard by one other, in that time")
+        ->check(CLI::Range(0, 100));
     members_command->add_flag("--plain", plain, "without Lifeguard's parts and the last call");
     FleetOptions fleet_options;
-    CLI::App* fleet_command = app.add_subcommand("fleet", "processes of the program with faults between them, judged from outside");
-    fleet_command->add_option("scenario", common.scenario, "a shipped scenario's name, or a TOML file")->required();
-    auto* fleet_seed = fleet_command->add_option("--seed", common.seed, "what is drawn is drawn from it")->capture_default_str();
+    CLI::App* fleet_command =
+        app.add_subcommand("fleet", "processes of the program with faults between them, judged from outside");
+    fleet_command->add_option("scenario", common.scenario, "a shipped scenario's name, or a TOML file")
+        ->required();
+    auto* fleet_seed = fleet_command->add_option("--seed", common.seed, "what is drawn is drawn from it")
+                           ->capture_default_str();
     fleet_command->add_option("--seeds", common.seeds, "FIRST..LAST: a run for each")->excludes(fleet_seed);
-    fleet_command->add_option("--world", fleet_options.world, "processes; virtual: the same cores in virtual time; all-to-all, phi: simpler detectors, to compare")
-        ->check(CLI::IsMember({"processes", "virtual", "all-to-all", "phi"}))->capture_default_str();
+    fleet_command
+        ->add_option("--world", fleet_options.world,
+                     "processes; virtual: the same cores in virtual time; all-to-all, phi: simpler "
+                     "detectors, to compare")
+        ->check(CLI::IsMember({"processes", "virtual", "all-to-all", "phi"}))
+        ->capture_default_str();
     fleet_command->add_option("--json", common.json, "write the results there, for report");
-    fleet_command->add_option("--logs", fleet_options.logs, "keep folders and logs there, a folder for each seed");
-    fleet_command->add_option("--node", fleet_options.program, "the program; default: ochrehub beside this one")->check(CLI::ExistingFile);
-    fleet_command->add_option("--jobs", jobs, "runs at a time, in virtual time")->check(CLI::Range(1, 256))->capture_default_str();
-    fleet_command->add_flag("--shrink", fleet_options.shrink, "the first broken seed's faults, cut down in virtual time");
+    fleet_command->add_option("--logs", fleet_options.logs,
+                              "keep folders and logs there, a folder for each seed");
+    fleet_command
+        ->add_option("--node", fleet_options.program, "the program; default: ochrehub beside this one")
+        ->check(CLI::ExistingFile);
+    fleet_command->add_option("--jobs", jobs, "runs at a time, in virtual time")
+        ->check(CLI::Range(1, 256))
+        ->capture_default_str();
+    fleet_command->add_flag("--shrink", fleet_options.shrink,
+                            "the first broken seed's faults, cut down in virtual time");
     fleet_command->add_flag("--quiet", common.quiet, "only the result");
     double flood_rate = 50000, flood_seconds = 10;
     CLI::App* flood_command = app.add_subcommand("flood", "datagrams without a key at one member's place");
     flood_command->add_option("--to", to, "127.b.c.d:port")->required();
-    flood_command->add_option("--rate", flood_rate, "a second")->check(CLI::Range(1.0, 1e6))->capture_default_str();
-    flood_command->add_option("--for", flood_seconds, "seconds")->check(CLI::Range(0.1, 3600.0))->capture_default_str();
+    flood_command->add_option("--rate", flood_rate, "a second")
+        ->check(CLI::Range(1.0, 1e6))
+        ->capture_default_str();
+    flood_command->add_option("--for", flood_seconds, "seconds")
+        ->check(CLI::Range(0.1, 3600.0))
+        ->capture_default_str();
     int depth = 6, cuts = 0, pauses = 0;
-    CLI::App* explore_command = app.add_subcommand("explore", "all that can happen to three members, from five beginnings, to a depth");
-    explore_command->add_option("--depth", depth, "things that happen, one after the other")->check(CLI::Range(1, 14))->capture_default_str();
-    explore_command->add_option("--cuts", cuts, "of one way between two, among them")->check(CLI::Range(0, 14))->capture_default_str();
-    explore_command->add_option("--pauses", pauses, "of one member, among them")->check(CLI::Range(0, 14))->capture_default_str();
+    CLI::App* explore_command = app.add_subcommand(
+        "explore", "all that can happen to three members, from five beginnings, to a depth");
+    explore_command->add_option("--depth", depth, "things that happen, one after the other")
+        ->check(CLI::Range(1, 14))
+        ->capture_default_str();
+    explore_command->add_option("--cuts", cuts, "of one way between two, among them")
+        ->check(CLI::Range(0, 14))
+        ->capture_default_str();
+    explore_command->add_option("--pauses", pauses, "of one member, among them")
+        ->check(CLI::Range(0, 14))
+        ->capture_default_str();
     CLI::App* scenarios_command = app.add_subcommand("scenarios", "those that ship, a line each");
 
     try {
@@ -615,7 +698,9 @@
         if (*flood_command) {
             for (int number : {SIGINT, SIGTERM}) std::signal(number, [](int) { interrupted = true; });
             fleet::Flooded done = fleet::flood(to, flood_rate, flood_seconds, interrupted);
-            std::printf("%llu datagrams in %.1f s, %llu found no room\n", static_cast<unsigned long long>(done.sent), done.seconds, static_cast<unsigned long long>(done.refused));
+            std::printf("%llu datagrams in %.1f s, %llu found no room\n",
+                        static_cast<unsigned long long>(done.sent), done.seconds,
+                        static_cast<unsigned long long>(done.refused));
             return kDone;
         }
         if (*fleet_command) return run_fleet(common, fleet_options, jobs);
--- a/lab/migration/disk.h
+++ b/lab/migration/disk.h
@@ -1,5 +1,5 @@
-// A holder's records in a file of its own: each write is appended before it is answered, and a process that was killed has them again. The
-// book of a node's writes is such a file too, read by the judge.
+// A holder's records in a file of its own: each write is appended before it is answered, and a process that
+// was killed has them again. The book of a node's writes is such a file too, read by the judge.
 #pragma once
 
 #include <fcntl.h>
@@ -19,12 +19,15 @@
 /// Whole lines or records, each in one write(2): a SIGKILL does not tear them.
 class Appender {
 public:
-    explicit Appender(const std::string& path) : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
+    explicit Appender(const std::string& path)
+        : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
     ~Appender() {
         if (file_ >= 0) ::close(file_);
     }
     Appender(const Appender&) = delete;
-    bool add(const std::string& octets) { return file_ >= 0 && ::write(file_, octets.data(), octets.size()) == ssize_t(octets.size()); }
+    bool add(const std::string& octets) {
+        return file_ >= 0 && ::write(file_, octets.data(), octets.size()) == ssize_t(octets.size());
+    }
 
 private:
     int file_;
@@ -51,14 +54,19 @@
     }
     bool any() const { return any_; }
 
-    Held read(std::uint32_t shard, std::string_view group) const override { return memory_.read(shard, group); }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
+    Held read(std::uint32_t shard, std::string_view group) const override {
+        return memory_.read(shard, group);
+    }
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
         std::string record = framed(kGroup, shard, group, octets);
         Wrote wrote = memory_.write(shard, group, version, std::move(octets));
         if (wrote == Wrote::Done && !file_->add(record)) _exit(3);
         return wrote;
     }
-    void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override { memory_.scan(shard, after, most, page); }
+    void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
+        memory_.scan(shard, after, most, page);
+    }
     std::string state(std::uint32_t shard) const override { return memory_.state(shard); }
     bool set_state(std::uint32_t shard, std::string octets) override {
         if (!file_->add(framed(kState, shard, {}, octets))) _exit(3);
@@ -67,7 +75,8 @@
 
 private:
     static constexpr std::uint32_t kGroup = 1, kState = 2;
-    static std::string framed(std::uint32_t kind, std::uint32_t shard, std::string_view group, const std::string& octets) {
+    static std::string framed(std::uint32_t kind, std::uint32_t shard, std::string_view group,
+                              const std::string& octets) {
         std::uint32_t head[4] = {kind, shard, std::uint32_t(group.size()), std::uint32_t(octets.size())};
         return std::string(reinterpret_cast<const char*>(head), 16).append(group).append(octets);
     }
--- a/lab/migration/member.cpp
+++ b/lab/migration/member.cpp
@@ -1,6 +1,6 @@
-// A process of a fleet that shares sessions, for tests with real processes: its session with the keepers, the shards that it holds, a node
-// that writes, and one who may own a migration. member FOLDER INDEX HOLDERS SHARDS GROUPS KEEPER...
-// Linked twice: with this release's schemas, and with those of the one before.
+// A process of a fleet that shares sessions, for tests with real processes: its session with the keepers, the
+// shards that it holds, a node that writes, and one who may own a migration. member FOLDER INDEX HOLDERS
+// SHARDS GROUPS KEEPER... Linked twice: with this release's schemas, and with those of the one before.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -34,7 +34,8 @@
 
 class Member {
 public:
-    Member(std::string folder, std::size_t index, std::size_t holders, std::uint32_t shards, std::size_t groups, std::vector<std::string> keepers)
+    Member(std::string folder, std::size_t index, std::size_t holders, std::uint32_t shards,
+           std::size_t groups, std::vector<std::string> keepers)
         : folder_(std::move(folder)),
           index_(index),
           holders_(holders),
@@ -52,17 +53,24 @@
         channel::MeshSettings set;
         set.channel.self.name = "member-" + std::to_string(index), set.channel.self.instance = instance;
         set.channel.cluster = fleet::fingerprint("migration");
-        mesh_ = std::make_unique<channel::Mesh>(io_, scheduler_, channel::Mesh::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set, instance);
-        mesh_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) { deliver(peer.instance, std::move(body)); };
+        mesh_ = std::make_unique<channel::Mesh>(
+            io_, scheduler_, channel::Mesh::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set,
+            instance);
+        mesh_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) {
+            deliver(peer.instance, std::move(body));
+        };
         std::ostringstream at;
         at << mesh_->at();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
         keeper::SideSettings side;
-        side.session.keepers = std::move(keepers), side.session.name = "member-" + std::to_string(index), side.session.zone = "lab";
+        side.session.keepers = std::move(keepers), side.session.name = "member-" + std::to_string(index),
+        side.session.zone = "lab";
         side.session.lease = Duration{3000}, side.cluster = "migration";
         session_ = std::make_unique<keeper::SessionSide>(side, clock_);
-        session_->listen([this](const keeper::SessionSide::Told& told) { boost::asio::post(io_, [this, told] { hear(told); }); });
+        session_->listen([this](const keeper::SessionSide::Told& told) {
+            boost::asio::post(io_, [this, told] { hear(told); });
+        });
         session_->start();
         look_around();
         next_op();
@@ -75,8 +83,12 @@
         set.batch = 2, set.per_s = 60, set.window = 2;  // slow, so that there is time to kill somebody
         return set;
     }
-    std::string path(const char* what, std::size_t index) const { return folder_ + "/" + what + "." + std::to_string(index); }
-    std::uint32_t shard_of(const std::string& group) const { return std::uint32_t(std::stoul(group.substr(1)) * 7 % shards_); }
+    std::string path(const char* what, std::size_t index) const {
+        return folder_ + "/" + what + "." + std::to_string(index);
+    }
+    std::uint32_t shard_of(const std::string& group) const {
+        return std::uint32_t(std::stoul(group.substr(1)) * 7 % shards_);
+    }
     std::uint64_t below(std::uint64_t n) { return random_() % n; }
 
     void fill() {
@@ -108,8 +120,10 @@
     }
     void send(std::uint32_t shard, char what, const std::string& body) {
         std::size_t holder = shard % holders_;
-        if (holder == index_) return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        if (std::uint64_t instance = mesh_->instance_at(addresses_[holder])) mesh_->send(instance, channel::Kind::Migration, what + body);
+        if (holder == index_)
+            return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
+        if (std::uint64_t instance = mesh_->instance_at(addresses_[holder]))
+            mesh_->send(instance, channel::Kind::Migration, what + body);
     }
     void answer(std::uint64_t to, char what, const std::string& body) {
         if (to == 0) return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
@@ -123,8 +137,10 @@
         wire::Ask ask;
         wire::Reply reply;
         wire::Given given;
-        if (what == 'O' && order.ParseFromString(body)) answer(from, 'R', receiver_.handle(order).SerializeAsString());
-        if (what == 'A' && ask.ParseFromString(body)) answer(from, 'G', receiver_.handle(ask).SerializeAsString());
+        if (what == 'O' && order.ParseFromString(body))
+            answer(from, 'R', receiver_.handle(order).SerializeAsString());
+        if (what == 'A' && ask.ParseFromString(body))
+            answer(from, 'G', receiver_.handle(ask).SerializeAsString());
         if (what == 'R' && reply.ParseFromString(body)) own(m::Replied{std::move(reply)});
         if (what == 'G' && given.ParseFromString(body)) take(given);
     }
@@ -150,17 +166,21 @@
         }
     }
     void submit(const wire::Command& command) {
-        session_->submit("migration", command.SerializeAsString(), [this](keeper::Error error, const std::string& result) {
-            boost::asio::post(io_, [this, error, result] {
-                wire::Answer answer;
-                if (error == keeper::Error::None && answer.ParseFromString(result)) learn(answer.news());
-            });
-        });
+        session_->submit("migration", command.SerializeAsString(),
+                         [this](keeper::Error error, const std::string& result) {
+                             boost::asio::post(io_, [this, error, result] {
+                                 wire::Answer answer;
+                                 if (error == keeper::Error::None && answer.ParseFromString(result))
+                                     learn(answer.news());
+                             });
+                         });
     }
     void learn(const wire::News& news) {
         if (news.levels_size() != int(schema::kKinds)) return;
         if (news.refused() && news.refused() != refused_)
-            std::printf("refused: %s\n", fleet::sentence(m::row(m::from_wire(news.refused())), news.about()).c_str()), std::fflush(stdout);
+            std::printf("refused: %s\n",
+                        fleet::sentence(m::row(m::from_wire(news.refused())), news.about()).c_str()),
+                std::fflush(stdout);
         refused_ = news.refused();
         said_ = said_ || refused_ != m::on_wire(m::Error::Silent);
         const auto& is = news.migration();
@@ -171,11 +191,13 @@
         m::OwnerActions actions;
         owner_.handle(scheduler_.now(), event, actions);
         for (m::OwnerAction& action : actions) {
-            if (auto* give = std::get_if<m::Give>(&action)) send(give->order.shard(), 'O', give->order.SerializeAsString());
+            if (auto* give = std::get_if<m::Give>(&action))
+                send(give->order.shard(), 'O', give->order.SerializeAsString());
             if (auto* propose = std::get_if<m::Propose>(&action)) submit(propose->command);
             if (auto* wake = std::get_if<m::WakeAt>(&action)) {
                 if (timer_) scheduler_.cancel(timer_);
-                timer_ = scheduler_.call_at(std::max(wake->at, scheduler_.now() + Duration{1}), [this] { timer_ = 0, own(m::Woken{}); });
+                timer_ = scheduler_.call_at(std::max(wake->at, scheduler_.now() + Duration{1}),
+                                            [this] { timer_ = 0, own(m::Woken{}); });
             }
         }
     }
@@ -184,7 +206,8 @@
     void next_op() {
         TimePoint now = scheduler_.now();
         if (busy_ && now >= op_ends_) busy_ = false;
-        // By what it knew, without a look at its session: what is too old must be refused by whoever holds it.
+        // By what it knew, without a look at its session: what is too old must be refused by whoever holds
+        // it.
         if (!busy_ && level_ && said_once()) {
             write_ = {};
             write_.id = (std::uint64_t(getpid()) << 24) + ++writes_;
@@ -198,7 +221,8 @@
     bool said_once() { return said_ || (level_ && schema::built()[0].holds(level_)); }
     void ask() {
         wire::Ask ask;
-        ask.set_id(ask_ = ++asks_), ask.set_shard(shard_of(write_.group)), ask.set_group(write_.group), ask.set_schema(asked_in_ = level_);
+        ask.set_id(ask_ = ++asks_), ask.set_shard(shard_of(write_.group)), ask.set_group(write_.group),
+            ask.set_schema(asked_in_ = level_);
         send(ask.shard(), 'A', ask.SerializeAsString());
     }
     void take(const wire::Given& given) {
@@ -226,13 +250,15 @@
             return;
         }
         wire::Ask put;
-        put.set_id(ask_ = ++asks_), put.set_shard(shard_of(write_.group)), put.set_group(write_.group), put.set_schema(asked_in_);
+        put.set_id(ask_ = ++asks_), put.set_shard(shard_of(write_.group)), put.set_group(write_.group),
+            put.set_schema(asked_in_);
         put.set_writes(true), put.set_version(given.version());
         for (const auto& r : applied(kKind, asked_in_, group, write_)) {
             auto& to = *put.add_records();
             to.set_key(r.key), to.set_value(r.value);
         }
-        line << "t " << write_.id << ' ' << write_.group << ' ' << write_.tenant << ' ' << write_.moves << '\n';
+        line << "t " << write_.id << ' ' << write_.group << ' ' << write_.tenant << ' ' << write_.moves
+             << '\n';
         if (!book_.add(line.str())) std::abort();
         writing_ = true;
         send(put.shard(), 'A', put.SerializeAsString());
@@ -269,7 +295,8 @@
 int main(int argc, char** argv) {
     if (argc < 7) return 2;
     std::vector<std::string> keepers(argv + 6, argv + argc);
-    ochrehub::lab::migrating::Member member(argv[1], std::strtoul(argv[2], nullptr, 10), std::strtoul(argv[3], nullptr, 10),
-                                            std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), keepers);
+    ochrehub::lab::migrating::Member member(
+        argv[1], std::strtoul(argv[2], nullptr, 10), std::strtoul(argv[3], nullptr, 10),
+        std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), keepers);
     member.run();
 }
--- a/lab/migration/million.h
+++ b/lab/migration/million.h
@@ -1,11 +1,12 @@
-// A migration of many records at one holder, as fast as it goes: what each stage takes, and the longest step, which is what a loop that
-// does it would stand still for. Prints a table; false: it failed.
+// A migration of many records at one holder, as fast as it goes: what each stage takes, and the longest step,
+// which is what a loop that does it would stand still for. Prints a table; false: it failed.
 #pragma once
 
 #include "fleet/schema/schema.h"
 
 namespace ochrehub::lab::migrating {
 
-bool million(schema::Kind kind, schema::Number from, schema::Number to, std::size_t records, std::uint32_t batch);
+bool million(schema::Kind kind, schema::Number from, schema::Number to, std::size_t records,
+             std::uint32_t batch);
 
 }  // namespace ochrehub::lab::migrating
--- a/lab/migration/nodes.cpp
+++ b/lab/migration/nodes.cpp
@@ -55,7 +55,8 @@
 }
 std::string cell_of(const Write& write, Number schema) {
     // Every third name is one that older schemas have no number for.
-    return schema >= 4 && write.id % 3 == 0 ? std::string("rack ").append(std::to_string(write.id)) : cell_name(cell_number(write));
+    return schema >= 4 && write.id % 3 == 0 ? std::string("rack ").append(std::to_string(write.id))
+                                            : cell_name(cell_number(write));
 }
 
 Group applied(Kind kind, Number schema, Group group, const Write& write) {
@@ -74,12 +75,18 @@
                 orders(*binding, write), place(*binding, write), binding->set_idle_ms(0);
             });
         } else if (schema == 2) {
-            change<wire::Place2>(group, std::string("p").append(each), [&](wire::Place2& m) { place(m, write), m.set_idle_ms(0); });
-            change<wire::Work2>(group, std::string("w").append(each), [&](wire::Work2& m) { orders(m, write); });
+            change<wire::Place2>(group, std::string("p").append(each),
+                                 [&](wire::Place2& m) { place(m, write), m.set_idle_ms(0); });
+            change<wire::Work2>(group, std::string("w").append(each),
+                                [&](wire::Work2& m) { orders(m, write); });
         } else if (schema == 3) {
-            change<wire::Session3>(group, each, [&](wire::Session3& m) { orders(m, write), place(m, write), m.set_left_ms(schema::kBindingLeaseMs); });
+            change<wire::Session3>(group, each, [&](wire::Session3& m) {
+                orders(m, write), place(m, write), m.set_left_ms(schema::kBindingLeaseMs);
+            });
         } else {
-            change<wire::Session4>(group, each, [&](wire::Session4& m) { orders(m, write), place(m, write), m.set_left_ms(schema::kBindingLeaseMs); });
+            change<wire::Session4>(group, each, [&](wire::Session4& m) {
+                orders(m, write), place(m, write), m.set_left_ms(schema::kBindingLeaseMs);
+            });
         }
     } else {
         auto spend = [&](wire::Use& use) {
@@ -113,11 +120,13 @@
         if (kind == Kind::Sessions) {
             wire::Session4 session;
             session.set_cell(i == 2 ? "rack north" : cell_name(std::uint32_t(i + seed % 3)));
-            session.set_server("first"), session.set_left_ms(schema::kBindingLeaseMs + i), session.add_under_way(1'000'000'000 + seed * 10 + i);
+            session.set_server("first"), session.set_left_ms(schema::kBindingLeaseMs + i),
+                session.add_under_way(1'000'000'000 + seed * 10 + i);
             group.push_back({key(tenant, name), session.SerializeAsString()});
         } else {
             wire::Bucket3 bucket;
-            bucket.set_burst(1'000'500'000), bucket.set_per_s(16'666'666), bucket.set_spent(seed * 333'333 + i * 250'001);
+            bucket.set_burst(1'000'500'000), bucket.set_per_s(16'666'666),
+                bucket.set_spent(seed * 333'333 + i * 250'001);
             group.push_back({key(tenant, name), bucket.SerializeAsString()});
         }
     }
@@ -140,7 +149,8 @@
     };
     auto use = [&](const std::string& tenant, const wire::Use& u) {
         Seen::Tenant& t = seen.tenants[tenant];
-        long double before = (long double)u.previous() * (long double)u.left_ms() / (long double)u.window_ms();
+        long double before =
+            (long double)u.previous() * (long double)u.left_ms() / (long double)u.window_ms();
         t.spent += u.counted() * kMillion + std::uint64_t(before * kMillion);
         ++t.records;
     };
@@ -206,7 +216,8 @@
     return found == acked_by_group_.end() ? none : found->second;
 }
 
-void Book::compare(const std::string& group, const Seen& seen, const std::set<std::uint64_t>& sure, const char* when) {
+void Book::compare(const std::string& group, const Seen& seen, const std::set<std::uint64_t>& sure,
+                   const char* when) {
     const std::set<std::uint64_t>& tried = tried_by_group_[group];
     std::map<std::string, std::uint64_t> acked, all;
     std::set<std::uint64_t> may_be_closed, closed;
@@ -232,20 +243,27 @@
         const Seen::Tenant& is = found->second;
         if (is.records != 1) say(tenant, "is there " + std::to_string(is.records) + " times");
         if (kind_ == Kind::Rates) {
-            std::uint64_t least = was.spent + acked[tenant] * schema::kMillion, most = was.spent + (all[tenant] + 1) * schema::kMillion;
-            if (is.spent + 1 < least) say(tenant, "spent " + std::to_string(is.spent) + ", was " + std::to_string(least) + " at least");
-            if (is.spent > most) say(tenant, "spent " + std::to_string(is.spent) + ", charged twice: " + std::to_string(most) + " at most");
+            std::uint64_t least = was.spent + acked[tenant] * schema::kMillion,
+                          most = was.spent + (all[tenant] + 1) * schema::kMillion;
+            if (is.spent + 1 < least)
+                say(tenant,
+                    "spent " + std::to_string(is.spent) + ", was " + std::to_string(least) + " at least");
+            if (is.spent > most)
+                say(tenant, "spent " + std::to_string(is.spent) + ", charged twice: " + std::to_string(most) +
+                                " at most");
             continue;
         }
         auto must_be = [&](std::uint64_t order) {
             if (!may_be_closed.contains(order) && is.orders.count(order) != 1)
-                say(tenant, "order " + std::to_string(order) + " is there " + std::to_string(is.orders.count(order)) + " times");
+                say(tenant, "order " + std::to_string(order) + " is there " +
+                                std::to_string(is.orders.count(order)) + " times");
         };
         for (std::uint64_t order : was.orders) must_be(order);
         for (std::uint64_t id : sure)
             if (writes_[id].write.tenant == tenant) must_be(id);
         for (std::uint64_t order : is.orders) {
-            if (!was.orders.contains(order) && !(tried.contains(order) && writes_[order].write.tenant == tenant))
+            if (!was.orders.contains(order) &&
+                !(tried.contains(order) && writes_[order].write.tenant == tenant))
                 say(tenant, "order " + std::to_string(order) + " is nobody's");
             if (closed.contains(order)) say(tenant, "order " + std::to_string(order) + " was ended");
             if (is.orders.count(order) > 1) say(tenant, "order " + std::to_string(order) + " is there twice");
@@ -255,7 +273,8 @@
         if (!first_[group].tenants.contains(tenant)) say(tenant, "came from nowhere");
 }
 
-void Book::read(const std::string& group, Number, const Seen& seen, const std::set<std::uint64_t>& acked_before) {
+void Book::read(const std::string& group, Number, const Seen& seen,
+                const std::set<std::uint64_t>& acked_before) {
     compare(group, seen, acked_before, "read");
 }
 
@@ -277,14 +296,19 @@
                 const Done& done = writes_[id];
                 if (done.write.tenant != tenant) continue;
                 if (!done.acked) unsure = true;
-                if (done.write.moves && done.acked && (!moved || writes_[moved].version < done.version)) moved = id;
+                if (done.write.moves && done.acked && (!moved || writes_[moved].version < done.version))
+                    moved = id;
             }
             auto first = was.tenants.find(tenant);
             if (unsure || first == was.tenants.end()) continue;
             std::string server = last ? server_of(writes_[last].write) : first->second.server;
-            if (is.server != server) broken("end: " + group + " of " + tenant + ": is with " + is.server + ", was bound to " + server);
-            std::string cell = moved ? cell_of(writes_[moved].write, writes_[moved].schema) : first->second.cell;
-            if (exact_cells && is.cell != cell) broken("end: " + group + " of " + tenant + ": is in " + is.cell + ", was in " + cell);
+            if (is.server != server)
+                broken("end: " + group + " of " + tenant + ": is with " + is.server + ", was bound to " +
+                       server);
+            std::string cell =
+                moved ? cell_of(writes_[moved].write, writes_[moved].schema) : first->second.cell;
+            if (exact_cells && is.cell != cell)
+                broken("end: " + group + " of " + tenant + ": is in " + is.cell + ", was in " + cell);
         }
     }
     for (const auto& [group, is] : groups)
--- a/lab/migration/release_before.cpp
+++ b/lab/migration/release_before.cpp
@@ -1,4 +1,5 @@
-// The release before this one, as far as records go: linked in the place of src/fleet/schema/release.cpp by a program of the lab.
+// The release before this one, as far as records go: linked in the place of src/fleet/schema/release.cpp by a
+// program of the lab.
 #include "fleet/schema/schema.h"
 
 namespace ochrehub::schema {
--- a/lab/migration/sweep.cpp
+++ b/lab/migration/sweep.cpp
@@ -25,11 +25,13 @@
         bool bad = !outcome.broken.empty() || !m::ended(outcome.stage) || outcome.stopped;
         swept.broken += bad;
         if (bad && swept.first_broken.size() < 10) {
-            std::string why = outcome.broken.empty() ? "ended in " + std::string(m::name(outcome.stage)) + ", stopped " +
-                                                           std::to_string(outcome.stopped) + " " + outcome.about
-                                                     : outcome.broken.front();
-            swept.first_broken.push_back("fault " + std::to_string(int(one.what)) + " at " + std::to_string(one.at) + ", then " +
-                                         std::to_string(int(two.what)) + " at " + std::to_string(two.at) + ": " + why);
+            std::string why = outcome.broken.empty()
+                                  ? "ended in " + std::string(m::name(outcome.stage)) + ", stopped " +
+                                        std::to_string(outcome.stopped) + " " + outcome.about
+                                  : outcome.broken.front();
+            swept.first_broken.push_back("fault " + std::to_string(int(one.what)) + " at " +
+                                         std::to_string(one.at) + ", then " + std::to_string(int(two.what)) +
+                                         " at " + std::to_string(two.at) + ": " + why);
         }
         return outcome.messages;
     };
@@ -42,8 +44,10 @@
             // Long enough for another owner to take over in the one case, short in the other.
             auto gone = [&](std::uint64_t k) { return all.settings.lease * (k % 2 ? 0.3 : 1.5); };
             std::uint64_t messages = 0;
-            for (What what : kAll) messages = std::max(messages, world({n, what, what == What::Stop ? gone(0) : gone(n)}, {}));
-            for (std::uint64_t k = n + 1 + n % std::max<std::uint64_t>(1, all.second_step); all.second_step && k <= messages; k += all.second_step)
+            for (What what : kAll)
+                messages = std::max(messages, world({n, what, what == What::Stop ? gone(0) : gone(n)}, {}));
+            for (std::uint64_t k = n + 1 + n % std::max<std::uint64_t>(1, all.second_step);
+                 all.second_step && k <= messages; k += all.second_step)
                 world({n, kAll[(n + k) % 3], gone(n)}, {k, kAll[(n + k) / 3 % 3], gone(n + k)});
         }
     };
--- a/lab/migration/world.cpp
+++ b/lab/migration/world.cpp
@@ -107,7 +107,9 @@
     void ask(std::size_t process);
     void given(std::size_t process, TimePoint own, const wire::Given& given);
     std::size_t holder_of(std::uint32_t shard) const { return 1 + shard % set_.holders; }
-    std::uint32_t shard_of(const std::string& group) const { return std::uint32_t(std::stoul(group.substr(1)) * 7 % set_.shards); }
+    std::uint32_t shard_of(const std::string& group) const {
+        return std::uint32_t(std::stoul(group.substr(1)) * 7 % set_.shards);
+    }
     void fill();
     void start();
     void look();
@@ -132,10 +134,13 @@
 
 World::World(const Settings& settings)
     : set_(settings),
-      net_({1 + settings.holders + settings.owners + settings.nodes + 1, Duration{0.2}, Duration{2}, settings.loss, settings.doubled, false,
-            settings.seed},
+      net_({1 + settings.holders + settings.owners + settings.nodes + 1, Duration{0.2}, Duration{2},
+            settings.loss, settings.doubled, false, settings.seed},
            {[this](std::size_t p, TimePoint own) { woken(p, own); },
-            [this](std::size_t to, std::size_t from, TimePoint own, const Message& message) { received(to, from, own, message); }, nullptr}),
+            [this](std::size_t to, std::size_t from, TimePoint own, const Message& message) {
+                received(to, from, own, message);
+            },
+            nullptr}),
       processes_(net_.size()),
       holders_(settings.holders),
       old_(net_.size() - 1),
@@ -148,7 +153,10 @@
         Process& p = processes_[i];
         p.is_old = i == old_;
         p.is_node = i > set_.holders + set_.owners;
-        p.name = p.is_old ? "old" : i <= set_.holders ? "holder " + std::to_string(i) : p.is_node ? "node " + std::to_string(i) : "owner " + std::to_string(i);
+        p.name = p.is_old            ? "old"
+                 : i <= set_.holders ? "holder " + std::to_string(i)
+                 : p.is_node         ? "node " + std::to_string(i)
+                                     : "owner " + std::to_string(i);
         net_.clock(i, 0.99 + 0.02 * net_.uniform());
         if (p.is_old && !set_.old_node)
             net_.crash(i);
@@ -175,7 +183,8 @@
             to.set_key(r.key), to.set_value(r.value);
         }
         Holder& holder = holders_[holder_of(put.shard()) - 1];
-        wire::Given given = m::Receiver({set_.kind, set_.from, 1000, schema::convert, nullptr}, holder.disk).handle(put);
+        wire::Given given =
+            m::Receiver({set_.kind, set_.from, 1000, schema::convert, nullptr}, holder.disk).handle(put);
         if (given.error()) book_.broken("the beginning could not be written");
     }
 }
@@ -183,17 +192,22 @@
 void World::start_process(std::size_t i, bool anew) {
     Process fresh;
     Process& p = processes_[i];
-    fresh.name = p.name, fresh.is_old = p.is_old, fresh.is_node = p.is_node, fresh.tried = p.tried, fresh.open = p.open;
+    fresh.name = p.name, fresh.is_old = p.is_old, fresh.is_node = p.is_node, fresh.tried = p.tried,
+    fresh.open = p.open;
     p = std::move(fresh);
-    for (std::size_t k = 0; k < schema::kKinds; ++k) p.ranges[k] = {std::max<Number>(schema::last(Kind(k)), 2) - 1, schema::last(Kind(k))};
+    for (std::size_t k = 0; k < schema::kKinds; ++k)
+        p.ranges[k] = {std::max<Number>(schema::last(Kind(k)), 2) - 1, schema::last(Kind(k))};
     Number low = std::min(set_.from, set_.to), high = std::max(set_.from, set_.to);
     p.ranges[std::size_t(set_.kind)] = {low, high};
-    if (p.is_old) p.ranges[std::size_t(set_.kind)] = set_.from == low ? schema::Range{low > 1 ? low - 1 : 1, low} : schema::Range{high, high};
+    if (p.is_old)
+        p.ranges[std::size_t(set_.kind)] =
+            set_.from == low ? schema::Range{low > 1 ? low - 1 : 1, low} : schema::Range{high, high};
     if (i >= 1 && i <= set_.holders) {
         Holder& holder = holders_[i - 1];
         holder.records = set_.records ? set_.records(holder.disk) : nullptr;
         m::Records& records = holder.records ? *holder.records : holder.disk;
-        holder.receiver = std::make_unique<m::Receiver>(m::Receiver::Settings{set_.kind, set_.from, 1000, set_.convert, nullptr}, records);
+        holder.receiver = std::make_unique<m::Receiver>(
+            m::Receiver::Settings{set_.kind, set_.from, 1000, set_.convert, nullptr}, records);
     } else if (!p.is_node) {
         m::OwnerSettings owner = set_.owner;
         owner.patience = Duration{40}, owner.again = Duration{20}, owner.again_most = Duration{200};
@@ -207,7 +221,8 @@
 // ---- What happens to whom
 
 bool World::hit(std::size_t, const Message& message, Fault::What& what, Duration& length) {
-    bool ours = message.type == Type::Order || message.type == Type::Reply || message.type == Type::Do || message.type == Type::Done;
+    bool ours = message.type == Type::Order || message.type == Type::Reply || message.type == Type::Do ||
+                message.type == Type::Done;
     if (!begun_ || !ours) return false;
     ++messages_;
     for (const Fault& fault : set_.faults)
@@ -278,7 +293,8 @@
     net_.crash(kKeepers), net_.start(kKeepers);
     std::string state = machine_->snapshot();
     auto next = std::make_unique<m::Migrations>(m::Migrations::Levels{});
-    if (!next->restore(1, state) || next->snapshot() != state) book_.broken("the machine's snapshot is not what it was");
+    if (!next->restore(1, state) || next->snapshot() != state)
+        book_.broken("the machine's snapshot is not what it was");
     machine_ = std::move(next);
     for (auto& [id, session] : sessions_) session.until = net_.own(kKeepers) + set_.lease;
     net_.wake_at(kKeepers, net_.own(kKeepers) + Duration{25});
@@ -290,7 +306,9 @@
     if (message.type == Type::Open) {
         std::uint64_t id = 0;
         for (auto& [known, session] : sessions_)
-            if (session.process == from && session.number == 0 && session.result == "try " + std::to_string(message.number)) id = known;
+            if (session.process == from && session.number == 0 &&
+                session.result == "try " + std::to_string(message.number))
+                id = known;
         if (!id) {  // a process begins anew: what it had is over
             for (auto it = sessions_.begin(); it != sessions_.end();)
                 if (it->second.process == from)
@@ -316,7 +334,9 @@
                 if (message.number == session.number + 1) {
                     wire::Command command;
                     command.ParseFromString(message.body);
-                    session.result = set_.command && !set_.command(command) ? std::string() : apply(message.session, std::move(command));
+                    session.result = set_.command && !set_.command(command)
+                                         ? std::string()
+                                         : apply(message.session, std::move(command));
                     session.number = message.number;
                 }
                 if (message.number != session.number) return;
@@ -334,7 +354,8 @@
     Message answer;
     if (message.type == Type::Order) {
         wire::Order order;
-        if (!order.ParseFromString(message.body) || (set_.order && !set_.order(order, *holder.receiver))) return;
+        if (!order.ParseFromString(message.body) || (set_.order && !set_.order(order, *holder.receiver)))
+            return;
         answer.type = Type::Reply;
         answer.body = holder.receiver->handle(order).SerializeAsString();
     } else {
@@ -442,7 +463,9 @@
             told(i, own, message.body);
             break;
         case Type::Done: {
-            if (!p.session || message.session != p.session || p.commands.empty() || message.number != p.number + 1) break;
+            if (!p.session || message.session != p.session || p.commands.empty() ||
+                message.number != p.number + 1)
+                break;
             ++p.number;
             p.commands.pop_front();
             p.resend = TimePoint{};
@@ -460,7 +483,8 @@
             if (answer.ParseFromString(message.body)) given(i, own, answer);
             break;
         }
-        default: break;
+        default:
+            break;
     }
     tick(i, own);
 }
@@ -475,7 +499,8 @@
             send(i, holder_of(order->order.shard()), {Type::Order, 0, 0, order->order.SerializeAsString()});
         if (auto* propose = std::get_if<m::Propose>(&action))
             if (p.commands.size() < 64) command(i, propose->command);
-        if (auto* wake = std::get_if<m::WakeAt>(&action)) p.owner_wake = std::max(wake->at, own + Duration{0.1});
+        if (auto* wake = std::get_if<m::WakeAt>(&action))
+            p.owner_wake = std::max(wake->at, own + Duration{0.1});
     }
 }
 
@@ -505,7 +530,8 @@
     Process& p = processes_[i];
     wire::Ask ask;
     ask.set_id(p.ask = next_ask_++);
-    ask.set_kind(std::uint32_t(set_.kind)), ask.set_shard(shard_of(p.write.group)), ask.set_group(p.write.group);
+    ask.set_kind(std::uint32_t(set_.kind)), ask.set_shard(shard_of(p.write.group)),
+        ask.set_group(p.write.group);
     ask.set_schema(p.asked_in = p.level);
     send(i, holder_of(ask.shard()), {Type::Ask, 0, 0, ask.SerializeAsString()});
 }
@@ -517,8 +543,8 @@
         Error error = m::from_wire(given.error());
         if (p.is_old && error == Error::OldLevel) ++old_refused_;
         if (error != Error::Changed) ++refused_;
-        // It tries again where that may help, and where it reads what is written there. But where messages come twice, a write that is
-        // refused may be the second of one that was not.
+        // It tries again where that may help, and where it reads what is written there. But where messages
+        // come twice, a write that is refused may be the second of one that was not.
         bool certain = !p.writing || set_.doubled == 0;
         p.writing = false;
         const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
@@ -538,16 +564,19 @@
     for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
     const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
     Seen seen;
-    if (!reads.holds(p.asked_in)) book_.broken(p.name + " was given schema " + std::to_string(p.asked_in) + ", which it does not know");
+    if (!reads.holds(p.asked_in))
+        book_.broken(p.name + " was given schema " + std::to_string(p.asked_in) + ", which it does not know");
     if (!see(set_.kind, p.asked_in, group, seen)) {
-        book_.broken(p.name + " was given a record of " + p.write.group + " that is none of schema " + std::to_string(p.asked_in));
+        book_.broken(p.name + " was given a record of " + p.write.group + " that is none of schema " +
+                     std::to_string(p.asked_in));
         p.busy = false;
         return;
     }
     book_.read(p.write.group, p.asked_in, seen, p.acked_before);
     wire::Ask put;
     put.set_id(p.ask = next_ask_++);
-    put.set_kind(std::uint32_t(set_.kind)), put.set_shard(shard_of(p.write.group)), put.set_group(p.write.group);
+    put.set_kind(std::uint32_t(set_.kind)), put.set_shard(shard_of(p.write.group)),
+        put.set_group(p.write.group);
     put.set_schema(p.asked_in), put.set_writes(true), put.set_version(given.version());
     for (const auto& r : applied(set_.kind, p.asked_in, group, p.write)) {
         auto& to = *put.add_records();
@@ -585,7 +614,8 @@
     net_.run_to(TimePoint{Duration{150}});
     if (set_.old_node && set_.old_stops >= Duration{0}) {
         plans_.emplace_back(net_.now() + set_.old_stops, [this] { net_.stop(old_); });
-        if (set_.old_returns >= Duration{0}) plans_.emplace_back(net_.now() + set_.old_returns, [this] { net_.go_on(old_); });
+        if (set_.old_returns >= Duration{0})
+            plans_.emplace_back(net_.now() + set_.old_returns, [this] { net_.go_on(old_); });
     }
     TimePoint most = net_.now() + set_.most, quiet = most;
     while (net_.now() < most) {
@@ -619,7 +649,8 @@
     outcome.level = machine_->levels()[std::size_t(set_.kind)];
     outcome.messages = messages_, outcome.events = net_.happened(), outcome.epochs = status.epoch();
     outcome.took_ms = (net_.now() - started_).count();
-    outcome.refused = refused_, outcome.old_refused = old_refused_, outcome.old_told = processes_[old_].refused;
+    outcome.refused = refused_, outcome.old_refused = old_refused_,
+    outcome.old_told = processes_[old_].refused;
     bool over = m::ended(outcome.stage);
     std::map<std::string, Seen> groups;
     for (std::uint32_t shard = 0; shard < set_.shards; ++shard) {
@@ -629,7 +660,9 @@
         for (const auto& [name, held] : page) {
             wire::Stored stored;
             if (!stored.ParseFromString(held.octets)) book_.broken("end: " + name + " cannot be read");
-            if (over && stored.forms_size() != 1) book_.broken("end: " + name + " is there in " + std::to_string(stored.forms_size()) + " forms");
+            if (over && stored.forms_size() != 1)
+                book_.broken("end: " + name + " is there in " + std::to_string(stored.forms_size()) +
+                             " forms");
             if (groups.contains(name)) book_.broken("end: " + name + " is there twice");
             // While it is under way: by the form that counts.
             Number counts = over ? outcome.level : holder.receiver->writes(shard);
--- a/lab/migration/world.h
+++ b/lab/migration/world.h
@@ -1,6 +1,7 @@
-// A migration in virtual time: keepers (a log in one copy, whose leader moves, with sessions counted as machine.h says), holders of
-// shards, owners, nodes that write while it runs, one of them of the release before. The judge goes by what the nodes were answered and
-// by what the holders have on their disks at the end, never by what an owner says.
+// A migration in virtual time: keepers (a log in one copy, whose leader moves, with sessions counted as
+// machine.h says), holders of shards, owners, nodes that write while it runs, one of them of the release
+// before. The judge goes by what the nodes were answered and by what the holders have on their disks at the
+// end, never by what an owner says.
 #pragma once
 
 #include <cstdint>
@@ -41,15 +42,16 @@
     std::uint64_t seed = 1;
     double loss = 0, doubled = 0;
     std::vector<Fault> faults;
-    Duration lease{600}, op{12};     ///< a node does something each so often
-    Duration most{20'000};           ///< after which the world ends, whatever has come of it
+    Duration lease{600}, op{12};  ///< a node does something each so often
+    Duration most{20'000};        ///< after which the world ends, whatever has come of it
     bool narrows = true;
     std::uint64_t refusals = 1000;
     m::OwnerSettings owner;
-    /// A process of the release before: there until `old_stops`, let go again at `old_returns`, both counted from the start's time on.
+    /// A process of the release before: there until `old_stops`, let go again at `old_returns`, both counted
+    /// from the start's time on.
     bool old_node = false;
     Duration old_stops{-1}, old_returns{-1};
-    bool old_careless = false;  ///< it writes by what it knew, without a look at its lease
+    bool old_careless = false;             ///< it writes by what it knew, without a look at its lease
     std::size_t octets = ~std::size_t(0);  ///< of a shard's records
     /// What operators do when the migration first gets to a stage; once each.
     std::vector<std::pair<m::Stage, m::wire::Steer>> steers;
@@ -69,19 +71,19 @@
 
 struct Outcome {
     m::Stage stage = m::Stage::None;
-    std::uint32_t stopped = 0;           ///< as on the wire
+    std::uint32_t stopped = 0;  ///< as on the wire
     std::string about;
-    std::vector<std::string> broken;     ///< promises, with what shows it
+    std::vector<std::string> broken;  ///< promises, with what shows it
     std::uint64_t events = 0, messages = 0, acked = 0, refused = 0, old_refused = 0, epochs = 0;
-    std::uint32_t old_told = 0;          ///< what the old node was last told by the keepers, as on the wire
+    std::uint32_t old_told = 0;  ///< what the old node was last told by the keepers, as on the wire
     double took_ms = 0;
     Number level = 0;
 };
 
 Outcome run(const Settings& settings);
 
-/// Each kind of crash and stop at the Nth message, for N = first, first + step, ...; and for each N a second one at the Mth behind it, for
-/// each second_step-th M, the kinds of both by turns.
+/// Each kind of crash and stop at the Nth message, for N = first, first + step, ...; and for each N a second
+/// one at the Mth behind it, for each second_step-th M, the kinds of both by turns.
 struct Sweep {
     Settings settings;
     std::uint64_t first = 1, step = 1, second_step = 0;  ///< second_step 0: no second fault
--- a/lab/model/clients.cpp
+++ b/lab/model/clients.cpp
@@ -293,7 +293,8 @@
         call.leaves_at = habit(2, day_.clients.impatient)
                              ? begun + part_of(drawn(seed_, kLeaving, id)) * cls.give_up
                              : kNever;
-        note(CallBegan{begun, id, arrival.cls, arrival.tenant, arrival.zone, arrival.over_share, call.honours});
+        note(CallBegan{begun, id, arrival.cls, arrival.tenant, arrival.zone, arrival.over_share,
+                       call.honours});
         if (now_ >= call.leaves_at)  // the wake came later than this client would have stayed
             finish(place);
         else
@@ -371,8 +372,8 @@
             go_on(place, Came::Failed, std::nullopt);
     }
 
-    // A try that is given up is over for its call. Its connection stays for a moment more, so that an answer that comes
-    // too late is heard, and can be told from one that never comes.
+    // A try that is given up is over for its call. Its connection stays for a moment more, so that an answer
+    // that comes too late is heard, and can be told from one that never comes.
     void give_up(Place connection, TryId id) {
         Connection& it = connections_[connection];
         it.use = Connection::Use::GivenUp;
--- a/lab/model/day.h
+++ b/lab/model/day.h
@@ -1,5 +1,5 @@
-// A day: everything that an emulated run is made of, as concrete figures drawn from a scenario and a seed. Both
-// worlds, virtual time and sockets, play the same days.
+// A day: everything that an emulated run is made of, as concrete figures drawn from a scenario and a seed.
+// Both worlds, virtual time and sockets, play the same days.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,9 @@
     std::string name;
     Effect effect = Effect::Free;
     Scope scope = Scope::All;
-    double share = 1;            ///< of first tries
+    double share = 1;             ///< of first tries
     Duration work{15}, wait{35};  ///< CPU on a core of speed 1; waiting on others, which takes no CPU
-    double spread = 1;           ///< coefficient of variation of both, lognormal
+    double spread = 1;            ///< coefficient of variation of both, lognormal
     Duration aim{150}, give_up{600}, window{};
     double worth = 1, late_worth = 0.5;
 };
@@ -32,30 +32,31 @@
 };
 
 struct ServerFigures {
-    std::string id;    ///< as discovery names it
+    std::string id;  ///< as discovery names it
     int zone = 0, kind = 0, cell = 0;
-    double size = 1;   ///< as listed
+    double size = 1;  ///< as listed
     double cores = 1, speed = 1;
-    int slots = 14;    ///< requests in work together
-    int room = 350;    ///< ... and waiting behind them; beyond that requests are turned away
-    double crowd_from = 40;  ///< requests held from which it works less efficiently
-    double crowd_cost = 0;   ///< part of its speed lost at twice that many; more beyond, up to 0.9
-    double cold_from = 0.4;  ///< capacity at its start, as a part of the whole
+    int slots = 14;            ///< requests in work together
+    int room = 350;            ///< ... and waiting behind them; beyond that requests are turned away
+    double crowd_from = 40;    ///< requests held from which it works less efficiently
+    double crowd_cost = 0;     ///< part of its speed lost at twice that many; more beyond, up to 0.9
+    double cold_from = 0.4;    ///< capacity at its start, as a part of the whole
     Duration cold_time{6000};  ///< until it is warm, at a steady climb
     bool starts_cold = false;  ///< at the beginning of the day, or when it is added
     int connections_most = 700;
     Duration handshake_work{4.5};
     double connections_tax = 0.3;  ///< part of its speed lost with a full connection table
-    bool cancel_running = false;   ///< a connection closed by the node stops work on it; waiting work always goes
-    bool drops_overdue = true;     ///< what waits past its X-Expires-In is turned away unseen
+    bool cancel_running =
+        false;  ///< a connection closed by the node stops work on it; waiting work always goes
+    bool drops_overdue = true;  ///< what waits past its X-Expires-In is turned away unseen
     Duration report_period{700}, report_delay{250};
     double report_noise = 0.03;
     Duration probe_work{0.24};
-    int probes_most = 3;       ///< a second; further ones are answered 503
+    int probes_most = 3;  ///< a second; further ones are answered 503
     double error_rate = 0.001;
     Duration idle_most{10000};
-    Duration exists_from{0};   ///< before this time of the day there is no such process
-    std::string address_of;    ///< takes the address of this id, which has gone; empty: one of its own
+    Duration exists_from{0};  ///< before this time of the day there is no such process
+    std::string address_of;   ///< takes the address of this id, which has gone; empty: one of its own
 };
 
 struct Arrival {
@@ -67,18 +68,18 @@
 };
 
 enum class FaultKind {
-    Hang,         ///< servers take requests and answer none; probes are answered
-    FastErrors,   ///< servers fail a part (size) of their requests at once
-    Pauses,       ///< servers stand still for size ms every `every` s
-    Slow,         ///< servers (all where none is named) are size times slower
-    Crash,        ///< a server's process dies at `at` and comes back cold `length` later; gone where it is zero
-    Silent,       ///< a server's machine says nothing any more: connections stay open or never come up
-    Resets,       ///< servers break a part (size) of connections with a request on them
-    Spoilt,       ///< a part (size) of answers of all servers cannot be used
-    Drain,        ///< a server drains: listed as terminating, then gone at the end of the span
-    Replace,      ///< a release: servers drain and are replaced by others under new ids, `count` at a time
-    Partition,    ///< nothing passes between the two sides; one way only where `one_way`
-    Datagrams,    ///< between nodes: a part (size) lost, or late, doubled, reordered by the other figures
+    Hang,        ///< servers take requests and answer none; probes are answered
+    FastErrors,  ///< servers fail a part (size) of their requests at once
+    Pauses,      ///< servers stand still for size ms every `every` s
+    Slow,        ///< servers (all where none is named) are size times slower
+    Crash,      ///< a server's process dies at `at` and comes back cold `length` later; gone where it is zero
+    Silent,     ///< a server's machine says nothing any more: connections stay open or never come up
+    Resets,     ///< servers break a part (size) of connections with a request on them
+    Spoilt,     ///< a part (size) of answers of all servers cannot be used
+    Drain,      ///< a server drains: listed as terminating, then gone at the end of the span
+    Replace,    ///< a release: servers drain and are replaced by others under new ids, `count` at a time
+    Partition,  ///< nothing passes between the two sides; one way only where `one_way`
+    Datagrams,  ///< between nodes: a part (size) lost, or late, doubled, reordered by the other figures
     DiscoveryDown,
     DiscoveryMoves,  ///< to another address, told to nodes by reload
     DiscoveryStale,  ///< answers by a list as it was at the span's beginning, old revision included
@@ -91,7 +92,7 @@
     NodeSockets,  ///< ... size descriptors
     Surge,        ///< arrivals times size; of one tenant only where `tenant` is given
     ConnectionFlood,  ///< `count` connections that never ask, renewed when closed
-    Hostile,      ///< clients that send what cannot be read, size a second
+    Hostile,          ///< clients that send what cannot be read, size a second
 };
 struct Fault {
     FaultKind kind{};
@@ -114,14 +115,14 @@
     Duration retry_after_wait{0};  ///< fixed wait before a repeat; zero: at once
     double honours = 0.5;          ///< part of the clients that come back when they are told to
     Duration most_honoured{1200};
-    double impatient = 0.04;       ///< leave before their time is up
+    double impatient = 0.04;  ///< leave before their time is up
     bool marks_repeats = true;
-    int connections_kept = 64;     ///< idle ones a node and zone, at most
-    double once = 0;               ///< part that opens a connection for one request and keeps it for good
-    int population = 0;            ///< a closed crowd of this many that reconnects and asks again; 0: open loop only
-    Duration think{1000};          ///< ... this long after each end of a call
-    double think_spread = 0;       ///< each such time is drawn, evenly, from so much less to so much more of it
-    Duration again{-1};            ///< ... but so long after one that was not served; negative: as after any
+    int connections_kept = 64;  ///< idle ones a node and zone, at most
+    double once = 0;            ///< part that opens a connection for one request and keeps it for good
+    int population = 0;    ///< a closed crowd of this many that reconnects and asks again; 0: open loop only
+    Duration think{1000};  ///< ... this long after each end of a call
+    double think_spread = 0;  ///< each such time is drawn, evenly, from so much less to so much more of it
+    Duration again{-1};       ///< ... but so long after one that was not served; negative: as after any
 };
 
 struct DiscoveryFigures {
@@ -144,7 +145,8 @@
 struct NodeFigures {
     int zone = 0;
     std::size_t sockets = 1024, memory_mb = 192;
-    Duration event_cpu{0};  ///< virtual time: what each thing that comes to it holds it up; zero: nothing does
+    Duration event_cpu{
+        0};  ///< virtual time: what each thing that comes to it holds it up; zero: nothing does
 };
 
 struct Limits {
@@ -171,7 +173,7 @@
 struct Day {
     std::string scenario;
     std::uint64_t seed = 0;
-    Duration length{20000};   ///< arrivals end here; then a day runs on until all is answered
+    Duration length{20000};       ///< arrivals end here; then a day runs on until all is answered
     Duration counted_from{1000};  ///< worth is counted from here on
     std::vector<ClassFigures> classes;
     std::vector<TenantFigures> tenants;
--- a/lab/model/discovery.h
+++ b/lab/model/discovery.h
@@ -1,9 +1,10 @@
 // Discovery as a core: learns late of what servers do, answers calls in turn at a limited rate.
 //
-// Each call takes 1 / calls_per_s of its one clerk and is dealt with at the end of that; one whose turn has not come
-// after call_most fails then and costs nothing. A watch whose turn is over waits without costing anything more. Its
-// wait counts from when it was asked. At one instant: what becomes known comes before what is dealt with, that before
-// waits that end, and all of that before the event handed in (but a call that its node ended is out first).
+// Each call takes 1 / calls_per_s of its one clerk and is dealt with at the end of that; one whose turn has
+// not come after call_most fails then and costs nothing. A watch whose turn is over waits without costing
+// anything more. Its wait counts from when it was asked. At one instant: what becomes known comes before what
+// is dealt with, that before waits that end, and all of that before the event handed in (but a call that its
+// node ended is out first).
 #pragma once
 
 #include <cstdint>
@@ -20,8 +21,9 @@
 using ListCall = std::uint64_t;  ///< a node's call, numbered by the host
 
 // Events.
-/// What has become of a server's process; discovery notices it in its own time. What is noticed after something newer
-/// of the same server (a silent death after the restart that followed it) is dropped. Other states are ignored.
+/// What has become of a server's process; discovery notices it in its own time. What is noticed after
+/// something newer of the same server (a silent death after the restart that followed it) is dropped. Other
+/// states are ignored.
 struct ServerIs {
     ServerNo server = 0;
     ServerState state{};  ///< Ready (started, at `started`), Draining, Gone
@@ -37,9 +39,10 @@
 struct ListCallGone {  ///< the node closed its connection
     ListCall call = 0;
 };
-/// Of the timeline: both hold until the next one. Down: calls and watches end by reset; it goes on noticing. Stale: what
-/// it knew at the beginning is all it answers by; a call from any other revision gets that whole list. Empty: it lists
-/// nothing under a new revision, and afterwards the whole under another; it goes on noticing.
+/// Of the timeline: both hold until the next one. Down: calls and watches end by reset; it goes on noticing.
+/// Stale: what it knew at the beginning is all it answers by; a call from any other revision gets that whole
+/// list. Empty: it lists nothing under a new revision, and afterwards the whole under another; it goes on
+/// noticing.
 struct DiscoveryIs {
     bool down = false, stale = false, empty = false;
 };
@@ -77,12 +80,14 @@
 
 class Discovery {
 public:
-    /// Revisions begin at a number drawn from the seed. Servers that exist at the start are known, warm and started long ago unless they start cold.
+    /// Revisions begin at a number drawn from the seed. Servers that exist at the start are known, warm and
+    /// started long ago unless they start cold.
     Discovery(const Day& day, TimePoint start, std::uint64_t seed);
     ~Discovery();
 
     void handle(TimePoint now, const DiscoveryEvent& event, DiscoveryActions& actions);
-    /// The whole list as it is known now, stale or not: what a node is started with. Its call is 0, its node nobody.
+    /// The whole list as it is known now, stale or not: what a node is started with. Its call is 0, its node
+    /// nobody.
     ListOut known() const;
     /// Calls that wait for their turn and watches.
     std::size_t waiting() const;
--- a/lab/play/node_process.h
+++ b/lab/play/node_process.h
@@ -11,9 +11,9 @@
 
 struct NodeCommand {
     std::string program;
-    std::vector<std::string> environment;  ///< NAME=VALUE, before this process's own
-    std::string log;                       ///< a file that standard output and error are added to
-    std::size_t sockets = 1024;            ///< its limit of descriptors
+    std::vector<std::string> environment;     ///< NAME=VALUE, before this process's own
+    std::string log;                          ///< a file that standard output and error are added to
+    std::size_t sockets = 1024;               ///< its limit of descriptors
     std::vector<std::string> arguments = {};  ///< behind the program's name
 };
 
--- a/lab/play/open_loop.cpp
+++ b/lab/play/open_loop.cpp
@@ -370,7 +370,8 @@
             const ClassFigures& cls = day.classes[std::size_t(ask.cls)];
             ask.id = kHostileIds - 1;  // found in the bytes, and replaced
             if (cls.effect == Effect::Guarded) ask.key = 1;
-            forms_.push_back(make_template(day, ask, share_.give_up.count() > 0 ? share_.give_up : cls.give_up));
+            forms_.push_back(
+                make_template(day, ask, share_.give_up.count() > 0 ? share_.give_up : cls.give_up));
         }
     }
 
@@ -500,7 +501,8 @@
     };
     Slice* slice_of(Steady::time_point due) {
         if (slices_.empty()) return nullptr;
-        return &slices_[std::min(slices_.size() - 1, std::size_t(Duration(due - begin_) / LoadResult::kSlice))];
+        return &slices_[std::min(slices_.size() - 1,
+                                 std::size_t(Duration(due - begin_) / LoadResult::kSlice))];
     }
     void served(const Due& due, Steady::time_point now) {
         ++served_;
--- a/lab/play/play.cpp
+++ b/lab/play/play.cpp
@@ -173,7 +173,8 @@
         node.starts_again_at = again_at;
         node.process->signal(SIGTERM);
         note(number, NodeState::Stopping);  // behind the signal: from here on it can know, and is held to it
-        // The front is told of a planned stop: clients still come for a while, and not until it notices by itself.
+        // The front is told of a planned stop: clients still come for a while, and not until it notices by
+        // itself.
         control_.scheduler().call_at(control_.now() + kFrontNews, [this, number] {
             if (of(number).stage == Node::Stage::Stopping) tell_clients(NodeDown{number, true});
         });
--- a/lab/play/play.h
+++ b/lab/play/play.h
@@ -16,7 +16,7 @@
     int threads = 2;             ///< 1: clients and servers share a loop
     std::string log_dir;         ///< the nodes' logs and configurations; empty: a folder that goes at the end
     bool enforce_memory = true;  ///< a node over its memory limit is killed, and has crashed
-    std::function<void(const std::string&)> progress;         ///< a line now and then
+    std::function<void(const std::string&)> progress;  ///< a line now and then
     /// All records, in the order they were judged, and when the day began.
     std::function<void(const std::vector<Record>&, TimePoint)> witness;
 };
--- a/lab/quota/inflict.h
+++ b/lab/quota/inflict.h
@@ -1,4 +1,5 @@
-// Carries out a fault on a virtual network, whoever's cores are on it: federations by leases, and by other ways.
+// Carries out a fault on a virtual network, whoever's cores are on it: federations by leases, and by other
+// ways.
 #pragma once
 
 #include "lab/quota/world.h"
@@ -56,20 +57,26 @@
             host.crash(p, f.length);
             break;
         case Kind::AllNodes:
-            each([&](std::size_t q) { return host.serves(q); }, [&](std::size_t q) { host.crash(q, f.length); });
+            each([&](std::size_t q) { return host.serves(q); },
+                 [&](std::size_t q) { host.crash(q, f.length); });
             break;
         case Kind::LoseSite:
-            each([&](std::size_t q) { return host.group_of(q) == site; }, [&](std::size_t q) { net.crash(q); });
+            each([&](std::size_t q) { return host.group_of(q) == site; },
+                 [&](std::size_t q) { net.crash(q); });
             break;
         case Kind::Clock:
             net.clock(p, 0.99 + 0.02 * f.much);
             break;
         case Kind::Late:
-            each(others, [&](std::size_t q) { net.delay(p, q, Duration{f.much}), net.delay(q, p, Duration{f.much}); });
+            each(others, [&](std::size_t q) {
+                net.delay(p, q, Duration{f.much}), net.delay(q, p, Duration{f.much});
+            });
             host.after(f.length, [=] { each(others, [&](std::size_t q) { mended(p, q), mended(q, p); }); });
             break;
         case Kind::LateAnswers: {
-            auto owners = [&host, p](std::size_t q) { return host.lends(q) && host.group_of(q) == host.group_of(p); };
+            auto owners = [&host, p](std::size_t q) {
+                return host.lends(q) && host.group_of(q) == host.group_of(p);
+            };
             each(owners, [&](std::size_t q) { net.delay(q, p, Duration{f.much}); });
             host.after(f.length, [=] { each(owners, [&](std::size_t q) { mended(q, p); }); });
             break;
--- a/lab/quota/judge.h
+++ b/lab/quota/judge.h
@@ -1,4 +1,5 @@
-// What clients got, beside what a partner's budget allows: from the gateways' records in the world's time alone.
+// What clients got, beside what a partner's budget allows: from the gateways' records in the world's time
+// alone.
 #pragma once
 
 #include <algorithm>
@@ -20,10 +21,11 @@
     TimePoint from, to;
 };
 
-/// Over all windows, exactly: the worst one that ends with each request is the worst before it, less what the time between
-/// allows, or begins with it. `records` in the order of their times.
-inline Excess worst_window(const std::vector<LetIn>& records, std::size_t partner, quota::Amount rate, quota::Amount burst,
-                           TimePoint from = TimePoint{}, TimePoint to = TimePoint::max()) {
+/// Over all windows, exactly: the worst one that ends with each request is the worst before it, less what the
+/// time between allows, or begins with it. `records` in the order of their times.
+inline Excess worst_window(const std::vector<LetIn>& records, std::size_t partner, quota::Amount rate,
+                           quota::Amount burst, TimePoint from = TimePoint{},
+                           TimePoint to = TimePoint::max()) {
     Excess worst;
     worst.amount = -double(burst);
     long double held = 0;
@@ -39,10 +41,13 @@
     return worst;
 }
 
-inline quota::Amount let_in(const std::vector<LetIn>& records, std::size_t partner, TimePoint from, TimePoint to, int site = -1) {
+inline quota::Amount let_in(const std::vector<LetIn>& records, std::size_t partner, TimePoint from,
+                            TimePoint to, int site = -1) {
     quota::Amount sum = 0;
     for (const LetIn& r : records)
-        if (r.partner == partner && !r.given_back && r.at >= from && r.at < to && (site < 0 || r.site == std::size_t(site))) sum += r.cost;
+        if (r.partner == partner && !r.given_back && r.at >= from && r.at < to &&
+            (site < 0 || r.site == std::size_t(site)))
+            sum += r.cost;
     return sum;
 }
 
--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -1,4 +1,5 @@
-// What docs/design/quota.md says was measured: quota_measure seeds|used|cut|lost|ways|saboteurs|events|charge [COUNT]
+// What docs/design/quota.md says was measured: quota_measure seeds|used|cut|lost|ways|saboteurs|events|charge
+// [COUNT]
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -39,7 +40,8 @@
         double most = -1e18, tail = 0, least = 1e18;
         std::uint64_t over = 0, requests = 0, messages = 0, calm = 0;
         each_seed(count, [&](std::uint64_t seed) {
-            QuotaDay day = seed % 3 == 1 ? steady_day(shape.sites, shape.nodes, seed) : swinging_day(shape.sites, shape.nodes, seed);
+            QuotaDay day = seed % 3 == 1 ? steady_day(shape.sites, shape.nodes, seed)
+                                         : swinging_day(shape.sites, shape.nodes, seed);
             if (seed % 3 == 0) {
                 auto base = day.demand;
                 day.demand = [base](std::size_t b, std::size_t s, Duration at) {
@@ -49,16 +51,20 @@
             day.faults = draw_faults(seed, day, 12);
             day.loss = day.doubled = 0.01;
             QuotaOutcome outcome = run(day);
-            double w = worst(day, outcome), u = used(day, outcome, 0, day.length - Duration{3000}, day.length);
+            double w = worst(day, outcome),
+                   u = used(day, outcome, 0, day.length - Duration{3000}, day.length);
             std::unique_lock hold(lock);
             most = std::max(most, w), over += w > 0;
             if (seed % 3 != 0) ++calm, tail += u, least = std::min(least, u);
             requests += outcome.asked, messages += outcome.messages;
         });
-        std::printf("%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window is %.1f requests from it; used in the "
-                    "last 3 s %.3f (least %.3f); %.1f million requests, %.1f million messages\n",
-                    shape.sites, shape.nodes, (unsigned long long)count, (unsigned long long)over, most, tail / double(std::max<std::uint64_t>(1, calm)),
-                    least, double(requests) / 1e6, double(messages) / 1e6);
+        std::printf(
+            "%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window is %.1f "
+            "requests from it; used in the "
+            "last 3 s %.3f (least %.3f); %.1f million requests, %.1f million messages\n",
+            shape.sites, shape.nodes, (unsigned long long)count, (unsigned long long)over, most,
+            tail / double(std::max<std::uint64_t>(1, calm)), least, double(requests) / 1e6,
+            double(messages) / 1e6);
         std::fflush(stdout);
     }
 }
@@ -78,15 +84,18 @@
                 }
                 messages += outcome.messages;
             }
-            std::printf("%zu x %zu, %s: dealers %.3f (least %.3f), workshops %.3f (least %.3f); %.0f messages a second\n", shape.sites,
-                        shape.nodes, make == steady_day ? "steady" : "swinging every 10 s", sum[0], least[0], sum[1], least[1],
-                        double(messages) / double(count) / 60);
+            std::printf(
+                "%zu x %zu, %s: dealers %.3f (least %.3f), workshops %.3f (least %.3f); %.0f messages a "
+                "second\n",
+                shape.sites, shape.nodes, make == steady_day ? "steady" : "swinging every 10 s", sum[0],
+                least[0], sum[1], least[1], double(messages) / double(count) / 60);
         }
     for (double part : {0.35, 0.5, 0.75, 1.0, 1.5}) {
         QuotaDay day = steady_day(5, 40, 1);
         day.budgets = {plain_budget("dealers", 2000, std::int64_t(2000 * part), 5, 0, 0)};
         QuotaOutcome outcome = run(day);
-        std::printf("5 x 40, no floors, burst of %.2f s: used %.3f\n", part, used(day, outcome, 0, Duration{3000}, day.length));
+        std::printf("5 x 40, no floors, burst of %.2f s: used %.3f\n", part,
+                    used(day, outcome, 0, Duration{3000}, day.length));
     }
 }
 
@@ -96,15 +105,21 @@
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
             QuotaDay day = steady_day(shape.sites, shape.nodes, seed);
             day.length = Duration{40'000};
-            day.faults = {{QuotaFault::Kind::CutSite, Duration{10'000}, Duration{20'000}, 1, 0}};  // the second
+            day.faults = {
+                {QuotaFault::Kind::CutSite, Duration{10'000}, Duration{20'000}, 1, 0}};  // the second
             QuotaOutcome outcome = run(day);
             double floor = double(day.budgets[0].floors[1].rate);
-            double in = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{14'000}, TimePoint{} + Duration{30'000}, 1)) / 16;
+            double in = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{14'000},
+                                      TimePoint{} + Duration{30'000}, 1)) /
+                        16;
             least = std::min(least, in / floor), most_used = std::max(most_used, in / floor);
             back += used(day, outcome, 0, Duration{31'000}, Duration{34'000}) / double(count);
         }
-        std::printf("%zu x %zu, a site cut off for 20 s: it let in %.3f of its floor at least, %.3f at most; all sites, 1 to 4 s behind "
-                    "the cut: %.3f of the budget\n", shape.sites, shape.nodes, least, most_used, back);
+        std::printf(
+            "%zu x %zu, a site cut off for 20 s: it let in %.3f of its floor at least, %.3f at most; all "
+            "sites, 1 to 4 s behind "
+            "the cut: %.3f of the budget\n",
+            shape.sites, shape.nodes, least, most_used, back);
     }
 }
 
@@ -121,8 +136,11 @@
         times.push_back(at - 8000);
     }
     std::sort(times.begin(), times.end());
-    std::printf("the site with a third of the load lost: the others use 0.93 of the budget again %.0f ms later (median of %zu), %.0f worst; "
-                "lease 3000 ms\n", times[times.size() / 2], times.size(), times.back());
+    std::printf(
+        "the site with a third of the load lost: the others use 0.93 of the budget again %.0f ms later "
+        "(median of %zu), %.0f worst; "
+        "lease 3000 ms\n",
+        times[times.size() / 2], times.size(), times.back());
 }
 
 void ways(std::uint64_t count) {
@@ -135,24 +153,39 @@
             each_seed(count, [&](std::uint64_t seed) {
                 QuotaDay day = swinging_day(2, 5, seed);
                 auto base = day.demand;
-                if (faults) day.loss = day.doubled = 0.01, day.faults = draw_faults(seed, day, std::size_t(faults));
+                if (faults)
+                    day.loss = day.doubled = 0.01, day.faults = draw_faults(seed, day, std::size_t(faults));
                 // Idle, then all at once: where too much shows. What is used is counted in the steady part.
-                day.demand = [base](std::size_t b, std::size_t s, Duration at) { return at < Duration{15'000} ? base(b, s, at) : at < Duration{17'000} ? 0.0 : 4 * base(b, s, at); };
+                day.demand = [base](std::size_t b, std::size_t s, Duration at) {
+                    return at < Duration{15'000}   ? base(b, s, at)
+                           : at < Duration{17'000} ? 0.0
+                                                   : 4 * base(b, s, at);
+                };
                 WayOutcome outcome = run(Way(way), day);
                 double w = -1e18;
                 for (std::size_t b = 0; b < day.budgets.size(); ++b)
-                    w = std::max(w, worst_window(outcome.let_in, b, day.budgets[b].rate, day.budgets[b].burst).amount / double(kUnit));
-                double u = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{3000}, TimePoint{} + Duration{15'000})) / (double(day.budgets[0].rate) * 12);
+                    w = std::max(
+                        w, worst_window(outcome.let_in, b, day.budgets[b].rate, day.budgets[b].burst).amount /
+                               double(kUnit));
+                double u = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{3000},
+                                         TimePoint{} + Duration{15'000})) /
+                           (double(day.budgets[0].rate) * 12);
                 std::unique_lock hold(lock);
                 most = std::max(most, w), over += w > 0, share += u / double(count);
-                messages += double(outcome.messages) / double(std::max<std::uint64_t>(1, outcome.asked)) / double(count);
+                messages += double(outcome.messages) / double(std::max<std::uint64_t>(1, outcome.asked)) /
+                            double(count);
                 waits.insert(waits.end(), outcome.waits.begin(), outcome.waits.end());
             });
             std::sort(waits.begin(), waits.end());
-            auto at = [&](double part) { return waits.empty() ? 0.0 : waits[std::size_t(part * double(waits.size() - 1))]; };
-            std::printf("%2d faults  %-20s over in %llu of %llu days, by %.0f requests at most; used %.3f; a request waits %.1f ms, p99 %.0f; "
-                        "%.2f messages a request\n", faults, std::string(name(Way(way))).c_str(), (unsigned long long)over,
-                        (unsigned long long)count, std::max(0.0, most), share, at(0.5), at(0.99), messages);
+            auto at = [&](double part) {
+                return waits.empty() ? 0.0 : waits[std::size_t(part * double(waits.size() - 1))];
+            };
+            std::printf(
+                "%2d faults  %-20s over in %llu of %llu days, by %.0f requests at most; used %.3f; a request "
+                "waits %.1f ms, p99 %.0f; "
+                "%.2f messages a request\n",
+                faults, std::string(name(Way(way))).c_str(), (unsigned long long)over,
+                (unsigned long long)count, std::max(0.0, most), share, at(0.5), at(0.99), messages);
         }
 }
 
@@ -167,8 +200,8 @@
             day.saboteur = Saboteur::None;
             honest = std::max(honest, worst(day, run(day)));
         }
-        std::printf("%-26s found in %d of %llu days, by %.1f; without it %.1f\n", std::string(name(Saboteur(s))).c_str(), found,
-                    (unsigned long long)count, most, honest);
+        std::printf("%-26s found in %d of %llu days, by %.1f; without it %.1f\n",
+                    std::string(name(Saboteur(s))).c_str(), found, (unsigned long long)count, most, honest);
     }
 }
 
@@ -189,8 +222,11 @@
                 ++runs, over += w > 0, most = std::max(most, w);
             }
     });
-    std::printf("crash and stop of each of %zu processes at each of %llu events (every %llu): %llu runs, %llu over, worst %.1f\n", processes,
-                (unsigned long long)happened, (unsigned long long)stride, (unsigned long long)runs, (unsigned long long)over, most);
+    std::printf(
+        "crash and stop of each of %zu processes at each of %llu events (every %llu): %llu runs, %llu over, "
+        "worst %.1f\n",
+        processes, (unsigned long long)happened, (unsigned long long)stride, (unsigned long long)runs,
+        (unsigned long long)over, most);
 }
 
 void charge(std::uint64_t count) {
@@ -199,13 +235,16 @@
     settings.instance = 1;
     quota::Charger charger(settings);
     std::vector<quota::Budget> budgets;
-    for (int i = 0; i < 10'000; ++i) budgets.push_back(plain_budget(std::string("partner").append(std::to_string(i)), 1000, 1000, 0, 0, 0));
+    for (int i = 0; i < 10'000; ++i)
+        budgets.push_back(
+            plain_budget(std::string("partner").append(std::to_string(i)), 1000, 1000, 0, 0, 0));
     charger.configure(budgets);
     boost::random::taus88 random(1);
     std::vector<double> took;
     took.reserve(count);
     std::vector<std::string> names;
-    for (int i = 0; i < 10'000; ++i) names.push_back(std::string("partner").append(std::to_string(i % 2 ? 0 : random() % 10'000)));
+    for (int i = 0; i < 10'000; ++i)
+        names.push_back(std::string("partner").append(std::to_string(i % 2 ? 0 : random() % 10'000)));
     std::atomic<bool> done{false};
     // Beside it, as in a node, somebody asks and is answered ten times a second.
     std::thread asker([&] {
@@ -214,7 +253,8 @@
             quota::Ask ask = charger.ask(now);
             quota::Answer answer{ask.instance, ask.seq, {}};
             for (const quota::AskLine& l : ask.lines)
-                answer.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000, 1000 * kUnit, false, false});
+                answer.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000,
+                                        1000 * kUnit, false, false});
             charger.answered(now, answer);
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         }
@@ -226,14 +266,17 @@
         took.clear();
         for (std::uint64_t i = 0; i < count; ++i) {
             auto begun = Clock::now();
-            auto outcome = charger.charge(TimePoint{} + Duration{double(begun.time_since_epoch().count()) / 1e6}, which(i % names.size()), kNone);
+            auto outcome =
+                charger.charge(TimePoint{} + Duration{double(begun.time_since_epoch().count()) / 1e6},
+                               which(i % names.size()), kNone);
             auto ended = Clock::now();
             took.push_back(std::chrono::duration<double, std::nano>(ended - begun).count());
             allowed += std::holds_alternative<quota::Receipt>(outcome);
         }
         std::sort(took.begin(), took.end());
-        std::printf("%s, 10000 partners, one with half of the load: median %.0f ns, p99 %.0f ns, p99.9 %.0f ns\n", text, took[count / 2],
-                    took[count * 99 / 100], took[count * 999 / 1000]);
+        std::printf(
+            "%s, 10000 partners, one with half of the load: median %.0f ns, p99 %.0f ns, p99.9 %.0f ns\n",
+            text, took[count / 2], took[count * 99 / 100], took[count * 999 / 1000]);
     };
     measured("charge by a tenant's number", [&](std::size_t i) { return numbers[i]; });
     measured("charge by a key's text", [&](std::size_t i) { return *charger.find(names[i]); });
@@ -243,8 +286,8 @@
         took.push_back(std::chrono::duration<double, std::nano>(Clock::now() - begun).count());
     }
     std::sort(took.begin(), took.end());
-    std::printf("of that two looks at the clock: median %.0f ns, p99 %.0f ns; %.3f were let in\n", took[count / 2], took[count * 99 / 100],
-                double(allowed) / double(2 * count));
+    std::printf("of that two looks at the clock: median %.0f ns, p99 %.0f ns; %.3f were let in\n",
+                took[count / 2], took[count * 99 / 100], double(allowed) / double(2 * count));
     done = true;
     asker.join();
 }
--- a/lab/quota/scripts.h
+++ b/lab/quota/scripts.h
@@ -13,8 +13,10 @@
 inline QuotaDay steady_day(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
     QuotaDay day;
     day.sites = sites, day.nodes = nodes, day.seed = seed;
-    day.budgets = sites * nodes > 20 ? std::vector{plain_budget("dealers", 2000, 3000, sites, 100, 300), plain_budget("workshops", 400, 600, sites, 0, 0)}
-                                     : std::vector{plain_budget("dealers", 400, 600, sites, 20, 60), plain_budget("workshops", 100, 300, sites, 0, 0)};
+    day.budgets = sites * nodes > 20 ? std::vector{plain_budget("dealers", 2000, 3000, sites, 100, 300),
+                                                   plain_budget("workshops", 400, 600, sites, 0, 0)}
+                                     : std::vector{plain_budget("dealers", 400, 600, sites, 20, 60),
+                                                   plain_budget("workshops", 100, 300, sites, 0, 0)};
     day.clocks = true;
     day.demand = [budgets = day.budgets, sites](std::size_t b, std::size_t site, Duration) {
         return 1.5 * double(budgets[b].rate) / double(kUnit) * (site == 0 ? 0.4 : 0.6 / double(sites - 1));
@@ -30,9 +32,11 @@
     };
     return day;
 }
-/// Small, with much lent, much idle and all of it asked for at once, where what leaks shows. Cycles of `cycle` ms: for 4 s
-/// nine tenths of the rate, at one site or the other, then nothing, then eight times the rate for the last second.
-inline QuotaDay leaky_day(std::uint64_t seed, std::int64_t rate = 100, double cover = 1000, double cycle = 7000) {
+/// Small, with much lent, much idle and all of it asked for at once, where what leaks shows. Cycles of
+/// `cycle` ms: for 4 s nine tenths of the rate, at one site or the other, then nothing, then eight times the
+/// rate for the last second.
+inline QuotaDay leaky_day(std::uint64_t seed, std::int64_t rate = 100, double cover = 1000,
+                          double cycle = 7000) {
     QuotaDay day;
     day.sites = 2, day.nodes = 3, day.seed = seed, day.length = Duration{cycle * 6};
     day.budgets = {plain_budget("dealers", rate, 150, 2, rate / 10, 15)};
@@ -69,11 +73,14 @@
             day.never_ran = 0.4;
             break;
         case Saboteur::CountsFromAnswer:
-            // Much is asked for at once, and the answers that grant it find their nodes stopped, till long behind the end.
+            // Much is asked for at once, and the answers that grant it find their nodes stopped, till long
+            // behind the end.
             day = leaky_day(seed, 40, 4000, 10'000);
             day.length = Duration{30'000};
             day.demand = [](std::size_t, std::size_t site, Duration at) {
-                return at.count() >= 29'000 ? 400.0 : at.count() >= 20'000 && at.count() < 21'000 && site == 0 ? 300.0 : 0.0;
+                return at.count() >= 29'000                                       ? 400.0
+                       : at.count() >= 20'000 && at.count() < 21'000 && site == 0 ? 300.0
+                                                                                  : 0.0;
             };
             for (std::size_t n = 0; n < 3; ++n) {
                 day.faults.push_back({Kind::Late, Duration{19'500}, Duration{1500}, kNode + n, 400});
@@ -88,12 +95,15 @@
         case Saboteur::ForgetsAtRestart:
             always(150, 150, 12'000);
             day.session = Duration{300};
-            for (int i = 0; i < 4; ++i) day.faults.push_back({Kind::Crash, Duration{6000.0 + 800 * i}, Duration{500}, kOwner + std::size_t(i) % 2, 0});
+            for (int i = 0; i < 4; ++i)
+                day.faults.push_back(
+                    {Kind::Crash, Duration{6000.0 + 800 * i}, Duration{500}, kOwner + std::size_t(i) % 2, 0});
             break;
         case Saboteur::IgnoresEpochs:
             always(150, 150, 40'000);
             day.faults.push_back({Kind::Pause, Duration{6000}, Duration{3000}, kOwner, 0});
-            for (std::size_t n : {4, 5}) day.faults.push_back({Kind::CutLink, Duration{10'000}, Duration{30'000}, n, kOwner + 1});
+            for (std::size_t n : {4, 5})
+                day.faults.push_back({Kind::CutLink, Duration{10'000}, Duration{30'000}, n, kOwner + 1});
             break;
         case Saboteur::GiftsTwice:
             day.budgets = {plain_budget("dealers", 100, 150, 2, 25, 40)};
@@ -101,7 +111,9 @@
             break;
         case Saboteur::ShrinksAtOnce:
             always(150, 150, 12'000);
-            day.demand = [](std::size_t, std::size_t, Duration at) { return at.count() < 5900 ? 40.0 : 300.0; };
+            day.demand = [](std::size_t, std::size_t, Duration at) {
+                return at.count() < 5900 ? 40.0 : 300.0;
+            };
             day.later = {plain_budget("dealers", 10, 15, 2, 1, 2)};
             day.faults.push_back({Kind::Budgets, Duration{6000}, Duration{0}, 0, 0});
             break;
@@ -121,15 +133,19 @@
     bool shrinks = !day.later.empty() && outcome.in_force;
     for (std::size_t b = 0; b < day.budgets.size(); ++b) {
         const quota::Budget& budget = day.budgets[b];
-        most = std::max(most, worst_window(outcome.let_in, b, budget.rate, budget.burst + budget.bound).amount);
+        most =
+            std::max(most, worst_window(outcome.let_in, b, budget.rate, budget.burst + budget.bound).amount);
         if (shrinks)
-            most = std::max(most, worst_window(outcome.let_in, b, day.later[b].rate, day.later[b].burst + day.later[b].bound,
-                                               TimePoint{} + *outcome.in_force).amount);
+            most = std::max(
+                most, worst_window(outcome.let_in, b, day.later[b].rate,
+                                   day.later[b].burst + day.later[b].bound, TimePoint{} + *outcome.in_force)
+                          .amount);
     }
     return most / double(kUnit);
 }
 /// Of the budget, from `from` to `to`.
-inline double used(const QuotaDay& day, const QuotaOutcome& outcome, std::size_t partner, Duration from, Duration to) {
+inline double used(const QuotaDay& day, const QuotaOutcome& outcome, std::size_t partner, Duration from,
+                   Duration to) {
     return double(let_in(outcome.let_in, partner, TimePoint{} + from, TimePoint{} + to)) /
            (double(day.budgets[partner].rate) * (to - from).count() / 1000);
 }
--- a/lab/quota/ways.cpp
+++ b/lab/quota/ways.cpp
@@ -11,7 +11,8 @@
 using namespace quota;
 
 std::string_view name(Way way) {
-    constexpr std::string_view kNames[] = {"fixed parts", "one counter, closed", "one counter, open", "gossiped counters", "leases"};
+    constexpr std::string_view kNames[] = {"fixed parts", "one counter, closed", "one counter, open",
+                                           "gossiped counters", "leases"};
     return kNames[std::size_t(way)];
 }
 
@@ -47,7 +48,9 @@
           day_(day),
           net_({0, Duration{0.2}, Duration{2}, day.loss, day.doubled, false, day.seed},
                {[this](std::size_t p, TimePoint own) { woken(p, own); },
-                [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) { received(p, from, own, m); }}),
+                [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
+                    received(p, from, own, m);
+                }}),
           random_(unsigned(day.seed * 40503u + 7)) {
         // The same processes as with leases, so that the same faults hit the same ones.
         for (std::size_t group = 0; group <= day.sites; ++group)
@@ -85,7 +88,8 @@
                 next = at + arrive();
             }
         }
-        std::stable_sort(out_.let_in.begin(), out_.let_in.end(), [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
+        std::stable_sort(out_.let_in.begin(), out_.let_in.end(),
+                         [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
         return std::move(out_);
     }
 
@@ -112,7 +116,9 @@
             for (std::size_t partner : std::exchange(all_[p].waiting, {})) request(p, partner);
         });
     }
-    void after(Duration wait, std::function<void()> what) { due_.emplace(net_.now() + wait, std::move(what)); }
+    void after(Duration wait, std::function<void()> what) {
+        due_.emplace(net_.now() + wait, std::move(what));
+    }
 
 private:
     struct Process {
@@ -137,13 +143,15 @@
         std::vector<double> rates;
         double sum = 0;
         for (std::size_t b = 0; b < day_.budgets.size(); ++b)
-            for (std::size_t s = 0; s < day_.sites; ++s) rates.push_back(day_.demand(b, s, at)), sum += rates.back();
+            for (std::size_t s = 0; s < day_.sites; ++s)
+                rates.push_back(day_.demand(b, s, at)), sum += rates.back();
         Duration gap{sum > 0 ? -std::log(1 - uniform()) / sum * 1000 : 1e9};
         if (gap > Duration{20}) return Duration{20};
         double draw = uniform() * sum;
         for (std::size_t i = 0; i < rates.size(); ++i) {
             if ((draw -= rates[i]) >= 0) continue;
-            std::size_t n = std::size_t(std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * sum_) - weights_.begin());
+            std::size_t n = std::size_t(
+                std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * sum_) - weights_.begin());
             std::size_t p = nodes_[i % day_.sites * day_.nodes + n];
             ++out_.asked;
             if (!net_.up(p)) break;
@@ -175,7 +183,8 @@
             Asked asked = found->second;
             asked_.erase(found);
             out_.waits.push_back(1000);
-            if (way_ == Way::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node)) let(asked.node, asked.partner);
+            if (way_ == Way::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node))
+                let(asked.node, asked.partner);
         });
     }
     void woken(std::size_t p, TimePoint own) {
@@ -183,7 +192,8 @@
         if (way_ != Way::Gossip || !all_[p].node) return;
         for (int i = 0; i < 3; ++i) {
             ++out_.messages;
-            net_.send(p, nodes_[std::size_t(uniform() * double(nodes_.size()))], {Message::Kind::Sums, 0, 0, all_[p].sums});
+            net_.send(p, nodes_[std::size_t(uniform() * double(nodes_.size()))],
+                      {Message::Kind::Sums, 0, 0, all_[p].sums});
         }
     }
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
--- a/lab/quota/ways.h
+++ b/lab/quota/ways.h
@@ -1,4 +1,5 @@
-// The common quota by other ways, on the same days: what each lets in too much, wastes, and adds to a request.
+// The common quota by other ways, on the same days: what each lets in too much, wastes, and adds to a
+// request.
 #pragma once
 
 #include "lab/quota/world.h"
@@ -6,11 +7,11 @@
 namespace ochrehub::lab {
 
 enum class Way {
-    Fixed,      ///< each node a part of rate and burst of its own
-    OneCounter, ///< each request asks one counter; without an answer within a second it is refused
+    Fixed,           ///< each node a part of rate and burst of its own
+    OneCounter,      ///< each request asks one counter; without an answer within a second it is refused
     OneCounterOpen,  ///< ... or let in
-    Gossip,     ///< each node counts what it knows of, and tells three others every 200 ms
-    Leases,     ///< as shipped
+    Gossip,          ///< each node counts what it knows of, and tells three others every 200 ms
+    Leases,          ///< as shipped
 };
 std::string_view name(Way way);
 
--- a/lab/quota/world.cpp
+++ b/lab/quota/world.cpp
@@ -1,29 +1,43 @@
 #include "lab/quota/world.h"
 
-#include "lab/quota/inflict.h"
-
 #include <cmath>
 #include <map>
 
+#include "lab/quota/inflict.h"
+
 namespace ochrehub::lab {
 
 using namespace quota;
 
 std::string_view name(Saboteur saboteur) {
-    constexpr std::string_view kNames[] = {"none", "charges later", "counts from the answer", "gives back twice", "gives back what was told",
-                                           "forgets at a restart", "returns and keeps", "tells spent twice", "ignores epochs",
-                                           "lends floors twice", "stale clock", "adds answers twice",
-                                           "counts gifts twice", "shrinks at once", "mints past the cap"};
+    constexpr std::string_view kNames[] = {"none",
+                                           "charges later",
+                                           "counts from the answer",
+                                           "gives back twice",
+                                           "gives back what was told",
+                                           "forgets at a restart",
+                                           "returns and keeps",
+                                           "tells spent twice",
+                                           "ignores epochs",
+                                           "lends floors twice",
+                                           "stale clock",
+                                           "adds answers twice",
+                                           "counts gifts twice",
+                                           "shrinks at once",
+                                           "mints past the cap"};
     return kNames[std::size_t(saboteur)];
 }
 
-std::string site_name(std::size_t site) { return std::string("site").append(std::to_string(site)); }
+std::string site_name(std::size_t site) {
+    return std::string("site").append(std::to_string(site));
+}
 
-Budget plain_budget(std::string partner, std::int64_t rate, std::int64_t burst, std::size_t sites, std::int64_t floor,
-                    std::int64_t floor_burst) {
+Budget plain_budget(std::string partner, std::int64_t rate, std::int64_t burst, std::size_t sites,
+                    std::int64_t floor, std::int64_t floor_burst) {
     Budget b{std::move(partner), rate * kUnit, burst * kUnit, 0, {}, {}, {}};
     if (floor > 0)
-        for (std::size_t s = 0; s < sites; ++s) b.floors.push_back({site_name(s), floor * kUnit, floor_burst * kUnit});
+        for (std::size_t s = 0; s < sites; ++s)
+            b.floors.push_back({site_name(s), floor * kUnit, floor_burst * kUnit});
     return b;
 }
 
@@ -42,7 +56,9 @@
         : day_(day),
           net_({0, Duration{0.2}, Duration{2}, day.loss, day.doubled, false, day.seed},
                {[this](std::size_t p, TimePoint own) { woken(p, own); },
-                [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) { received(p, from, own, m); }}),
+                [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
+                    received(p, from, own, m);
+                }}),
           random_(unsigned(day.seed * 40503u + 7)) {
         for (std::size_t group = 0; group <= day.sites; ++group) {
             add(Role::Keeper, group);
@@ -64,14 +80,16 @@
     }
 
     QuotaOutcome run() {
-        std::stable_sort(day_.faults.begin(), day_.faults.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
+        std::stable_sort(day_.faults.begin(), day_.faults.end(),
+                         [](const auto& a, const auto& b) { return a.at < b.at; });
         for (const QuotaFault& f : day_.faults) plan(f);
         next_arrival_ = TimePoint{} + Duration{1};
         while (true) {
             TimePoint next = std::min(next_arrival_, due_.empty() ? TimePoint::max() : due_.begin()->first);
             if (next > TimePoint{} + day_.length) break;
             if (day_.at && !struck_) {
-                while (!struck_ && net_.happened() < day_.at->event && stepped_before(next)) {}
+                while (!struck_ && net_.happened() < day_.at->event && stepped_before(next)) {
+                }
                 if (net_.happened() >= day_.at->event) strike();
             }
             net_.run_to(next);
@@ -84,7 +102,8 @@
             }
         }
         net_.run_to(TimePoint{} + day_.length);
-        std::stable_sort(out_.let_in.begin(), out_.let_in.end(), [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
+        std::stable_sort(out_.let_in.begin(), out_.let_in.end(),
+                         [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
         out_.happened = net_.happened();
         return std::move(out_);
     }
@@ -140,7 +159,9 @@
             one.machine = std::make_unique<Quotas>(sites, day_.timing);
         }
     }
-    std::size_t group_begin(std::size_t group) const { return group == 0 ? 0 : 3 + (group - 1) * (3 + day_.nodes); }
+    std::size_t group_begin(std::size_t group) const {
+        return group == 0 ? 0 : 3 + (group - 1) * (3 + day_.nodes);
+    }
     std::size_t process(std::size_t group, std::size_t number) const { return group_begin(group) + number; }
     std::size_t node(std::size_t site, std::size_t n) const { return process(site + 1, 3 + n); }
     Quotas& keeper(std::size_t p) { return *all_[process(all_[p].group, 0)].machine; }
@@ -148,7 +169,9 @@
         if (all_[p].role == Role::Owner) return site_name(all_[p].group - 1);
         return std::string("node").append(std::to_string(all_[p].number - 3));
     }
-    void distant(std::size_t a, std::size_t b) { net_.delay(a, b, day_.site_delay), net_.delay(b, a, day_.site_delay); }
+    void distant(std::size_t a, std::size_t b) {
+        net_.delay(a, b, day_.site_delay), net_.delay(b, a, day_.site_delay);
+    }
     double uniform() { return double(random_()) * 0x1p-32; }
     std::uint64_t draw() { return (std::uint64_t(random_()) << 32 | random_()) | 1; }
 
@@ -158,8 +181,9 @@
         one.instance = draw();
         one.heard = own;
         if (one.role == Role::Owner) {
-            one.lender = std::make_unique<Lender>(
-                LenderSettings{one.group == 0 ? "" : site_name(one.group - 1), one.instance, one.group == 0 ? 2 : 1, day_.timing});
+            one.lender =
+                std::make_unique<Lender>(LenderSettings{one.group == 0 ? "" : site_name(one.group - 1),
+                                                        one.instance, one.group == 0 ? 2 : 1, day_.timing});
             one.session = one.epoch = one.version = 0;
             one.until = {}, one.renew_at = own, one.lender_at = own + Duration{1};
             one.command.reset(), one.recording.reset(), one.renewed.clear();
@@ -224,7 +248,8 @@
             // What clients sent meanwhile is worked off behind what others have sent.
             std::uint64_t life = one.instance;
             auto work_off = [this, p](TimePoint own) {
-                for (auto [partner, cost] : std::exchange(all_[p].waiting, {})) request(p, partner, cost, own);
+                for (auto [partner, cost] : std::exchange(all_[p].waiting, {}))
+                    request(p, partner, cost, own);
             };
             if (day_.saboteur == Saboteur::StaleClock) return work_off(one.before_pause);
             after(Duration{0.5}, [this, p, life, work_off] {
@@ -232,7 +257,9 @@
             });
         });
     }
-    void after(Duration wait, std::function<void()> what) { due_.emplace(net_.now() + wait, std::move(what)); }
+    void after(Duration wait, std::function<void()> what) {
+        due_.emplace(net_.now() + wait, std::move(what));
+    }
 
 private:
     // ---- What arrives
@@ -255,14 +282,16 @@
                 one.renew_at = own + day_.session / 3;
                 one.renewed[++one.renewals] = own;
                 if (one.renewed.size() > 8) one.renewed.erase(one.renewed.begin());
-                send(p, process(one.group, 0), {Message::Kind::Renew, one.instance, one.renewals, std::to_string(one.session)});
+                send(p, process(one.group, 0),
+                     {Message::Kind::Renew, one.instance, one.renewals, std::to_string(one.session)});
             }
             if (one.command && own >= one.resend_at) say(p, own);
             if (own >= one.lender_at) {
                 one.lender_at = own + day_.timing.ask;
                 lender(p, own, quota::Woken{});
             }
-            return wake(p, own, std::min({one.renew_at, one.lender_at, one.command ? one.resend_at : one.renew_at}));
+            return wake(p, own,
+                        std::min({one.renew_at, one.lender_at, one.command ? one.resend_at : one.renew_at}));
         }
         if (own >= one.asks_at) {
             one.asks_at = own + day_.timing.ask;
@@ -271,7 +300,9 @@
         wake(p, own, one.asks_at);
     }
     /// A clock that is off does not reach a moment to the last bit.
-    void wake(std::size_t p, TimePoint own, TimePoint at) { net_.wake_at(p, std::max(at, own + Duration{0.05})); }
+    void wake(std::size_t p, TimePoint own, TimePoint at) {
+        net_.wake_at(p, std::max(at, own + Duration{0.05}));
+    }
 
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
         Process& one = all_[p];
@@ -375,7 +406,8 @@
         Process& one = all_[p];
         one.resend_at = own + Duration{200};
         send(p, process(one.group, 0),
-             {Message::Kind::Command, one.session, one.command->first, one.command->second, one.recording ? "record" : ""});
+             {Message::Kind::Command, one.session, one.command->first, one.command->second,
+              one.recording ? "record" : ""});
     }
     void done(std::size_t p, TimePoint own, const Message& m) {
         Process& one = all_[p];
@@ -405,7 +437,8 @@
                 if (day_.saboteur == Saboteur::ForgetsAtRestart) books.clear();
                 lender(p, own, Owned{one.until, std::move(books), false});
                 if (day_.saboteur == Saboteur::ForgetsAtRestart) begin_full(p, own);
-                for (const std::string& partner : reply->state->frozen) lender(p, own, Ordered{Ordered::What::Freeze, partner, "", 0});
+                for (const std::string& partner : reply->state->frozen)
+                    lender(p, own, Ordered{Ordered::What::Freeze, partner, "", 0});
             }
         }
         if (queued_.contains(p)) {
@@ -435,10 +468,12 @@
             lender(p, own, Asked{"nobody", ask});
         }
     }
-    /// Once the owner at each level says that it has it, and that what was lent of the one before is back or over.
+    /// Once the owner at each level says that it has it, and that what was lent of the one before is back or
+    /// over.
     void look_in_force() {
         if (out_.in_force) return;
-        for (std::size_t group = 0; group <= day_.sites && day_.saboteur != Saboteur::ShrinksAtOnce; ++group) {
+        for (std::size_t group = 0; group <= day_.sites && day_.saboteur != Saboteur::ShrinksAtOnce;
+             ++group) {
             bool holds = false;
             for (std::size_t p : {process(group, 1), process(group, 2)}) {
                 const Process& one = all_[p];
@@ -491,7 +526,8 @@
         double sum = 0;
         std::vector<double> rates;
         for (std::size_t b = 0; b < day_.budgets.size(); ++b)
-            for (std::size_t s = 0; s < day_.sites; ++s) rates.push_back(day_.demand(b, s, at)), sum += rates.back();
+            for (std::size_t s = 0; s < day_.sites; ++s)
+                rates.push_back(day_.demand(b, s, at)), sum += rates.back();
         // A look at least each 20 ms, since what is asked for moves; an arrival has no memory.
         Duration gap{sum > 0 ? -std::log(1 - uniform()) / sum * 1000 : 1e9};
         next_arrival_ = net_.now() + std::min(gap, Duration{20});
@@ -514,7 +550,8 @@
     std::size_t pick_node() {
         if (weights_.empty()) {
             double sum = 0;
-            for (std::size_t n = 0; n < day_.nodes; ++n) weights_.push_back(sum += 1 / std::pow(double(n + 1), day_.skew));
+            for (std::size_t n = 0; n < day_.nodes; ++n)
+                weights_.push_back(sum += 1 / std::pow(double(n + 1), day_.skew));
         }
         double at = uniform() * weights_.back();
         return std::size_t(std::upper_bound(weights_.begin(), weights_.end() - 1, at) - weights_.begin());
@@ -523,7 +560,9 @@
     void request(std::size_t p, std::size_t partner, Amount cost, TimePoint own) {
         Process& one = all_[p];
         auto number = one.charger->find(day_.budgets[partner].partner);
-        auto let = [&] { out_.let_in.push_back({net_.now(), partner, one.group - 1, one.number - 3, cost, false}); };
+        auto let = [&] {
+            out_.let_in.push_back({net_.now(), partner, one.group - 1, one.number - 3, cost, false});
+        };
         if (day_.saboteur == Saboteur::ChargesLater) {
             if (one.charger->counts(own, *number).balance < cost) {
                 (void)one.charger->charge(own, *number, kNone);
@@ -531,7 +570,8 @@
                 let();
                 std::uint64_t life = one.instance;
                 after(Duration{50}, [this, p, number, life] {
-                    if (all_[p].instance == life && net_.up(p) && !net_.stopped(p)) (void)all_[p].charger->charge(net_.own(p), *number, kNone);
+                    if (all_[p].instance == life && net_.up(p) && !net_.stopped(p))
+                        (void)all_[p].charger->charge(net_.own(p), *number, kNone);
                 });
             }
         } else {
@@ -558,7 +598,8 @@
             if (one.instance != life || !net_.up(p) || net_.stopped(p)) return;
             Amount cost = held->cost();
             bool back = false;
-            if (day_.saboteur == Saboteur::GivesBackTwice) one.charger->give_back(net_.own(p), held->forged());
+            if (day_.saboteur == Saboteur::GivesBackTwice)
+                one.charger->give_back(net_.own(p), held->forged());
             back = one.charger->give_back(net_.own(p), std::move(*held));
             if (told && !back) {
                 for (auto& [account, line] : one.known)
@@ -581,11 +622,13 @@
             // Whoever errs so tells nothing that its lender can see to be wrong.
             if (day_.saboteur == Saboteur::TellsSpentTwice) l.spent *= 2;
             if (day_.saboteur == Saboteur::ReturnsAndKeeps) {
-                told.kept = std::max(told.kept, std::min(told.kept + 2 * kUnit, known.granted - l.spent - l.returned));
+                told.kept = std::max(told.kept,
+                                     std::min(told.kept + 2 * kUnit, known.granted - l.spent - l.returned));
                 l.returned += told.kept;
             }
             l.spent -= std::min(l.spent, one.extra[l.account]);
-            l.returned = told.returned = std::max(told.returned, std::min(l.returned, known.granted - told.spent));
+            l.returned = told.returned =
+                std::max(told.returned, std::min(l.returned, known.granted - told.spent));
             l.spent = told.spent = std::max(told.spent, std::min(l.spent, known.granted - l.returned));
         }
     }
@@ -593,13 +636,15 @@
         auto asked = one.asked.find(answer.seq);
         for (AnswerLine& l : answer.lines) {
             AnswerLine& known = one.known[l.account];
-            if (day_.saboteur == Saboteur::AddsAnswersTwice && known.lease == l.lease && doubled_.contains({one.instance, answer.seq}))
+            if (day_.saboteur == Saboteur::AddsAnswersTwice && known.lease == l.lease &&
+                doubled_.contains({one.instance, answer.seq}))
                 one.extra[l.account] += std::max<Amount>(0, 5 * kUnit);
             if (known.lease != l.lease) one.extra[l.account] = 0;
             if (known.lease != l.lease || known.granted <= l.granted) known = l;
             l.granted += one.extra[l.account];
             if (day_.saboteur == Saboteur::CountsFromAnswer && asked != one.asked.end())
-                l.length = std::int64_t(double(l.length) / (1 - day_.timing.drift / 1000.0) + (own - asked->second + day_.timing.margin).count() * 1000);
+                l.length = std::int64_t(double(l.length) / (1 - day_.timing.drift / 1000.0) +
+                                        (own - asked->second + day_.timing.margin).count() * 1000);
         }
         if (day_.saboteur == Saboteur::AddsAnswersTwice) doubled_.insert({one.instance, answer.seq});
     }
@@ -625,16 +670,19 @@
 
 }  // namespace
 
-QuotaOutcome run(const QuotaDay& day) { return World(day).run(); }
+QuotaOutcome run(const QuotaDay& day) {
+    return World(day).run();
+}
 
 std::vector<QuotaFault> draw_faults(std::uint64_t seed, const QuotaDay& day, std::size_t count) {
     boost::random::taus88 random(unsigned(seed * 69069u + 5));
     auto uniform = [&] { return double(random()) * 0x1p-32; };
     std::vector<QuotaFault> faults;
-    constexpr QuotaFault::Kind kKinds[] = {QuotaFault::Kind::CutSite, QuotaFault::Kind::CutSiteOneWay, QuotaFault::Kind::CutNode,
-                                           QuotaFault::Kind::Pause,   QuotaFault::Kind::Pause,         QuotaFault::Kind::Crash,
-                                           QuotaFault::Kind::Crash,   QuotaFault::Kind::AllNodes,      QuotaFault::Kind::Clock,
-                                           QuotaFault::Kind::Late,    QuotaFault::Kind::Loss,          QuotaFault::Kind::Doubled};
+    constexpr QuotaFault::Kind kKinds[] = {
+        QuotaFault::Kind::CutSite, QuotaFault::Kind::CutSiteOneWay, QuotaFault::Kind::CutNode,
+        QuotaFault::Kind::Pause,   QuotaFault::Kind::Pause,         QuotaFault::Kind::Crash,
+        QuotaFault::Kind::Crash,   QuotaFault::Kind::AllNodes,      QuotaFault::Kind::Clock,
+        QuotaFault::Kind::Late,    QuotaFault::Kind::Loss,          QuotaFault::Kind::Doubled};
     std::size_t processes = 3 + day.sites * (3 + day.nodes);
     for (std::size_t i = 0; i < count; ++i) {
         QuotaFault f;
@@ -644,9 +692,14 @@
         f.length = std::min(f.length, day.length * 0.75 - f.at);
         f.which = std::size_t(uniform() * double(processes));
         // Half of those that hit one process hit a lender's owner.
-        if (uniform() < 0.5) f.which = (f.which % (day.sites + 1) == 0 ? 0 : 3 + (f.which % (day.sites + 1) - 1) * (3 + day.nodes)) + 1 + f.which % 2;
+        if (uniform() < 0.5)
+            f.which =
+                (f.which % (day.sites + 1) == 0 ? 0 : 3 + (f.which % (day.sites + 1) - 1) * (3 + day.nodes)) +
+                1 + f.which % 2;
         if (f.kind == QuotaFault::Kind::AllNodes) f.length = Duration{50 + 500 * uniform()};
-        f.much = f.kind == QuotaFault::Kind::Late ? 50 + 1500 * uniform() : f.kind == QuotaFault::Kind::Clock ? uniform() : 0.3 * uniform();
+        f.much = f.kind == QuotaFault::Kind::Late    ? 50 + 1500 * uniform()
+                 : f.kind == QuotaFault::Kind::Clock ? uniform()
+                                                     : 0.3 * uniform();
         faults.push_back(f);
     }
     return faults;
--- a/lab/quota/world.h
+++ b/lab/quota/world.h
@@ -1,6 +1,6 @@
-// A federation in virtual time: keepers, lenders' owners and nodes as they ship, on links that are cut, late, lossy, with
-// processes that crash and stop and clocks that are wrong. Clients ask at the nodes; what was let in is recorded in the
-// world's time, which none of them sees.
+// A federation in virtual time: keepers, lenders' owners and nodes as they ship, on links that are cut, late,
+// lossy, with processes that crash and stop and clocks that are wrong. Clients ask at the nodes; what was let
+// in is recorded in the world's time, which none of them sees.
 #pragma once
 
 #include <functional>
@@ -17,29 +17,43 @@
 
 namespace ochrehub::lab {
 
-/// What errs on purpose, each at one place outside of what ships; a judge that sees none of it is worth nothing.
+/// What errs on purpose, each at one place outside of what ships; a judge that sees none of it is worth
+/// nothing.
 enum class Saboteur {
     None,
-    ChargesLater,         ///< lets a request in by a look at the balance, and charges it 50 ms behind
-    CountsFromAnswer,     ///< a node's lease is counted from when its answer came
+    ChargesLater,      ///< lets a request in by a look at the balance, and charges it 50 ms behind
+    CountsFromAnswer,  ///< a node's lease is counted from when its answer came
     GivesBackTwice,
-    GivesBackTold,        ///< gives back, as fresh, a charge that was told as spent long ago
-    ForgetsAtRestart,     ///< a next owner begins as if nothing had ever been lent, with a full bucket
-    ReturnsAndKeeps,      ///< a node says returned, and spends it on
+    GivesBackTold,     ///< gives back, as fresh, a charge that was told as spent long ago
+    ForgetsAtRestart,  ///< a next owner begins as if nothing had ever been lent, with a full bucket
+    ReturnsAndKeeps,   ///< a node says returned, and spends it on
     TellsSpentTwice,
-    IgnoresEpochs,        ///< a stopped owner goes on by an old clock, and the keepers take its records
-    LendsFloorsTwice,     ///< the federation lends what sites mint
-    StaleClock,           ///< a node that was stopped works off what waits by the time of before
-    AddsAnswersTwice,     ///< an answer that comes twice is granted twice
-    GiftsTwice,           ///< what a site gives to the federation is counted twice
-    ShrinksAtOnce,        ///< a smaller budget is said to be in force while more is lent
-    MintsPastCap,         ///< the root counts nothing that is lent against the burst
+    IgnoresEpochs,     ///< a stopped owner goes on by an old clock, and the keepers take its records
+    LendsFloorsTwice,  ///< the federation lends what sites mint
+    StaleClock,        ///< a node that was stopped works off what waits by the time of before
+    AddsAnswersTwice,  ///< an answer that comes twice is granted twice
+    GiftsTwice,        ///< what a site gives to the federation is counted twice
+    ShrinksAtOnce,     ///< a smaller budget is said to be in force while more is lent
+    MintsPastCap,      ///< the root counts nothing that is lent against the burst
 };
 std::string_view name(Saboteur saboteur);
 
 struct QuotaFault {
     enum class Kind {
-        CutSite, CutSiteOneWay, CutNode, CutLink, Pause, Crash, AllNodes, Clock, Late, LateAnswers, Loss, Doubled, LoseSite, Budgets
+        CutSite,
+        CutSiteOneWay,
+        CutNode,
+        CutLink,
+        Pause,
+        Crash,
+        AllNodes,
+        Clock,
+        Late,
+        LateAnswers,
+        Loss,
+        Doubled,
+        LoseSite,
+        Budgets
     };
     Kind kind{};
     Duration at{}, length{};
@@ -52,14 +66,14 @@
     Duration length{20'000};
     std::vector<quota::Budget> budgets;
     quota::Timing timing;
-    Duration session{1000};     ///< of lenders' owners with their keepers
+    Duration session{1000};  ///< of lenders' owners with their keepers
     /// Amounts a second that clients ask for: by partner, site and time.
     std::function<double(std::size_t partner, std::size_t site, Duration at)> demand;
-    double skew = 1;            ///< of nodes within a site: the n-th is asked 1/n^skew as much
-    double never_ran = 0.02;    ///< part of the requests that are given back within 150 ms
-    Duration site_delay{20};    ///< more than within a site, at most
+    double skew = 1;          ///< of nodes within a site: the n-th is asked 1/n^skew as much
+    double never_ran = 0.02;  ///< part of the requests that are given back within 150 ms
+    Duration site_delay{20};  ///< more than within a site, at most
     double loss = 0, doubled = 0;
-    bool clocks = false;        ///< each process's clock is drawn from 0.99 to 1.01
+    bool clocks = false;  ///< each process's clock is drawn from 0.99 to 1.01
     std::vector<QuotaFault> faults;
     std::vector<quota::Budget> later;  ///< of Kind::Budgets
     std::optional<std::size_t> liar;   ///< a site whose owner says that it needs everything
@@ -77,8 +91,9 @@
 
 struct QuotaOutcome {
     std::vector<LetIn> let_in;  ///< in the world's order
-    std::uint64_t asked = 0, refused = 0, given_back = 0, forfeited = 0, messages = 0, happened = 0, records = 0;
-    std::vector<double> asked_for;  ///< by partner, millionths
+    std::uint64_t asked = 0, refused = 0, given_back = 0, forfeited = 0, messages = 0, happened = 0,
+                  records = 0;
+    std::vector<double> asked_for;     ///< by partner, millionths
     std::optional<Duration> in_force;  ///< when the owners of all lenders first said that `later` is
     std::vector<Duration> backs;       ///< what refused clients were told
 };
@@ -87,8 +102,8 @@
 /// Faults of every kind, drawn; none after three quarters of the day.
 std::vector<QuotaFault> draw_faults(std::uint64_t seed, const QuotaDay& day, std::size_t count);
 /// A budget of common size: hard, with floors for each site.
-quota::Budget plain_budget(std::string partner, std::int64_t rate, std::int64_t burst, std::size_t sites, std::int64_t floor,
-                           std::int64_t floor_burst);
+quota::Budget plain_budget(std::string partner, std::int64_t rate, std::int64_t burst, std::size_t sites,
+                           std::int64_t floor, std::int64_t floor_burst);
 std::string site_name(std::size_t site);
 
 }  // namespace ochrehub::lab
--- a/lab/raft/chaos.cpp
+++ b/lab/raft/chaos.cpp
@@ -12,7 +12,11 @@
 class Chaos {
 public:
     Chaos(RaftWorld& world, std::size_t keepers, std::size_t spares, bool disks_lost)
-        : w_(world), keepers_(keepers), next_spare_(KeeperId(keepers + 1)), spares_(spares), disks_lost_(disks_lost) {}
+        : w_(world),
+          keepers_(keepers),
+          next_spare_(KeeperId(keepers + 1)),
+          spares_(spares),
+          disks_lost_(disks_lost) {}
 
     void one() {
         KeeperId id = any();
@@ -129,7 +133,8 @@
     set.kept = settings.seed % 5 == 0 ? 2048 : 0;
     set.in_order = settings.seed % 4 == 1;
     set.sabotage = settings.sabotage;
-    // A storm: messages take about as long as patience lasts, so that elections run into each other; entries go one by one.
+    // A storm: messages take about as long as patience lasts, so that elections run into each other; entries
+    // go one by one.
     bool storm = settings.seed % 4 == 3;
     double pace = storm ? 0.08 : 1;
     if (storm) {
--- a/lab/raft/disk.h
+++ b/lab/raft/disk.h
@@ -35,9 +35,11 @@
     void lose(std::uint64_t from) {
         open_.clear();
         there_.vote = {};
-        if (there_.snapshot && from <= there_.snapshot->index) there_.snapshot.reset(), there_.entries.clear(), there_.first = 1;
+        if (there_.snapshot && from <= there_.snapshot->index)
+            there_.snapshot.reset(), there_.entries.clear(), there_.first = 1;
         if (from < there_.first) from = there_.first;
-        if (from - there_.first < there_.entries.size()) there_.entries.resize(std::size_t(from - there_.first));
+        if (from - there_.first < there_.entries.size())
+            there_.entries.resize(std::size_t(from - there_.first));
         there_.trusted = false;
     }
 
@@ -47,7 +49,8 @@
     std::uint64_t covered() const { return there_.snapshot ? there_.snapshot->index : 0; }
     bool has(std::uint64_t index, std::uint64_t term) const {
         if (index <= covered()) return true;
-        return index >= there_.first && index <= last() && there_.entries[std::size_t(index - there_.first)].term == term;
+        return index >= there_.first && index <= last() &&
+               there_.entries[std::size_t(index - there_.first)].term == term;
     }
 
 private:
@@ -77,7 +80,8 @@
         if (index >= last())
             there_.entries.clear();
         else if (index >= there_.first)
-            there_.entries.erase(there_.entries.begin(), there_.entries.begin() + std::ptrdiff_t(index - there_.first + 1));
+            there_.entries.erase(there_.entries.begin(),
+                                 there_.entries.begin() + std::ptrdiff_t(index - there_.first + 1));
         there_.first = index + 1;
         there_.snapshot = std::move(snapshot);
     }
--- a/lab/raft/explore.cpp
+++ b/lab/raft/explore.cpp
@@ -10,7 +10,8 @@
 using namespace raft;
 using raft::Action, raft::Actions, raft::Event, raft::Settings, raft::WakeAt, raft::Woken;
 
-RaftStage::RaftStage(std::size_t keepers, const Sabotage* sabotage, std::size_t window) : sabotage_(sabotage), window_(window) {
+RaftStage::RaftStage(std::size_t keepers, const Sabotage* sabotage, std::size_t window)
+    : sabotage_(sabotage), window_(window) {
     Members first;
     for (KeeperId id = 1; id <= keepers; ++id) first.push_back({id, true, {}});
     judge_.members(first);
@@ -51,7 +52,8 @@
     for (Action& action : actions) {
         if (auto* send = std::get_if<Send>(&action)) {
             if (send->to == 0 || send->to > sides_.size()) continue;
-            if (sabotage_ && sabotage_->sends && !sabotage_->sends(*this, id, send->to, send->message)) continue;
+            if (sabotage_ && sabotage_->sends && !sabotage_->sends(*this, id, send->to, send->message))
+                continue;
             Flying f{id, send->to, encode(send->message)};
             flying_.insert(std::upper_bound(flying_.begin(), flying_.end(), f), f);
         } else if (auto* write = std::get_if<Write>(&action)) {
@@ -165,7 +167,9 @@
             for (KeeperId other : among)
                 if (writing(other)) sync(other), any = true;
             for (std::size_t m = 0; m < flying_.size() && !any; ++m)
-                if (std::count(among.begin(), among.end(), flying_[m].from) && std::count(among.begin(), among.end(), flying_[m].to)) take(m), any = true;
+                if (std::count(among.begin(), among.end(), flying_[m].from) &&
+                    std::count(among.begin(), among.end(), flying_[m].to))
+                    take(m), any = true;
         }
     }
     lose_all();
@@ -246,7 +250,8 @@
     }
 
 private:
-    void go(const RaftStage& stage, int depth, int crashes, int wakes, int doubled, int proposals, int reads) {
+    void go(const RaftStage& stage, int depth, int crashes, int wakes, int doubled, int proposals,
+            int reads) {
         if (!stage.judge().broken().empty()) {
             if (result_.broken.size() < 4) {
                 std::string what = stage.judge().broken().front() + " after";
@@ -256,13 +261,16 @@
             return;
         }
         if (result_.broken.size() >= 4) return;
-        std::uint64_t here = stage.digest() ^ std::uint64_t(crashes * 10007 + wakes * 101 + doubled * 11 + proposals * 3 + reads) * 0xff51afd7ed558ccdu;
+        std::uint64_t here = stage.digest() ^ std::uint64_t(crashes * 10007 + wakes * 101 + doubled * 11 +
+                                                            proposals * 3 + reads) *
+                                                  0xff51afd7ed558ccdu;
         auto [seen, first] = seen_.try_emplace(here, -1);
         if (first) ++result_.states;
         if (seen->second >= depth) return;
         seen->second = depth;
         if (depth == 0) return;
-        auto next = [&](std::string step, int c, int w, int d, int p, int r, const std::function<void(RaftStage&)>& happens) {
+        auto next = [&](std::string step, int c, int w, int d, int p, int r,
+                        const std::function<void(RaftStage&)>& happens) {
             RaftStage after = stage;
             happens(after);
             ++result_.steps;
@@ -273,21 +281,35 @@
         for (std::size_t i = 0; i < stage.flying().size(); ++i) {
             const RaftStage::Flying& f = stage.flying()[i];
             if (i > 0 && f == stage.flying()[i - 1]) continue;
-            std::string step = std::to_string(f.from) + " to " + std::to_string(f.to) + " (" + std::to_string(decode(f.octets)->index()) + ")";
+            std::string step = std::to_string(f.from) + " to " + std::to_string(f.to) + " (" +
+                               std::to_string(decode(f.octets)->index()) + ")";
             next(step, crashes, wakes, doubled, proposals, reads, [&](RaftStage& s) { s.take(i); });
-            if (doubled > 0) next(step + " again", crashes, wakes, doubled - 1, proposals, reads, [&](RaftStage& s) { s.take(i, true); });
+            if (doubled > 0)
+                next(step + " again", crashes, wakes, doubled - 1, proposals, reads,
+                     [&](RaftStage& s) { s.take(i, true); });
         }
         for (KeeperId id = 1; id <= stage.size(); ++id) {
             std::string who = std::to_string(id);
-            if (stage.writing(id)) next(who + " has written", crashes, wakes, doubled, proposals, reads, [&](RaftStage& s) { s.sync(id); });
-            if (wakes > 0) next(who + " wakes", crashes, wakes - 1, doubled, proposals, reads, [&](RaftStage& s) { s.wake(id); });
+            if (stage.writing(id))
+                next(who + " has written", crashes, wakes, doubled, proposals, reads,
+                     [&](RaftStage& s) { s.sync(id); });
+            if (wakes > 0)
+                next(who + " wakes", crashes, wakes - 1, doubled, proposals, reads,
+                     [&](RaftStage& s) { s.wake(id); });
             if (crashes > 0) {
-                next(who + " crashes", crashes - 1, wakes, doubled, proposals, reads, [&](RaftStage& s) { s.crash(id, false); });
-                if (stage.writing(id)) next(who + " crashes and keeps", crashes - 1, wakes, doubled, proposals, reads, [&](RaftStage& s) { s.crash(id, true); });
+                next(who + " crashes", crashes - 1, wakes, doubled, proposals, reads,
+                     [&](RaftStage& s) { s.crash(id, false); });
+                if (stage.writing(id))
+                    next(who + " crashes and keeps", crashes - 1, wakes, doubled, proposals, reads,
+                         [&](RaftStage& s) { s.crash(id, true); });
             }
             if (stage.core(id).role() != Role::Leader) continue;
-            if (proposals > 0) next(who + " is asked", crashes, wakes, doubled, proposals - 1, reads, [&](RaftStage& s) { s.propose(id, "b"); });
-            if (reads > 0) next(who + " is read", crashes, wakes, doubled, proposals, reads - 1, [&](RaftStage& s) { s.read(id); });
+            if (proposals > 0)
+                next(who + " is asked", crashes, wakes, doubled, proposals - 1, reads,
+                     [&](RaftStage& s) { s.propose(id, "b"); });
+            if (reads > 0)
+                next(who + " is read", crashes, wakes, doubled, proposals, reads - 1,
+                     [&](RaftStage& s) { s.read(id); });
         }
     }
 
--- a/lab/raft/explore.h
+++ b/lab/raft/explore.h
@@ -1,5 +1,6 @@
-// Keepers whose every step is chosen: for scenes by hand, and for all that can happen to three of them, to a depth. No draw is
-// made. A clock moves only where its keeper is woken, so that any keeper may be late or early beside the others.
+// Keepers whose every step is chosen: for scenes by hand, and for all that can happen to three of them, to a
+// depth. No draw is made. A clock moves only where its keeper is woken, so that any keeper may be late or
+// early beside the others.
 #pragma once
 
 #include <algorithm>
@@ -29,10 +30,10 @@
 
     // What may happen. Each is judged.
     void wake(raft::KeeperId id);
-    void sync(raft::KeeperId id);              ///< all that it was given to write is on its disk, and it is told
+    void sync(raft::KeeperId id);  ///< all that it was given to write is on its disk, and it is told
     void take(std::size_t flying, bool again = false);  ///< arrives; `again`: and stays under way
-    void crash(raft::KeeperId id, bool keeps); ///< with what is not synced, or without, and starts again
-    void lose_disk(raft::KeeperId id);         ///< all that it held, which is noticed as it starts again
+    void crash(raft::KeeperId id, bool keeps);  ///< with what is not synced, or without, and starts again
+    void lose_disk(raft::KeeperId id);          ///< all that it held, which is noticed as it starts again
     void propose(raft::KeeperId id, std::string data);
     void read(raft::KeeperId id);
     void change(raft::KeeperId id, raft::KeeperId member, bool add);
@@ -43,19 +44,24 @@
     /// Whatever is under way from or to it is lost.
     void lose(raft::KeeperId id);
     void lose_all() { flying_.clear(); }
-    void under_way(const Flying& f) { flying_.insert(std::upper_bound(flying_.begin(), flying_.end(), f), f); }
+    void under_way(const Flying& f) {
+        flying_.insert(std::upper_bound(flying_.begin(), flying_.end(), f), f);
+    }
     /// `id` is woken until it leads, with the votes of `among`; all else that is sent meanwhile is lost.
     bool elect(raft::KeeperId id, const std::vector<raft::KeeperId>& among);
     bool arrive(raft::KeeperId from, raft::KeeperId to);  ///< the first that is under way so
 
     const raft::Raft& core(raft::KeeperId id) const override { return sides_[id - 1].core; }
     std::size_t draw(std::size_t) override { return 0; }
-    void deliver(raft::KeeperId to, raft::KeeperId from, const raft::Message& message) override { happen(to, raft::Received{from, message}); }
+    void deliver(raft::KeeperId to, raft::KeeperId from, const raft::Message& message) override {
+        happen(to, raft::Received{from, message});
+    }
     std::size_t size() const { return sides_.size(); }
     const std::vector<Flying>& flying() const { return flying_; }
     bool writing(raft::KeeperId id) const { return sides_[id - 1].write != 0; }
     const Judge& judge() const { return judge_; }
-    /// Two that have it have the same cores, disks and messages: it is of what happened to each keeper, in its order.
+    /// Two that have it have the same cores, disks and messages: it is of what happened to each keeper, in
+    /// its order.
     std::uint64_t digest() const;
 
 private:
@@ -94,12 +100,13 @@
     const Sabotage* sabotage = nullptr;
 };
 struct RaftExplored {
-    std::uint64_t steps = 0;   ///< taken, each from a state of its own
-    std::uint64_t states = 0;  ///< that differ
+    std::uint64_t steps = 0;          ///< taken, each from a state of its own
+    std::uint64_t states = 0;         ///< that differ
     std::vector<std::string> broken;  ///< the first few: what, and by which steps
 };
-/// All orders of: a message arrives (a lost one never does), or arrives and will once more; a disk has written; a keeper is
-/// woken; one crashes with or without what was not synced and starts; a proposal or a read at whoever leads.
+/// All orders of: a message arrives (a lost one never does), or arrives and will once more; a disk has
+/// written; a keeper is woken; one crashes with or without what was not synced and starts; a proposal or a
+/// read at whoever leads.
 RaftExplored explore_raft(const RaftExploration& exploration);
 std::string name(RaftExploration::From from);
 
--- a/lab/raft/history.cpp
+++ b/lab/raft/history.cpp
@@ -7,7 +7,8 @@
 
 namespace ochrehub::lab {
 
-std::string apply_call(Call::Kind kind, const std::string& value, const std::string& expected, std::string& stands) {
+std::string apply_call(Call::Kind kind, const std::string& value, const std::string& expected,
+                       std::string& stands) {
     switch (kind) {
         case Call::Kind::Read:
             return stands;
--- a/lab/raft/history.h
+++ b/lab/raft/history.h
@@ -1,7 +1,8 @@
-// Is a history of calls on a register linearizable? The search of Wing and Gong ("Testing and verifying concurrent objects",
-// 1993): take any call that was open before the first answer among those that are left, apply it, go on; back where its answer
-// differs. With Lowe's memory of what was tried ("Testing for linearizability", 2017): the same calls taken and the same
-// state are not searched twice. A key at a time, which is the same thing (locality, Herlihy and Wing 1990).
+// Is a history of calls on a register linearizable? The search of Wing and Gong ("Testing and verifying
+// concurrent objects", 1993): take any call that was open before the first answer among those that are left,
+// apply it, go on; back where its answer differs. With Lowe's memory of what was tried ("Testing for
+// linearizability", 2017): the same calls taken and the same state are not searched twice. A key at a time,
+// which is the same thing (locality, Herlihy and Wing 1990).
 //
 // A call without an answer may have happened at any time after it began, or never.
 #pragma once
@@ -36,6 +37,7 @@
 HistoryResult judge_history(const std::vector<Call>& calls);
 
 /// What a call does to what stands, and its answer.
-std::string apply_call(Call::Kind kind, const std::string& value, const std::string& expected, std::string& stands);
+std::string apply_call(Call::Kind kind, const std::string& value, const std::string& expected,
+                       std::string& stands);
 
 }  // namespace ochrehub::lab
