--- a/lab/tests/fleet_test.cpp
+++ b/lab/tests/fleet_test.cpp
@@ -1,4 +1,5 @@
-// The rig's parts: scenarios, the judge by events made by hand, saboteurs in virtual time, shrinking, the result's form.
+// The rig's parts: scenarios, the judge by events made by hand, saboteurs in virtual time, shrinking, the
+// result's form.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -40,12 +41,16 @@
 
 TEST(FleetScenario, EachFaultOfAFileIsNamedWithItsLineAndKey) {
     EXPECT_EQ(fault_of("members = 4\n"), "");
-    EXPECT_NE(fault_of("members = 1\n").find("s.toml:1:1: members:"), std::string::npos) << fault_of("members = 1\n");
+    EXPECT_NE(fault_of("members = 1\n").find("s.toml:1:1: members:"), std::string::npos)
+        << fault_of("members = 1\n");
     EXPECT_NE(fault_of("[[fault]]\nkind = \"bite\"\n").find("s.toml:2:1: fault[0].kind:"), std::string::npos);
-    EXPECT_NE(fault_of("[[fault]]\nkind = \"cut\"\nwho = \"7\"\n").find("s.toml:3:1: fault[0].who: names no members"), std::string::npos);
+    EXPECT_NE(fault_of("[[fault]]\nkind = \"cut\"\nwho = \"7\"\n")
+                  .find("s.toml:3:1: fault[0].who: names no members"),
+              std::string::npos);
     EXPECT_NE(fault_of("[[fault]]\nkind = \"cut\"\nto = \"s0\"\n").find("fault[0].to:"), std::string::npos);
     EXPECT_EQ(fault_of("servers = 1\n[[fault]]\nkind = \"stall\"\nto = \"s0\"\n"), "");
-    EXPECT_NE(fault_of("[[fault]]\nkind = \"pause\"\n").find("fault[0].for_s: is missing"), std::string::npos);
+    EXPECT_NE(fault_of("[[fault]]\nkind = \"pause\"\n").find("fault[0].for_s: is missing"),
+              std::string::npos);
     EXPECT_NE(fault_of("[[fault]]\nknid = \"cut\"\n").find("knid"), std::string::npos);
     EXPECT_NE(fault_of("may_die = \"perhaps\"\n").find("may_die:"), std::string::npos);
     EXPECT_NE(fault_of("[draw]\nfaults = 3\n").find("draw.kinds: is missing"), std::string::npos);
@@ -55,7 +60,8 @@
 
 TEST(FleetScenario, TheSameSeedDrawsTheSameDayAndAnotherAnother) {
     Folder folder;
-    Scenario all = Scenario::read(folder.file("members = 9\n[draw]\nfaults = 12\nkinds = [\"cut\", \"loss\", \"pause\", \"kill\"]\n"));
+    Scenario all = Scenario::read(
+        folder.file("members = 9\n[draw]\nfaults = 12\nkinds = [\"cut\", \"loss\", \"pause\", \"kill\"]\n"));
     auto text = [&](std::uint64_t seed) {
         std::string out;
         for (const Fault& fault : all.draw(seed).faults) out += fault.text() + "\n";
@@ -89,7 +95,9 @@
         for (int i = 0; i < 3; ++i) add(-0.5, What::Shares, i, -1, 3);
         add(0, What::Begins);
     }
-    void add(double at, What what, int who = -1, int about = -1, int value = 0) { events.push_back({at, what, who, about, value}); }
+    void add(double at, What what, int who = -1, int about = -1, int value = 0) {
+        events.push_back({at, what, who, about, value});
+    }
     void sees(double at, int of, int about, Seen seen) { add(at, What::Sees, of, about, int(seen)); }
     Fault& fault(FaultKind kind, double at, double length, std::vector<int> who, std::vector<int> to = {}) {
         Fault one;
@@ -125,7 +133,8 @@
     EXPECT_EQ(broken(), "");
     add(2, What::Claims, 2, 1);
     EXPECT_NE(broken().find("nobody who lives is taken for dead"), std::string::npos);
-    EXPECT_NE(judge(day, events).broken[0].proof.back().find("a datagram of 2 says that 1 is dead"), std::string::npos);
+    EXPECT_NE(judge(day, events).broken[0].proof.back().find("a datagram of 2 says that 1 is dead"),
+              std::string::npos);
     day.may_die[1] = true;
     EXPECT_EQ(broken(), "");
     sees(3, 2, 0, Seen::Dead);
@@ -228,7 +237,9 @@
 }
 void drop_word_on(membership::Place who, membership::Datagram& datagram) {
     auto& updates = datagram.updates;
-    updates.erase(std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }), updates.end());
+    updates.erase(
+        std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }),
+        updates.end());
 }
 bool has(const std::string& text, const char* part) {
     return text.find(part) != std::string::npos;
@@ -240,47 +251,59 @@
 }
 TEST(FleetSaboteurs, SuspectsThatAreDeadAtOnce) {
     EXPECT_TRUE(has(broken_by("trouble", with([](membership::Settings& set) {
-        set.suspicion = 1;
-        set.lifeguard = set.last_call = false;
-    })), "nobody who lives is taken for dead"));
+                                  set.suspicion = 1;
+                                  set.lifeguard = set.last_call = false;
+                              })),
+                    "nobody who lives is taken for dead"));
 }
 TEST(FleetSaboteurs, SuspectsThatNeverDie) {
-    EXPECT_TRUE(has(broken_by("kill", with([](membership::Settings& set) { set.suspicion = 60; })), "dead to all others within 8.0 s"));
+    EXPECT_TRUE(has(broken_by("kill", with([](membership::Settings& set) { set.suspicion = 60; })),
+                    "dead to all others within 8.0 s"));
 }
 TEST(FleetSaboteurs, OneThatNeverFindsItselfIsolated) {
-    EXPECT_TRUE(has(broken_by("unheard", with([](membership::Settings& set) { set.isolated_after = Duration{3'600'000}; })), "says so"));
+    EXPECT_TRUE(has(broken_by("unheard", with([](membership::Settings& set) {
+                                  set.isolated_after = Duration{3'600'000};
+                              })),
+                    "says so"));
 }
 TEST(FleetSaboteurs, GoodbyesThatAreNotSaid) {
     EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t, membership::Send& send) {
-        send.datagram.from.state = State::Alive;
-        drop_word_on(send.datagram.from.who, send.datagram);
-        return true;
-    })), "one that leaves"));
+                                  send.datagram.from.state = State::Alive;
+                                  drop_word_on(send.datagram.from.who, send.datagram);
+                                  return true;
+                              })),
+                    "one that leaves"));
 }
 TEST(FleetSaboteurs, WordOnWhoeverItIsSentToIsLeftOut) {
     EXPECT_TRUE(has(broken_by("pause", meddling([](std::size_t, membership::Send& send) {
-        drop_word_on(send.to, send.datagram);
-        return true;
-    })), "behind a pause"));
+                                  drop_word_on(send.to, send.datagram);
+                                  return true;
+                              })),
+                    "behind a pause"));
 }
 TEST(FleetSaboteurs, NobodyAsksTheDead) {
     EXPECT_TRUE(has(broken_by("halves", meddling([](std::size_t, membership::Send& send) {
-        if (send.datagram.kind == Kind::Fetch) return false;
-        for (const auto& update : send.datagram.updates)
-            if (send.datagram.kind == Kind::Ping && update.who == send.to && update.state == State::Dead) return false;
-        return true;
-    })), "behind the last fault all is right"));
+                                  if (send.datagram.kind == Kind::Fetch) return false;
+                                  for (const auto& update : send.datagram.updates)
+                                      if (send.datagram.kind == Kind::Ping && update.who == send.to &&
+                                          update.state == State::Dead)
+                                          return false;
+                                  return true;
+                              })),
+                    "behind the last fault all is right"));
 }
 TEST(FleetSaboteurs, ALiarWhoDeclaresOthersDead) {
     EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t from, membership::Send& send) {
-        if (from != 0) return true;
-        membership::Update update;
-        update.who = send.to;
-        update.incarnation = 5;
-        update.state = State::Dead;
-        if (send.datagram.updates.size() < membership::kMostUpdates) send.datagram.updates.push_back(update);
-        return true;
-    })), "nobody who lives is taken for dead"));
+                                  if (from != 0) return true;
+                                  membership::Update update;
+                                  update.who = send.to;
+                                  update.incarnation = 5;
+                                  update.state = State::Dead;
+                                  if (send.datagram.updates.size() < membership::kMostUpdates)
+                                      send.datagram.updates.push_back(update);
+                                  return true;
+                              })),
+                    "nobody who lives is taken for dead"));
 }
 
 // ---- Hard cases, as they ship: nothing of it is drawn but by the seed
@@ -291,51 +314,73 @@
     std::string out;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Day day = all.draw(seed);
-        for (const Broken& one : judge(day, run_virtual(day, options)).broken) out += std::to_string(seed) + ": " + one.promise + "\n";
+        for (const Broken& one : judge(day, run_virtual(day, options)).broken)
+            out += std::to_string(seed) + ": " + one.promise + "\n";
     }
     return out;
 }
 
 TEST(FleetHardCases, ALinkThatFlaps) {
-    EXPECT_EQ(broken_on("members = 8\nlength_s = 90\n[[fault]]\nkind = \"cut\"\nwho = \"0\"\nto = \"1\"\nboth = true\nfor_s = 1\ntimes = 30\n"
-                        "every_s = 2\n[expect]\nhealed_s = 5\n"), "");
+    EXPECT_EQ(broken_on("members = 8\nlength_s = 90\n[[fault]]\nkind = \"cut\"\nwho = \"0\"\nto = "
+                        "\"1\"\nboth = true\nfor_s = 1\ntimes = 30\n"
+                        "every_s = 2\n[expect]\nhealed_s = 5\n"),
+              "");
 }
 TEST(FleetHardCases, AllLinksOfOneThatFlap) {
-    EXPECT_EQ(broken_on("members = 8\nlength_s = 90\nmay_die = \"0\"\n[[fault]]\nkind = \"cut\"\nwho = \"0\"\nboth = true\nfor_s = 1\ntimes = 30\n"
-                        "every_s = 2\n[expect]\nhealed_s = 10\n"), "");
+    EXPECT_EQ(broken_on("members = 8\nlength_s = 90\nmay_die = \"0\"\n[[fault]]\nkind = \"cut\"\nwho = "
+                        "\"0\"\nboth = true\nfor_s = 1\ntimes = 30\n"
+                        "every_s = 2\n[expect]\nhealed_s = 10\n"),
+              "");
 }
 TEST(FleetHardCases, TwoZonesThatSeeEachOtherThroughAThirdOnly) {
-    EXPECT_EQ(broken_on("members = 9\nlength_s = 150\n[[fault]]\nkind = \"cut\"\nwho = \"0-2\"\nto = \"3-5\"\nboth = true\nfor_s = 120\n"
-                        "[expect]\nhealed_s = 10\n"), "");
+    EXPECT_EQ(broken_on("members = 9\nlength_s = 150\n[[fault]]\nkind = \"cut\"\nwho = \"0-2\"\nto = "
+                        "\"3-5\"\nboth = true\nfor_s = 120\n"
+                        "[expect]\nhealed_s = 10\n"),
+              "");
 }
 TEST(FleetHardCases, AMachineThatSlept) {
-    EXPECT_EQ(broken_on("members = 8\nlength_s = 120\n[[fault]]\nkind = \"pause\"\nwho = \"all\"\nfor_s = 60\n[expect]\nhealed_s = 5\n"), "");
+    EXPECT_EQ(broken_on("members = 8\nlength_s = 120\n[[fault]]\nkind = \"pause\"\nwho = \"all\"\nfor_s = "
+                        "60\n[expect]\nhealed_s = 5\n"),
+              "");
 }
 TEST(FleetHardCases, OneThatIsPausedForHalfAMinute) {
-    EXPECT_EQ(broken_on("members = 8\nlength_s = 60\nmay_die = \"touched\"\n[[fault]]\nkind = \"pause\"\nfor_s = 30\n[expect]\nundone_s = 2\n"
-                        "healed_s = 5\n"), "");
+    EXPECT_EQ(broken_on("members = 8\nlength_s = 60\nmay_die = \"touched\"\n[[fault]]\nkind = "
+                        "\"pause\"\nfor_s = 30\n[expect]\nundone_s = 2\n"
+                        "healed_s = 5\n"),
+              "");
 }
 TEST(FleetHardCases, ACutOfTenMinutes) {
-    EXPECT_EQ(broken_on("members = 10\nlength_s = 700\nmay_die = \"all\"\n[[fault]]\nkind = \"cut\"\nwho = \"half\"\nboth = true\nfor_s = 600\n"
-                        "[expect]\nhealed_s = 15\n"), "");
+    EXPECT_EQ(broken_on("members = 10\nlength_s = 700\nmay_die = \"all\"\n[[fault]]\nkind = \"cut\"\nwho = "
+                        "\"half\"\nboth = true\nfor_s = 600\n"
+                        "[expect]\nhealed_s = 15\n"),
+              "");
 }
 TEST(FleetHardCases, OldDatagramsThatArePlayedAgainBehindARestart) {
-    EXPECT_EQ(broken_on("members = 6\nlength_s = 60\n[[fault]]\nkind = \"kill\"\nwho = \"2\"\nback_s = 9\nat_s = 1\n[[fault]]\nkind = \"replay\"\n"
-                        "at_s = 9.9\ntimes = 10\nevery_s = 0.5\n[expect]\nhealed_s = 15\n"), "");
+    EXPECT_EQ(broken_on("members = 6\nlength_s = 60\n[[fault]]\nkind = \"kill\"\nwho = \"2\"\nback_s = "
+                        "9\nat_s = 1\n[[fault]]\nkind = \"replay\"\n"
+                        "at_s = 9.9\ntimes = 10\nevery_s = 0.5\n[expect]\nhealed_s = 15\n"),
+              "");
 }
 TEST(FleetHardCases, ARestartWithinAFifthOfASecond) {
-    EXPECT_EQ(broken_on("members = 6\nlength_s = 30\n[[fault]]\nkind = \"kill\"\nback_s = 0.15\nat_s = 1\ntimes = 5\nevery_s = 2\n[expect]\n"
-                        "healed_s = 10\n"), "");
+    EXPECT_EQ(broken_on("members = 6\nlength_s = 30\n[[fault]]\nkind = \"kill\"\nback_s = 0.15\nat_s = "
+                        "1\ntimes = 5\nevery_s = 2\n[expect]\n"
+                        "healed_s = 10\n"),
+              "");
 }
 TEST(FleetHardCases, FaultsOfEachKindAtOnce) {
-    EXPECT_EQ(broken_on("members = 12\nlength_s = 120\nmay_die = \"all\"\n[draw]\nfaults = 25\nwithin_s = 60\nlongest_s = 10\nkinds = [\"cut\", \"loss\", "
-                        "\"late\", \"doubled\", \"reorder\", \"pause\", \"slow\", \"kill\", \"replay\", \"clock\"]\n[expect]\nhealed_s = 30\n", 20), "");
+    EXPECT_EQ(broken_on("members = 12\nlength_s = 120\nmay_die = \"all\"\n[draw]\nfaults = 25\nwithin_s = "
+                        "60\nlongest_s = 10\nkinds = [\"cut\", \"loss\", "
+                        "\"late\", \"doubled\", \"reorder\", \"pause\", \"slow\", \"kill\", \"replay\", "
+                        "\"clock\"]\n[expect]\nhealed_s = 30\n",
+                        20),
+              "");
 }
 // Whom it declares dead says otherwise as soon as it hears of it: the harm is a moment for each lie.
 TEST(FleetHardCases, ALiarsHarmEndsWithItsLies) {
     int lies = 0;
     VirtualOptions liar = meddling([&lies](std::size_t from, membership::Send& send) {
-        if (from != 0 || lies++ > 300 || send.datagram.updates.size() == membership::kMostUpdates) return true;
+        if (from != 0 || lies++ > 300 || send.datagram.updates.size() == membership::kMostUpdates)
+            return true;
         membership::Update update;
         update.who = {send.to.host ^ 1u, send.to.port};
         update.incarnation = std::uint32_t(lies);
@@ -343,15 +388,20 @@
         send.datagram.updates.push_back(update);
         return true;
     });
-    EXPECT_EQ(broken_on("members = 8\nlength_s = 200\nmay_die = \"all\"\n[[fault]]\nkind = \"loss\"\npart = 0\nwho = \"0\"\nfor_s = 150\n[expect]\n"
-                        "healed_s = 10\n", 1, liar), "");
+    EXPECT_EQ(broken_on("members = 8\nlength_s = 200\nmay_die = \"all\"\n[[fault]]\nkind = \"loss\"\npart = "
+                        "0\nwho = \"0\"\nfor_s = 150\n[expect]\n"
+                        "healed_s = 10\n",
+                        1, liar),
+              "");
     EXPECT_GT(lies, 300);
 }
 
 TEST(FleetProcesses, GoodbyesThatAreNotSaidAreMissedOnRealProcessesToo) {
     Folder folder;
-    Day day = Scenario::read(folder.file("members = 3\ninterval_ms = 200\nlength_s = 4\n[[fault]]\nkind = \"leave\"\nat_s = 0.1\nwho = \"2\"\n"
-                                         "[expect]\nleft_s = 2\n")).draw(1);
+    Day day = Scenario::read(folder.file("members = 3\ninterval_ms = 200\nlength_s = 4\n[[fault]]\nkind = "
+                                         "\"leave\"\nat_s = 0.1\nwho = \"2\"\n"
+                                         "[expect]\nleft_s = 2\n"))
+                  .draw(1);
     ProcessOptions options;
     options.program = OCHREHUB_NODE;
     for (const Broken& one : judge(day, run_processes(day, options)).broken) ADD_FAILURE() << one.promise;
@@ -369,8 +419,10 @@
 
 TEST(FleetShrink, LeavesWhatBreaksAlone) {
     Folder folder;
-    Day day = Scenario::read(folder.file("members = 6\nlength_s = 40\n[draw]\nfaults = 14\nlongest_s = 1\nkinds = [\"loss\", \"late\", \"pause\"]\n"
-                                         "[[fault]]\nkind = \"cut\"\nfor_s = 25\nwho = \"2\"\n")).draw(5);
+    Day day = Scenario::read(folder.file("members = 6\nlength_s = 40\n[draw]\nfaults = 14\nlongest_s = "
+                                         "1\nkinds = [\"loss\", \"late\", \"pause\"]\n"
+                                         "[[fault]]\nkind = \"cut\"\nfor_s = 25\nwho = \"2\"\n"))
+                  .draw(5);
     int runs = 0;
     auto breaks = [&](const Day& smaller) {
         ++runs;
@@ -410,8 +462,10 @@
 
 TEST(FleetVirtual, TheSameDayGivesTheSameEventsAndAClockThatRunsFastKillsNobody) {
     Folder folder;
-    Day day = Scenario::read(folder.file("members = 8\nlength_s = 40\n[[fault]]\nkind = \"clock\"\nfor_s = 30\nrate = 1.01\nms = 2000\n"
-                                         "[expect]\nhealed_s = 5\n")).draw(3);
+    Day day = Scenario::read(folder.file("members = 8\nlength_s = 40\n[[fault]]\nkind = \"clock\"\nfor_s = "
+                                         "30\nrate = 1.01\nms = 2000\n"
+                                         "[expect]\nhealed_s = 5\n"))
+                  .draw(3);
     std::vector<Event> first = run_virtual(day), second = run_virtual(day);
     ASSERT_EQ(first.size(), second.size());
     EXPECT_EQ(first.back().text(), second.back().text());
--- a/lab/tests/keepers_test.cpp
+++ b/lab/tests/keepers_test.cpp
@@ -1,7 +1,6 @@
-// Three real keepers, relays between them, and a process with a session: what is killed, stopped, cut and emptied. Events are
-// awaited; nothing is asserted on how long they took.
+// Three real keepers, relays between them, and a process with a session: what is killed, stopped, cut and
+// emptied. Events are awaited; nothing is asserted on how long they took.
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <atomic>
@@ -15,7 +14,8 @@
 namespace ochrehub::lab {
 namespace {
 
-/// A process with a session, that wants duties of ever new names: each grant bears the next epoch of one counter.
+/// A process with a session, that wants duties of ever new names: each grant bears the next epoch of one
+/// counter.
 struct Client {
     std::mutex mutex;
     std::condition_variable told;
@@ -29,7 +29,8 @@
     explicit Client(const std::vector<std::string>& keepers) : side(settings(keepers), Clock()) {
         side.listen([this](const keeper::SessionSide::Told& what) {
             std::lock_guard lock(mutex);
-            if (const auto* held = std::get_if<keeper::Held>(&what); held && held->session != first) first = held->session, ++sessions;
+            if (const auto* held = std::get_if<keeper::Held>(&what); held && held->session != first)
+                first = held->session, ++sessions;
             told.notify_all();
         });
         side.start();
@@ -70,7 +71,8 @@
 };
 
 struct Folder {
-    std::string path = (std::filesystem::temp_directory_path() / ("ochrehub_keepers_" + std::to_string(getpid()))).string();
+    std::string path =
+        (std::filesystem::temp_directory_path() / ("ochrehub_keepers_" + std::to_string(getpid()))).string();
     ~Folder() {
         if (!testing::Test::HasFailure()) std::filesystem::remove_all(path);
     }
@@ -142,7 +144,8 @@
     EXPECT_EQ(client.sessions, 1u) << "the session outlives it all";
     ASSERT_EQ(client.epochs.size(), client.asked);
     for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(rig.end(i), 0);
-    for (std::size_t i = 0; i < client.epochs.size(); ++i) ASSERT_EQ(client.epochs[i], i + 1) << "each command once, in order";
+    for (std::size_t i = 0; i < client.epochs.size(); ++i)
+        ASSERT_EQ(client.epochs[i], i + 1) << "each command once, in order";
 }
 
 }  // namespace
--- a/lab/tests/members_explored_test.cpp
+++ b/lab/tests/members_explored_test.cpp
@@ -1,5 +1,5 @@
-// Three members under every order of delivery, loss, wake-up and one crash, to a depth: as they ship no promise is broken, and
-// each seeded fault is found.
+// Three members under every order of delivery, loss, wake-up and one crash, to a depth: as they ship no
+// promise is broken, and each seeded fault is found.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,12 +36,14 @@
     for (const std::string& broken : found.broken) ADD_FAILURE() << broken;
 }
 INSTANTIATE_TEST_SUITE_P(All, Explored3,
-                         ::testing::Values(From::Start, From::Settled, From::Suspicion, From::Death, From::Cut));
+                         ::testing::Values(From::Start, From::Settled, From::Suspicion, From::Death,
+                                           From::Cut));
 
 void drop_word_on(membership::Place who, membership::Datagram& datagram) {
     auto& updates = datagram.updates;
-    updates.erase(std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }),
-                  updates.end());
+    updates.erase(
+        std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }),
+        updates.end());
 }
 
 std::uint64_t broken_by(From from, std::function<bool(Send&)> meddles) {
@@ -53,35 +55,46 @@
 }
 
 TEST(SeededFaults, AMemberThatIsNotToldOfItsDeathIsMissed) {
-    EXPECT_GT(broken_by(From::Cut, [](Send& send) {
-        drop_word_on(send.to, send.datagram);
-        return true;
-    }), 0u);
+    EXPECT_GT(broken_by(From::Cut,
+                        [](Send& send) {
+                            drop_word_on(send.to, send.datagram);
+                            return true;
+                        }),
+              0u);
 }
 
 TEST(SeededFaults, RefutationsThatForgetTheIncarnationAreMissed) {
-    EXPECT_GT(broken_by(From::Suspicion, [](Send& send) {
-        send.datagram.from.incarnation = 0;
-        drop_word_on(send.datagram.from.who, send.datagram);
-        return true;
-    }), 0u);
+    EXPECT_GT(broken_by(From::Suspicion,
+                        [](Send& send) {
+                            send.datagram.from.incarnation = 0;
+                            drop_word_on(send.datagram.from.who, send.datagram);
+                            return true;
+                        }),
+              0u);
 }
 
 TEST(SeededFaults, WithoutKnocksACutNeverHeals) {
     // Neither lists nor pings to those that are dead.
-    EXPECT_GT(broken_by(From::Cut, [](Send& send) {
-        if (send.datagram.kind == Kind::Fetch) return false;
-        for (const auto& update : send.datagram.updates)
-            if (send.datagram.kind == Kind::Ping && update.who == send.to && update.state == membership::State::Dead) return false;
-        return true;
-    }), 0u);
+    EXPECT_GT(broken_by(From::Cut,
+                        [](Send& send) {
+                            if (send.datagram.kind == Kind::Fetch) return false;
+                            for (const auto& update : send.datagram.updates)
+                                if (send.datagram.kind == Kind::Ping && update.who == send.to &&
+                                    update.state == membership::State::Dead)
+                                    return false;
+                            return true;
+                        }),
+              0u);
 }
 
 TEST(SeededFaults, AnAnswerThatDiesInAHelperBlamesNobodyForGood) {
     // A weakness that the protocol is to stand: helpers never pass an answer on.
-    EXPECT_EQ(broken_by(From::Settled, [](Send& send) {
-        return send.datagram.kind != Kind::Ack || send.datagram.about == send.datagram.from.who;
-    }), 0u);
+    EXPECT_EQ(broken_by(From::Settled,
+                        [](Send& send) {
+                            return send.datagram.kind != Kind::Ack ||
+                                   send.datagram.about == send.datagram.from.who;
+                        }),
+              0u);
 }
 
 }  // namespace
--- a/lab/tests/migration_processes_test.cpp
+++ b/lab/tests/migration_processes_test.cpp
@@ -1,9 +1,11 @@
-// Two releases as real processes, three real keepers: an upgrade with load, the owner of the migration killed in the middle, an old process that
-// was stopped before the switch and is let go behind it, the way back, and the whole once more to its end. The judge goes by the nodes' books
-// and the holders' disks. Events are awaited; nothing is said of how long they take.
+// Two releases as real processes, three real keepers: an upgrade with load, the owner of the migration killed
+// in the middle, an old process that was stopped before the switch and is let go behind it, the way back, and
+// the whole once more to its end. The judge goes by the nodes' books and the holders' disks. Events are
+// awaited; nothing is said of how long they take.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
+#include <migration.pb.h>
 #include <signal.h>
 #include <spawn.h>
 #include <sys/socket.h>
@@ -20,8 +22,6 @@
 #include <thread>
 #include <vector>
 
-#include <migration.pb.h>
-
 #include "lab/migration/disk.h"
 #include "lab/migration/nodes.h"
 
@@ -49,7 +49,9 @@
             sockaddr_in at{};
             at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
             socklen_t size = sizeof at;
-            if (bind(s, reinterpret_cast<sockaddr*>(&at), size) != 0 || getsockname(s, reinterpret_cast<sockaddr*>(&at), &size) != 0) std::abort();
+            if (bind(s, reinterpret_cast<sockaddr*>(&at), size) != 0 ||
+                getsockname(s, reinterpret_cast<sockaddr*>(&at), &size) != 0)
+                std::abort();
             sockets.push_back(s), ports.push_back(ntohs(at.sin_port));
         }
         for (int s : sockets) close(s);
@@ -57,12 +59,17 @@
             std::string number = std::to_string(i + 1), own = folder_ + "/k" + number;
             std::filesystem::create_directory(own);
             std::ofstream out(own + ".toml");
-            out << "[keeper]\nnumber = " << number << "\ncluster = \"migration\"\nelection_ms = 2000\nlisten = \"127.0.0.1:" << ports[i] << "\"\nfolder = \"" << own << "\"\n";
-            for (std::size_t k = 0; k < 3; ++k) out << "[[member]]\nnumber = " << k + 1 << "\naddress = \"127.0.0.1:" << ports[k] << "\"\n";
+            out << "[keeper]\nnumber = " << number
+                << "\ncluster = \"migration\"\nelection_ms = 2000\nlisten = \"127.0.0.1:" << ports[i]
+                << "\"\nfolder = \"" << own << "\"\n";
+            for (std::size_t k = 0; k < 3; ++k)
+                out << "[[member]]\nnumber = " << k + 1 << "\naddress = \"127.0.0.1:" << ports[k] << "\"\n";
             keepers_.push_back("127.0.0.1:" + std::to_string(ports[i]));
         }
         for (int i = 1; i <= 3; ++i)
-            begin({OCHREHUB_NODE, "keeper", "--config", folder_ + "/k" + std::to_string(i) + ".toml", "--new"}, "keeper" + std::to_string(i));
+            begin(
+                {OCHREHUB_NODE, "keeper", "--config", folder_ + "/k" + std::to_string(i) + ".toml", "--new"},
+                "keeper" + std::to_string(i));
     }
     ~Fleet() {
         for (pid_t pid : all_) kill(pid, SIGKILL);
@@ -73,7 +80,9 @@
     pid_t begin(const std::vector<std::string>& command, const std::string& log) {
         posix_spawn_file_actions_t files;
         posix_spawn_file_actions_init(&files);
-        for (int fd : {1, 2}) posix_spawn_file_actions_addopen(&files, fd, (folder_ + "/" + log).c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+        for (int fd : {1, 2})
+            posix_spawn_file_actions_addopen(&files, fd, (folder_ + "/" + log).c_str(),
+                                             O_WRONLY | O_CREAT | O_APPEND, 0600);
         std::vector<char*> arguments;
         for (const std::string& text : command) arguments.push_back(const_cast<char*>(text.c_str()));
         arguments.push_back(nullptr);
@@ -84,7 +93,12 @@
         return pid;
     }
     void member(std::size_t i, const char* program) {
-        std::vector<std::string> command{program, folder_, std::to_string(i), std::to_string(kHolders), std::to_string(kShards), std::to_string(kGroups)};
+        std::vector<std::string> command{program,
+                                         folder_,
+                                         std::to_string(i),
+                                         std::to_string(kHolders),
+                                         std::to_string(kShards),
+                                         std::to_string(kGroups)};
         command.insert(command.end(), keepers_.begin(), keepers_.end());
         members_[i] = begin(command, log(i));
     }
@@ -171,9 +185,12 @@
                 std::uint64_t version = 0;
                 Number schema = 0;
                 words >> what;
-                if (what == 'x') all.broken("member " + std::to_string(i) + " was given what it does not read: " + line);
-                if (what == 't' && words >> write.id >> write.group >> write.tenant >> write.moves) all.tried(tried[write.id] = write);
-                if (what == 'a' && words >> write.id >> version >> schema) all.acked(tried.at(write.id), version, schema);
+                if (what == 'x')
+                    all.broken("member " + std::to_string(i) + " was given what it does not read: " + line);
+                if (what == 't' && words >> write.id >> write.group >> write.tenant >> write.moves)
+                    all.tried(tried[write.id] = write);
+                if (what == 'a' && words >> write.id >> version >> schema)
+                    all.acked(tried.at(write.id), version, schema);
             }
         }
         for (std::size_t i = 0; i < kHolders; ++i) {
@@ -184,12 +201,14 @@
                 for (const auto& [name, held] : page) {
                     migration::wire::Stored stored;
                     Group group;
-                    if (!stored.ParseFromString(held.octets) || stored.forms_size() != 1 || stored.forms(0).schema() != level) {
+                    if (!stored.ParseFromString(held.octets) || stored.forms_size() != 1 ||
+                        stored.forms(0).schema() != level) {
                         all.broken(name + " is not there in schema " + std::to_string(level) + " alone");
                         continue;
                     }
                     for (const auto& r : stored.forms(0).records()) group.push_back({r.key(), r.value()});
-                    if (!see(Kind::Sessions, level, group, groups[name])) all.broken(name + " cannot be read");
+                    if (!see(Kind::Sessions, level, group, groups[name]))
+                        all.broken(name + " cannot be read");
                 }
             }
         }
@@ -234,8 +253,12 @@
     for (std::size_t i = 0; i < kHolders; ++i) ASSERT_TRUE(fleet.await_acks(i, 10));
 
     fleet.signal(kOld, SIGCONT);
-    ASSERT_TRUE(fleet.await("the old process is refused", [&] { return fleet.log_of(kOld).find("refused: migration.old-release") != std::string::npos; }));
-    ASSERT_TRUE(fleet.await("its writes too", [&] { return fleet.book(kOld).find("r migration.old-level") != std::string::npos; }));
+    ASSERT_TRUE(fleet.await("the old process is refused", [&] {
+        return fleet.log_of(kOld).find("refused: migration.old-release") != std::string::npos;
+    }));
+    ASSERT_TRUE(fleet.await("its writes too", [&] {
+        return fleet.book(kOld).find("r migration.old-level") != std::string::npos;
+    }));
     ASSERT_TRUE(fleet.command({"back"}));
     ASSERT_TRUE(fleet.await("undone", [&] { return fleet.stage() == "undone"; }));
     ASSERT_TRUE(fleet.await_acks(kOld, 5));  // the level is its own again
--- a/lab/tests/migration_test.cpp
+++ b/lab/tests/migration_test.cpp
@@ -1,14 +1,13 @@
-// Migrations in virtual time: none of the promises breaks whatever crashes, stops, is lost or comes late, and each of those who do it wrong is
-// seen. The long runs are lab_migration_runs'.
+// Migrations in virtual time: none of the promises breaks whatever crashes, stops, is lost or comes late, and
+// each of those who do it wrong is seen. The long runs are lab_migration_runs'.
 #include <gtest/gtest.h>
+#include <migration.pb.h>
+#include <records.pb.h>
 
 #include <functional>
 #include <stdexcept>
 #include <utility>
 
-#include <migration.pb.h>
-#include <records.pb.h>
-
 #include "lab/migration/nodes.h"
 #include "lab/migration/world.h"
 
@@ -24,7 +23,8 @@
     return settings;
 }
 std::string all(const Outcome& outcome) {
-    std::string text = std::string(m::name(outcome.stage)) + ", stopped " + std::to_string(outcome.stopped) + " " + outcome.about;
+    std::string text = std::string(m::name(outcome.stage)) + ", stopped " + std::to_string(outcome.stopped) +
+                       " " + outcome.about;
     for (const std::string& broken : outcome.broken) text += "\n    " + broken;
     return text;
 }
@@ -59,7 +59,8 @@
             if (again && stage == Stage::Hold) {
                 bool once = false;
                 settings.watches = [once](World& world) mutable {
-                    if (machine(world).migration().id() == 2 && machine(world).stage() == Stage::Hold && !std::exchange(once, true))
+                    if (machine(world).migration().id() == 2 && machine(world).stage() == Stage::Hold &&
+                        !std::exchange(once, true))
                         steer(world, m::wire::NARROW);
                 };
             }
@@ -79,7 +80,8 @@
         settings.watches = [=](World& world) mutable {
             if (machine(world).stage() != Stage::Hold) return;
             if (!std::exchange(let_go, true)) let_old_go(world), at = TimePoint{since_start(world)};
-            if (since_start(world) > at.time_since_epoch() + Duration{700} && !std::exchange(narrowed, true)) steer(world, m::wire::NARROW);
+            if (since_start(world) > at.time_since_epoch() + Duration{700} && !std::exchange(narrowed, true))
+                steer(world, m::wire::NARROW);
         };
         Outcome outcome = run(settings);
         sound(outcome, Stage::Done);
@@ -94,7 +96,8 @@
     bool let_go = false, back = false;
     settings.watches = [=](World& world) mutable {
         if (machine(world).stage() == Stage::Convert && !std::exchange(let_go, true)) let_old_go(world);
-        if (machine(world).migration().stopped() == m::on_wire(Error::OldProcess) && !std::exchange(back, true))
+        if (machine(world).migration().stopped() == m::on_wire(Error::OldProcess) &&
+            !std::exchange(back, true))
             steer(world, m::wire::BACK);
     };
     settings.owner.per_s = 200;  // so that it takes a while
@@ -129,7 +132,8 @@
     settings.watches = [&](World& world) {
         const auto& now = machine(world).migration();
         if (Stage(now.stage()) == Stage::Convert && !std::exchange(full, true)) bound(world, 1);
-        if (now.stopped() && !std::exchange(room, true)) stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::GO_ON);
+        if (now.stopped() && !std::exchange(room, true))
+            stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::GO_ON);
     };
     settings.refusals = 100'000;
     sound(run(settings), Stage::Done);
@@ -143,7 +147,8 @@
     settings.watches = [&](World& world) {
         const auto& now = machine(world).migration();
         if (Stage(now.stage()) == Stage::Widen) bound(world, 1);  // no write that grows has room
-        if (now.stopped() && !stopped) stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::BACK);
+        if (now.stopped() && !stopped)
+            stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::BACK);
     };
     settings.owner.per_s = 500, settings.owner.tries = 1000;
     sound(run(settings), Stage::Undone);
@@ -166,12 +171,17 @@
     m::MemoryRecords& disk;
     explicit Wrong(m::MemoryRecords& to) : disk(to) {}
     Held read(std::uint32_t shard, std::string_view group) const override { return disk.read(shard, group); }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
         return disk.write(shard, group, version, std::move(octets));
     }
-    void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override { disk.scan(shard, after, most, page); }
+    void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
+        disk.scan(shard, after, most, page);
+    }
     std::string state(std::uint32_t shard) const override { return disk.state(shard); }
-    bool set_state(std::uint32_t shard, std::string octets) override { return disk.set_state(shard, std::move(octets)); }
+    bool set_state(std::uint32_t shard, std::string octets) override {
+        return disk.set_state(shard, std::move(octets));
+    }
 
     m::ShardForm form(std::uint32_t shard) const {
         m::wire::Shard state;
@@ -179,7 +189,8 @@
         return m::ShardForm(state.form());
     }
     /// As it would be written, with the form of this schema as it stood before, or without it.
-    std::string half(std::uint32_t shard, std::string_view group, const std::string& octets, Number schema) const {
+    std::string half(std::uint32_t shard, std::string_view group, const std::string& octets,
+                     Number schema) const {
         m::wire::Stored is, was;
         is.ParseFromString(octets), was.ParseFromString(disk.read(shard, group).octets);
         if (is.forms_size() < 2 || was.forms_size() < 2) return octets;
@@ -198,11 +209,13 @@
     settings.records = [](m::MemoryRecords& disk) { return std::make_unique<W>(disk); };
 }
 
-/// Whether it is seen, by the judge or by the migration itself, which stops. With the comparison left out the judge alone is asked.
+/// Whether it is seen, by the judge or by the migration itself, which stops. With the comparison left out the
+/// judge alone is asked.
 struct Found {
     std::string judge, itself;
 };
-Found found(const std::function<void(Settings&)>& errs, Kind kind, Number from, Number to, bool compares = true) {
+Found found(const std::function<void(Settings&)>& errs, Kind kind, Number from, Number to,
+            bool compares = true) {
     Found result;
     for (std::uint64_t seed = 1; seed <= 6 && result.judge.empty() && result.itself.empty(); ++seed) {
         Settings settings = of(kind, from, to, seed);
@@ -222,9 +235,15 @@
     }
     return result;
 }
-void judged(const Found& result) { EXPECT_FALSE(result.judge.empty()); }
-void stopped(const Found& result, const char* code) { EXPECT_EQ(result.itself, code) << result.judge; }
-bool rises(Number from, Number to) { return from < to; }
+void judged(const Found& result) {
+    EXPECT_FALSE(result.judge.empty());
+}
+void stopped(const Found& result, const char* code) {
+    EXPECT_EQ(result.itself, code) << result.judge;
+}
+bool rises(Number from, Number to) {
+    return from < to;
+}
 
 schema::Result altered(schema::Result result, const std::function<void(schema::Group&)>& change) {
     if (auto* group = std::get_if<schema::Group>(&result)) change(*group);
@@ -242,7 +261,9 @@
         return altered(schema::convert(kind, from, to, std::move(group)), [&](schema::Group& made) {
             if (rises(from, to))
                 for (auto& record : made)
-                    alter<records::wire::Bucket3>(record, [](auto& m) { m.set_spent(m.spent() / schema::kMillion * schema::kMillion), m.clear_behind(); });
+                    alter<records::wire::Bucket3>(record, [](auto& m) {
+                        m.set_spent(m.spent() / schema::kMillion * schema::kMillion), m.clear_behind();
+                    });
         });
     };
 }
@@ -256,7 +277,8 @@
 void doubles_one(Settings& settings) {
     settings.convert = [](Kind kind, Number from, Number to, schema::Group group) {
         return altered(schema::convert(kind, from, to, std::move(group)), [&](schema::Group& made) {
-            if (rises(from, to) && !made.empty()) made.insert(made.begin(), {"copy" + made[0].key, made[0].value});
+            if (rises(from, to) && !made.empty())
+                made.insert(made.begin(), {"copy" + made[0].key, made[0].value});
         });
     };
 }
@@ -275,24 +297,30 @@
 }
 struct OldFormAlone : Wrong {  // a write while wide leaves the new form as it was
     using Wrong::Wrong;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
-        return disk.write(shard, group, version, form(shard) == m::ShardForm::Wide ? half(shard, group, octets, 4) : octets);
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
+        return disk.write(shard, group, version,
+                          form(shard) == m::ShardForm::Wide ? half(shard, group, octets, 4) : octets);
     }
 };
 TEST(Saboteurs, AHolderThatWritesTheOldFormAloneWhileItIsWide) {
     stopped(found(use<OldFormAlone>, Kind::Sessions, 3, 4), "migration.differs");
-    judged(found([](Settings& s) { use<OldFormAlone>(s), s.owner.per_s = 200; }, Kind::Sessions, 3, 4, false));
+    judged(
+        found([](Settings& s) { use<OldFormAlone>(s), s.owner.per_s = 200; }, Kind::Sessions, 3, 4, false));
 }
 struct NewFormAlone : Wrong {  // behind the switch the old form is let go stale
     using Wrong::Wrong;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
-        return disk.write(shard, group, version, form(shard) == m::ShardForm::Switched ? half(shard, group, octets, 3) : octets);
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
+        return disk.write(shard, group, version,
+                          form(shard) == m::ShardForm::Switched ? half(shard, group, octets, 3) : octets);
     }
 };
 void back_from_hold(Settings& settings) {
     settings.narrows = false;
     settings.watches = [](World& world) {
-        if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{500}) steer(world, m::wire::BACK);
+        if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{500})
+            steer(world, m::wire::BACK);
     };
 }
 TEST(Saboteurs, AHolderThatForgetsTheOldFormBehindTheSwitch) {
@@ -305,26 +333,32 @@
     }
 };
 TEST(Saboteurs, AHolderThatDoesNotCompareVersions) {
-    judged(found([](Settings& s) { use<NoVersions>(s), s.nodes = 6, s.groups = 2, s.op = Duration{2}; }, Kind::Rates, 2, 3));
+    judged(found([](Settings& s) { use<NoVersions>(s), s.nodes = 6, s.groups = 2, s.op = Duration{2}; },
+                 Kind::Rates, 2, 3));
 }
 struct Forgets : Wrong {  // says that it wrote, and every twentieth write is gone
     using Wrong::Wrong;
     int writes = 0;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
         if (++writes % 20 == 0 && disk.read(shard, group).version == version) return Wrote::Done;
         return disk.write(shard, group, version, std::move(octets));
     }
 };
-TEST(Saboteurs, AHolderThatAnswersBeforeItHasWritten) { judged(found(use<Forgets>, Kind::Sessions, 3, 4)); }
+TEST(Saboteurs, AHolderThatAnswersBeforeItHasWritten) {
+    judged(found(use<Forgets>, Kind::Sessions, 3, 4));
+}
 TEST(Saboteurs, AHolderThatTakesTheOldSchemaBehindTheSwitch) {
     auto errs = [](Settings& s) {
         s.old_node = s.old_careless = true, s.old_stops = Duration{0}, s.narrows = false;
         bool let_go = false;
         s.watches = [let_go](World& world) mutable {
             if (machine(world).stage() == Stage::Hold && !std::exchange(let_go, true)) let_old_go(world);
-            if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{1500}) steer(world, m::wire::NARROW);
+            if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{1500})
+                steer(world, m::wire::NARROW);
         };
-        s.ask = [](m::wire::Ask& ask, m::Receiver& receiver, m::Records& records) -> std::optional<m::wire::Given> {
+        s.ask = [](m::wire::Ask& ask, m::Receiver& receiver,
+                   m::Records& records) -> std::optional<m::wire::Given> {
             if (ask.schema() != 3 || receiver.form(ask.shard()) != m::ShardForm::Switched) return {};
             m::Records::Held held = records.read(ask.shard(), ask.group());
             m::wire::Stored stored;
@@ -337,7 +371,8 @@
             }
             given.set_version(held.version);
             if (ask.writes() && ask.version() == held.version)
-                records.write(ask.shard(), ask.group(), held.version, stored.SerializeAsString()), given.set_version(held.version + 1);
+                records.write(ask.shard(), ask.group(), held.version, stored.SerializeAsString()),
+                    given.set_version(held.version + 1);
             return given;
         };
     };
@@ -348,7 +383,8 @@
         s.old_node = true;
         s.command = [](m::wire::Command& command) {
             if (command.has_says())
-                for (auto& range : *command.mutable_says()->mutable_ranges()) range.set_least(1), range.set_most(9);
+                for (auto& range : *command.mutable_says()->mutable_ranges())
+                    range.set_least(1), range.set_most(9);
             return true;
         };
     };
@@ -357,7 +393,8 @@
 TEST(Saboteurs, AnOwnerThatSaysConvertedOfWhatItNeverOrdered) {
     auto errs = [](Settings& s) {
         s.order = [](m::wire::Order& order, const m::Receiver&) {
-            if (Stage(order.stage()) == Stage::Convert && order.shard() == 5) order.set_stage(std::uint32_t(Stage::Widen));
+            if (Stage(order.stage()) == Stage::Convert && order.shard() == 5)
+                order.set_stage(std::uint32_t(Stage::Widen));
             return true;
         };
     };
@@ -375,7 +412,8 @@
             if (order.migration() == 2 && Stage(order.stage()) == Stage::Compare && !late->empty()) {
                 m::wire::Order old = late->back();
                 late->pop_back();
-                old.set_migration(order.migration()), old.set_epoch(order.epoch()), old.set_revision(order.revision());
+                old.set_migration(order.migration()), old.set_epoch(order.epoch()),
+                    old.set_revision(order.revision());
                 order = old;  // the fence is gone: it is taken as new
             }
             return true;
@@ -395,7 +433,8 @@
     }
 };
 TEST(Saboteurs, AScanThatLeavesAGroupOut) {
-    // Neither converted nor compared; dropping the old form meets a group that has no other, and does not drop it.
+    // Neither converted nor compared; dropping the old form meets a group that has no other, and does not
+    // drop it.
     Found result = found(use<DropsUnconverted>, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty() && result.judge.empty());
 }
--- a/lab/tests/play_test.cpp
+++ b/lab/tests/play_test.cpp
@@ -929,8 +929,8 @@
     EXPECT_EQ(played.result.node[0].starts, 2u);
     EXPECT_EQ(played.result.breach_count, 0u);
     EXPECT_EQ(played.result.served, played.result.calls)
-        << "refused " << played.result.refused << " failed " << played.result.failed << " left " << played.result.left
-        << " tries " << played.result.tries;
+        << "refused " << played.result.refused << " failed " << played.result.failed << " left "
+        << played.result.left << " tries " << played.result.tries;
 }
 
 TEST(Play, ServersThatHangCrashAndSpoil) {
--- a/lab/tests/quota_test.cpp
+++ b/lab/tests/quota_test.cpp
@@ -9,7 +9,8 @@
 
 TEST(QuotaWorld, TheJudgeFindsTheWorstWindow) {
     std::vector<LetIn> records;
-    for (int i = 0; i < 10; ++i) records.push_back({TimePoint{} + Duration{1000.0 + 100 * i}, 0, 0, 0, kUnit, false});
+    for (int i = 0; i < 10; ++i)
+        records.push_back({TimePoint{} + Duration{1000.0 + 100 * i}, 0, 0, 0, kUnit, false});
     // Ten within 900 ms: at one a second, 10 - 0.9 of burst are needed.
     EXPECT_NEAR(worst_window(records, 0, kUnit, 0).amount / double(kUnit), 9.1, 1e-6);
     EXPECT_NEAR(worst_window(records, 0, kUnit, 10 * kUnit).amount / double(kUnit), -0.9, 1e-6);
@@ -24,13 +25,15 @@
         QuotaDay day = make(2, 5, 1);
         QuotaOutcome outcome = run(day);
         EXPECT_LE(worst(day, outcome), 0);
-        for (std::size_t b = 0; b < 2; ++b) EXPECT_GE(used(day, outcome, b, Duration{3000}, day.length), make == steady_day ? 0.95 : 0.85);
+        for (std::size_t b = 0; b < 2; ++b)
+            EXPECT_GE(used(day, outcome, b, Duration{3000}, day.length), make == steady_day ? 0.95 : 0.85);
     }
 }
 
 TEST(QuotaWorld, NeverTooMuchWhateverFails) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed)
-        for (auto make : {+[](std::uint64_t s) { return steady_day(2, 5, s); }, +[](std::uint64_t s) { return leaky_day(s); }}) {
+        for (auto make : {+[](std::uint64_t s) { return steady_day(2, 5, s); },
+                          +[](std::uint64_t s) { return leaky_day(s); }}) {
             QuotaDay day = make(seed);
             day.faults = draw_faults(seed, day, 10);
             day.loss = day.doubled = 0.02;
@@ -56,7 +59,9 @@
     QuotaOutcome outcome = run(day);
     EXPECT_LE(worst(day, outcome), 0);
     auto share = [&](int site, double rate) {
-        return double(let_in(outcome.let_in, 0, TimePoint{} + Duration{10'000}, TimePoint{} + day.length, site)) / 10 / rate / double(kUnit);
+        return double(let_in(outcome.let_in, 0, TimePoint{} + Duration{10'000}, TimePoint{} + day.length,
+                             site)) /
+               10 / rate / double(kUnit);
     };
     EXPECT_GE(share(1, 20), 0.95);
     EXPECT_LE(share(1, 20), 1.02);
@@ -66,24 +71,33 @@
 TEST(QuotaWorld, ASiteThatAsksForEverythingTakesNothingThatOthersNeed) {
     QuotaDay day = steady_day(2, 5, 4);
     day.liar = 0;
-    day.demand = [](std::size_t b, std::size_t site, Duration) { return b == 0 ? (site == 0 ? 20.0 : 500.0) : 50.0; };
+    day.demand = [](std::size_t b, std::size_t site, Duration) {
+        return b == 0 ? (site == 0 ? 20.0 : 500.0) : 50.0;
+    };
     QuotaOutcome outcome = run(day);
     EXPECT_LE(worst(day, outcome), 0);
-    EXPECT_GE(double(let_in(outcome.let_in, 0, TimePoint{} + Duration{4000}, TimePoint{} + day.length, 1)) / 16 / double(kUnit), 0.85 * 380);
+    EXPECT_GE(double(let_in(outcome.let_in, 0, TimePoint{} + Duration{4000}, TimePoint{} + day.length, 1)) /
+                  16 / double(kUnit),
+              0.85 * 380);
 }
 
 TEST(QuotaWorld, OtherWaysOnTheSameDays) {
     QuotaDay day = swinging_day(2, 5, 5);
     auto base = day.demand;
-    day.demand = [base](std::size_t b, std::size_t s, Duration at) { return at.count() < 9000 ? base(b, s, at) : at.count() < 12'000 ? 0.0 : 4 * base(b, s, at); };
-    auto too_much = [&](Way way) { return worst_window(run(way, day).let_in, 0, day.budgets[0].rate, day.budgets[0].burst).amount; };
+    day.demand = [base](std::size_t b, std::size_t s, Duration at) {
+        return at.count() < 9000 ? base(b, s, at) : at.count() < 12'000 ? 0.0 : 4 * base(b, s, at);
+    };
+    auto too_much = [&](Way way) {
+        return worst_window(run(way, day).let_in, 0, day.budgets[0].rate, day.budgets[0].burst).amount;
+    };
     EXPECT_LE(too_much(Way::Fixed), 0);
     EXPECT_LE(too_much(Way::OneCounter), 0);
     EXPECT_GT(too_much(Way::Gossip), 0);
     EXPECT_LE(too_much(Way::Leases), 0);
     WayOutcome asks = run(Way::OneCounter, day);
     ASSERT_FALSE(asks.waits.empty());
-    EXPECT_GT(*std::max_element(asks.waits.begin(), asks.waits.end()), 20);  // each request waits for the distance
+    EXPECT_GT(*std::max_element(asks.waits.begin(), asks.waits.end()),
+              20);  // each request waits for the distance
 }
 
 TEST(QuotaWorld, EachSaboteurIsFound) {
--- a/lab/tests/raft_history_test.cpp
+++ b/lab/tests/raft_history_test.cpp
@@ -1,4 +1,5 @@
-// The judge of histories on histories that are known to be right, and wrong; and beside a search of all orders.
+// The judge of histories on histories that are known to be right, and wrong; and beside a search of all
+// orders.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,33 +13,52 @@
 
 using Kind = Call::Kind;
 
-Call call(Kind kind, double began, double ended, std::string value, std::string answer = {}, std::string expected = {}) {
+Call call(Kind kind, double began, double ended, std::string value, std::string answer = {},
+          std::string expected = {}) {
     return {kind, "k", std::move(value), std::move(expected), began, ended, std::move(answer)};
 }
-Call write(double began, double ended, std::string value) { return call(Kind::Write, began, ended, std::move(value)); }
-Call read(double began, double ended, std::string answer) { return call(Kind::Read, began, ended, {}, std::move(answer)); }
+Call write(double began, double ended, std::string value) {
+    return call(Kind::Write, began, ended, std::move(value));
+}
+Call read(double began, double ended, std::string answer) {
+    return call(Kind::Read, began, ended, {}, std::move(answer));
+}
 
 TEST(RaftHistory, RightOnesPass) {
     EXPECT_EQ(judge_register({}), Judged::Linearizable);
     EXPECT_EQ(judge_register({write(0, 1, "a"), read(2, 3, "a")}), Judged::Linearizable);
     EXPECT_EQ(judge_register({write(0, 5, "a"), read(1, 2, ""), read(3, 4, "a")}), Judged::Linearizable);
-    EXPECT_EQ(judge_register({write(0, Call::kOpen, "a"), read(1, 2, ""), read(3, 4, "a")}), Judged::Linearizable);
+    EXPECT_EQ(judge_register({write(0, Call::kOpen, "a"), read(1, 2, ""), read(3, 4, "a")}),
+              Judged::Linearizable);
     EXPECT_EQ(judge_register({write(0, Call::kOpen, "a"), read(1, 2, "")}), Judged::Linearizable);
-    EXPECT_EQ(judge_register({write(0, 10, "a"), write(0, 10, "b"), read(1, 2, "b"), read(3, 4, "a")}), Judged::Linearizable);
-    EXPECT_EQ(judge_register({call(Kind::Cas, 0, 9, "a", "1"), call(Kind::Cas, 0, 9, "b", "1", "a"), read(10, 11, "b")}), Judged::Linearizable);
-    EXPECT_EQ(judge_register({call(Kind::Append, 0, 9, "a", "ba"), call(Kind::Append, 0, 9, "b", "b")}), Judged::Linearizable);
+    EXPECT_EQ(judge_register({write(0, 10, "a"), write(0, 10, "b"), read(1, 2, "b"), read(3, 4, "a")}),
+              Judged::Linearizable);
+    EXPECT_EQ(judge_register(
+                  {call(Kind::Cas, 0, 9, "a", "1"), call(Kind::Cas, 0, 9, "b", "1", "a"), read(10, 11, "b")}),
+              Judged::Linearizable);
+    EXPECT_EQ(judge_register({call(Kind::Append, 0, 9, "a", "ba"), call(Kind::Append, 0, 9, "b", "b")}),
+              Judged::Linearizable);
 }
 
 TEST(RaftHistory, WrongOnesDoNot) {
-    EXPECT_EQ(judge_register({write(0, 1, "a"), read(2, 3, "")}), Judged::NotLinearizable);                            // an old read
-    EXPECT_EQ(judge_register({write(0, 9, "a"), read(1, 2, "a"), read(3, 4, "")}), Judged::NotLinearizable);           // back in time
-    EXPECT_EQ(judge_register({read(0, 1, "a"), write(2, 3, "a")}), Judged::NotLinearizable);                           // from the future
-    EXPECT_EQ(judge_register({write(0, 1, "a"), write(2, 3, "b"), read(4, 5, "a")}), Judged::NotLinearizable);         // a lost write
-    EXPECT_EQ(judge_register({call(Kind::Cas, 0, 1, "a", "1"), call(Kind::Cas, 2, 3, "b", "1")}), Judged::NotLinearizable);  // both won
-    EXPECT_EQ(judge_register({call(Kind::Append, 0, 1, "a", "a"), call(Kind::Append, 2, 3, "b", "b")}), Judged::NotLinearizable);
-    EXPECT_EQ(judge_register({call(Kind::Append, 0, 1, "a", "aa")}), Judged::NotLinearizable);                         // applied twice
-    EXPECT_EQ(judge_register({write(0, 9, "a"), write(0, 9, "b"), read(1, 2, "a"), read(3, 4, "b"), read(5, 6, "a")}), Judged::NotLinearizable);
-    EXPECT_EQ(judge_register({write(0, Call::kOpen, "a"), read(1, 2, "a"), read(3, 4, "")}), Judged::NotLinearizable);  // an open one undone
+    EXPECT_EQ(judge_register({write(0, 1, "a"), read(2, 3, "")}), Judged::NotLinearizable);  // an old read
+    EXPECT_EQ(judge_register({write(0, 9, "a"), read(1, 2, "a"), read(3, 4, "")}),
+              Judged::NotLinearizable);  // back in time
+    EXPECT_EQ(judge_register({read(0, 1, "a"), write(2, 3, "a")}),
+              Judged::NotLinearizable);  // from the future
+    EXPECT_EQ(judge_register({write(0, 1, "a"), write(2, 3, "b"), read(4, 5, "a")}),
+              Judged::NotLinearizable);  // a lost write
+    EXPECT_EQ(judge_register({call(Kind::Cas, 0, 1, "a", "1"), call(Kind::Cas, 2, 3, "b", "1")}),
+              Judged::NotLinearizable);  // both won
+    EXPECT_EQ(judge_register({call(Kind::Append, 0, 1, "a", "a"), call(Kind::Append, 2, 3, "b", "b")}),
+              Judged::NotLinearizable);
+    EXPECT_EQ(judge_register({call(Kind::Append, 0, 1, "a", "aa")}),
+              Judged::NotLinearizable);  // applied twice
+    EXPECT_EQ(judge_register(
+                  {write(0, 9, "a"), write(0, 9, "b"), read(1, 2, "a"), read(3, 4, "b"), read(5, 6, "a")}),
+              Judged::NotLinearizable);
+    EXPECT_EQ(judge_register({write(0, Call::kOpen, "a"), read(1, 2, "a"), read(3, 4, "")}),
+              Judged::NotLinearizable);  // an open one undone
     EXPECT_EQ(judge_register({write(0, 9, "a"), read(1, 2, "a")}, 1), Judged::Undecided);
 }
 
@@ -68,7 +88,8 @@
             bool fits = true;
             for (std::size_t i = 0; i < order.size() && fits; ++i) {
                 const Call& c = calls[order[i]];
-                for (std::size_t j = i + 1; j < order.size(); ++j) fits = fits && !(calls[order[j]].ended < c.began);
+                for (std::size_t j = i + 1; j < order.size(); ++j)
+                    fits = fits && !(calls[order[j]].ended < c.began);
                 std::string answer = apply_call(c.kind, c.value, c.expected, stands);
                 fits = fits && (c.ended == Call::kOpen || answer == c.answer);
             }
@@ -92,7 +113,10 @@
             c.expected = draw(2) == 0 ? "" : std::string(1, char('a' + draw(2)));
             c.began = draw(12);
             c.ended = draw(6) == 0 ? Call::kOpen : c.began + 1 + draw(6);
-            c.answer = c.kind == Kind::Write ? "" : c.kind == Kind::Cas ? std::string(1, char('0' + draw(2))) : draw(3) == 0 ? "" : std::string(1, char('a' + draw(2)));
+            c.answer = c.kind == Kind::Write ? ""
+                       : c.kind == Kind::Cas ? std::string(1, char('0' + draw(2)))
+                       : draw(3) == 0        ? ""
+                                             : std::string(1, char('a' + draw(2)));
             if (c.kind == Kind::Append && draw(2) == 0) c.answer = "a" + c.value;
             calls.push_back(c);
         }
--- a/lab/tests/raft_saboteurs_test.cpp
+++ b/lab/tests/raft_saboteurs_test.cpp
@@ -12,14 +12,16 @@
     for (const Saboteur& saboteur : raft_saboteurs()) {
         Caught caught = catch_saboteur(saboteur, 60);
         EXPECT_FALSE(caught.what.empty()) << saboteur.name;
-        EXPECT_NE(caught.what.find(saboteur.shows), std::string::npos) << saboteur.name << ": " << caught.what;
+        EXPECT_NE(caught.what.find(saboteur.shows), std::string::npos)
+            << saboteur.name << ": " << caught.what;
     }
 }
 
 TEST(RaftSaboteurs, ScenesWithoutThemAreSound) {
     for (const Saboteur& saboteur : raft_saboteurs())
         if (saboteur.scene)
-            for (const std::string& what : saboteur.scene(Sabotage{})) ADD_FAILURE() << saboteur.name << ": " << what;
+            for (const std::string& what : saboteur.scene(Sabotage{}))
+                ADD_FAILURE() << saboteur.name << ": " << what;
 }
 
 TEST(RaftExplored, AllOrdersToAShortDepth) {
--- a/lab/tests/raft_test.cpp
+++ b/lab/tests/raft_test.cpp
@@ -16,7 +16,8 @@
         for (const std::string& what : r.broken) ADD_FAILURE() << "seed " << seed << ": " << what;
         for (const auto& [name, n] : r.counts) counts[name] += n;
     }
-    for (const char* name : {"crashes", "cuts", "pauses", "disks lost", "adds asked", "removals asked", "transfers asked", "snapshots taken in", "refused: raft.lost"})
+    for (const char* name : {"crashes", "cuts", "pauses", "disks lost", "adds asked", "removals asked",
+                             "transfers asked", "snapshots taken in", "refused: raft.lost"})
         EXPECT_GT(counts[name], 0u) << name;
 }
 
@@ -38,7 +39,8 @@
 }
 
 TEST(RaftWorlds, ACrashBehindEverySeventhEventOfADay) {
-    // `ochrehub_raft_lab crashes` leaves none out; here each seventh, what was not synced lost and kept in turn.
+    // `ochrehub_raft_lab crashes` leaves none out; here each seventh, what was not synced lost and kept in
+    // turn.
     std::uint64_t n = 0;
     for (bool reached = true; reached;) {
         n += 7;
@@ -53,7 +55,8 @@
     Sabotage early;
     early.early = true;
     bool found = false;
-    for (std::uint64_t n = 0; n < 50 && !found; ++n) found = !crash_day(n, Keeps::Nothing, early).broken.empty();
+    for (std::uint64_t n = 0; n < 50 && !found; ++n)
+        found = !crash_day(n, Keeps::Nothing, early).broken.empty();
     EXPECT_TRUE(found);
 }
 
--- a/lab/tests/referee_test.cpp
+++ b/lab/tests/referee_test.cpp
@@ -26,8 +26,10 @@
 Day a_day() {
     Day day;
     day.network = {{"a", "b"}, {{1, 3}, {3, 1}}, 1, 0, 0};
-    for (auto [effect, scope] : {std::pair{Effect::Free, Scope::All}, {Effect::SingleShot, Scope::All},
-                                 {Effect::Guarded, Scope::Cell}, {Effect::Guarded, Scope::All},
+    for (auto [effect, scope] : {std::pair{Effect::Free, Scope::All},
+                                 {Effect::SingleShot, Scope::All},
+                                 {Effect::Guarded, Scope::Cell},
+                                 {Effect::Guarded, Scope::All},
                                  {Effect::Guarded, Scope::Zone}}) {
         ClassFigures cls;
         cls.effect = effect;
@@ -47,7 +49,9 @@
 }
 constexpr ServerNo kUnlisted = 5;
 
-TimePoint at(double ms) { return TimePoint(Duration(ms)); }
+TimePoint at(double ms) {
+    return TimePoint(Duration(ms));
+}
 
 class Trace {
 public:
@@ -88,7 +92,9 @@
     Trace& node(double t, NodeNo n, NodeState state) { return add(NodeChanged{at(t), n, state}); }
     /// A whole request, from its last byte to its answer 60 ms later.
     Trace& one(double t, TryId id, int cls, ServerNo s, NodeNo n = 0) {
-        return sent(t, id, cls, n).arrived(t + 5, id * 10, id, s, n).ended(t + 50, id * 10, Ended::Served)
+        return sent(t, id, cls, n)
+            .arrived(t + 5, id * 10, id, s, n)
+            .ended(t + 50, id * 10, Ended::Served)
             .served(t + 60, id, id * 10);
     }
 
@@ -138,7 +144,7 @@
     };
     EXPECT_EQ(trace(576).rules(), Rules{Rule::AnswerMissing});
     EXPECT_EQ(trace(576.1).rules(), kNone_);
-    EXPECT_EQ(trace(400).abandoned(401, 7).rules(), kNone_);  // given up while the answer was on its way
+    EXPECT_EQ(trace(400).abandoned(401, 7).rules(), kNone_);      // given up while the answer was on its way
     EXPECT_EQ(trace(400).arrived(410, 8, 1, 1).rules(), kNone_);  // sent again: it had given up the first
     EXPECT_EQ(trace(400).node(450, 0, NodeState::Stalled).rules(), kNone_);
     EXPECT_EQ(trace(400).failed(608, 1).rules(), kNone_);  // crossed the client's close
@@ -160,8 +166,13 @@
 
 TEST(Rule1, AnswerInvented) {
     auto trace = [](AttemptNo named, Ended how) {
-        return Trace().one(100, 1, kFree, 0).sent(100, 2, kFree).arrived(105, 7, 2, 1).ended(140, 7, how)
-            .served(150, 2, named).rules();
+        return Trace()
+            .one(100, 1, kFree, 0)
+            .sent(100, 2, kFree)
+            .arrived(105, 7, 2, 1)
+            .ended(140, 7, how)
+            .served(150, 2, named)
+            .rules();
     };
     EXPECT_EQ(trace(7, Ended::Served), kNone_);
     EXPECT_EQ(trace(0, Ended::Served), Rules{Rule::AnswerInvented});
@@ -195,7 +206,10 @@
     EXPECT_EQ(stopped().node(101.1, 0, NodeState::Ended).rules(), Rules{Rule::AnswerMissing});
     // Killed at last: lost is what came when its connection should have been closed.
     auto killed = [](double came) {
-        return Trace().node(50, 0, NodeState::Stopping).sent(came, 1, kFree).node(1000, 0, NodeState::Killed)
+        return Trace()
+            .node(50, 0, NodeState::Stopping)
+            .sent(came, 1, kFree)
+            .node(1000, 0, NodeState::Killed)
             .rules();
     };
     EXPECT_EQ(killed(750), kNone_);
@@ -254,8 +268,12 @@
 
 TEST(Rule1, StallsAndPartitionsPutDeadlinesOff) {
     auto stalled = [](double answered) {
-        return Trace().sent(100, 1, kFree).node(50, 0, NodeState::Stalled).node(300, 0, NodeState::Resumed)
-            .failed(answered, 1).rules();
+        return Trace()
+            .sent(100, 1, kFree)
+            .node(50, 0, NodeState::Stalled)
+            .node(300, 0, NodeState::Resumed)
+            .failed(answered, 1)
+            .rules();
     };
     EXPECT_EQ(stalled(808), kNone_);
     EXPECT_EQ(stalled(808.1), Rules{Rule::AnswerLate});
@@ -296,8 +314,13 @@
     EXPECT_EQ(trace(648), kNone_);
     EXPECT_EQ(trace(648.1), Rules{Rule::AnswerLate});
     // ... and on the node that has it then.
-    EXPECT_EQ(Trace().sent(100, 1, kFree).node(150, 0, NodeState::Ended).sent(160, 1, kFree, 2)
-                  .node(200, 2, NodeState::Killed).rules(), kNone_);
+    EXPECT_EQ(Trace()
+                  .sent(100, 1, kFree)
+                  .node(150, 0, NodeState::Ended)
+                  .sent(160, 1, kFree, 2)
+                  .node(200, 2, NodeState::Killed)
+                  .rules(),
+              kNone_);
 }
 
 TEST(Rule2, CopyConcurrent) {
@@ -323,27 +346,43 @@
     silent.faults = {fault};
     for (bool mark_first : {true, false}) {
         Trace trace = copies(silent);
-        if (mark_first) trace.add(FaultMark{at(140), 0, true}).server(140, 3, ServerState::Gone);
-        else trace.server(140, 3, ServerState::Gone).add(FaultMark{at(140), 0, true});
+        if (mark_first)
+            trace.add(FaultMark{at(140), 0, true}).server(140, 3, ServerState::Gone);
+        else
+            trace.server(140, 3, ServerState::Gone).add(FaultMark{at(140), 0, true});
         EXPECT_EQ(rest(trace), Rules{Rule::CopyConcurrent});
     }
 }
 
 TEST(Rule2, EffectTwice) {
     auto again = [](Ended how) {
-        return Trace().sent(100, 1, kOnce).arrived(105, 7, 1, 0).ended(120, 7, how).arrived(130, 8, 1, 1)
-            .ended(150, 8, Ended::Served).served(160, 1, 8).rules();
+        return Trace()
+            .sent(100, 1, kOnce)
+            .arrived(105, 7, 1, 0)
+            .ended(120, 7, how)
+            .arrived(130, 8, 1, 1)
+            .ended(150, 8, Ended::Served)
+            .served(160, 1, 8)
+            .rules();
     };
     EXPECT_EQ(again(Ended::NeverRan), kNone_);
     for (Ended how : {Ended::Error, Ended::Reset, Ended::Dropped, Ended::Spoilt, Ended::Served})
         EXPECT_EQ(again(how), Rules{Rule::EffectTwice});
     // A server that died with it has proved nothing.
-    EXPECT_EQ(Trace().sent(100, 1, kOnce).arrived(105, 7, 1, 0).server(110, 0, ServerState::Gone)
-                  .arrived(130, 8, 1, 1).failed(160, 1).rules(),
+    EXPECT_EQ(Trace()
+                  .sent(100, 1, kOnce)
+                  .arrived(105, 7, 1, 0)
+                  .server(110, 0, ServerState::Gone)
+                  .arrived(130, 8, 1, 1)
+                  .failed(160, 1)
+                  .rules(),
               Rules{Rule::EffectTwice});
     // Cancelled, and its server answers anyway: no second one may follow, and the first may not be refused.
     auto cancelled = [] {
-        return Trace().sent(100, 1, kOnce).arrived(105, 7, 1, 0).abandoned(120, 7)
+        return Trace()
+            .sent(100, 1, kOnce)
+            .arrived(105, 7, 1, 0)
+            .abandoned(120, 7)
             .ended(140, 7, Ended::Served);
     };
     EXPECT_EQ(cancelled().arrived(130, 8, 1, 1).failed(160, 1).rules(), Rules{Rule::EffectTwice});
@@ -353,8 +392,14 @@
 
 TEST(Rule2, KeyedRepeatsInAndOutOfGroupAndWindow) {
     auto again = [](int cls, ServerNo to, double when, Ended how = Ended::Error, NodeNo node = 0) {
-        return Trace().sent(100, 1, cls, node).arrived(105, 7, 1, 0, node).ended(120, 7, how)
-            .arrived(when, 8, 1, to, node).ended(when + 5, 8, Ended::Served).served(when + 10, 1, 8).rules();
+        return Trace()
+            .sent(100, 1, cls, node)
+            .arrived(105, 7, 1, 0, node)
+            .ended(120, 7, how)
+            .arrived(when, 8, 1, to, node)
+            .ended(when + 5, 8, Ended::Served)
+            .served(when + 10, 1, 8)
+            .rules();
     };
     EXPECT_EQ(again(kByCell, 1, 130), kNone_);
     EXPECT_EQ(again(kByCell, 2, 130), Rules{Rule::RepeatElsewhere});
@@ -379,8 +424,12 @@
     for (int cls : {kOnce, kByCell, kByZone})
         EXPECT_EQ(refused(cls, Ended::Error), Rules{Rule::RefusedAfterRun});
     // Whoever worded it: a server's 503 without proof, passed on, refuses too.
-    EXPECT_EQ(Trace().sent(100, 1, kOnce).arrived(105, 7, 1, 0).ended(120, 7, Ended::Error)
-                  .add(TryAnswered{at(130), 1, Heard::Failed, 503, 0, {}}).rules(),
+    EXPECT_EQ(Trace()
+                  .sent(100, 1, kOnce)
+                  .arrived(105, 7, 1, 0)
+                  .ended(120, 7, Ended::Error)
+                  .add(TryAnswered{at(130), 1, Heard::Failed, 503, 0, {}})
+                  .rules(),
               Rules{Rule::RefusedAfterRun});
     // Let go while it was under way, refused, and then it arrives; noted before or after its arrival.
     auto crossing = [] { return Trace().sent(100, 1, kOnce).refused(130, 1).arrived(131, 7, 1, 0); };
@@ -389,10 +438,17 @@
 }
 
 TEST(Rule2, ClientThatLeavesWhileItsAttemptIsOut) {
-    EXPECT_EQ(Trace().sent(100, 1, kOnce).arrived(105, 7, 1, 0).left(150, 1).abandoned(152, 7)
-                  .ended(160, 7, Ended::Dropped).sent(200, 2, kOnce).arrived(205, 8, 2, 1)
+    EXPECT_EQ(Trace()
+                  .sent(100, 1, kOnce)
+                  .arrived(105, 7, 1, 0)
+                  .left(150, 1)
+                  .abandoned(152, 7)
+                  .ended(160, 7, Ended::Dropped)
+                  .sent(200, 2, kOnce)
+                  .arrived(205, 8, 2, 1)
                   .ended(220, 8, Ended::Served)
-                  .served(230, 2, 8).rules(),
+                  .served(230, 2, 8)
+                  .rules(),
               kNone_);  // its next try is another request
 }
 
@@ -419,17 +475,31 @@
     EXPECT_EQ(sent(ToldPhase::Terminating, 3000.1).told(2000, 2, 1, ToldPhase::InService).rules(),
               Rules{Rule::SentDraining});  // another node was
     // Omitted by a whole list: gone from then on.
-    EXPECT_EQ(Trace().told(1000, 0, 0, ToldPhase::InService, 0, true).told(1000, 0, 2, ToldPhase::InService)
-                  .one(2995, 1, kFree, 1).one(2995, 2, kFree, 2).rules(), kNone_);
-    EXPECT_EQ(Trace().told(1000, 0, 0, ToldPhase::InService, 0, true).told(1000, 0, 2, ToldPhase::InService)
-                  .one(2995.1, 1, kFree, 1).one(2995.1, 2, kFree, 2).rules(), Rules{Rule::SentGone});
+    EXPECT_EQ(Trace()
+                  .told(1000, 0, 0, ToldPhase::InService, 0, true)
+                  .told(1000, 0, 2, ToldPhase::InService)
+                  .one(2995, 1, kFree, 1)
+                  .one(2995, 2, kFree, 2)
+                  .rules(),
+              kNone_);
+    EXPECT_EQ(Trace()
+                  .told(1000, 0, 0, ToldPhase::InService, 0, true)
+                  .told(1000, 0, 2, ToldPhase::InService)
+                  .one(2995.1, 1, kFree, 1)
+                  .one(2995.1, 2, kFree, 2)
+                  .rules(),
+              Rules{Rule::SentGone});
     // A node that stands still cannot read what it is told.
-    EXPECT_EQ(sent(ToldPhase::Terminating, 3000.1).node(900, 0, NodeState::Stalled)
+    EXPECT_EQ(sent(ToldPhase::Terminating, 3000.1)
+                  .node(900, 0, NodeState::Stalled)
                   .node(1001, 0, NodeState::Resumed)
-                  .rules(), kNone_);
-    EXPECT_EQ(sent(ToldPhase::Terminating, 3000.1).node(900, 0, NodeState::Stalled)
+                  .rules(),
+              kNone_);
+    EXPECT_EQ(sent(ToldPhase::Terminating, 3000.1)
+                  .node(900, 0, NodeState::Stalled)
                   .node(1000, 0, NodeState::Resumed)
-                  .rules(), Rules{Rule::SentDraining});
+                  .rules(),
+              Rules{Rule::SentDraining});
     EXPECT_EQ(Trace().one(100, 1, kFree, kUnlisted).rules(), Rules{Rule::SentUnlisted});
     EXPECT_EQ(Trace().told(90, 0, kUnlisted, ToldPhase::InService).one(100, 1, kFree, kUnlisted).rules(),
               kNone_);
@@ -437,13 +507,19 @@
 
 TEST(Rule3, NewProcessKnowsOnlyItsOwnLists) {
     auto restarted = [] {
-        return Trace().told(90, 0, kUnlisted, ToldPhase::InService).node(200, 0, NodeState::Killed)
-            .told(300, 0, 0, ToldPhase::InService, 0, true).node(300, 0, NodeState::Started);
+        return Trace()
+            .told(90, 0, kUnlisted, ToldPhase::InService)
+            .node(200, 0, NodeState::Killed)
+            .told(300, 0, 0, ToldPhase::InService, 0, true)
+            .node(300, 0, NodeState::Started);
     };
     EXPECT_EQ(restarted().one(400, 1, kFree, 0).rules(), kNone_);
     EXPECT_EQ(restarted().one(400, 1, kFree, kUnlisted).rules(), Rules{Rule::SentUnlisted});
-    EXPECT_EQ(Trace().told(90, 0, kUnlisted, ToldPhase::InService).node(300, 0, NodeState::Started)
-                  .one(400, 1, kFree, kUnlisted).rules(),
+    EXPECT_EQ(Trace()
+                  .told(90, 0, kUnlisted, ToldPhase::InService)
+                  .node(300, 0, NodeState::Started)
+                  .one(400, 1, kFree, kUnlisted)
+                  .rules(),
               Rules{Rule::SentUnlisted});  // whose end nobody noted
     // Sent by the process that died, and under way at its death.
     EXPECT_EQ(restarted().sent(190, 1, kFree).arrived(201, 7, 1, kUnlisted).rules(), kNone_);
@@ -480,11 +556,17 @@
     // it watches
     EXPECT_EQ(Trace().server(1000, 1, ServerState::Draining).one(15'496, 1, kFree, 1).rules(), kNone_);
     // Another node was told at 2 s already: the list said so by then.
-    EXPECT_EQ(silent(Asked::What::Answered).told(2000, 2, 1, ToldPhase::Terminating).one(13'996, 1, kFree, 1)
+    EXPECT_EQ(silent(Asked::What::Answered)
+                  .told(2000, 2, 1, ToldPhase::Terminating)
+                  .one(13'996, 1, kFree, 1)
                   .rules(),
               Rules{Rule::SentDraining});
-    EXPECT_EQ(silent(Asked::What::Answered).add(Asked{at(9000), 0, Asked::What::Called})
-                  .add(Asked{at(9001), 0, Asked::What::Answered}).one(15'496, 1, kFree, 1).rules(), kNone_);
+    EXPECT_EQ(silent(Asked::What::Answered)
+                  .add(Asked{at(9000), 0, Asked::What::Called})
+                  .add(Asked{at(9001), 0, Asked::What::Answered})
+                  .one(15'496, 1, kFree, 1)
+                  .rules(),
+              kNone_);
     // A call of the process before it, read when that was gone, is none of its own.
     auto restarted = [](double sent) {
         Trace trace;
@@ -550,7 +632,8 @@
     // By a process that has died since, for a try that is forgotten.
     auto restarted = [](double healed) {
         Trace trace = through(cut_between("nodes", "servers"), healed);
-        trace.told(800, 0, kUnlisted, ToldPhase::InService).sent(950, 1, kFree)
+        trace.told(800, 0, kUnlisted, ToldPhase::InService)
+            .sent(950, 1, kFree)
             .node(1000, 0, NodeState::Killed);
         trace.told(1100, 0, 0, ToldPhase::InService, 0, true).node(1100, 0, NodeState::Started);
         return trace.arrived(6000, 7, 1, kUnlisted).rules();
@@ -559,8 +642,14 @@
     EXPECT_EQ(restarted(4990), Rules{Rule::SentUnlisted});
     // Given up on its way, it arrives while the one that was sent instead is out, and is gone as soon.
     auto crossed = [](double closed) {
-        return Trace().sent(100, 1, kFree).arrived(110, 8, 1, 1).arrived(120, 7, 1, 3).abandoned(closed, 7)
-            .ended(150, 8, Ended::Served).served(160, 1, 8).rules();
+        return Trace()
+            .sent(100, 1, kFree)
+            .arrived(110, 8, 1, 1)
+            .arrived(120, 7, 1, 3)
+            .abandoned(closed, 7)
+            .ended(150, 8, Ended::Served)
+            .served(160, 1, 8)
+            .rules();
     };
     EXPECT_EQ(crossed(121), kNone_);
     EXPECT_EQ(crossed(121.1), Rules{Rule::CopyConcurrent});
@@ -587,8 +676,12 @@
 
 TEST(Cuts, AnswersThatCannotPass) {
     auto unheard = [](Fault fault) {
-        return through(std::move(fault), 1100).sent(950, 1, kFree).arrived(960, 7, 1, 3)
-            .ended(990, 7, Ended::Served).left(1450, 1).rules();
+        return through(std::move(fault), 1100)
+            .sent(950, 1, kFree)
+            .arrived(960, 7, 1, 3)
+            .ended(990, 7, Ended::Served)
+            .left(1450, 1)
+            .rules();
     };
     Fault silent;
     silent.kind = FaultKind::Silent;
@@ -599,8 +692,8 @@
     auto lost = [](const char* zone, const Record& record) {
         return through(cut_between("clients", zone), 1100).sent(950, 1, kFree).add(record).rules();
     };
-    for (const Record& record : {Record(TryLost{at(1000), 1, false}),
-                                 Record(NodeChanged{at(1000), 0, NodeState::Ended})}) {
+    for (const Record& record :
+         {Record(TryLost{at(1000), 1, false}), Record(NodeChanged{at(1000), 0, NodeState::Ended})}) {
         EXPECT_EQ(lost("zone:a", record), kNone_);
         EXPECT_EQ(lost("zone:b", record), Rules{Rule::AnswerMissing});
     }
@@ -688,7 +781,10 @@
 
 TEST(Others, BreachesNameWhatProvesThemAndAreBounded) {
     Trace trace;
-    trace.sent(100, 1, kOnce).arrived(105, 7, 1, 0).ended(120, 7, Ended::Error).arrived(130, 8, 1, 3)
+    trace.sent(100, 1, kOnce)
+        .arrived(105, 7, 1, 0)
+        .ended(120, 7, Ended::Error)
+        .arrived(130, 8, 1, 3)
         .failed(140, 1);
     auto referee = trace.judge();
     ASSERT_EQ(referee->total(), 1u);
@@ -734,8 +830,8 @@
 TEST(Others, ExecutionsOfAKeyAreCountedOverItsTries) {
     Trace trace;
     for (TryId id : {1, 2}) {
-        trace.add(TrySent{at(100.0 * double(id)), id, 1, 0, kByCell, kNobody, 77,
-            at(100.0 * double(id) + 500)});
+        trace.add(
+            TrySent{at(100.0 * double(id)), id, 1, 0, kByCell, kNobody, 77, at(100.0 * double(id) + 500)});
         trace.arrived(100.0 * double(id) + 5, id, id, 0).ended(100.0 * double(id) + 20, id, Ended::Served);
         trace.served(100.0 * double(id) + 30, id, id);
     }
@@ -765,8 +861,9 @@
         for (NodeNo n = 0; n < 3; ++n) trace.told(500 + 100 * n, n, 4, ToldPhase::Terminating);
         for (TryId id = 1; id <= 60; ++id) play(id);
     }
-    double draw(double least,
-        double most) { return least + (most - least) * double(random_() >> 11) * 0x1p-53; }
+    double draw(double least, double most) {
+        return least + (most - least) * double(random_() >> 11) * 0x1p-53;
+    }
     bool chance(double p) { return draw(0, 1) < p; }
 
     Trace trace;
@@ -796,8 +893,8 @@
             k.arrived = now;
             k.over = now + draw(20, 100);
             trace.arrived(now, k.last, id, server, k.node);
-            auto how = std::array{Ended::Served, Ended::Served, Ended::Error, Ended::NeverRan, Ended::Reset,
-                                  Ended::Dropped}[std::size_t(draw(0, 6))];
+            auto how = std::array{Ended::Served,   Ended::Served, Ended::Error,
+                                  Ended::NeverRan, Ended::Reset,  Ended::Dropped}[std::size_t(draw(0, 6))];
             if (how == Ended::Dropped) trace.abandoned(k.over, k.last);
             trace.ended(k.over, k.last, how);
             if (how != Ended::NeverRan) {
@@ -812,10 +909,14 @@
         }
         k.answered = now;
         const bool may_refuse = !k.may_have_run || k.cls == kFree || k.cls == kByAll;
-        if (k.served) trace.served(now, id, k.last);
-        else if ((k.refused = may_refuse && chance(0.5))) trace.refused(now, id);
-        else if (chance(0.3)) trace.left(k.answered = k.sent + (chance(0.5) ? 2000 : draw(200, 1900)), id);
-        else trace.failed(now, id);
+        if (k.served)
+            trace.served(now, id, k.last);
+        else if ((k.refused = may_refuse && chance(0.5)))
+            trace.refused(now, id);
+        else if (chance(0.3))
+            trace.left(k.answered = k.sent + (chance(0.5) ? 2000 : draw(200, 1900)), id);
+        else
+            trace.failed(now, id);
         tries.push_back(k);
     }
     std::mt19937_64 random_;
@@ -835,17 +936,23 @@
         const auto* answer = find<TryAnswered>(m.trace, k.id);
         switch (rule) {
             case Rule::AnswerMissing:
-            case Rule::AnswerTwice: return answer != nullptr;
+            case Rule::AnswerTwice:
+                return answer != nullptr;
             case Rule::AnswerLate:
-            case Rule::AnswerInvented: return k.served;
-            case Rule::CopyConcurrent: return k.served && k.cls == kFree;
-            case Rule::EffectTwice: return k.cls == kOnce && k.may_have_run;
+            case Rule::AnswerInvented:
+                return k.served;
+            case Rule::CopyConcurrent:
+                return k.served && k.cls == kFree;
+            case Rule::EffectTwice:
+                return k.cls == kOnce && k.may_have_run;
             case Rule::RepeatElsewhere:
                 return k.cls == kByCell && k.may_have_run && k.over < k.window_from + 290;
-            case Rule::RepeatLate: return k.cls == kByCell && k.may_have_run && k.served;
+            case Rule::RepeatLate:
+                return k.cls == kByCell && k.may_have_run && k.served;
             case Rule::RefusedAfterRun:
                 return answer && k.may_have_run && (k.cls == kOnce || k.cls == kByCell || k.cls == kByZone);
-            default: return k.served && k.cls == kFree && k.sent > 2800;
+            default:
+                return k.served && k.cls == kFree && k.sent > 2800;
         }
     });
     if (fit.empty()) return false;
@@ -860,36 +967,57 @@
                 auto* a = std::get_if<TryAnswered>(&r);
                 return a && a->id == k.id;
             });
-            if (k.served && where < 0.5) t.left(k.sent + 2000, k.id);
-            else t.add(TryLost{at(k.answered), k.id, false});
+            if (k.served && where < 0.5)
+                t.left(k.sent + 2000, k.id);
+            else
+                t.add(TryLost{at(k.answered), k.id, false});
+            break;
+        case Rule::AnswerTwice:
+            t.failed(k.answered + 1, k.id);
+            break;
+        case Rule::AnswerLate:
+            answer->at = at(k.sent + 2008.1);
+            break;
+        case Rule::AnswerInvented:
+            answer->answer = where < 0.5 ? 0 : k.id % 60 * 10 + 10;
             break;
-        case Rule::AnswerTwice: t.failed(k.answered + 1, k.id); break;
-        case Rule::AnswerLate: answer->at = at(k.sent + 2008.1); break;
-        case Rule::AnswerInvented: answer->answer = where < 0.5 ? 0 : k.id % 60 * 10 + 10; break;
         case Rule::CopyConcurrent:
             t.arrived(k.arrived + 1, 9999, k.id, (k.server + 1) % 4, k.node)
                 .ended(k.over + 1, 9999, Ended::Dropped);
             break;
-        case Rule::EffectTwice: t.arrived(again, 9999, k.id, same, k.node); break;
-        case Rule::RepeatElsewhere: t.arrived(again, 9999, k.id, k.server == 2 ? 3 : 2, k.node); break;
-        case Rule::RepeatLate: t.arrived(k.arrived + 500, 9999, k.id, same, k.node); break;
+        case Rule::EffectTwice:
+            t.arrived(again, 9999, k.id, same, k.node);
+            break;
+        case Rule::RepeatElsewhere:
+            t.arrived(again, 9999, k.id, k.server == 2 ? 3 : 2, k.node);
+            break;
+        case Rule::RepeatLate:
+            t.arrived(k.arrived + 500, 9999, k.id, same, k.node);
+            break;
         case Rule::RefusedAfterRun:
             answer->heard = Heard::Refused;
             answer->status = 503;
             break;
-        case Rule::SentDraining: t.arrived(again, 9999, k.id, 4, k.node); break;
+        case Rule::SentDraining:
+            t.arrived(again, 9999, k.id, 4, k.node);
+            break;
         case Rule::SentGone:
             t.told(2000, k.node, 4, ToldPhase::Terminated);
             t.arrived(again, 9999, k.id, 4, k.node);
             break;
-        case Rule::SentUnlisted: t.arrived(again, 9999, k.id, kUnlisted, k.node); break;
+        case Rule::SentUnlisted:
+            t.arrived(again, 9999, k.id, kUnlisted, k.node);
+            break;
         case Rule::ColdPushed:
             t.server(6000, 0, ServerState::Cold).told(6100, k.node, 0, ToldPhase::InService, 6000);
             t.add(WorkArrived{at(6200), 0, k.node, Duration{100}})
                 .server(6300, 0, ServerState::FellOver, 1500);
             break;
-        case Rule::IdInvented: t.arrived(again, 9999, 0xdead, 0, k.node); break;
-        case Rule::kRules: return false;
+        case Rule::IdInvented:
+            t.arrived(again, 9999, 0xdead, 0, k.node);
+            break;
+        case Rule::kRules:
+            return false;
     }
     return true;
 }
@@ -899,9 +1027,8 @@
     for (unsigned seed = 1; seed <= 150; ++seed) {
         Model legal(seed);
         auto referee = legal.trace.judge();
-        ASSERT_EQ(referee->total(), 0u) << "seed " << seed << ": "
-            << name_of(referee->breaches()[0].rule) << " "
-                                        << referee->breaches()[0].proof;
+        ASSERT_EQ(referee->total(), 0u) << "seed " << seed << ": " << name_of(referee->breaches()[0].rule)
+                                        << " " << referee->breaches()[0].proof;
         for (int r = 0; r < int(Rule::kRules); ++r) {
             Model spoilt(seed);
             if (!spoil(spoilt, Rule(r), spoilt.draw(0, 1))) continue;
@@ -909,8 +1036,8 @@
             auto found = spoilt.trace.judge();
             ASSERT_EQ(found->total(), 1u) << "seed " << seed << " " << name_of(Rule(r)) << ": "
                                           << (found->total() ? found->breaches()[0].proof : "");
-            ASSERT_EQ(found->breaches()[0].rule, Rule(r)) << "seed " << seed << ": "
-                << found->breaches()[0].proof;
+            ASSERT_EQ(found->breaches()[0].rule, Rule(r))
+                << "seed " << seed << ": " << found->breaches()[0].proof;
         }
     }
     for (int r = 0; r < int(Rule::kRules); ++r) EXPECT_GT(tried[std::size_t(r)], 100) << name_of(Rule(r));
--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -1,4 +1,6 @@
 // Two meshes with a relay between them: each fault does what it says to what crosses.
+#include "lab/channel/relay.h"
+
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -6,7 +8,6 @@
 
 #include "base/asio_scheduler.h"
 #include "fleet/channel/mesh.h"
-#include "lab/channel/relay.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -15,7 +16,8 @@
 const Mesh::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
 struct World {
-    explicit World(Duration dead = Duration{3000}) : near(io, clock, std::nullopt, named(1, dead), 1), far(io, clock, kAny, named(2, dead), 2) {
+    explicit World(Duration dead = Duration{3000})
+        : near(io, clock, std::nullopt, named(1, dead), 1), far(io, clock, kAny, named(2, dead), 2) {
         for (Mesh* mesh : {&near, &far}) {
             int me = mesh == &far;
             mesh->up = [this, me](const Peer&) { ++ups[me]; };
@@ -43,7 +45,9 @@
         return true;
     }
     bool both_up(int times) {
-        return until([&] { return ups[0] - downs[0] == 1 && ups[1] - downs[1] == 1 && ups[0] >= times && ups[1] >= times; });
+        return until([&] {
+            return ups[0] - downs[0] == 1 && ups[1] - downs[1] == 1 && ups[0] >= times && ups[1] >= times;
+        });
     }
 
     boost::asio::io_context io{1};
--- a/lab/tests/result_test.cpp
+++ b/lab/tests/result_test.cpp
@@ -147,8 +147,9 @@
     const Result result = book.result();
     std::vector<std::string> names;
     for (const Floor& floor : floors(result)) names.push_back(floor.of + " " + floor.name);
-    EXPECT_EQ(names, (std::vector<std::string>{"class look", "class order", "effect free", "effect single_shot",
-                                               "tenant big", "tenant small", "third first", "third second", "third last"}));
+    EXPECT_EQ(names, (std::vector<std::string>{"class look", "class order", "effect free",
+                                               "effect single_shot", "tenant big", "tenant small",
+                                               "third first", "third second", "third last"}));
     EXPECT_DOUBLE_EQ(*figure(result, "classes.order.worth"), 10.0 / 30);
     EXPECT_DOUBLE_EQ(*figure(result, "effects.single_shot.worth"), 10.0 / 30);
     EXPECT_DOUBLE_EQ(*figure(result, "effects.free.worth"), 1);
@@ -380,9 +381,7 @@
     second.at = Duration(8000);
     second.length = Duration(1000);
     day.faults.push_back(second);
-    auto bad = [](double from, double until) {
-        return [=](double ms) { return ms >= from && ms < until; };
-    };
+    auto bad = [](double from, double until) { return [=](double ms) { return ms >= from && ms < until; }; };
     const RecoveryResult soon = faulty(day, 20000, 20000, bad(5000, 11000)).recovery;
     EXPECT_DOUBLE_EQ(soon.began_s, 5);
     EXPECT_DOUBLE_EQ(soon.ended_s, 9);
--- a/lab/tests/saboteurs_test.cpp
+++ b/lab/tests/saboteurs_test.cpp
@@ -1,5 +1,5 @@
-// The referee must be right: each saboteur breaks one promise inside an otherwise sound node and is named by the rule
-// it breaks, and the node as it ships breaks none on the same days.
+// The referee must be right: each saboteur breaks one promise inside an otherwise sound node and is named by
+// the rule it breaks, and the node as it ships breaks none on the same days.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -80,8 +80,10 @@
 
 const char* const kCalm = "";
 const char* const kHang = "[[fault]]\nkind = \"hang\"\nat_s = 2\nfor_s = 3\nservers = [0]\n";
-const char* const kErrors = "[[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 4\nservers = [0, 1]\nsize = 0.7\n";
-const char* const kCellErrors = "[[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 5\npart = 1\nsize = 0.9\n";
+const char* const kErrors =
+    "[[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 4\nservers = [0, 1]\nsize = 0.7\n";
+const char* const kCellErrors =
+    "[[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 5\npart = 1\nsize = 0.9\n";
 const char* const kDrain = "[[fault]]\nkind = \"drain\"\nat_s = 2\nfor_s = 6\nservers = [0]\n";
 const char* const kSilent = "[[fault]]\nkind = \"silent\"\nat_s = 1\nfor_s = 4\nservers = [0]\n";
 const char* const kCrash = "[[fault]]\nkind = \"crash\"\nat_s = 1\nfor_s = 1.5\nservers = [0]\n";
@@ -146,9 +148,11 @@
 /// Sends a copy of what a server has answered, so that no other attempt of it is out.
 auto copies_of_served(std::function<ServerNo(Saboteur&, const Hands&)> where) {
     return [where](Saboteur& s) {
-        s.on_ended = [where](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo, Outcome outcome) {
+        s.on_ended = [where](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo,
+                             Outcome outcome) {
             if (m.cls != 0 || outcome != Outcome::Ok) return;
-            if (ServerNo to = where(me, hands); to != kNobody) hands.send(to, std::make_shared<SimMessage>(m));
+            if (ServerNo to = where(me, hands); to != kNobody)
+                hands.send(to, std::make_shared<SimMessage>(m));
         };
     };
 }
@@ -165,33 +169,60 @@
     };
 }
 
-auto replies(std::function<bool(Saboteur&, const Hands&, ClientConnection, const SimMessage&, SimReply&)> how) {
+auto replies(
+    std::function<bool(Saboteur&, const Hands&, ClientConnection, const SimMessage&, SimReply&)> how) {
     return [how](Saboteur& s) { s.on_replying = how; };
 }
 
 const std::vector<Case>& cases() {
     static const std::vector<Case> all{
-        {"SecondCopyWhileOneIsOut", kCalm, Rule::CopyConcurrent, {},
+        {"SecondCopyWhileOneIsOut",
+         kCalm,
+         Rule::CopyConcurrent,
+         {},
          [](Saboteur& s) {
              s.on_started = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo to) {
-                 if (m.cls == 0 && me.every(10)) hands.send((to + 1) % kFirst, std::make_shared<SimMessage>(m));
+                 if (m.cls == 0 && me.every(10))
+                     hands.send((to + 1) % kFirst, std::make_shared<SimMessage>(m));
              };
          }},
-        {"OrderResentAfterATimeOut", kHang, Rule::EffectTwice, {}, resends(1, Outcome::Timeout, 1, Duration{0.5})},
-        {"KeyedRepeatToAnotherRack", kErrors, Rule::RepeatElsewhere, {Rule::CopyConcurrent},
+        {"OrderResentAfterATimeOut",
+         kHang,
+         Rule::EffectTwice,
+         {},
+         resends(1, Outcome::Timeout, 1, Duration{0.5})},
+        {"KeyedRepeatToAnotherRack",
+         kErrors,
+         Rule::RepeatElsewhere,
+         {Rule::CopyConcurrent},
          resends(2, Outcome::Error, 3, Duration{0.5})},
-        {"KeyedRepeatAfterItsWindow", kErrors, Rule::RepeatLate, {}, resends(2, Outcome::Error, 0, Duration{2200})},
-        {"AnswerDropped", kCalm, Rule::AnswerMissing, {},
+        {"KeyedRepeatAfterItsWindow",
+         kErrors,
+         Rule::RepeatLate,
+         {},
+         resends(2, Outcome::Error, 0, Duration{2200})},
+        {"AnswerDropped",
+         kCalm,
+         Rule::AnswerMissing,
+         {},
          replies([](Saboteur& me, const Hands&, ClientConnection, const SimMessage&, SimReply&) {
              return !me.every(20);
          })},
-        {"AnswerGivenTwice", kCalm, Rule::AnswerTwice, {},
-         replies([](Saboteur& me, const Hands& hands, ClientConnection c, const SimMessage& m, SimReply& reply) {
-             if (me.every(20)) hands.reply(c, m.id, reply);
-             return true;
-         })},
-        {"AnswerLate", kCalm, Rule::AnswerLate, {},
-         replies([](Saboteur& me, const Hands& hands, ClientConnection c, const SimMessage& m, SimReply& reply) {
+        {"AnswerGivenTwice",
+         kCalm,
+         Rule::AnswerTwice,
+         {},
+         replies(
+             [](Saboteur& me, const Hands& hands, ClientConnection c, const SimMessage& m, SimReply& reply) {
+                 if (me.every(20)) hands.reply(c, m.id, reply);
+                 return true;
+             })},
+        {"AnswerLate",
+         kCalm,
+         Rule::AnswerLate,
+         {},
+         replies([](Saboteur& me, const Hands& hands, ClientConnection c, const SimMessage& m,
+                    SimReply& reply) {
              if (!me.every(20)) return true;
              hands.scheduler->call_at(m.give_up_at + Duration{15},
                                       [h = &hands, c, id = m.id, late = std::make_shared<SimReply>(reply)] {
@@ -199,61 +230,97 @@
                                       });
              return false;
          })},
-        {"AnswerOfAnotherRequest", kCalm, Rule::AnswerInvented, {},
+        {"AnswerOfAnotherRequest",
+         kCalm,
+         Rule::AnswerInvented,
+         {},
          replies([](Saboteur& me, const Hands&, ClientConnection, const SimMessage&, SimReply& reply) {
              AttemptNo own = reply.answer;
-             if (reply.heard == Heard::Served && me.last_answer != 0 && me.every(20)) reply.answer = me.last_answer;
+             if (reply.heard == Heard::Served && me.last_answer != 0 && me.every(20))
+                 reply.answer = me.last_answer;
              me.last_answer = own;
              return true;
          })},
-        {"AnswerInvented", kCalm, Rule::AnswerInvented, {},
+        {"AnswerInvented",
+         kCalm,
+         Rule::AnswerInvented,
+         {},
          replies([](Saboteur& me, const Hands&, ClientConnection, const SimMessage&, SimReply& reply) {
              if (me.every(20)) reply.heard = Heard::Served, reply.status = 200, reply.answer = 0;
              return true;
          })},
-        {"ServedThoughNoServerDid", kErrors, Rule::AnswerInvented, {},
+        {"ServedThoughNoServerDid",
+         kErrors,
+         Rule::AnswerInvented,
+         {},
          replies([](Saboteur&, const Hands&, ClientConnection, const SimMessage&, SimReply& reply) {
-             if (reply.heard == Heard::Failed) reply.heard = Heard::Served, reply.status = 200, reply.answer = 1;
+             if (reply.heard == Heard::Failed)
+                 reply.heard = Heard::Served, reply.status = 200, reply.answer = 1;
              return true;
          })},
-        {"SentAfterADrain", kDrain, Rule::SentDraining, {},
+        {"SentAfterADrain",
+         kDrain,
+         Rule::SentDraining,
+         {},
          [](Saboteur& s) {  // on a connection from before: one that drains takes no new ones
-             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo, Outcome outcome) {
+             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo,
+                             Outcome outcome) {
                  if (me.kept == 0) me.kept = hands.open(0);
                  if (m.cls != 0 || outcome != Outcome::Ok) return;
                  if (me.since(hands, 0, ToldPhase::Terminating) > 2100)
                      hands.send_on(me.kept, std::make_shared<SimMessage>(m));
              };
          }},
-        {"SentToAServerGone", kSilent, Rule::SentGone, {},
+        {"SentToAServerGone",
+         kSilent,
+         Rule::SentGone,
+         {},
          copies_of_served([](Saboteur& me, const Hands& hands) {
              return me.since(hands, 0, ToldPhase::Terminated) > 2100 ? 0 : kNobody;
          })},
-        {"SentToAServerNeverListed", kRelease, Rule::SentUnlisted, {},
+        {"SentToAServerNeverListed",
+         kRelease,
+         Rule::SentUnlisted,
+         {},
          copies_of_served([](Saboteur& me, const Hands&) { return me.knows(kFirst) ? kNobody : kFirst; })},
-        {"ColdServerPushedOver", kCrash, Rule::ColdPushed, {},
+        {"ColdServerPushedOver",
+         kCrash,
+         Rule::ColdPushed,
+         {},
          [](Saboteur& s) {
-             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo, Outcome outcome) {
+             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo,
+                             Outcome outcome) {
                  // Told again as in service, after it had been told as gone.
-                 if (m.cls != 0 || outcome != Outcome::Ok || hands.scheduler->now() < World::kStart + Duration{3000})
+                 if (m.cls != 0 || outcome != Outcome::Ok ||
+                     hands.scheduler->now() < World::kStart + Duration{3000})
                      return;
                  if (me.since(hands, 0, ToldPhase::InService) < 0) return;
                  for (int i = 0; i < 60; ++i) hands.send(0, std::make_shared<SimMessage>(m));
              };
          }},
-        {"RefusedAfterItMayHaveRun", kErrors, Rule::RefusedAfterRun, {},
+        {"RefusedAfterItMayHaveRun",
+         kErrors,
+         Rule::RefusedAfterRun,
+         {},
          replies([](Saboteur&, const Hands&, ClientConnection, const SimMessage& m, SimReply& reply) {
              if (m.cls == 1 && reply.heard == Heard::Failed) reply.heard = Heard::Refused, reply.status = 503;
              return true;
          })},
-        {"KeyedRefusedAfterItMayHaveRun", kCellErrors, Rule::RefusedAfterRun, {},
+        {"KeyedRefusedAfterItMayHaveRun",
+         kCellErrors,
+         Rule::RefusedAfterRun,
+         {},
          replies([](Saboteur&, const Hands&, ClientConnection, const SimMessage& m, SimReply& reply) {
              if (m.cls == 2 && reply.heard == Heard::Failed) reply.heard = Heard::Refused, reply.status = 503;
              return true;
          })},
-        {"IdThatNoClientSent", kCalm, Rule::IdInvented, {},
+        {"IdThatNoClientSent",
+         kCalm,
+         Rule::IdInvented,
+         {},
          [](Saboteur& s) {
-             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo to, Outcome outcome) {
+             s.on_ended = [](Saboteur& me, const Hands& hands, const SimMessage& m, ServerNo to,
+                             Outcome outcome) {
                  if (outcome != Outcome::Ok || !me.every(20)) return;
                  auto made = std::make_shared<SimMessage>(m);
                  made->id = ~m.id;
@@ -296,7 +363,8 @@
         found.erase(it.rule);
         for (Rule allowed : it.beside) found.erase(allowed);
         for (const auto& [rule, count] : found)
-            ADD_FAILURE() << it.name << " taken for " << name_of(rule) << " " << count << " times, seed " << seed;
+            ADD_FAILURE() << it.name << " taken for " << name_of(rule) << " " << count << " times, seed "
+                          << seed;
     }
     EXPECT_GT(named, 0u) << it.name << " was not named " << name_of(it.rule);
 }
--- a/lab/tests/shards_test.cpp
+++ b/lab/tests/shards_test.cpp
@@ -1,4 +1,5 @@
-// Holders of shards with faults in virtual time, and the judge: that it finds what is wrong, and that nothing is.
+// Holders of shards with faults in virtual time, and the judge: that it finds what is wrong, and that nothing
+// is.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -9,7 +10,9 @@
 namespace {
 
 using What = Operation::What;
-constexpr TimePoint at(double ms) { return TimePoint(Duration(ms)); }
+constexpr TimePoint at(double ms) {
+    return TimePoint(Duration(ms));
+}
 
 Operation op(What what, std::uint64_t value, double called, double answered, std::uint64_t expected = 0) {
     Operation o;
@@ -22,23 +25,33 @@
 }
 
 TEST(ShardsHistory, KnowsWhatCanHaveHappened) {
-    EXPECT_TRUE(linearizable({op(What::Write, 1, 0, 10), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 10), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
+    EXPECT_TRUE(
+        linearizable({op(What::Write, 1, 0, 10), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
+    EXPECT_FALSE(
+        linearizable({op(What::Write, 1, 0, 10), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
     EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Read, kAbsent, 2, 3)}));
     EXPECT_FALSE(linearizable({op(What::Read, 7, 0, 1)}));
     // Nobody knows whether it was written, and then somebody does.
-    EXPECT_TRUE(linearizable({op(What::Write, 1, 0, -1), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, -1), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
+    EXPECT_TRUE(
+        linearizable({op(What::Write, 1, 0, -1), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
+    EXPECT_FALSE(
+        linearizable({op(What::Write, 1, 0, -1), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
     EXPECT_FALSE(linearizable({op(What::Write, 1, 4, -1), op(What::Read, 1, 2, 3)}));
     // Twice is not once.
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 9), op(What::Write, 2, 2, 3), op(What::Read, 1, 1, 1.5), op(What::Read, 1, 4, 5)}));
-    EXPECT_TRUE(linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 5, 1), op(What::Read, 2, 3, 4)}));
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 3, 1), op(What::Swap, 3, 2, 3, 1)}));
+    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 9), op(What::Write, 2, 2, 3), op(What::Read, 1, 1, 1.5),
+                               op(What::Read, 1, 4, 5)}));
+    EXPECT_TRUE(
+        linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 5, 1), op(What::Read, 2, 3, 4)}));
+    EXPECT_FALSE(
+        linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 3, 1), op(What::Swap, 3, 2, 3, 1)}));
     // A loss is said, and is no excuse for anything else.
-    EXPECT_TRUE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, 1, 3, 4), op(What::Read, kLost, 5, 6)}));
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, kAbsent, 5, 6)}));
+    EXPECT_TRUE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, 1, 3, 4),
+                              op(What::Read, kLost, 5, 6)}));
+    EXPECT_FALSE(
+        linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, kAbsent, 5, 6)}));
     EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Read, kLost, 5, 6)}));
-    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, kLost, 3, 4), op(What::Read, 1, 5, 6)}));
+    EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1),
+                               op(What::Read, kLost, 3, 4), op(What::Read, 1, 5, 6)}));
 }
 
 TEST(ShardsWorld, DrawnDaysBreakNoPromise) {
@@ -72,7 +85,8 @@
         for (std::uint64_t number = 1 + std::uint64_t(what) * 13; number <= count; number += 149) {
             Hit day = day_with(number, what, 1);
             hit += day.hit;
-            for (const std::string& fault : day.verdict.faults) ADD_FAILURE() << "event " << number << ": " << fault;
+            for (const std::string& fault : day.verdict.faults)
+                ADD_FAILURE() << "event " << number << ": " << fault;
         }
     EXPECT_GT(hit, 12u);
 }
@@ -110,7 +124,8 @@
                     Mutant{Saboteur::NoClockBehindAPause, "stopped over its session's end", false},
                     Mutant{Saboteur::SaysFilledAtOnce, "killed while a third is filled", true},
                     Mutant{Saboteur::AnswersWhileYielding, "one joins, one leaves", false},
-                    Mutant{Saboteur::KeepsItsSessionOverDeath, "killed and back before its session's end", true},
+                    Mutant{Saboteur::KeepsItsSessionOverDeath, "killed and back before its session's end",
+                           true},
                     Mutant{Saboteur::KeepersEndSessionsEarly, "cut from the keepers, not from nodes", false},
                     Mutant{Saboteur::NewLeaderForgetsLengths, "the keepers' leader moves", false},
                     Mutant{Saboteur::KeepersForgetTheSecond, "first killed", true},
@@ -129,12 +144,14 @@
     std::vector<bool> has_sent(kClients);
     for (std::size_t i = 0; i < kClients; ++i) {
         fleet::Basket basket{"shop", client(i), std::uint32_t(i % kCells), 1, 0};
-        world.ask(0, true, fleet::bind_basket(basket, nullptr, Duration(600'000)), [&](const auto& d) { bound += !d.error; });
+        world.ask(0, true, fleet::bind_basket(basket, nullptr, Duration(600'000)),
+                  [&](const auto& d) { bound += !d.error; });
         fleet::Order order{fleet::Order::State::Begun, world.node_session(0), 1, 0};
-        world.ask(0, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)), [&, i](const auto& d) {
-            has_sent[i] = !d.error;
-            sent += !d.error;
-        });
+        world.ask(0, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)),
+                  [&, i](const auto& d) {
+                      has_sent[i] = !d.error;
+                      sent += !d.error;
+                  });
     }
     world.run_to(at(7000));
     EXPECT_EQ(bound, kClients);
@@ -145,15 +162,17 @@
     world.run_to(at(14'000));
     for (std::size_t i = 0; i < kClients; ++i) {
         world.ask(1, false, fleet::find_basket("shop", client(i)), [&, i](const auto& d) {
-            kept += d.record && fleet::basket_of(*d.record) && fleet::basket_of(*d.record)->cell == i % kCells;
+            kept +=
+                d.record && fleet::basket_of(*d.record) && fleet::basket_of(*d.record)->cell == i % kCells;
         });
         by_itself += (i * 2654435761u >> 7) % kCells == i % kCells;  // the rack that it would draw
         fleet::Order order{fleet::Order::State::Begun, world.node_session(1), 1, 0};
-        world.ask(1, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)), [&, i](const auto& d) {
-            fleet::Begun b = fleet::begun(d, [&](fleet::SessionId who) { return who != dead; });
-            twice += b.verdict == fleet::Begun::Verdict::Go && has_sent[i];
-            unknown += b.verdict == fleet::Begun::Verdict::Unknown;
-        });
+        world.ask(1, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)),
+                  [&, i](const auto& d) {
+                      fleet::Begun b = fleet::begun(d, [&](fleet::SessionId who) { return who != dead; });
+                      twice += b.verdict == fleet::Begun::Verdict::Go && has_sent[i];
+                      unknown += b.verdict == fleet::Begun::Verdict::Unknown;
+                  });
     }
     world.run_to(at(18'000));
     EXPECT_EQ(kept, kClients);
--- a/lab/tests/simulate_test.cpp
+++ b/lab/tests/simulate_test.cpp
@@ -1,5 +1,7 @@
-// Days in virtual time: the same whatever the number of threads, no rule broken by the node as it ships, and the parts
-// of the world that the cores do not test by themselves.
+// Days in virtual time: the same whatever the number of threads, no rule broken by the node as it ships, and
+// the parts of the world that the cores do not test by themselves.
+#include "lab/sim/simulate.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +12,6 @@
 
 #include "lab/sim/network.h"
 #include "lab/sim/node_scheduler.h"
-#include "lab/sim/simulate.h"
 #include "lab/sim/virtual_scheduler.h"
 
 namespace ochrehub::lab {
@@ -162,7 +163,8 @@
 /// Counts what the parts of the world did that the figures do not show.
 struct Seen : Witness {
     void note(const Record& record) override {
-        if (const auto* changed = std::get_if<NodeChanged>(&record)) states[changed->node].push_back(*changed);
+        if (const auto* changed = std::get_if<NodeChanged>(&record))
+            states[changed->node].push_back(*changed);
         if (const auto* sent = std::get_if<TrySent>(&record)) {
             if (last_at[sent->node].count(0) == 0) last_at[sent->node][0] = sent->at;
             last_at[sent->node][0] = sent->at;
@@ -199,8 +201,8 @@
     "[front]\nnotice_s = 0.5\n";
 
 TEST(World, AKilledNodeLosesWhatItHeldAndComesBack) {
-    Seen seen = seen_on(std::string(kSmall) +
-                        "[[fault]]\nkind = \"node_kill\"\nat_s = 3\nfor_s = 2\nnodes = [1]\n");
+    Seen seen =
+        seen_on(std::string(kSmall) + "[[fault]]\nkind = \"node_kill\"\nat_s = 3\nfor_s = 2\nnodes = [1]\n");
     std::vector<NodeState> states;
     for (const NodeChanged& changed : seen.states[1]) states.push_back(changed.state);
     EXPECT_EQ(states, (std::vector<NodeState>{NodeState::Started, NodeState::Ready, NodeState::Killed,
@@ -219,7 +221,8 @@
 }
 
 TEST(World, APlannedRestartAnswersWhatItHasAndLosesNothing) {
-    Seen seen = seen_on(std::string(kSmall) + "[[fault]]\nkind = \"node_restart\"\nat_s = 3\nfor_s = 4\nnodes = [0]\n");
+    Seen seen = seen_on(std::string(kSmall) +
+                        "[[fault]]\nkind = \"node_restart\"\nat_s = 3\nfor_s = 4\nnodes = [0]\n");
     std::vector<NodeState> states;
     for (const NodeChanged& changed : seen.states[0]) states.push_back(changed.state);
     EXPECT_EQ(states, (std::vector<NodeState>{NodeState::Started, NodeState::Ready, NodeState::Stopping,
@@ -288,8 +291,8 @@
     EXPECT_GT(median("25000"), 2 * median("0"));
 }
 
-// A stall leaves requests whose clients have given up. Read in their order, each costs as much as a live one and is asked
-// again, and that goes on for good.
+// A stall leaves requests whose clients have given up. Read in their order, each costs as much as a live one
+// and is asked again, and that goes on for good.
 TEST(World, AStallThatUsesUpTheCpuIsOverSoonAfterItsEnd) {
     Day day = Scenario::read("rate_storm").draw(2);
     auto play = [&](bool sheds) {
@@ -315,10 +318,11 @@
     EXPECT_GT(after, 50);
 }
 
-// Requests that wait in nodes hold their clients' connections: with few descriptors newcomers are told by admission control that
-// there is no room, which closes their connections, and ask again on new ones.
+// Requests that wait in nodes hold their clients' connections: with few descriptors newcomers are told by
+// admission control that there is no room, which closes their connections, and ask again on new ones.
 TEST(World, AnOverloadThatClientsRepeatDoesNotTurnIntoAStormOfConnections) {
-    Scenario scenario = Scenario::parse("summary = \"few\"\n[load]\nutilisation = 1.2\n[nodes]\nsockets = 128\n", "few");
+    Scenario scenario =
+        Scenario::parse("summary = \"few\"\n[load]\nutilisation = 1.2\n[nodes]\nsockets = 128\n", "few");
     // Over eight days: on one alone the ratio hangs on a few bursts.
     std::uint64_t all_open = 0, all_bounded = 0;
     double gained = 0;
--- a/lab/tests/swarm_test.cpp
+++ b/lab/tests/swarm_test.cpp
@@ -1,4 +1,5 @@
-// Members by gossip under the failures they are to stand: loss, crashes, stops, partitions, restarts, a sick one.
+// Members by gossip under the failures they are to stand: loss, crashes, stops, partitions, restarts, a sick
+// one.
 #include "lab/swarm/swarm.h"
 
 #include <gtest/gtest.h>
@@ -49,7 +50,8 @@
         ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.settled(); }));
         Duration from = swarm.now();
         swarm.crash(20);
-        EXPECT_TRUE(swarm.run_until(from + 10 * kSecond, [&] { return swarm.all_believe(20, is(State::Dead)); }))
+        EXPECT_TRUE(
+            swarm.run_until(from + 10 * kSecond, [&] { return swarm.all_believe(20, is(State::Dead)); }))
             << "seed " << seed;
         swarm.run_to(40 * kSecond);
         EXPECT_EQ(swarm.called_dead(), 0u) << "seed " << seed;
@@ -69,17 +71,21 @@
     EXPECT_EQ(of_others, 0u);
     EXPECT_GE(swarm.core(5).doubt(), 3);
     swarm.loss_of(5, 0);
-    EXPECT_TRUE(swarm.run_until(240 * kSecond, [&] { return swarm.settled() && swarm.core(5).doubt() == 0; }));
+    EXPECT_TRUE(
+        swarm.run_until(240 * kSecond, [&] { return swarm.settled() && swarm.core(5).doubt() == 0; }));
 }
 
-// What the operators ask for: pauses, lost messages and one-sided cuts at once, and nobody who lives is dead to anybody.
+// What the operators ask for: pauses, lost messages and one-sided cuts at once, and nobody who lives is dead
+// to anybody.
 TEST(Swarm, LossPausesAndAOneSidedCutAtOnceKillNobody) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         Swarm swarm(of(16, 0.1, seed));
         ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.all_known(); }));
         // Also nobody who is paused: that is no death.
         std::uint64_t dead = 0;
-        swarm.heard = [&](std::size_t, const membership::Changed& changed) { dead += changed.now.state == State::Dead; };
+        swarm.heard = [&](std::size_t, const membership::Changed& changed) {
+            dead += changed.now.state == State::Dead;
+        };
         swarm.cut_way(seed % 16, (seed + 5) % 16, true);
         for (std::size_t round = 0; round < 10; ++round) {
             std::size_t paused = (7 * round + seed) % 16;
@@ -100,7 +106,8 @@
             ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.all_known(); }));
             std::uint64_t of_others = 0;
             swarm.heard = [&](std::size_t by, const membership::Changed& changed) {
-                if (by != 3 && changed.now.state == State::Dead && changed.now.who != swarm.place(3)) ++of_others;
+                if (by != 3 && changed.now.state == State::Dead && changed.now.who != swarm.place(3))
+                    ++of_others;
             };
             auto cut = [&](bool on) {
                 for (std::size_t i = 0; i < 16; ++i) deaf ? swarm.cut_way(i, 3, on) : swarm.cut_way(3, i, on);
@@ -108,8 +115,12 @@
             Duration from = swarm.now();
             cut(true);
             std::uint8_t word = deaf ? membership::kSaysDeaf : membership::kSaysUnheard;
-            EXPECT_TRUE(swarm.run_until(from + 10 * kSecond, [&] { return swarm.core(3).self().said == word; })) << seed;
-            EXPECT_TRUE(swarm.run_until(from + 20 * kSecond, [&] { return swarm.all_believe(3, is(State::Dead)); })) << seed;
+            EXPECT_TRUE(swarm.run_until(from + 10 * kSecond, [&] {
+                return swarm.core(3).self().said == word;
+            })) << seed;
+            EXPECT_TRUE(swarm.run_until(from + 20 * kSecond, [&] {
+                return swarm.all_believe(3, is(State::Dead));
+            })) << seed;
             swarm.run_to(from + 60 * kSecond);
             EXPECT_EQ(of_others, 0u) << seed;
             Duration healed = swarm.now();
@@ -187,9 +198,12 @@
     Swarm swarm(of(20));
     swarm.run_to(10 * kSecond);
     std::uint64_t dead = 0;
-    swarm.heard = [&](std::size_t, const membership::Changed& changed) { dead += changed.now.state == State::Dead; };
+    swarm.heard = [&](std::size_t, const membership::Changed& changed) {
+        dead += changed.now.state == State::Dead;
+    };
     swarm.leave(4);
-    EXPECT_TRUE(swarm.run_until(20 * kSecond, [&] { return !swarm.up(4) && swarm.all_believe(4, is(State::Left)); }));
+    EXPECT_TRUE(
+        swarm.run_until(20 * kSecond, [&] { return !swarm.up(4) && swarm.all_believe(4, is(State::Left)); }));
     swarm.run_to(40 * kSecond);
     EXPECT_EQ(dead, 0u);
     // It comes back, knowing nothing of its earlier run.
--- a/lab/tests/watch_clocks_test.cpp
+++ b/lab/tests/watch_clocks_test.cpp
@@ -1,5 +1,6 @@
-// The clocks of the server list, in virtual time: when a change that discovery has made is there at nodes whose watch was silent,
-// cut off, refused, spoilt or moved, beside the moment by which the rules count it as told. `Watch` and the discovery of the lab.
+// The clocks of the server list, in virtual time: when a change that discovery has made is there at nodes
+// whose watch was silent, cut off, refused, spoilt or moved, beside the moment by which the rules count it as
+// told. `Watch` and the discovery of the lab.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,7 +15,8 @@
 namespace {
 
 using discovery::Watch;
-constexpr Duration kTold{6000};  // behind the moment in which discovery has it and can be reached; no settings give more
+constexpr Duration kTold{
+    6000};  // behind the moment in which discovery has it and can be reached; no settings give more
 
 struct Nodes {
     struct Node {
@@ -59,7 +61,8 @@
                 ++nodes[i].failed;
                 if (nodes[i].module) tell(i, ListUpdate{ListKind::Failed, {}});
             }
-            if (std::holds_alternative<discovery::TakeList>(action) && nodes[i].module) tell(i, ListUpdate{ListKind::Delta, {}});
+            if (std::holds_alternative<discovery::TakeList>(action) && nodes[i].module)
+                tell(i, ListUpdate{ListKind::Delta, {}});
         }
     }
     /// From now on each node has its module, which says when to ask again.
@@ -81,7 +84,8 @@
         for (const Action& action : actions) {
             if (const auto* wake = std::get_if<WakeAt>(&action)) nodes[i].module_wake = wake->at;
             if (std::holds_alternative<WatchList>(action))
-                later[now].push_back([this, i] { hand(i, discovery::Asked{}); });  // never from inside the call
+                later[now].push_back(
+                    [this, i] { hand(i, discovery::Asked{}); });  // never from inside the call
         }
     }
     void reset(std::size_t i) {
@@ -96,15 +100,21 @@
         ++calls;
         ListCall number = ListCall(i) << 32 | call.call;
         if (now < cut_until) {  // the connection does not come up
-            later[now + Duration{1000}].push_back([this, i, call] { hand(i, discovery::Ended{call.call, discovery::End::Unheard}); });
+            later[now + Duration{1000}].push_back([this, i, call] {
+                hand(i, discovery::Ended{call.call, discovery::End::Unheard});
+            });
             return;
         }
         if (now < refused_until) {
-            later[now + Duration{1}].push_back([this, i, call] { hand(i, discovery::Ended{call.call, discovery::End::Refused}); });
+            later[now + Duration{1}].push_back([this, i, call] {
+                hand(i, discovery::Ended{call.call, discovery::End::Refused});
+            });
             return;
         }
         if (now < unanswered_until) {
-            later[now + Duration{2000}].push_back([this, i, call] { hand(i, discovery::Ended{call.call, discovery::End::Refused}); });
+            later[now + Duration{2000}].push_back([this, i, call] {
+                hand(i, discovery::Ended{call.call, discovery::End::Refused});
+            });
             return;
         }
         nodes[i].open.insert(number);
@@ -153,9 +163,12 @@
         now = end;
     }
     void silence(std::size_t i) { nodes[i].dead.insert(nodes[i].open.begin(), nodes[i].open.end()); }
-    void drain() { serve(ServerIs{0, ServerState::Draining, TimePoint{}, false}), changed = source->known().revision; }
+    void drain() {
+        serve(ServerIs{0, ServerState::Draining, TimePoint{}, false}), changed = source->known().revision;
+    }
     /// The longest, in ms, that a node knew of the drain behind `told(asked)`; negative: before it.
-    double worst(const std::function<TimePoint(const Node&, TimePoint asked)>& told, const std::vector<TimePoint>& asked) {
+    double worst(const std::function<TimePoint(const Node&, TimePoint asked)>& told,
+                 const std::vector<TimePoint>& asked) {
         double most = -1e9;
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             EXPECT_GE(nodes[i].revision, changed) << "node " << i << " never heard";
@@ -172,13 +185,15 @@
     std::uint64_t changed = 0, calls = 0;
 };
 
-TimePoint at(double ms) { return TimePoint{Duration{ms}}; }
+TimePoint at(double ms) {
+    return TimePoint{Duration{ms}};
+}
 
 struct Clock {
     const char* line;
     std::size_t nodes;
     double calls_per_s, call_most, silent_after;  // the last: into a wait of 3.6 s
-    double refused_for, cut_for;                  // ... from when the silence is noticed at the earliest; from the silence on
+    double refused_for, cut_for;  // ... from when the silence is noticed at the earliest; from the silence on
     int spoilt;
 };
 
@@ -196,14 +211,17 @@
     TimePoint silent = std::max(fleet.now, first + Duration{c.silent_after});
     fleet.run_to(silent);
     std::vector<TimePoint> asked(c.nodes);
-    for (std::size_t i = 0; i < c.nodes; ++i) asked[i] = fleet.nodes[i].asked, fleet.silence(i), fleet.nodes[i].spoilt = c.spoilt;
+    for (std::size_t i = 0; i < c.nodes; ++i)
+        asked[i] = fleet.nodes[i].asked, fleet.silence(i), fleet.nodes[i].spoilt = c.spoilt;
     if (c.cut_for > 0) fleet.cut_until = silent + Duration{c.cut_for};
     if (c.refused_for > 0) fleet.refused_until = first + Duration{4000 + c.refused_for};
     std::uint64_t calls = fleet.calls;
     fleet.drain();
     fleet.run_to(silent + Duration{16'000});
-    double reached = std::max({0.0, c.cut_for, c.refused_for > 0 ? (fleet.refused_until - silent).count() : 0.0});
-    double worst = fleet.worst([&](const Nodes::Node&, TimePoint) { return silent + Duration{reached}; }, asked);
+    double reached =
+        std::max({0.0, c.cut_for, c.refused_for > 0 ? (fleet.refused_until - silent).count() : 0.0});
+    double worst =
+        fleet.worst([&](const Nodes::Node&, TimePoint) { return silent + Duration{reached}; }, asked);
     EXPECT_LT(worst, kTold.count());
     EXPECT_LT(fleet.calls - calls, c.nodes * 9);  // 16 s, of which each may cost discovery a few calls
     std::printf("%-52s %6.0f ms of 6000\n", c.line, worst);
@@ -216,19 +234,22 @@
                       Clock{"asked: silent at the wait's end", 1, 1000, 1000, 3590, 0, 0, 0},
                       Clock{"asked: 300 nodes at once", 300, 1000, 1000, 1, 0, 0, 0},
                       Clock{"asked: 300 nodes at once, discovery slow", 300, 200, 2000, 1, 0, 0, 0},
-                      Clock{"asked: 300 nodes, refused for 1.5 s as they return", 300, 1000, 1000, 1, 1500, 0, 0},
+                      Clock{"asked: 300 nodes, refused for 1.5 s as they return", 300, 1000, 1000, 1, 1500, 0,
+                            0},
                       Clock{"asked: the first two answers spoilt", 3, 1000, 1000, 1, 0, 0, 2},
                       Clock{"cut off for 6 s, asked just before", 100, 1000, 1000, 1, 0, 6000, 0},
                       Clock{"cut off for 6 s, asked 3 s before", 100, 1000, 1000, 3000, 0, 6000, 0}));
 
-// The module under the watch, as in the node: what a failed, refused or given-up call would have told is there within 6 s of
-// the moment in which discovery has it and can be reached, whatever comes first and however many nodes there are.
+// The module under the watch, as in the node: what a failed, refused or given-up call would have told is
+// there within 6 s of the moment in which discovery has it and can be reached, whatever comes first and
+// however many nodes there are.
 struct Outage {
     const char* line;
     std::size_t nodes;
     double calls_per_s;
     double refused_for;     // each call is refused at once
-    double unanswered_for;  // each call is let wait for 2 s and refused then, also one that was made just before the return
+    double unanswered_for;  // each call is let wait for 2 s and refused then, also one that was made just
+                            // before the return
     double cut_for;         // no connection comes up
     bool reset, silent;     // what was out when it began: broken off, or never answered
     double change_at;       // behind the return; negative: before it
@@ -244,7 +265,8 @@
         Nodes fleet(c.nodes, c.calls_per_s, Duration{2000});
         fleet.drive();
         fleet.run_to(at(10'000 + 211 * day));
-        TimePoint began = fleet.now, back = began + Duration{std::max({c.refused_for, c.unanswered_for, c.cut_for})};
+        TimePoint began = fleet.now,
+                  back = began + Duration{std::max({c.refused_for, c.unanswered_for, c.cut_for})};
         fleet.refused_until = began + Duration{c.refused_for};
         fleet.unanswered_until = began + Duration{c.unanswered_for};
         fleet.cut_until = began + Duration{c.cut_for};
@@ -259,7 +281,8 @@
         fleet.drain();
         fleet.run_to(std::max(change, back) + Duration{12'000});
         std::vector<TimePoint> asked(c.nodes);
-        worst = std::max(worst, fleet.worst([&](const Nodes::Node&, TimePoint) { return std::max(change, back); }, asked));
+        worst = std::max(
+            worst, fleet.worst([&](const Nodes::Node&, TimePoint) { return std::max(change, back); }, asked));
         most_calls = std::max(most_calls, fleet.calls - calls);
     }
     EXPECT_LT(worst, kTold.count());
@@ -275,9 +298,12 @@
         all.push_back({"watches silent, news at once", nodes, rate, 0, 0, 0, false, true, 0});
         all.push_back({"refused for 8 s, news meanwhile", nodes, rate, 8000, 0, 0, true, false, -4000});
         all.push_back({"refused for 8 s, news at the return", nodes, rate, 8000, 0, 0, true, false, 0});
-        all.push_back({"refused for 60 s, news 1 s behind the return", nodes, rate, 60'000, 0, 0, true, false, 1000});
-        all.push_back({"calls wait 2 s and fail, for 8 s, news meanwhile", nodes, rate, 0, 8000, 0, true, false, -4000});
-        all.push_back({"calls wait 2 s and fail, for 31 s, news at the return", nodes, rate, 0, 31'000, 0, true, false, 0});
+        all.push_back(
+            {"refused for 60 s, news 1 s behind the return", nodes, rate, 60'000, 0, 0, true, false, 1000});
+        all.push_back({"calls wait 2 s and fail, for 8 s, news meanwhile", nodes, rate, 0, 8000, 0, true,
+                       false, -4000});
+        all.push_back({"calls wait 2 s and fail, for 31 s, news at the return", nodes, rate, 0, 31'000, 0,
+                       true, false, 0});
         all.push_back({"cut off for 3 s, news meanwhile", nodes, rate, 0, 0, 3000, false, true, -1000});
         all.push_back({"cut off for 30 s, news at the return", nodes, rate, 0, 0, 30'000, false, true, 0});
     }
@@ -296,7 +322,8 @@
     EXPECT_EQ(fleet.calls - before, 16u);  // one for each wait of 3.6 s
 }
 
-// A discovery that ends watches at once, with nothing new, costs calls that bring nothing; the watch goes on all the same.
+// A discovery that ends watches at once, with nothing new, costs calls that bring nothing; the watch goes on
+// all the same.
 TEST(Watching, AnswersWithNothingNewAreNotAskedForAtOnceForEver) {
     for (std::uint64_t revision : {41, 41, 40}) {
         Watch watch({}, 1);
@@ -312,7 +339,8 @@
                 const auto* call = std::get_if<discovery::MakeCall>(&action);
                 if (call == nullptr) continue;
                 if (calls++ > 0) {
-                    EXPECT_LE(now - answered, Duration{150}) << "a call 200 ms later is no longer the same watch";
+                    EXPECT_LE(now - answered, Duration{150})
+                        << "a call 200 ms later is no longer the same watch";
                 }
                 out = call->call;
             }
@@ -342,7 +370,8 @@
     EXPECT_EQ(fleet.nodes[0].failed, 1u);  // the module asks again
     fleet.drain();
     fleet.run_to(at(1600));
-    EXPECT_EQ(fleet.nodes[0].revision, fleet.changed) << "what the old address said while the new one refused is lost";
+    EXPECT_EQ(fleet.nodes[0].revision, fleet.changed)
+        << "what the old address said while the new one refused is lost";
     fleet.run_to(at(3100));
     fleet.hand(0, discovery::Asked{});
     fleet.run_to(at(3200));
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t kVisitsMost = 16;                // of the descriptors; the listener and the loop have the rest
+constexpr std::size_t kVisitsMost = 16;  // of the descriptors; the listener and the loop have the rest
 constexpr std::chrono::milliseconds kVisitMost{5000};  // from its first byte to its last
 constexpr std::chrono::milliseconds kAcceptAgain{20};
 constexpr std::uint32_t kHeadMost = 8 * 1024;
@@ -45,10 +45,11 @@
         timer_.async_wait([self = shared_from_this()](error_code stopped) {
             if (!stopped) self->close();
         });
-        http::async_read(socket_, buffer_, parser_, [self = shared_from_this()](error_code error, std::size_t) {
-            if (self->closed_) return;
-            self->heard(error);
-        });
+        http::async_read(socket_, buffer_, parser_,
+                         [self = shared_from_this()](error_code error, std::size_t) {
+                             if (self->closed_) return;
+                             self->heard(error);
+                         });
     }
     bool heard_whole() const { return heard_; }
     void close() {
@@ -72,13 +73,13 @@
         else if (error)
             answer = {400, "this is no call\n", {}, false};
         else
-            answer = admin::answer(server_.node(), text(parser_.get().method_string()), text(parser_.get().target()));
+            answer = admin::answer(server_.node(), text(parser_.get().method_string()),
+                                   text(parser_.get().target()));
         response_.version(11);
         response_.result(unsigned(answer.status));
-        response_.set(http::field::content_type,
-                      answer.metrics ? "text/plain; version=0.0.4; charset=utf-8"
-                      : answer.json  ? "application/json"
-                                     : "text/plain; charset=utf-8");
+        response_.set(http::field::content_type, answer.metrics ? "text/plain; version=0.0.4; charset=utf-8"
+                                                 : answer.json  ? "application/json"
+                                                                : "text/plain; charset=utf-8");
         if (!answer.allow.empty()) response_.set(http::field::allow, answer.allow);
         response_.keep_alive(false);
         response_.body() = std::move(answer.body);
@@ -93,10 +94,11 @@
     }
     // Closing with bytes unread would reset the connection, and the answer with it.
     void linger() {
-        socket_.async_read_some(asio::buffer(dropped_), [self = shared_from_this()](error_code error, std::size_t) {
-            if (self->closed_) return;
-            error ? self->close() : self->linger();
-        });
+        socket_.async_read_some(asio::buffer(dropped_),
+                                [self = shared_from_this()](error_code error, std::size_t) {
+                                    if (self->closed_) return;
+                                    error ? self->close() : self->linger();
+                                });
     }
 
     static const boost::system::error_category& http_category() {
@@ -145,8 +147,8 @@
     });
 }
 
-// Guards against callers that hold all connections and say nothing: whoever came first without a whole call goes,
-// then whoever has been answered.
+// Guards against callers that hold all connections and say nothing: whoever came first without a whole call
+// goes, then whoever has been answered.
 void AdminServer::make_room() {
     if (visits_.size() < kVisitsMost) return;
     std::shared_ptr<Visit> going = visits_.front();
--- a/src/admin/side.cpp
+++ b/src/admin/side.cpp
@@ -16,19 +16,19 @@
 
 }  // namespace
 
-Side::Side(const boost::asio::ip::tcp::endpoint& control, Counters& counters, std::vector<std::string> classes,
-           takeover::Store store, ByHand by_hand, Fleet fleet)
+Side::Side(const boost::asio::ip::tcp::endpoint& control, Counters& counters,
+           std::vector<std::string> classes, takeover::Store store, ByHand by_hand, Fleet fleet)
     : counters_(counters),
       classes_(std::move(classes)),
       store_(std::move(store)),
       by_hand_(std::move(by_hand)),
       look_(io_),
       server_(io_, control,
-            {[this] { return serves_.load(std::memory_order_relaxed); },
-             [this, figures = fleet.figures] {
-                 return metrics(counters_, classes_) + (figures ? figures() : std::string());
-             },
-             [this](const std::string& id, bool out) { return take(id, out); }, fleet.members}) {
+              {[this] { return serves_.load(std::memory_order_relaxed); },
+               [this, figures = fleet.figures] {
+                   return metrics(counters_, classes_) + (figures ? figures() : std::string());
+               },
+               [this](const std::string& id, bool out) { return take(id, out); }, fleet.members}) {
     tell({});
     look();
 }
@@ -74,7 +74,8 @@
     if (!known(id)) return false;
     takeover::ManualOverrides before = store_.overrides();
     bool changed = out ? store_.take_out(id) : store_.put_back(id);
-    if (changed) log(LogLevel::Info, out ? "server out by hand" : "server put back by hand", {{"server", id}});
+    if (changed)
+        log(LogLevel::Info, out ? "server out by hand" : "server put back by hand", {{"server", id}});
     tell(before);
     return true;
 }
--- a/src/admin/side.h
+++ b/src/admin/side.h
@@ -1,11 +1,11 @@
-// The operations side of a node: the second address in a thread and a loop of its own, so that a busy node holds up no
-// answer. It reads what the node's loop publishes, and hands what operators say to that loop.
+// The operations side of a node: the second address in a thread and a loop of its own, so that a busy node
+// holds up no answer. It reads what the node's loop publishes, and hands what operators say to that loop.
 #pragma once
 
+#include <atomic>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <atomic>
 #include <chrono>
 #include <cstdint>
 #include <functional>
@@ -33,15 +33,16 @@
         std::function<std::string()> members, figures;
     };
 
-    /// `counters` must outlive it. What `store` knows of is told before anything else, from the constructor. Throws
-    /// boost::system::system_error where it cannot listen.
+    /// `counters` must outlive it. What `store` knows of is told before anything else, from the constructor.
+    /// Throws boost::system::system_error where it cannot listen.
     Side(const boost::asio::ip::tcp::endpoint& control, Counters& counters, std::vector<std::string> classes,
          takeover::Store store, ByHand by_hand, Fleet fleet = {});
     /// Waits for its thread's end.
     ~Side();
 
     // For the node's loop.
-    /// Answers calls from now on: what came before waits. Once the node has handled the list that it was started with.
+    /// Answers calls from now on: what came before waits. Once the node has handled the list that it was
+    /// started with.
     void start();
     void listed(const Listing& listing);
     void serves(bool does) { serves_.store(does, std::memory_order_relaxed); }
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,13 +6,14 @@
 namespace ochrehub {
 namespace {
 
-constexpr Duration kSoonest{250};     // no sooner: a refusal must be a rest
-constexpr Duration kShortest{800};    // of a window: few who come together are no crowd
-constexpr double kSoonestPart = 0.25, kShortestPart = 0.5;  // ... of the time of clients who wait for less than twice kSoonest
-constexpr int kLooks = 4;             // slots that are looked at for the emptiest
-constexpr std::uint64_t kEarly = 2;   // slots by which one may be early, for the way
-constexpr std::uint64_t kLate = 4;    // ... or late
-constexpr double kReturnsShare = 0.5; // of what is served: the rest is first tries
+constexpr Duration kSoonest{250};   // no sooner: a refusal must be a rest
+constexpr Duration kShortest{800};  // of a window: few who come together are no crowd
+constexpr double kSoonestPart = 0.25,
+                 kShortestPart = 0.5;  // ... of the time of clients who wait for less than twice kSoonest
+constexpr int kLooks = 4;              // slots that are looked at for the emptiest
+constexpr std::uint64_t kEarly = 2;    // slots by which one may be early, for the way
+constexpr std::uint64_t kLate = 4;     // ... or late
+constexpr double kReturnsShare = 0.5;  // of what is served: the rest is first tries
 constexpr Duration kServedOver{2000};
 constexpr double kTookGain = 0.05;
 constexpr double kRoomMost = 0.9;     // of the connections, for requests that are open
@@ -21,12 +22,13 @@
 constexpr double kRoomDeaf = 0.3;     // ... of those who come out of turn again and again
 constexpr int kDeaf = 2;              // strikes
 constexpr double kRoomShared = 0.8;   // ... of its part, till where a tenant may use what others leave
-constexpr double kShareSlack = 3;     // how far chance carries one that is at its share, in its standard deviations
-constexpr Duration kRoomTime{400};    // ... and never more than are served in this time, by the most of late
-constexpr double kRoomTimes = 2;      // ... or in so many times what answers take usually, if that is more
-constexpr double kRoomAlways = 24;    // ... but so many, of a node that serves few
+constexpr double kShareSlack =
+    3;  // how far chance carries one that is at its share, in its standard deviations
+constexpr Duration kRoomTime{400};  // ... and never more than are served in this time, by the most of late
+constexpr double kRoomTimes = 2;    // ... or in so many times what answers take usually, if that is more
+constexpr double kRoomAlways = 24;  // ... but so many, of a node that serves few
 constexpr Duration kMostFade{30000};
-constexpr Duration kOnTime{100};     // by which one may be early or late
+constexpr Duration kOnTime{100};  // by which one may be early or late
 constexpr Duration kRemembered{10000};
 
 }  // namespace
@@ -46,7 +48,8 @@
     if (most_.count() <= 0) return Duration{0};
     advance(now);
     bool brief = patience.count() > 0 && patience < 2 * kSoonest;
-    Duration soonest = brief ? kSoonestPart * patience : kSoonest, shortest = brief ? kShortestPart * patience : kShortest;
+    Duration soonest = brief ? kSoonestPart * patience : kSoonest,
+             shortest = brief ? kShortestPart * patience : kShortest;
     Duration last = std::min(most_, kSlot * double(kSlots - 2 * kLate));
     Duration first = std::min(soonest, last / 2);
     Duration needed = rate > 0 ? Duration{1000 * double(booked_) / rate} : last;
@@ -128,11 +131,13 @@
       bounded_(settings.bounded),
       advises_(settings.most_advice.count() > 0),
       retry_after_(settings.most_advice, settings.seed),
-      load_state_([&] {
-          std::vector<Duration> give_up = settings.give_up;
-          give_up.resize(settings.worth.size(), Duration{1000});
-          return give_up;
-      }(), settings.shares.size()) {
+      load_state_(
+          [&] {
+              std::vector<Duration> give_up = settings.give_up;
+              give_up.resize(settings.worth.size(), Duration{1000});
+              return give_up;
+          }(),
+          settings.shares.size()) {
     for (double worth : settings.worth) classes_.push_back({worth, 0, {}});
     for (std::size_t i = 0; i < std::min(classes_.size(), settings.give_up.size()); ++i)
         classes_[i].give_up = settings.give_up[i];
@@ -142,9 +147,10 @@
     tenants_.push_back({sum > 0 ? sum / double(settings.shares.size()) : 1, 0});
 }
 
-AdmissionController AdmissionController::of(const ochrehub::Settings& settings, std::size_t room, std::uint64_t seed,
-              bool bounded) {
-    Settings own{{}, {}, {}, room, settings.retry_after ? settings.max_retry_after : Duration{0}, seed, bounded};
+AdmissionController AdmissionController::of(const ochrehub::Settings& settings, std::size_t room,
+                                            std::uint64_t seed, bool bounded) {
+    Settings own{{},   {},     {}, room, settings.retry_after ? settings.max_retry_after : Duration{0},
+                 seed, bounded};
     for (const ClassSettings& c : settings.classes) {
         own.worth.push_back(c.gain);
         own.give_up.push_back(c.give_up);
@@ -167,8 +173,8 @@
     return kRoomLeast + (kRoomMost - kRoomLeast) * rank;
 }
 
-// Max-min fair: filled up to this tenant's level, by their shares, do all together use the room up? A tenant that has
-// more for a moment than its share, as chance has it, is not beyond it.
+// Max-min fair: filled up to this tenant's level, by their shares, do all together use the room up? A tenant
+// that has more for a moment than its share, as chance has it, is not beyond it.
 bool AdmissionController::beyond_share(const Tenant& own, double room) const {
     double shares = 0, sum = 0;
     for (const Tenant& each : tenants_) shares += each.share;
@@ -203,10 +209,12 @@
     double rate = most_ * std::exp(-((now - most_at_) / kMostFade));
     double room = room_;
     if (!began_) began_ = now;
-    // Behind a start nothing is known of the rate yet, and a burst is no storm. What answers take when nothing is
-    // wrong stands there by itself: as little room as that would be refused for no need, and the rate fall with it.
+    // Behind a start nothing is known of the rate yet, and a burst is no storm. What answers take when
+    // nothing is wrong stands there by itself: as little room as that would be refused for no need, and the
+    // rate fall with it.
     Duration time = std::max(kRoomTime, Duration{kRoomTimes * usual_ms_});
-    if (now - *began_ >= std::max(kServedOver, 2 * time)) room = std::min(room, std::max(kRoomAlways, rate * time.count() / 1000));
+    if (now - *began_ >= std::max(kServedOver, 2 * time))
+        room = std::min(room, std::max(kRoomAlways, rate * time.count() / 1000));
     room *= part;
     if (!bounded_) return true;
     if (double(open_) >= std::max(1.0, room)) return false;
@@ -223,7 +231,8 @@
     return std::nullopt;
 }
 
-void AdmissionController::leave(TimePoint now, const Knock& knock, bool served, Duration took, Duration server_took) {
+void AdmissionController::leave(TimePoint now, const Knock& knock, bool served, Duration took,
+                                Duration server_took) {
     --open_;
     --tenant(knock).open;
     load_state_.ended(now, knock.cls, served, took);
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -26,8 +26,8 @@
 
     RetryAfterSchedule(Duration most, std::uint64_t seed) : most_(most), random_(seed) {}
 
-    /// `rate`: returns a second that the tier can take; it may be zero. `patience`: how long the client waits over all
-    /// its tries; zero: not known.
+    /// `rate`: returns a second that the tier can take; it may be zero. `patience`: how long the client waits
+    /// over all its tries; zero: not known.
     Duration give(TimePoint now, double rate, Duration patience = {});
     /// A repeat comes. True: it has a seat, which is taken; else it comes out of turn.
     bool keep(TimePoint now);
@@ -45,9 +45,10 @@
     std::size_t booked_ = 0;                     // in all of them
 };
 
-/// Who was told when to come back, and how often they came before that all the same. It keys on the client's connection
-/// and tenant: an address is that of whatever stands before the clients. Memory: fixed, one place by hash, so that what
-/// is remembered of one may be forgotten for another; what is over for long counts no more.
+/// Who was told when to come back, and how often they came before that all the same. It keys on the client's
+/// connection and tenant: an address is that of whatever stands before the clients. Memory: fixed, one place
+/// by hash, so that what is remembered of one may be forgotten for another; what is over for long counts no
+/// more.
 class Heed {
 public:
     enum class Comes { Unknown, Early, OnTime };
@@ -70,27 +71,27 @@
 };
 
 /// What may be open in a node at once. Requests that wait hold their clients' connections: if they may have
-/// them all, newcomers can only be told by admission control that there is no room, which closes their connection, and
-/// clients that open another ask again on it. So what is open ends below what clients may hold, and the rest
-/// is refused on its connection, which stays: repeats out of turn first, then first tries of the classes that
-/// are worth the least for their time. Nor is more open than can be answered within a part of a second: what
-/// waits longer only makes all others wait. A tenant may use what others leave, but the last part of the room is for
-/// those that have less open than their share.
+/// them all, newcomers can only be told by admission control that there is no room, which closes their
+/// connection, and clients that open another ask again on it. So what is open ends below what clients may
+/// hold, and the rest is refused on its connection, which stays: repeats out of turn first, then first tries
+/// of the classes that are worth the least for their time. Nor is more open than can be answered within a
+/// part of a second: what waits longer only makes all others wait. A tenant may use what others leave, but
+/// the last part of the room is for those that have less open than their share.
 class AdmissionController {
 public:
     struct Settings {
-        std::vector<double> worth;  ///< of each class
+        std::vector<double> worth;      ///< of each class
         std::vector<Duration> give_up;  ///< ... how long its clients wait; empty: a second
         std::vector<double> shares;     ///< of each tenant, in any unit
-        std::size_t room = 0;       ///< connections of clients that may be kept
-        Duration most_advice{0};    ///< the longest that clients heed; zero: none is given
+        std::size_t room = 0;           ///< connections of clients that may be kept
+        Duration most_advice{0};        ///< the longest that clients heed; zero: none is given
         std::uint64_t seed = 0;
         bool bounded = true;  ///< false: for experiments, everything enters
     };
     explicit AdmissionController(const Settings& settings);
     /// `room`: as in Settings; the rest is as the module is told.
     static AdmissionController of(const ochrehub::Settings& settings, std::size_t room, std::uint64_t seed,
-                   bool bounded = true);
+                                  bool bounded = true);
 
     struct Knock {
         int cls = 0, tenant = kNone;
@@ -140,8 +141,8 @@
     RetryAfterSchedule retry_after_;
     Heed heed_;
     LoadState load_state_;
-    double served_ = 0;  // a second, smoothed over kServedOver
-    double most_ = 0;    // ... at most, of late
+    double served_ = 0;    // a second, smoothed over kServedOver
+    double most_ = 0;      // ... at most, of late
     double usual_ms_ = 0;  // of a server's answer, over what is served
     TimePoint served_at_{}, most_at_{};
     std::optional<TimePoint> began_;  // the first request came
--- a/src/admission/load_state.cpp
+++ b/src/admission/load_state.cpp
@@ -13,9 +13,9 @@
 constexpr double kLate = 0.5;                // of the time that a client waits
 constexpr Duration kFresh{10000};            // a server that started since is new
 constexpr double kTenantLeast = 0.07;        // of all that comes: what one must ask to be called
-constexpr int kStormFor = 8;                 // steps that it must be seen before it is called; a peak is shorter
+constexpr int kStormFor = 8;  // steps that it must be seen before it is called; a peak is shorter
 constexpr int kOtherFor = 2;
-constexpr int kOverFor = 8;                  // ... and before it is over
+constexpr int kOverFor = 8;  // ... and before it is over
 
 bool sorted_has(const std::vector<ServerId>& ids, ServerId id) {
     return std::binary_search(ids.begin(), ids.end(), id);
@@ -54,13 +54,17 @@
     return steps_[at_ % kSteps];
 }
 
-void LoadState::opened(TimePoint now) { ++step(now).opened; }
+void LoadState::opened(TimePoint now) {
+    ++step(now).opened;
+}
 void LoadState::came(TimePoint now, int tenant, bool repeat) {
     Step& s = step(now);
     ++(repeat ? s.repeats : s.first);
     if (tenant >= 0 && std::size_t(tenant) < tenants_.size()) ++tenants_[std::size_t(tenant)].came;
 }
-void LoadState::refused(TimePoint now) { ++step(now).refused; }
+void LoadState::refused(TimePoint now) {
+    ++step(now).refused;
+}
 
 void LoadState::ended(TimePoint now, int cls, bool served, Duration took) {
     Step& s = step(now);
@@ -176,7 +180,9 @@
 
 void LoadState::learn() {
     learnt_ = std::min(learnt_ + 1, UINT32_MAX - 1);
-    auto gain = [](std::uint32_t steps) { return std::max(1 - std::exp(-kStep.count() / kLearnOver), 1.0 / steps); };
+    auto gain = [](std::uint32_t steps) {
+        return std::max(1 - std::exp(-kStep.count() / kLearnOver), 1.0 / steps);
+    };
     signs_.usual_first += gain(learnt_) * (signs_.tries * (1 - signs_.repeats) - signs_.usual_first);
     signs_.usual_opened += gain(learnt_) * (signs_.opened - signs_.usual_opened);
     for (Tenant& t : tenants_) {
@@ -205,9 +211,11 @@
     // Fewer are answered than could be before, though no more come: the servers have less to give.
     const bool less = known && s.served < 0.8 * s.capacity && s.served > 0.1 * s.capacity;
     const bool no_more = first < (brownout ? 1.6 : 1.35) * s.usual_first;
-    if (less && no_more && s.slow >= (brownout ? 1.15 : 1.35) && s.refused >= (brownout ? 0.1 : 0.25)) return State::Brownout;
+    if (less && no_more && s.slow >= (brownout ? 1.15 : 1.35) && s.refused >= (brownout ? 0.1 : 0.25))
+        return State::Brownout;
     // More comes than can be answered, and what was refused comes again.
-    if (known && s.refused >= (storm ? 0.15 : 0.35) && s.repeats >= (storm ? 0.15 : 0.25)) return State::Storm;
+    if (known && s.refused >= (storm ? 0.15 : 0.35) && s.repeats >= (storm ? 0.15 : 0.25))
+        return State::Storm;
     if (known && s.grew >= (storm ? 2 : 3) && s.refused >= (storm ? 0.02 : 0.05)) return State::Storm;
     return s.refused >= 0.02 || s.repeats >= 0.1 ? State::Busy : State::Calm;
 }
--- a/src/admission/load_state.h
+++ b/src/admission/load_state.h
@@ -1,7 +1,7 @@
-// What the weather is at a node, by what it can know by itself: what comes, how much of that is asked again, what is
-// refused, how soon servers answer against what they took before, and which servers leave and come. No clock, no
-// sockets; every call says what time it is. Nothing is decided by what it calls: an admission controller that tightened because a storm
-// is called would make the refusals that call the next one.
+// What the weather is at a node, by what it can know by itself: what comes, how much of that is asked again,
+// what is refused, how soon servers answer against what they took before, and which servers leave and come.
+// No clock, no sockets; every call says what time it is. Nothing is decided by what it calls: an admission
+// controller that tightened because a storm is called would make the refusals that call the next one.
 #pragma once
 
 #include <array>
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -33,8 +33,10 @@
         print_value(v.name, v.value, source);
     }
     if (keepers.on && faults.empty())
-        std::printf("stated time: strict 0 ms, quick %.0f ms; a canary of a quick document may contradict the others for its own length more\n",
-                    agreement::stated_time(agreement::timing(keepers.lease), agreement::Mode::Quick).count());
+        std::printf(
+            "stated time: strict 0 ms, quick %.0f ms; a canary of a quick document may contradict the others "
+            "for its own length more\n",
+            agreement::stated_time(agreement::timing(keepers.lease), agreement::Mode::Quick).count());
     return faults.empty() ? 0 : 1;
 }
 
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -22,8 +22,8 @@
 /// Goes through an audit's lines.
 int verify_audit(const std::string& path);
 
-/// What the node at this second address knows of its fleet: a table, or as it came; `watch`: again each second until the
-/// process is stopped. 1: it could not be asked.
+/// What the node at this second address knows of its fleet: a table, or as it came; `watch`: again each
+/// second until the process is stopped. 1: it could not be asked.
 int fleet_members(const std::string& control, bool json, bool watch);
 
 /// How a keeper's folder begins, where it is to: one of them, or none.
@@ -46,9 +46,11 @@
 int fleet_keeper_remove(const KeepersAt& at, int number);
 int fleet_keeper_lead(const KeepersAt& at, int number);
 
-/// A migration of one kind of shared record. `way`: pause, go-on, back, narrow. 1: refused, or none that leads was found.
+/// A migration of one kind of shared record. `way`: pause, go-on, back, narrow. 1: refused, or none that
+/// leads was found.
 int migrate_plan(const KeepersAt& at, const std::string& kind, int to, double groups, bool json);
-int migrate_start(const KeepersAt& at, const std::string& kind, int to, int shards, int refusals, bool narrows);
+int migrate_start(const KeepersAt& at, const std::string& kind, int to, int shards, int refusals,
+                  bool narrows);
 int migrate_steer(const KeepersAt& at, const std::string& way);
 int migrate_status(const KeepersAt& at, bool json, bool watch);
 /// What `fleet rules` is asked for.
@@ -66,7 +68,8 @@
 /// All of them anew, from a file, where nobody else has set them meanwhile.
 int fleet_quota_set(const KeepersAt& at, const std::string& file);
 enum class QuotaOrder { Freeze, Thaw, Recall, Lend };
-int fleet_quota_order(const KeepersAt& at, QuotaOrder order, const std::string& partner, const std::string& to, double amount);
+int fleet_quota_order(const KeepersAt& at, QuotaOrder order, const std::string& partner,
+                      const std::string& to, double amount);
 
 /// The reference of the TOML file's settings, of one section or all, on standard output.
 int print_settings(const std::string& section);
--- a/src/app/fleet.cpp
+++ b/src/app/fleet.cpp
@@ -27,7 +27,8 @@
     stream.expires_after(kAnswerWithin);
     stream.connect(at);
     if (!stream) throw std::runtime_error(where + ": " + stream.error().message());
-    stream << "GET " << path << " HTTP/1.1\r\nHost: " << where << "\r\nConnection: close\r\n\r\n" << std::flush;
+    stream << "GET " << path << " HTTP/1.1\r\nHost: " << where << "\r\nConnection: close\r\n\r\n"
+           << std::flush;
     std::string all{std::istreambuf_iterator<char>(stream), {}};
     std::size_t head = all.find("\r\n\r\n");
     if (head == std::string::npos) throw std::runtime_error(where + ": no answer within 5 s");
@@ -64,7 +65,8 @@
 
 void print_row(const char* name, const char* place, const char* zone, const char* state, const char* since,
                const char* incarnation, const std::string& says) {
-    std::printf("%-20s %-21s %-11s %-7s %9s %11s  %s\n", name, place, zone, state, since, incarnation, says.c_str());
+    std::printf("%-20s %-21s %-11s %-7s %9s %11s  %s\n", name, place, zone, state, since, incarnation,
+                says.c_str());
 }
 
 void print_members(const std::string& body) {
@@ -73,8 +75,8 @@
     print_row("MEMBER", "PLACE", "ZONE", "STATE", "FOR", "INCARNATION", "SAYS");
     std::string says = text(self, "says");
     if (flag(self, "isolated")) says += ": isolated for " + ago(number(self, "isolated_for_s"));
-    print_row(text(self, "name").c_str(), text(self, "place").c_str(), text(self, "zone").c_str(), "asked", "-",
-              std::to_string(std::uint64_t(number(self, "incarnation"))).c_str(), says);
+    print_row(text(self, "name").c_str(), text(self, "place").c_str(), text(self, "zone").c_str(), "asked",
+              "-", std::to_string(std::uint64_t(number(self, "incarnation"))).c_str(), says);
     for (const json::value& each : root.at("members").as_array()) {
         const json::object& one = each.as_object();
         std::string notes = text(one, "says");
@@ -87,14 +89,16 @@
                   text(one, "state").c_str(), ago(number(one, "for_s")).c_str(),
                   std::to_string(std::uint64_t(number(one, "incarnation"))).c_str(), notes);
     }
-    std::printf("%.0f here; this node counts as one of %.0f\n", number(root, "here"), number(root, "sharing"));
+    std::printf("%.0f here; this node counts as one of %.0f\n", number(root, "here"),
+                number(root, "sharing"));
 }
 
 }  // namespace
 
 int fleet_members(const std::string& control, bool as_json, bool watch) {
     auto at = parse_address(control);
-    if (!at || at->port() == 0) throw ConfigError("--control: not an address a.b.c.d:port: '" + control + "'");
+    if (!at || at->port() == 0)
+        throw ConfigError("--control: not an address a.b.c.d:port: '" + control + "'");
     while (true) {
         try {
             std::string body = ask(*at, "/ops/members");
--- a/src/app/keeper.cpp
+++ b/src/app/keeper.cpp
@@ -43,7 +43,8 @@
         process.start();
         std::ostringstream listen;
         listen << process.at();
-        log(LogLevel::Info, "keeper: serves", {{"number", told.keeper.number}, {"listen", listen.str()}, {"folder", told.keeper.folder}});
+        log(LogLevel::Info, "keeper: serves",
+            {{"number", told.keeper.number}, {"listen", listen.str()}, {"folder", told.keeper.folder}});
         io.run();
     } catch (const keeper::FolderError& error) {
         std::fprintf(stderr, "%s\n", error.what());
--- a/src/app/keepers.cpp
+++ b/src/app/keepers.cpp
@@ -34,7 +34,8 @@
 
 Asked whom(const KeepersAt& at) {
     Asked asked;
-    if (at.config.empty() == at.ask.empty()) throw ConfigError("--config FILE or --ask ADDR: one of them says whom to ask");
+    if (at.config.empty() == at.ask.empty())
+        throw ConfigError("--config FILE or --ask ADDR: one of them says whom to ask");
     if (!at.config.empty()) {
         keeper::ProcessSettings set = process_settings(read_keeper_file(at.config), keeper::Begin::Again);
         asked.settings.cluster = set.cluster, asked.settings.keys = set.keys;
@@ -42,7 +43,8 @@
         return asked;
     }
     auto address = parse_address(at.ask);
-    if (!address || address->port() == 0) throw ConfigError("--ask: not an address a.b.c.d:port: '" + at.ask + "'");
+    if (!address || address->port() == 0)
+        throw ConfigError("--ask: not an address a.b.c.d:port: '" + at.ask + "'");
     asked.addresses = {at.ask};
     asked.settings.cluster = at.cluster.empty() ? "ochrehub" : at.cluster;
     if (!at.key_file.empty()) {
@@ -65,7 +67,8 @@
     auto answers = keeper::ask_each(asked.settings, asked.addresses, ask.SerializeAsString());
     for (const std::string& address : asked.addresses) {
         wire::Answer answer;
-        if (auto found = answers.find(address); found != answers.end() && answer.ParseFromString(found->second))
+        if (auto found = answers.find(address);
+            found != answers.end() && answer.ParseFromString(found->second))
             all.push_back({address, answer.status()});
     }
     return all;
@@ -75,22 +78,31 @@
 const Told* leader(const std::vector<Told>& all) {
     const Told* found = nullptr;
     for (const Told& one : all)
-        if (one.status.role() == "leader" && (!found || one.status.term() > found->status.term())) found = &one;
+        if (one.status.role() == "leader" && (!found || one.status.term() > found->status.term()))
+            found = &one;
     return found;
 }
 
 json::object as_json(const Told& told) {
     const wire::StatusIs& is = told.status;
-    json::object one{{"number", is.self()},   {"address", told.address},   {"role", is.role()},       {"term", is.term()},
-                     {"leader", is.leader()}, {"applied", is.applied()},   {"snapshot", is.snapshot()}, {"trusted", is.trusted()}};
+    json::object one{{"number", is.self()},       {"address", told.address}, {"role", is.role()},
+                     {"term", is.term()},         {"leader", is.leader()},   {"applied", is.applied()},
+                     {"snapshot", is.snapshot()}, {"trusted", is.trusted()}};
     json::array members, sessions, kinds;
     for (const wire::Member& member : is.members())
-        members.push_back(json::object{{"number", member.id()}, {"address", member.address()}, {"voter", member.voter()}});
+        members.push_back(
+            json::object{{"number", member.id()}, {"address", member.address()}, {"voter", member.voter()}});
     for (const wire::Session& session : is.sessions())
-        sessions.push_back(json::object{{"id", session.id()}, {"name", session.name()}, {"zone", session.zone()}, {"lease_ms", session.lease_ms()},
-                                        {"release", session.release()}, {"schema_least", session.schema_least()}, {"schema_most", session.schema_most()}});
+        sessions.push_back(json::object{{"id", session.id()},
+                                        {"name", session.name()},
+                                        {"zone", session.zone()},
+                                        {"lease_ms", session.lease_ms()},
+                                        {"release", session.release()},
+                                        {"schema_least", session.schema_least()},
+                                        {"schema_most", session.schema_most()}});
     for (const std::string& kind : is.kinds()) kinds.push_back(json::string(kind));
-    one["members"] = std::move(members), one["sessions"] = std::move(sessions), one["machines"] = std::move(kinds);
+    one["members"] = std::move(members), one["sessions"] = std::move(sessions),
+    one["machines"] = std::move(kinds);
     return one;
 }
 
@@ -102,13 +114,15 @@
         if (const Told* found = leader(all)) {
             auto answers = keeper::ask_each(asked.settings, {found->address}, ask.SerializeAsString());
             wire::Answer answer;
-            if (!answers.empty() && answer.ParseFromString(answers.begin()->second) && keeper::Error(answer.error()) != keeper::Error::NotLeader)
+            if (!answers.empty() && answer.ParseFromString(answers.begin()->second) &&
+                keeper::Error(answer.error()) != keeper::Error::NotLeader)
                 return answer;
         } else {
             // One that is asked by its address alone knows others.
             for (const Told& one : all)
                 for (const wire::Member& member : one.status.members())
-                    if (std::find(asked.addresses.begin(), asked.addresses.end(), member.address()) == asked.addresses.end())
+                    if (std::find(asked.addresses.begin(), asked.addresses.end(), member.address()) ==
+                        asked.addresses.end())
                         asked.addresses.push_back(member.address());
         }
         std::this_thread::sleep_for(kLook * 3);
@@ -136,7 +150,8 @@
         }
         std::this_thread::sleep_for(kLook);
     }
-    return refused(keeper::Error::Unreachable, about + " has begun, and is not done yet: `ochrehub fleet keepers` shows when it is");
+    return refused(keeper::Error::Unreachable,
+                   about + " has begun, and is not done yet: `ochrehub fleet keepers` shows when it is");
 }
 
 const wire::Member* member(const wire::StatusIs& status, int number) {
@@ -159,10 +174,13 @@
     if (as_json_text) {
         json::array each;
         for (const Told& one : all) each.push_back(as_json(one));
-        std::printf("%s\n", json::serialize(json::object{{"leader", leads ? leads->status.self() : 0}, {"keepers", std::move(each)}}).c_str());
+        std::printf("%s\n", json::serialize(json::object{{"leader", leads ? leads->status.self() : 0},
+                                                         {"keepers", std::move(each)}})
+                                .c_str());
         return leads ? 0 : 1;
     }
-    std::printf("%-7s %-21s %-13s %8s %7s %10s %10s  %s\n", "KEEPER", "ADDRESS", "ROLE", "TERM", "LEADER", "APPLIED", "SNAPSHOT", "");
+    std::printf("%-7s %-21s %-13s %8s %7s %10s %10s  %s\n", "KEEPER", "ADDRESS", "ROLE", "TERM", "LEADER",
+                "APPLIED", "SNAPSHOT", "");
     for (const std::string& address : asked.addresses) {
         const Told* one = nullptr;
         for (const Told& each : all)
@@ -172,8 +190,10 @@
             continue;
         }
         const wire::StatusIs& is = one->status;
-        std::printf("%-7u %-21s %-13s %8llu %7u %10llu %10llu  %s\n", is.self(), address.c_str(), is.role().c_str(), static_cast<unsigned long long>(is.term()),
-                    is.leader(), static_cast<unsigned long long>(is.applied()), static_cast<unsigned long long>(is.snapshot()),
+        std::printf("%-7u %-21s %-13s %8llu %7u %10llu %10llu  %s\n", is.self(), address.c_str(),
+                    is.role().c_str(), static_cast<unsigned long long>(is.term()), is.leader(),
+                    static_cast<unsigned long long>(is.applied()),
+                    static_cast<unsigned long long>(is.snapshot()),
                     is.trusted() ? "" : "not trusted: it neither votes nor counts yet");
     }
     if (!leads) {
@@ -185,8 +205,9 @@
         std::printf("%-7u %-21s %s\n", one.id(), one.address().c_str(), one.voter() ? "votes" : "learns");
     std::printf("\n%-8s %-20s %-11s %8s %8s %s\n", "SESSION", "NAME", "ZONE", "LEASE", "RELEASE", "SCHEMAS");
     for (const wire::Session& one : leads->status.sessions())
-        std::printf("%-8llu %-20s %-11s %5.1f s %8u %u to %u\n", static_cast<unsigned long long>(one.id()), one.name().c_str(), one.zone().c_str(),
-                    one.lease_ms() / 1000.0, one.release(), one.schema_least(), one.schema_most());
+        std::printf("%-8llu %-20s %-11s %5.1f s %8u %u to %u\n", static_cast<unsigned long long>(one.id()),
+                    one.name().c_str(), one.zone().c_str(), one.lease_ms() / 1000.0, one.release(),
+                    one.schema_least(), one.schema_most());
     return 0;
 }
 
@@ -194,7 +215,8 @@
     if (auto parsed = parse_address(address); !parsed || parsed->port() == 0)
         throw ConfigError("--address: not an address a.b.c.d:port: '" + address + "'");
     wire::Ask ask;
-    ask.mutable_change()->set_member(std::uint32_t(number)), ask.mutable_change()->set_add(true), ask.mutable_change()->set_address(address);
+    ask.mutable_change()->set_member(std::uint32_t(number)), ask.mutable_change()->set_add(true),
+        ask.mutable_change()->set_address(address);
     return change(at, ask, "keeper " + std::to_string(number) + " votes", [&](const wire::StatusIs& is) {
         const wire::Member* one = member(is, number);
         return one && one->voter();
@@ -212,13 +234,15 @@
             }
     wire::Ask ask;
     ask.mutable_change()->set_member(std::uint32_t(number)), ask.mutable_change()->set_add(false);
-    return change(at, ask, "keeper " + std::to_string(number) + " is no member", [&](const wire::StatusIs& is) { return !member(is, number); });
+    return change(at, ask, "keeper " + std::to_string(number) + " is no member",
+                  [&](const wire::StatusIs& is) { return !member(is, number); });
 }
 
 int fleet_keeper_lead(const KeepersAt& at, int number) {
     wire::Ask ask;
     ask.mutable_transfer()->set_to(std::uint32_t(number));
-    return change(at, ask, "keeper " + std::to_string(number) + " leads", [&](const wire::StatusIs& is) { return int(is.self()) == number; });
+    return change(at, ask, "keeper " + std::to_string(number) + " leads",
+                  [&](const wire::StatusIs& is) { return int(is.self()) == number; });
 }
 
 }  // namespace ochrehub::app
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -1,11 +1,11 @@
 #include "app/machines.h"
 
-#include "fleet/duty/list.h"
 #include "fleet/agreement/machine.h"
+#include "fleet/duty/list.h"
 #include "fleet/duty/machine.h"
-#include "fleet/shards/views.h"
 #include "fleet/migration/machine.h"
 #include "fleet/quota/machine.h"
+#include "fleet/shards/views.h"
 
 namespace ochrehub::app {
 
--- a/src/app/migrate.cpp
+++ b/src/app/migrate.cpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <thread>
 
-#include "app/commands.h"
 #include "app/ask_keepers.h"
+#include "app/commands.h"
 #include "app/node_config.h"
 #include "fleet/keeper/error.h"
 #include "fleet/migration/machine.h"
@@ -59,7 +59,8 @@
     auto asked = leader_says(at, std::move(ask));
     if (!asked) return 1;
     wire::Answer answer;
-    if (!answer.ParseFromString(asked->result())) return say(migration::on_wire(migration::Error::Malformed), "the keepers' answer");
+    if (!answer.ParseFromString(asked->result()))
+        return say(migration::on_wire(migration::Error::Malformed), "the keepers' answer");
     if (answer.error()) return say(answer.error(), answer.about().empty() ? about : answer.about());
     std::printf("done: %s\n", about.c_str());
     return 0;
@@ -67,7 +68,8 @@
 
 schema::Kind read_kind(const std::string& text) {
     schema::Kind kind{};
-    if (!schema::kind_of(text, kind)) throw ConfigError("KIND: not sessions, rates, rules, fences or snapshots: '" + text + "'");
+    if (!schema::kind_of(text, kind))
+        throw ConfigError("KIND: not sessions, rates, rules, fences or snapshots: '" + text + "'");
     return kind;
 }
 std::string kind_name(std::uint32_t kind) {
@@ -75,20 +77,30 @@
 }
 std::uint32_t done(const wire::Status& now) {
     std::uint32_t count = 0;
-    for (std::uint32_t i = 0; i < now.shards() && i / 8 < now.done().size(); ++i) count += std::uint8_t(now.done()[i / 8]) >> (i % 8) & 1;
+    for (std::uint32_t i = 0; i < now.shards() && i / 8 < now.done().size(); ++i)
+        count += std::uint8_t(now.done()[i / 8]) >> (i % 8) & 1;
     return count;
 }
 
 json::object as_json(const wire::Machine& machine) {
     json::object levels, all;
-    for (std::size_t i = 0; i < schema::kKinds; ++i) levels[schema::name(schema::Kind(i))] = machine.levels(int(i));
+    for (std::size_t i = 0; i < schema::kKinds; ++i)
+        levels[schema::name(schema::Kind(i))] = machine.levels(int(i));
     json::array sessions;
     for (const wire::Session& one : machine.sessions()) {
         json::object reads;
         for (std::size_t i = 0; one.said() && i < schema::kKinds && int(i) < one.ranges_size(); ++i)
-            reads[schema::name(schema::Kind(i))] = json::array{one.ranges(int(i)).least(), one.ranges(int(i)).most()};
-        json::object session{{"id", one.id()}, {"name", one.name()}, {"zone", one.zone()}, {"said", one.said()}, {"reads", std::move(reads)}};
-        session["refused"] = one.refused() ? json::value(json::string(migration::row(migration::from_wire(one.refused())).code)) : json::value();
+            reads[schema::name(schema::Kind(i))] =
+                json::array{one.ranges(int(i)).least(), one.ranges(int(i)).most()};
+        json::object session{{"id", one.id()},
+                             {"name", one.name()},
+                             {"zone", one.zone()},
+                             {"said", one.said()},
+                             {"reads", std::move(reads)}};
+        session["refused"] =
+            one.refused()
+                ? json::value(json::string(migration::row(migration::from_wire(one.refused())).code))
+                : json::value();
         sessions.push_back(std::move(session));
     }
     all["levels"] = std::move(levels), all["sessions"] = std::move(sessions);
@@ -99,33 +111,59 @@
     }
     const wire::Counts& counts = now.counts();
     all["migration"] = json::object{
-        {"id", now.id()}, {"kind", kind_name(now.kind())}, {"from", now.from()}, {"to", now.to()},
-        {"stage", migration::name(Stage(now.stage()))}, {"shards", now.shards()}, {"done", done(now)}, {"owner", now.owner()}, {"epoch", now.epoch()},
+        {"id", now.id()},
+        {"kind", kind_name(now.kind())},
+        {"from", now.from()},
+        {"to", now.to()},
+        {"stage", migration::name(Stage(now.stage()))},
+        {"shards", now.shards()},
+        {"done", done(now)},
+        {"owner", now.owner()},
+        {"epoch", now.epoch()},
         {"paused", now.paused()},
-        {"stopped", now.stopped() ? json::value(json::string(migration::row(migration::from_wire(now.stopped())).code)) : json::value()},
-        {"about", now.about()}, {"groups", counts.groups()}, {"records_from", counts.records_from()}, {"records_to", counts.records_to()},
-        {"spent_from", counts.spent_from()}, {"spent_to", counts.spent_to()}, {"differ", counts.differ()}, {"refusals", counts.refusals()}};
+        {"stopped", now.stopped()
+                        ? json::value(json::string(migration::row(migration::from_wire(now.stopped())).code))
+                        : json::value()},
+        {"about", now.about()},
+        {"groups", counts.groups()},
+        {"records_from", counts.records_from()},
+        {"records_to", counts.records_to()},
+        {"spent_from", counts.spent_from()},
+        {"spent_to", counts.spent_to()},
+        {"differ", counts.differ()},
+        {"refusals", counts.refusals()}};
     return all;
 }
 
 void print(const wire::Machine& machine) {
     std::printf("%-10s %6s\n", "KIND", "LEVEL");
-    for (std::size_t i = 0; i < schema::kKinds; ++i) std::printf("%-10s %6u\n", kind_name(std::uint32_t(i)).c_str(), machine.levels(int(i)));
+    for (std::size_t i = 0; i < schema::kKinds; ++i)
+        std::printf("%-10s %6u\n", kind_name(std::uint32_t(i)).c_str(), machine.levels(int(i)));
     const wire::Status& now = machine.migration();
     if (!now.id()) {
         std::printf("no migration was ever begun\n");
         return;
     }
-    std::printf("\nmigration %llu: %s %u to %u: %s, %u of %u shards, owner %llu of epoch %llu%s\n", (unsigned long long)now.id(),
-                kind_name(now.kind()).c_str(), now.from(), now.to(), std::string(migration::name(Stage(now.stage()))).c_str(), done(now), now.shards(),
-                (unsigned long long)now.owner(), (unsigned long long)now.epoch(), now.paused() ? ", paused" : "");
+    std::printf("\nmigration %llu: %s %u to %u: %s, %u of %u shards, owner %llu of epoch %llu%s\n",
+                (unsigned long long)now.id(), kind_name(now.kind()).c_str(), now.from(), now.to(),
+                std::string(migration::name(Stage(now.stage()))).c_str(), done(now), now.shards(),
+                (unsigned long long)now.owner(), (unsigned long long)now.epoch(),
+                now.paused() ? ", paused" : "");
     if (now.counts().groups())
-        std::printf("  %llu groups; records %llu and %llu, spent %llu and %llu millionths; %llu differ\n", (unsigned long long)now.counts().groups(),
-                    (unsigned long long)now.counts().records_from(), (unsigned long long)now.counts().records_to(),
-                    (unsigned long long)now.counts().spent_from(), (unsigned long long)now.counts().spent_to(), (unsigned long long)now.counts().differ());
-    if (now.stopped()) std::printf("  stopped: %s\n", fleet::sentence(migration::row(migration::from_wire(now.stopped())), now.about()).c_str());
+        std::printf(
+            "  %llu groups; records %llu and %llu, spent %llu and %llu millionths; %llu differ\n",
+            (unsigned long long)now.counts().groups(), (unsigned long long)now.counts().records_from(),
+            (unsigned long long)now.counts().records_to(), (unsigned long long)now.counts().spent_from(),
+            (unsigned long long)now.counts().spent_to(), (unsigned long long)now.counts().differ());
+    if (now.stopped())
+        std::printf(
+            "  stopped: %s\n",
+            fleet::sentence(migration::row(migration::from_wire(now.stopped())), now.about()).c_str());
     for (const wire::Session& one : machine.sessions())
-        if (one.refused()) std::printf("  refused: %s\n", fleet::sentence(migration::row(migration::from_wire(one.refused())), one.about()).c_str());
+        if (one.refused())
+            std::printf(
+                "  refused: %s\n",
+                fleet::sentence(migration::row(migration::from_wire(one.refused())), one.about()).c_str());
 }
 
 }  // namespace
@@ -135,11 +173,13 @@
     auto machine = look(at);
     if (!machine) return 1;
     schema::Number level = machine->levels(int(kind)), next = to ? schema::Number(to) : level + 1;
-    bool possible = (next == level + 1 || next + 1 == level) && next <= schema::last(kind) && migration::ended(Stage(machine->migration().stage()));
+    bool possible = (next == level + 1 || next + 1 == level) && next <= schema::last(kind) &&
+                    migration::ended(Stage(machine->migration().stage()));
     json::array can, cannot;
     for (const wire::Session& one : machine->sessions()) {
         schema::Range reads;
-        if (int(kind) < one.ranges_size()) reads = {one.ranges(int(kind)).least(), one.ranges(int(kind)).most()};
+        if (int(kind) < one.ranges_size())
+            reads = {one.ranges(int(kind)).least(), one.ranges(int(kind)).most()};
         bool fits = one.said() && reads.holds(next);
         if (one.refused()) continue;  // it neither reads nor writes: upgrade it first, or leave it
         (fits ? can : cannot).push_back(json::string(one.name()));
@@ -148,20 +188,27 @@
     // Converted, compared, dropped: three passes at the owner's pace.
     double seconds = groups * 3 / migration::OwnerSettings().per_s;
     if (as_json_text) {
-        json::object plan{{"kind", text}, {"level", level}, {"to", next}, {"possible", possible}, {"can", std::move(can)}, {"cannot", std::move(cannot)}};
+        json::object plan{{"kind", text},         {"level", level},        {"to", next},
+                          {"possible", possible}, {"can", std::move(can)}, {"cannot", std::move(cannot)}};
         if (groups > 0) plan["seconds"] = seconds;
         std::printf("%s\n", json::serialize(plan).c_str());
         return possible ? 0 : 1;
     }
-    std::printf("%s: the fleet writes %u, would write %u\n%zu processes can, %zu cannot\n", text.c_str(), level, next, can.size(), cannot.size());
+    std::printf("%s: the fleet writes %u, would write %u\n%zu processes can, %zu cannot\n", text.c_str(),
+                level, next, can.size(), cannot.size());
     for (const json::value& one : cannot)
-        std::printf("  %s\n", fleet::sentence(migration::row(migration::Error::OldProcess), std::string(one.as_string())).c_str());
-    if (groups > 0) std::printf("%.0f groups take %.0f s at the pace of an idle fleet, longer under load\n", groups, seconds);
+        std::printf("  %s\n", fleet::sentence(migration::row(migration::Error::OldProcess),
+                                              std::string(one.as_string()))
+                                  .c_str());
+    if (groups > 0)
+        std::printf("%.0f groups take %.0f s at the pace of an idle fleet, longer under load\n", groups,
+                    seconds);
     std::printf("%s\n", possible ? "it can begin" : "it cannot begin");
     return possible ? 0 : 1;
 }
 
-int migrate_start(const KeepersAt& at, const std::string& text, int to, int shards, int refusals, bool narrows) {
+int migrate_start(const KeepersAt& at, const std::string& text, int to, int shards, int refusals,
+                  bool narrows) {
     schema::Kind kind = read_kind(text);
     if (to == 0) {
         auto machine = look(at);
@@ -170,14 +217,18 @@
     }
     wire::Command start;
     wire::Start& begin = *start.mutable_start();
-    begin.set_kind(std::uint32_t(kind)), begin.set_to(std::uint32_t(to)), begin.set_shards(std::uint32_t(shards));
+    begin.set_kind(std::uint32_t(kind)), begin.set_to(std::uint32_t(to)),
+        begin.set_shards(std::uint32_t(shards));
     begin.set_refusals(std::uint64_t(refusals)), begin.set_narrows(narrows);
     return command(at, start, "migration of " + text + " to " + std::to_string(to) + " begins");
 }
 
 int migrate_steer(const KeepersAt& at, const std::string& way) {
     wire::Command steer;
-    steer.set_steer(way == "pause" ? wire::PAUSE : way == "go-on" ? wire::GO_ON : way == "back" ? wire::BACK : wire::NARROW);
+    steer.set_steer(way == "pause"   ? wire::PAUSE
+                    : way == "go-on" ? wire::GO_ON
+                    : way == "back"  ? wire::BACK
+                                     : wire::NARROW);
     return command(at, steer, way);
 }
 
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -29,9 +29,9 @@
 #include "discovery/watcher.h"
 #include "engine/engine.h"
 #include "figures/figures.h"
+#include "fleet/membership/side.h"
 #include "http/front.h"
 #include "http/server_pool.h"
-#include "fleet/membership/side.h"
 #include "takeover/instance_lock.h"
 
 namespace ochrehub::app {
@@ -41,8 +41,9 @@
 
 constexpr std::chrono::milliseconds kDrainLeast{700};  // clients still come for a while
 constexpr std::chrono::milliseconds kDrainLook{20};
-// From then on connections that rest are ended: clients open new ones, and find another node, for up to 0.4 s longer.
-// Before, they would come back here; later, they would send on what stays open till this process is killed.
+// From then on connections that rest are ended: clients open new ones, and find another node, for up to 0.4 s
+// longer. Before, they would come back here; later, they would send on what stays open till this process is
+// killed.
 constexpr std::chrono::milliseconds kRestEnds{450};
 // Beside a process that has taken over: the platform kills what is left after the longest deadline and 0.7 s.
 constexpr std::chrono::milliseconds kStopLate{500};
@@ -66,7 +67,8 @@
     auto at_once = [](std::string_view name) {
         std::string_view section = name.substr(0, name.find_first_of(".["));
         return section == "server" || section == "discovery" || section == "rewrites" ||
-               section == "figures" || section == "audit" || name == "fleet.key_file" || name == "keepers.key_file";
+               section == "figures" || section == "audit" || name == "fleet.key_file" ||
+               name == "keepers.key_file";
     };
     std::map<std::string, std::string> before, after;
     for (const auto& value : was.values) before[value.name] += value.value + ";";
@@ -175,8 +177,8 @@
         if (plan.servers)
             fixed_.emplace(node.names, listed);
         else
-            watcher_.emplace(io, scheduler, pool, node.names, node.settings.removal_not_binding, node.discovery,
-                             node.seed, listed);
+            watcher_.emplace(io, scheduler, pool, node.names, node.settings.removal_not_binding,
+                             node.discovery, node.seed, listed);
     }
     Registry& registry() {
         if (fixed_) return *fixed_;
@@ -207,8 +209,8 @@
         fleet.emplace(plan.fleet, plan.node.name, plan.node.settings.balancers, std::move(shares));
     } catch (const boost::system::system_error& error) {
         const auto& at = plan.fleet.listen;
-        throw ConfigError(plan.fleet_listen_at + "\"" + at.address().to_string() + ":" + std::to_string(at.port()) +
-                          "\": " + error.code().message());
+        throw ConfigError(plan.fleet_listen_at + "\"" + at.address().to_string() + ":" +
+                          std::to_string(at.port()) + "\": " + error.code().message());
     }
     if (plan.fleet.keys.empty())
         log(LogLevel::Warn, "the fleet has no key_file: whoever reaches its address is believed");
@@ -227,7 +229,8 @@
     BufferPool pool(config.memory_mb);  // before the loop: pending handlers still hold buffers when it goes
     asio::io_context io{1};
     const std::size_t reserved = (config.control ? admin::AdminServer::kDescriptors : 0) +
-                                 (plan.fleet.on ? membership::Side::kDescriptors : 0) + (plan.keepers.on ? agreement::Side::kDescriptors : 0);
+                                 (plan.fleet.on ? membership::Side::kDescriptors : 0) +
+                                 (plan.keepers.on ? agreement::Side::kDescriptors : 0);
     DescriptorBudget budget = DescriptorBudget::of(config.sockets, reserved);
     Clock clock;
     AsioScheduler scheduler(io, clock);
@@ -239,12 +242,17 @@
     open_fleet(fleet, plan, [&](int gateways, int me) {
         asio::post(io, [&engine, gateways, me] { engine.sharers(gateways, me); });
     });
-    auto by_hand = [&engine](std::uint64_t key, bool out, TimePoint since) { engine.by_hand(key, out, since); };
+    auto by_hand = [&engine](std::uint64_t key, bool out, TimePoint since) {
+        engine.by_hand(key, out, since);
+    };
     std::optional<Rules> rules;
     if (plan.keepers.on) {
-        rules.emplace(io, clock, plan.keepers, config.name, plan.zone, Rules::Node{by_hand, [&](const std::string& detail) { record("rules", "keepers", detail); }});
+        rules.emplace(
+            io, clock, plan.keepers, config.name, plan.zone,
+            Rules::Node{by_hand, [&](const std::string& detail) { record("rules", "keepers", detail); }});
         engine.look_first([&rules] { rules->look(); });
-        if (plan.keepers.keys.empty()) log(LogLevel::Warn, "[keepers] has no key_file: whoever answers there is believed");
+        if (plan.keepers.keys.empty())
+            log(LogLevel::Warn, "[keepers] has no key_file: whoever answers there is believed");
     }
     std::optional<http::Front> front;  // no list comes before there is one
     std::optional<admin::Side> side;
@@ -269,19 +277,23 @@
         "ochrehub-" + config.listen.address().to_string() + "-" + std::to_string(config.listen.port());
     admin::Side::Fleet shown;
     if (fleet) shown.members = [&] { return fleet->members(); };
-    if (fleet || rules) shown.figures = [&] { return (fleet ? fleet->figures() : std::string()) + (rules ? rules->figures() : std::string()); };
+    if (fleet || rules)
+        shown.figures = [&] {
+            return (fleet ? fleet->figures() : std::string()) + (rules ? rules->figures() : std::string());
+        };
     if (config.control)
-        side.emplace(*config.control, counters, config.names.classes,
-                     takeover::Store(folder, files, config.name, config.settings.cold_time),
-                     [&](std::uint64_t key, bool out, TimePoint since) {
-                         asio::post(io, [&, key, out, since] {
-                             if (rules)
-                                 rules->by_desk(key, out, since);
-                             else
-                                 by_hand(key, out, since);
-                         });
-                     },
-                     shown);
+        side.emplace(
+            *config.control, counters, config.names.classes,
+            takeover::Store(folder, files, config.name, config.settings.cold_time),
+            [&](std::uint64_t key, bool out, TimePoint since) {
+                asio::post(io, [&, key, out, since] {
+                    if (rules)
+                        rules->by_desk(key, out, since);
+                    else
+                        by_hand(key, out, since);
+                });
+            },
+            shown);
     auto halve = [&](bool twin) {
         DescriptorBudget part = DescriptorBudget::of(config.sockets, reserved, twin);
         front->keep_to(part);
@@ -374,8 +386,9 @@
         if (std::size_t unread = late ? front->end_unread() : 0)
             log(LogLevel::Warn, "stopping: answers that their clients did not read end unfinished",
                 {{"answers", unread}});
-        // Where the listener was handed down, whoever took over has it, and this process is over with its last client.
-        // Clients that have yet to close are waited for as long as there is time; an answer that is owed, for longer.
+        // Where the listener was handed down, whoever took over has it, and this process is over with its
+        // last client. Clients that have yet to close are waited for as long as there is time; an answer that
+        // is owed, for longer.
         bool over = (waited || config.inherited) && answered && (late || front->empty()) && front->quiet();
         if (over) return io.stop();
         look.expires_after(kDrainLook);
--- a/src/app/node_config.h
+++ b/src/app/node_config.h
@@ -26,7 +26,7 @@
     std::size_t sockets = 1024, memory_mb = 192;
     Settings settings;
     Names names;
-    ServerList known;  ///< the server list of last time; may be empty
+    ServerList known;                                       ///< the server list of last time; may be empty
     std::optional<boost::asio::ip::tcp::endpoint> control;  ///< the second address, if there is one
     std::optional<int> inherited;                           ///< the clients' listener, if it is handed down
     std::string scratch;  ///< a folder that the node's processes share while it lives; may be empty
--- a/src/app/plan.cpp
+++ b/src/app/plan.cpp
@@ -1,13 +1,12 @@
 #include "app/plan.h"
 
-#include "fleet/agreement/stated.h"
-
 #include <algorithm>
 #include <random>
 #include <set>
 #include <utility>
 
 #include "app/toml_sections.h"
+#include "fleet/agreement/stated.h"
 
 namespace ochrehub::app {
 namespace {
@@ -69,7 +68,8 @@
         if (fleet.zone.empty()) fleet.zone = told_.node.zone;
         if (fleet.listen.port() == 0 && !file_.has("fleet.listen"))
             file_.wrong("fleet.listen", "is missing: where members' datagrams come in");
-        if (fleet.listen.address().is_unspecified() && fleet.listen.port() != 0 && fleet.advertise.port() == 0)
+        if (fleet.listen.address().is_unspecified() && fleet.listen.port() != 0 &&
+            fleet.advertise.port() == 0)
             file_.wrong("fleet.listen", "is no place to be reached at: `advertise` one beside it");
         if (fleet.advertise.port() != 0 && fleet.advertise.address().is_unspecified())
             file_.wrong("fleet.advertise", "is no place to be reached at");
@@ -103,7 +103,8 @@
         std::optional<Duration> stated;
         if (told.stated > 0) stated = Duration{told.stated};
         if (auto bad = agreement::checked(agreement::timing(told.lease, stated)))
-            file_.wrong(file_.has("keepers.stated_ms") ? "keepers.stated_ms" : "keepers.lease_ms", fleet::sentence(*bad));
+            file_.wrong(file_.has("keepers.stated_ms") ? "keepers.stated_ms" : "keepers.lease_ms",
+                        fleet::sentence(*bad));
         if (told.key_file.empty()) return;
         membership::KeyFile read = membership::read_keys(told.key_file);
         if (!read.fault.empty()) file_.wrong("keepers.key_file", told.key_file + ": " + read.fault);
--- a/src/app/plan.h
+++ b/src/app/plan.h
@@ -12,8 +12,8 @@
 #include "base/log.h"
 #include "config/toml_file.h"
 #include "discovery/static_list.h"
-#include "http/http_profile.h"
 #include "fleet/membership/settings.h"
+#include "http/http_profile.h"
 
 namespace ochrehub::app {
 
@@ -26,8 +26,8 @@
     std::optional<std::vector<discovery::StaticServer>> servers;
     membership::Told fleet;
     KeepersTold keepers;
-    std::string zone;  ///< where the node stands
-    std::string audit_file_at;  ///< where the audit's file was named, worded to go before a fault
+    std::string zone;             ///< where the node stands
+    std::string audit_file_at;    ///< where the audit's file was named, worded to go before a fault
     std::string fleet_listen_at;  ///< ... and the fleet's address
     std::vector<config::TomlFile::Value> values;  ///< of a TOML file: to tell what a reload does not change
 };
