--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -16,8 +16,10 @@
 std::vector<rewrite::Rule> read_rules(const agreement::Headers& headers, std::string& why) {
     std::vector<rewrite::Rule> out;
     for (const agreement::HeaderRule& r : headers.rules) {
-        if (r.act != agreement::Act::Add) out.push_back({true, rewrite::Rule::Verb::Drop, r.name, {}, "*", "*"});
-        if (r.act != agreement::Act::Remove) out.push_back({true, rewrite::Rule::Verb::Add, r.name, r.value, "*", "*"});
+        if (r.act != agreement::Act::Add)
+            out.push_back({true, rewrite::Rule::Verb::Drop, r.name, {}, "*", "*"});
+        if (r.act != agreement::Act::Remove)
+            out.push_back({true, rewrite::Rule::Verb::Add, r.name, r.value, "*", "*"});
         rewrite::Rule read;
         std::string bad = rewrite::read_rule("in drop " + r.name, nullptr, read);
         if (!bad.empty()) why = "a rule " + bad;
@@ -40,41 +42,60 @@
 
 config::Table<KeepersTold> keepers_settings() {
     return {
-        config::flag({.name = "on", .fallback = "off", .help = "the switch; the section alone turns it on"}, &KeepersTold::on),
-        {{.name = "ask", .kind = config::Kind::Texts, .help = "addresses of some keepers, `a.b.c.d:port`; others are learnt"},
+        config::flag({.name = "on", .fallback = "off", .help = "the switch; the section alone turns it on"},
+                     &KeepersTold::on),
+        {{.name = "ask",
+          .kind = config::Kind::Texts,
+          .help = "addresses of some keepers, `a.b.c.d:port`; others are learnt"},
          [](KeepersTold& told, std::string_view value) -> std::string {
              auto found = parse_address(value);
              if (!found || found->port() == 0) return "is not an address a.b.c.d:port";
              told.ask.emplace_back(value);
              return {};
          }},
-        config::text({.name = "cluster", .fallback = "ochrehub", .help = "the keepers' cluster"}, &KeepersTold::cluster),
-        config::text({.name = "key_file", .help = "a key a line, the first signs, as keepers have them; read again on SIGHUP"}, &KeepersTold::key_file),
-        config::text({.name = "folder", .help = "where the last versions in force are kept over restarts; without it none are"}, &KeepersTold::folder),
-        config::number<KeepersTold, double>({.name = "lease_ms", .fallback = "3000", .help = "without a keeper for so long its permits are over, 1000 to 60000"}, 1000,
-                                            60000, config::kMilliseconds, [](KeepersTold& told, double ms) { told.lease = Duration{ms}; }),
+        config::text({.name = "cluster", .fallback = "ochrehub", .help = "the keepers' cluster"},
+                     &KeepersTold::cluster),
+        config::text({.name = "key_file",
+                      .help = "a key a line, the first signs, as keepers have them; read again on SIGHUP"},
+                     &KeepersTold::key_file),
+        config::text({.name = "folder",
+                      .help = "where the last versions in force are kept over restarts; without it none are"},
+                     &KeepersTold::folder),
         config::number<KeepersTold, double>(
-            {.name = "stated_ms", .fallback = "0", .help = "the longest that `quick` documents may contradict each other; 0: what `lease_ms` makes it"}, 0, 600000,
-            config::kMilliseconds, [](KeepersTold& told, double ms) { told.stated = ms; })};
+            {.name = "lease_ms",
+             .fallback = "3000",
+             .help = "without a keeper for so long its permits are over, 1000 to 60000"},
+            1000, 60000, config::kMilliseconds,
+            [](KeepersTold& told, double ms) { told.lease = Duration{ms}; }),
+        config::number<KeepersTold, double>(
+            {.name = "stated_ms",
+             .fallback = "0",
+             .help =
+                 "the longest that `quick` documents may contradict each other; 0: what `lease_ms` makes it"},
+            0, 600000, config::kMilliseconds, [](KeepersTold& told, double ms) { told.stated = ms; })};
 }
 
-Rules::Rules(asio::io_context& io, Clock clock, const KeepersTold& told, const std::string& name, const std::string& zone, Node node)
+Rules::Rules(asio::io_context& io, Clock clock, const KeepersTold& told, const std::string& name,
+             const std::string& zone, Node node)
     : io_(io),
       clock_(clock),
       node_(std::move(node)),
-      acting_([this](const std::string& document, const agreement::Acted& acted) { changed(document, acted); }),
+      acting_(
+          [this](const std::string& document, const agreement::Acted& acted) { changed(document, acted); }),
       ends_(io) {
     keeper::SideSettings set;
-    set.session.keepers = told.ask, set.session.name = name, set.session.zone = zone, set.session.lease = told.lease;
+    set.session.keepers = told.ask, set.session.name = name, set.session.zone = zone,
+    set.session.lease = told.lease;
     set.session.release = 1, set.session.schema_least = set.session.schema_most = 1;
     set.cluster = told.cluster, set.keys = told.keys;
     session_.emplace(std::move(set), clock);
-    side_.emplace(*session_, clock, told.folder, acting_, agreement::Side::Calls{check, [this](std::function<void()> what) {
-                                                                                     asio::post(io_, [this, what = std::move(what)] {
-                                                                                         what();
-                                                                                         arm();
-                                                                                     });
-                                                                                 }});
+    side_.emplace(*session_, clock, told.folder, acting_,
+                  agreement::Side::Calls{check, [this](std::function<void()> what) {
+                                             asio::post(io_, [this, what = std::move(what)] {
+                                                 what();
+                                                 arm();
+                                             });
+                                         }});
 }
 
 Rules::~Rules() {
@@ -101,8 +122,12 @@
 }
 
 void Rules::changed(const std::string& document, const agreement::Acted& acted) {
-    std::string detail = document + " " + std::to_string(acted.version) + " " + std::string(agreement::name(acted.how));
-    log(LogLevel::Info, "rules:", {{"document", document}, {"version", std::to_string(acted.version)}, {"acts", std::string(agreement::name(acted.how))}});
+    std::string detail =
+        document + " " + std::to_string(acted.version) + " " + std::string(agreement::name(acted.how));
+    log(LogLevel::Info, "rules:",
+        {{"document", document},
+         {"version", std::to_string(acted.version)},
+         {"acts", std::string(agreement::name(acted.how))}});
     node_.record(detail);
     if (!acted.content) return;
     std::string why;
@@ -110,7 +135,8 @@
         header_rules_[document] = read_rules(*headers, why);
         join_rewrites();
     }
-    if (const auto* hand = std::get_if<agreement::Servers>(acted.content.get()); hand && hand->source == agreement::Source::Hand) {
+    if (const auto* hand = std::get_if<agreement::Servers>(acted.content.get());
+        hand && hand->source == agreement::Source::Hand) {
         hands_[document] = *hand;
         servers();
     }
@@ -127,7 +153,9 @@
             if (s.use == agreement::Use::Last) last.insert(s.name);
         }
     }
-    bool others = !all_last && std::any_of(listed_.begin(), listed_.end(), [&](const std::string& id) { return !out.contains(id) && !last.contains(id); });
+    bool others = !all_last && std::any_of(listed_.begin(), listed_.end(), [&](const std::string& id) {
+        return !out.contains(id) && !last.contains(id);
+    });
     if (others) out.insert(last.begin(), last.end());
     std::set<std::uint64_t> keys;
     for (const std::string& id : out) keys.insert(hashed(id));
@@ -167,7 +195,8 @@
 void Rules::join_rewrites() {
     rewrite::Rewrites all = own_;
     if (!own_.on) all.rules.clear(), all.forwarded = false;
-    for (const auto& [document, rules] : header_rules_) all.rules.insert(all.rules.end(), rules.begin(), rules.end());
+    for (const auto& [document, rules] : header_rules_)
+        all.rules.insert(all.rules.end(), rules.begin(), rules.end());
     bool any = own_.on || !all.rules.empty();
     joined_ = any ? std::make_shared<const rewrite::Rewrites>(std::move(all)) : nullptr;
 }
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -1,5 +1,5 @@
-// What a node does with documents that its fleet agrees on ([keepers] in its file): servers out by hand, and rules for headers.
-// Where there is no such table nothing of it is there.
+// What a node does with documents that its fleet agrees on ([keepers] in its file): servers out by hand, and
+// rules for headers. Where there is no such table nothing of it is there.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -29,7 +29,7 @@
     std::string cluster, key_file, folder;
     std::vector<std::string> keys;  ///< from `key_file`
     Duration lease{3000};
-    double stated = 0;              ///< milliseconds; zero: whatever the lease makes of it
+    double stated = 0;  ///< milliseconds; zero: whatever the lease makes of it
 };
 config::Table<KeepersTold> keepers_settings();
 
@@ -40,7 +40,8 @@
         std::function<void(std::uint64_t key, bool out, TimePoint since)> by_hand;
         std::function<void(const std::string& detail)> record;  ///< a line of the audit
     };
-    Rules(boost::asio::io_context& io, Clock clock, const KeepersTold& told, const std::string& name, const std::string& zone, Node node);
+    Rules(boost::asio::io_context& io, Clock clock, const KeepersTold& told, const std::string& name,
+          const std::string& zone, Node node);
     ~Rules();
     void start();
 
@@ -71,7 +72,7 @@
     boost::asio::steady_timer ends_;
     TimePoint armed_ = TimePoint::max();
     std::set<std::string> listed_;
-    std::map<std::string, agreement::Servers> hands_;                 // by document
+    std::map<std::string, agreement::Servers> hands_;  // by document
     std::set<std::uint64_t> desk_out_, rules_out_;
     std::map<std::string, std::vector<rewrite::Rule>> header_rules_;  // by document
     rewrite::Rewrites own_;
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -1,4 +1,5 @@
-// `ochrehub fleet rules`: what operators see of the documents that a fleet agrees on, and how they change them.
+// `ochrehub fleet rules`: what operators see of the documents that a fleet agrees on, and how they change
+// them.
 #include <boost/json.hpp>
 #include <chrono>
 #include <cstdio>
@@ -61,8 +62,12 @@
 }
 
 json::object as_json(const Document& d, bool content) {
-    json::object out{{"version", d.version}, {"kind", std::string(agreement::name(kind(d.content)))}, {"mode", std::string(agreement::name(d.mode))},
-                     {"without_permit", std::string(agreement::name(d.choice))}, {"proposer", d.proposer}, {"when", when(d.when)}};
+    json::object out{{"version", d.version},
+                     {"kind", std::string(agreement::name(kind(d.content)))},
+                     {"mode", std::string(agreement::name(d.mode))},
+                     {"without_permit", std::string(agreement::name(d.choice))},
+                     {"proposer", d.proposer},
+                     {"when", when(d.when)}};
     if (!content) out.erase("kind");
     if (content) out["text"] = text(d.content);
     if (d.of != 0) out["back_to"] = d.of;
@@ -72,19 +77,33 @@
     json::array before, ended, nodes;
     for (const Document& b : d.before) before.push_back(as_json(b, content));
     for (const Ended& e : d.ended)
-        ended.push_back(json::object{{"version", e.version}, {"code", std::string(agreement::row(e.why.error).code)}, {"about", e.why.about}, {"proposer", e.proposer}});
+        ended.push_back(json::object{{"version", e.version},
+                                     {"code", std::string(agreement::row(e.why.error).code)},
+                                     {"about", e.why.about},
+                                     {"proposer", e.proposer}});
     for (const NodeStatus& n : d.nodes)
-        nodes.push_back(json::object{{"name", n.name}, {"zone", n.zone}, {"version", n.version}, {"said", n.word == Word::Yes ? "yes" : n.word == Word::No ? "no" : ""},
-                                     {"reason", n.reason}, {"holds_up", n.holds_up}});
-    json::object out{{"name", d.name}, {"phase", name_of(d.phase)}, {"before", std::move(before)}, {"ended", std::move(ended)}, {"nodes", std::move(nodes)}};
+        nodes.push_back(json::object{{"name", n.name},
+                                     {"zone", n.zone},
+                                     {"version", n.version},
+                                     {"said", n.word == Word::Yes  ? "yes"
+                                              : n.word == Word::No ? "no"
+                                                                   : ""},
+                                     {"reason", n.reason},
+                                     {"holds_up", n.holds_up}});
+    json::object out{{"name", d.name},
+                     {"phase", name_of(d.phase)},
+                     {"before", std::move(before)},
+                     {"ended", std::move(ended)},
+                     {"nodes", std::move(nodes)}};
     if (d.in_force) out["in_force"] = as_json(*d.in_force, content);
     if (d.next) out["next"] = as_json(*d.next, content);
     return out;
 }
 
 void line(const char* what, const Document& d) {
-    std::printf("%-9s %6llu  %-6s  %-7s  %s by %s%s\n", what, static_cast<unsigned long long>(d.version), std::string(agreement::name(d.mode)).c_str(),
-                std::string(agreement::name(d.choice)).c_str(), when(d.when).c_str(), d.proposer.c_str(),
+    std::printf("%-9s %6llu  %-6s  %-7s  %s by %s%s\n", what, static_cast<unsigned long long>(d.version),
+                std::string(agreement::name(d.mode)).c_str(), std::string(agreement::name(d.choice)).c_str(),
+                when(d.when).c_str(), d.proposer.c_str(),
                 d.of != 0 ? (", back to " + std::to_string(d.of)).c_str() : "");
 }
 
@@ -100,13 +119,18 @@
         const DocumentStatus& d = one(answer, ask.document);
         auto tell = [&](const char* how) {
             if (ask.json)
-                std::printf("%s\n", json::serialize(json::object{{"document", ask.document}, {"version", version}, {"is", how}}).c_str());
+                std::printf("%s\n",
+                            json::serialize(
+                                json::object{{"document", ask.document}, {"version", version}, {"is", how}})
+                                .c_str());
             else
-                std::printf("%s %llu: %s\n", ask.document.c_str(), static_cast<unsigned long long>(version), how);
+                std::printf("%s %llu: %s\n", ask.document.c_str(), static_cast<unsigned long long>(version),
+                            how);
             return 0;
         };
         if (d.in_force && d.in_force->version >= version) return tell("in force");
-        if (d.next && d.next->version == version && d.phase == agreement::Phase::Canary) return tell("tried out");
+        if (d.next && d.next->version == version && d.phase == agreement::Phase::Canary)
+            return tell("tried out");
         for (const Ended& e : d.ended)
             if (e.version == version) throw Refused{agreement::row(e.why.error), e.why.about};
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -119,12 +143,15 @@
     p.document.proposer = audit::user();
     p.document.when = std::uint64_t(std::time(nullptr));
     p.document.mode = ask.mode == "quick" ? Mode::Quick : Mode::Strict;
-    p.document.choice = ask.choice == "keep" ? Choice::Keep : ask.choice == "refuse" ? Choice::Refuse : Choice::Caution;
+    p.document.choice = ask.choice == "keep"     ? Choice::Keep
+                        : ask.choice == "refuse" ? Choice::Refuse
+                                                 : Choice::Caution;
     p.any_no_stops = !ask.some_may_refuse;
     p.stage = Duration{ask.within_s * 1000};
     std::random_device device;
     p.token = std::uint64_t(device()) << 32 | device();
-    if (!ask.zone.empty() || !ask.node.empty()) p.document.scope = agreement::Scope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
+    if (!ask.zone.empty() || !ask.node.empty())
+        p.document.scope = agreement::Scope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
     return p;
 }
 
@@ -133,7 +160,8 @@
     if (!in) throw ConfigError(path + ": cannot be read");
     std::string octets{std::istreambuf_iterator<char>(in), {}};
     auto read = read_text(octets);
-    if (const auto* bad = std::get_if<Failure>(&read)) throw Refused{agreement::row(bad->error), path + ": " + bad->about};
+    if (const auto* bad = std::get_if<Failure>(&read))
+        throw Refused{agreement::row(bad->error), path + ": " + bad->about};
     return std::get<Content>(std::move(read));
 }
 
@@ -151,8 +179,11 @@
             if (d.in_force) line("  in force", *d.in_force);
             if (d.next) line((std::string("  ") + name_of(d.phase)).c_str(), *d.next);
             for (const NodeStatus& n : d.nodes)
-                std::printf("  node %s%s%s: has %llu%s%s%s\n", n.name.c_str(), n.zone.empty() ? "" : " in ", n.zone.c_str(),
-                            static_cast<unsigned long long>(n.version), n.word == Word::Yes ? ", says yes" : n.word == Word::No ? ", says no: " : "",
+                std::printf("  node %s%s%s: has %llu%s%s%s\n", n.name.c_str(), n.zone.empty() ? "" : " in ",
+                            n.zone.c_str(), static_cast<unsigned long long>(n.version),
+                            n.word == Word::Yes  ? ", says yes"
+                            : n.word == Word::No ? ", says no: "
+                                                 : "",
                             n.word == Word::No ? n.reason.c_str() : "", n.holds_up ? ", has older ones" : "");
             if (!ask.document.empty() && d.in_force) std::printf("%s", text(d.in_force->content).c_str());
         }
@@ -178,7 +209,8 @@
         if (d.in_force) line("in force", *d.in_force);
         for (const Document& b : d.before) line("before", b);
         for (const Ended& e : d.ended)
-            std::printf("%-9s %6llu  by %s: %s\n", "stopped", static_cast<unsigned long long>(e.version), e.proposer.c_str(), fleet::sentence(e.why).c_str());
+            std::printf("%-9s %6llu  by %s: %s\n", "stopped", static_cast<unsigned long long>(e.version),
+                        e.proposer.c_str(), fleet::sentence(e.why).c_str());
         return 0;
     }
     if (what == "diff") {
@@ -187,14 +219,23 @@
             if (d.next && d.next->version == number) return *d.next;
             for (const Document& b : d.before)
                 if (b.version == number) return b;
-            throw Refused{agreement::row(agreement::Error::NoVersion), ask.document + " " + std::to_string(number)};
+            throw Refused{agreement::row(agreement::Error::NoVersion),
+                          ask.document + " " + std::to_string(number)};
         };
-        if (!d.in_force) throw Refused{agreement::row(agreement::Error::Unknown), ask.document + ": nothing is in force"};
-        Content b = !ask.file.empty() ? read_content(ask.file) : d.next && ask.to == 0 ? d.next->content : d.in_force->content;
-        Content a = ask.to != 0 ? version(ask.to).content : !ask.file.empty() || d.next ? d.in_force->content : d.before.empty() ? b : d.before.front().content;
+        if (!d.in_force)
+            throw Refused{agreement::row(agreement::Error::Unknown), ask.document + ": nothing is in force"};
+        Content b = !ask.file.empty()       ? read_content(ask.file)
+                    : d.next && ask.to == 0 ? d.next->content
+                                            : d.in_force->content;
+        Content a = ask.to != 0                   ? version(ask.to).content
+                    : !ask.file.empty() || d.next ? d.in_force->content
+                    : d.before.empty()            ? b
+                                                  : d.before.front().content;
         std::string lines = diff(a, b);
         if (ask.json)
-            std::printf("%s\n", json::serialize(json::object{{"diff", lines}, {"contradict", contradict(a, b)}}).c_str());
+            std::printf(
+                "%s\n",
+                json::serialize(json::object{{"diff", lines}, {"contradict", contradict(a, b)}}).c_str());
         else
             std::printf("%s%s", lines.c_str(), contradict(a, b) ? "they contradict each other\n" : "");
         return 0;
@@ -212,8 +253,12 @@
         return carried_out(ask, what);
     } catch (const Refused& refused) {
         if (ask.json)
-            std::printf("%s\n", json::serialize(json::object{{"code", std::string(refused.row.code)}, {"about", refused.about}, {"passes", refused.row.passes},
-                                                             {"operators", std::string(refused.row.operators)}}).c_str());
+            std::printf("%s\n",
+                        json::serialize(json::object{{"code", std::string(refused.row.code)},
+                                                     {"about", refused.about},
+                                                     {"passes", refused.row.passes},
+                                                     {"operators", std::string(refused.row.operators)}})
+                            .c_str());
         std::fprintf(stderr, "%s\n", fleet::sentence(refused.row, refused.about).c_str());
         return 1;
     }
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -78,8 +78,7 @@
         // A short section goes behind the one before it: all of them fit a screen.
         std::size_t last = all.empty() ? 0 : all.rfind('\n', all.size() - 2) + 1;
         bool whole = line.rfind("[", 0) == 0;
-        if (!all.empty() && whole && all.size() - 1 - last + 1 + line.size() <= kWidth)
-            all.back() = ' ';
+        if (!all.empty() && whole && all.size() - 1 - last + 1 + line.size() <= kWidth) all.back() = ' ';
         all += line + "\n";
     }
     return all;
--- a/src/app/toml_sections.cpp
+++ b/src/app/toml_sections.cpp
@@ -13,8 +13,9 @@
     return {
         config::address({.name = "listen", .fallback = "127.0.0.1:8080", .help = "where clients connect"},
                         &Told::Node::listen),
-        config::address({.name = "control", .help = "the second address, for operators; without it there is none"},
-                        &Told::Node::control),
+        config::address(
+            {.name = "control", .help = "the second address, for operators; without it there is none"},
+            &Told::Node::control),
         config::text(
             {.name = "name", .fallback = "ochrehub", .help = "what the node calls itself in its log"},
             &Told::Node::name),
--- a/src/app/toml_sections.h
+++ b/src/app/toml_sections.h
@@ -13,8 +13,8 @@
 #include "config/table.h"
 #include "discovery/static_list.h"
 #include "engine/settings.h"
-#include "http/http_profile.h"
 #include "fleet/membership/settings.h"
+#include "http/http_profile.h"
 
 namespace ochrehub::app {
 
--- a/src/base/asio_scheduler.cpp
+++ b/src/base/asio_scheduler.cpp
@@ -24,7 +24,8 @@
 
 void AsioScheduler::arm() {
     armed_ = queue_.due();
-    timer_.expires_at(clock_.steady(*armed_) + std::chrono::microseconds(1));  // never a rounding before its time
+    timer_.expires_at(clock_.steady(*armed_) +
+                      std::chrono::microseconds(1));  // never a rounding before its time
     timer_.async_wait([this](boost::system::error_code stopped) {
         if (!stopped) run_due();
     });
--- a/src/base/descriptor_budget.h
+++ b/src/base/descriptor_budget.h
@@ -14,8 +14,8 @@
     std::size_t asked = 0;         ///< ... of which have asked for something: clients hold a third at most
     std::size_t servers = 0;       ///< connections to servers, idle ones included
 
-    /// Of `sockets` or the process's own limit, whichever is less; keeps some for all else. `reserved`: held by the
-    /// second address. `twin`: another process of this node has as many.
+    /// Of `sockets` or the process's own limit, whichever is less; keeps some for all else. `reserved`: held
+    /// by the second address. `twin`: another process of this node has as many.
     static DescriptorBudget of(std::size_t sockets, std::size_t reserved = 0, bool twin = false) {
         rlimit limit{};
         if (getrlimit(RLIMIT_NOFILE, &limit) == 0) sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
--- a/src/base/lag_meter.h
+++ b/src/base/lag_meter.h
@@ -1,5 +1,5 @@
-// What a loop that is behind may still do for: from how long things had lain unread to how old they may be. No clock
-// of its own.
+// What a loop that is behind may still do for: from how long things had lain unread to how old they may be.
+// No clock of its own.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,13 @@
 namespace ochrehub {
 
 /// Told the age of what is read: how long its bytes had lain in the kernel. A burst
-/// makes some of it old for a moment; where even the freshest of a window is old, the queue stands, and reading it
-/// in its order means that all is answered late and asked again, for as long as it stands. Memory: a few numbers.
+/// makes some of it old for a moment; where even the freshest of a window is old, the queue stands, and
+/// reading it in its order means that all is answered late and asked again, for as long as it stands. Memory:
+/// a few numbers.
 class LagMeter {
 public:
-    static constexpr Duration kOld{5};       ///< below this nothing is behind
-    static constexpr Duration kStands{10};   ///< the freshest of a window that stands
+    static constexpr Duration kOld{5};      ///< below this nothing is behind
+    static constexpr Duration kStands{10};  ///< the freshest of a window that stands
     static constexpr Duration kWindow{100};
     static constexpr double kPart = 0.8;  ///< of a request's time, where the queue stands
 
@@ -40,8 +41,8 @@
     bool behind() const { return age_ >= kOld; }
     /// ... and so had all of late.
     bool stands() const { return stands_; }
-    /// How old a request may be whose client waits so long in all: what is older would be answered late, at the
-    /// price of one that is fresh.
+    /// How old a request may be whose client waits so long in all: what is older would be answered late, at
+    /// the price of one that is fresh.
     Duration most(Duration patience) const { return stands_ ? patience * kPart : patience; }
 
 private:
@@ -52,13 +53,13 @@
     }
 
     Duration age_{0}, least_{0}, most_{0};  // of the last, and of a window
-    TimePoint window_{};  // its begin
+    TimePoint window_{};                    // its begin
     bool open_ = false, stands_ = false;
 };
 
-/// How many of those that wait to be read are read at a time while a loop is behind: whatever else has come, answers
-/// and timers, is due in between. In their order: newest first was tried, and leaves those that hold a connection unread
-/// until they give it up, so that all that is left comes on new ones.
+/// How many of those that wait to be read are read at a time while a loop is behind: whatever else has come,
+/// answers and timers, is due in between. In their order: newest first was tried, and leaves those that hold
+/// a connection unread until they give it up, so that all that is left comes on new ones.
 class ReadTurn {
 public:
     static constexpr int kEntered = 16, kSentAway = 64;
--- a/src/base/scheduler.h
+++ b/src/base/scheduler.h
@@ -21,8 +21,8 @@
     virtual TimePoint now() const = 0;
     /// Runs the task soon, behind all that was posted before it.
     virtual void post(Task task) = 0;
-    /// Runs the task at the first chance at or after `at`, never before; one whose time has passed soon, but not
-    /// from inside this call. Tasks of the same time run in the order they were given.
+    /// Runs the task at the first chance at or after `at`, never before; one whose time has passed soon, but
+    /// not from inside this call. Tasks of the same time run in the order they were given.
     virtual TimerId call_at(TimePoint at, Task task) = 0;
     /// Takes a task back. One that has run, and zero, are no fault.
     virtual void cancel(TimerId timer) = 0;
--- a/src/base/side_thread.h
+++ b/src/base/side_thread.h
@@ -1,4 +1,5 @@
-// A thread beside the node's loop: it runs a loop of its own and takes no signal, which are the node's loop's.
+// A thread beside the node's loop: it runs a loop of its own and takes no signal, which are the node's
+// loop's.
 #pragma once
 
 #include <pthread.h>
@@ -11,7 +12,8 @@
 
 namespace ochrehub {
 
-/// Runs `io` till it is stopped. What a handler throws ends the loop and is handed to `failed`, on that thread.
+/// Runs `io` till it is stopped. What a handler throws ends the loop and is handed to `failed`, on that
+/// thread.
 template <class Failed>
 std::thread side_thread(boost::asio::io_context& io, Failed failed) {
     sigset_t all, before;
--- a/src/base/slots.h
+++ b/src/base/slots.h
@@ -6,7 +6,8 @@
 
 namespace ochrehub {
 
-/// The place given back last, or a new one at the end. A used place holds what it held: whoever takes it fills it.
+/// The place given back last, or a new one at the end. A used place holds what it held: whoever takes it
+/// fills it.
 template <class T>
 std::uint32_t take_slot(std::vector<T>& slots, std::vector<std::uint32_t>& free) {
     if (free.empty()) {
--- a/src/base/task.h
+++ b/src/base/task.h
@@ -9,8 +9,8 @@
 
 namespace ochrehub {
 
-/// As std::function<void()>, but it moves only and its captures stay inside it. One that does not fit does not
-/// compile: a heap allocation a timer is what this guards against.
+/// As std::function<void()>, but it moves only and its captures stay inside it. One that does not fit does
+/// not compile: a heap allocation a timer is what this guards against.
 class Task {
 public:
     static constexpr std::size_t kRoom = 56;
@@ -23,7 +23,8 @@
         static_assert(std::is_nothrow_move_constructible_v<Held>);
         ::new (static_cast<void*>(room_)) Held(std::forward<F>(from));
         if constexpr (std::is_trivially_copyable_v<Held>) {
-            static constexpr Verbs kVerbs{[](void* held) { (*static_cast<Held*>(held))(); }, nullptr, nullptr};
+            static constexpr Verbs kVerbs{[](void* held) { (*static_cast<Held*>(held))(); }, nullptr,
+                                          nullptr};
             verbs_ = &kVerbs;
         } else {
             static constexpr Verbs kVerbs{[](void* held) { (*static_cast<Held*>(held))(); },
@@ -50,7 +51,8 @@
     void operator()() { verbs_->call(room_); }
 
 private:
-    /// No move: its bytes are copied; no destroy: there is nothing to do. Most captures are a pointer and numbers.
+    /// No move: its bytes are copied; no destroy: there is nothing to do. Most captures are a pointer and
+    /// numbers.
     struct Verbs {
         void (*call)(void*);
         void (*move)(void*, void*);
--- a/src/base/timer_queue.h
+++ b/src/base/timer_queue.h
@@ -77,7 +77,8 @@
     void sink(std::size_t place) {
         Entry entry = heap_[place];
         while (true) {
-            std::size_t first = place * kWays + 1, last = std::min(first + kWays, heap_.size()), least = first;
+            std::size_t first = place * kWays + 1, last = std::min(first + kWays, heap_.size()),
+                        least = first;
             if (first >= heap_.size()) break;
             for (std::size_t i = first + 1; i < last; ++i)
                 if (heap_[i] < heap_[least]) least = i;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -8,8 +8,8 @@
 
 constexpr int kSpoiltMost = 3;        // answers in a row that cannot be read, before the module hears of it
 constexpr Duration kSpoiltAgain{50};  // least wait behind one
-// Least time from a call that has brought nothing new to the next: of a discovery that ends watches at once. Less than the
-// 200 ms after which a watch counts as another.
+// Least time from a call that has brought nothing new to the next: of a discovery that ends watches at once.
+// Less than the 200 ms after which a watch counts as another.
 constexpr Duration kNothingNew{100};
 
 }  // namespace
@@ -59,8 +59,8 @@
     out_ = 0;
     drop(kept_);
     bool news = !has_list_ || e.revision > revision_;
-    // Changes behind an older revision than the one that was asked about: revisions have begun anew, and what changed before
-    // it is not among them.
+    // Changes behind an older revision than the one that was asked about: revisions have begun anew, and what
+    // changed before it is not among them.
     has_list_ = e.whole || !has_list_ || e.revision >= revision_;
     revision_ = e.revision;
     spoilt_ = 0;
@@ -117,7 +117,8 @@
     began_ = now_;
     out_ = ++last_;
     limit_ = now_ + (has_list_ ? set_.wait + set_.late : set_.first);
-    actions_->emplace_back(has_list_ ? MakeCall{out_, revision_, set_.wait} : MakeCall{out_, std::nullopt, Duration{0}});
+    actions_->emplace_back(has_list_ ? MakeCall{out_, revision_, set_.wait}
+                                     : MakeCall{out_, std::nullopt, Duration{0}});
 }
 
 void Watch::drop(CallNo& call) {
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -1,12 +1,14 @@
-// When a node asks discovery for the list, and when it takes a call for lost: a core without I/O, under the watcher on sockets and
-// under the lab's. It says which calls to make and to drop; what lists say it does not read.
+// When a node asks discovery for the list, and when it takes a call for lost: a core without I/O, under the
+// watcher on sockets and under the lab's. It says which calls to make and to drop; what lists say it does not
+// read.
 //
-// The clock it holds, from the rules: whatever else is allowed behind a call that failed, was refused or given up, a change
-// counts as told 6 s after discovery had it and could be reached; how soon after that nothing may be sent to a server that
-// drains is the settings', and may be next to nothing. A call made at `t` is therefore taken for silent at t + wait + late,
-// and asked anew within `spread` beside it: with half a second for the answer that is less than 6 s, whatever the moment of its
-// silence. What discovery refuses (a 503, a reset) is told to the module, which asks again in its own time, spread over the
-// fleet and inside the same 6 s.
+// The clock it holds, from the rules: whatever else is allowed behind a call that failed, was refused or
+// given up, a change counts as told 6 s after discovery had it and could be reached; how soon after that
+// nothing may be sent to a server that drains is the settings', and may be next to nothing. A call made at
+// `t` is therefore taken for silent at t + wait + late, and asked anew within `spread` beside it: with half a
+// second for the answer that is less than 6 s, whatever the moment of its silence. What discovery refuses (a
+// 503, a reset) is told to the module, which asks again in its own time, spread over the fleet and inside the
+// same 6 s.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -26,7 +28,8 @@
     Duration late{400};      ///< how much later its answer may come before it counts as silent
     Duration first{2500};    ///< for the whole list, which may wait in discovery's queue
     Duration connect{1000};  ///< after which a connection that is not up has not been heard at all
-    Duration spread{500};    ///< repeats wait up to this, so that a fleet that notices at once does not call at once
+    Duration spread{
+        500};  ///< repeats wait up to this, so that a fleet that notices at once does not call at once
     Duration persist{8000};  ///< behind the silent watch's wait, how long it asks again by itself
 };
 
@@ -72,7 +75,8 @@
 
 class Watch {
 public:
-    Watch(const WatchSettings& settings, std::uint64_t seed) : set_(settings), random_(unsigned(seed ^ (seed >> 32)) | 1) {}
+    Watch(const WatchSettings& settings, std::uint64_t seed)
+        : set_(settings), random_(unsigned(seed ^ (seed >> 32)) | 1) {}
 
     void handle(TimePoint now, const WatchEvent& event, WatchActions& actions);
 
@@ -100,11 +104,13 @@
 
     bool has_list_ = false, calling_ = false;
     std::uint64_t revision_ = 0, silences_ = 0;
-    CallNo last_ = 0, out_ = 0, kept_ = 0;  // kept: an earlier call, whose answer still counts until a later one is there
-    bool kept_elsewhere_ = false;           // ... at the address before this one
+    CallNo last_ = 0, out_ = 0,
+           kept_ = 0;  // kept: an earlier call, whose answer still counts until a later one is there
+    bool kept_elsewhere_ = false;  // ... at the address before this one
     int spoilt_ = 0;
     TimePoint began_{}, limit_ = TimePoint::max(), again_ = TimePoint::max();
-    std::optional<TimePoint> silent_since_;  // when the watch was asked that has fallen silent, with nothing heard since
+    std::optional<TimePoint>
+        silent_since_;  // when the watch was asked that has fallen silent, with nothing heard since
 };
 
 }  // namespace ochrehub::discovery
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -7,8 +7,8 @@
 #include <unordered_set>
 #include <utility>
 
-#include "config/json.h"
 #include "base/log.h"
+#include "config/json.h"
 #include "ochrehub/hash.h"
 
 namespace ochrehub::discovery {
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr WatchSettings kWatch{};
-// Within a list that has begun. One may come in pieces, and machines stand still for up to 0.6 s; the watch's own clock
-// bounds the whole.
+// Within a list that has begun. One may come in pieces, and machines stand still for up to 0.6 s; the watch's
+// own clock bounds the whole.
 constexpr std::chrono::milliseconds kPieceMost{1000};
-// Some 8,000 servers where the list comes indented. Guards against a fleet that outgrows a buffer: its list could never be
-// read, and the one from before would stay for good.
+// Some 8,000 servers where the list comes indented. Guards against a fleet that outgrows a buffer: its list
+// could never be read, and the one from before would stay for good.
 constexpr std::uint64_t kListBytes = 2 << 20;
 
 }  // namespace
@@ -47,8 +47,9 @@
 void Watcher::cached(const ServerList& known) {
     Listing listing = listing_of(known);
     listing.update.kind = ListKind::Cached;
-    // The watch starts from there: it costs discovery the changes since, where the whole list and then a watch are
-    // two calls, one of every line. Guards against a fleet that starts together and fills discovery's queue.
+    // The watch starts from there: it costs discovery the changes since, where the whole list and then a
+    // watch are two calls, one of every line. Guards against a fleet that starts together and fills
+    // discovery's queue.
     if (known.complete && !known.members.empty()) happens(Known{known.revision});
     listed_(listing);
 }
@@ -94,16 +95,18 @@
 void Watcher::make(const MakeCall& call) {
     std::string target = "/v1/servers";
     if (call.index)
-        target += "?index=" + std::to_string(*call.index) + "&wait=" + std::to_string(std::int64_t(call.wait.count()));
+        target += "?index=" + std::to_string(*call.index) +
+                  "&wait=" + std::to_string(std::int64_t(call.wait.count()));
     auto connection = std::exchange(idle_, nullptr);
     if (!connection || connection->seen_closed())
         connection = std::make_shared<Connection>(io_, pool_, discovery_, kWatch.connect, kPieceMost);
     connection->hold_whole(kListBytes);
     out_.push_back({call.call, connection});
-    connection->exchange("GET " + target + " HTTP/1.1\r\nHost: discovery\r\n\r\n", nullptr,
-                         [this, number = call.call](const std::shared_ptr<Connection>&, const Connection::Result& result) {
-                             ended(number, result);
-                         });
+    connection->exchange(
+        "GET " + target + " HTTP/1.1\r\nHost: discovery\r\n\r\n", nullptr,
+        [this, number = call.call](const std::shared_ptr<Connection>&, const Connection::Result& result) {
+            ended(number, result);
+        });
 }
 
 void Watcher::drop(CallNo call) {
@@ -121,9 +124,10 @@
     bool here = connection->to() == discovery_;
     if (result.end != Connection::End::Answered || result.answer->status != 200) {
         why_ = result.end == Connection::End::Answered ? "the call was turned away" : "the call broke";
-        End how = result.end == Connection::End::NotSent                                                  ? End::Unheard
-                  : result.end == Connection::End::Garbage || result.end == Connection::End::TooLarge ? End::Spoilt
-                                                                                                          : End::Refused;
+        End how = result.end == Connection::End::NotSent ? End::Unheard
+                  : result.end == Connection::End::Garbage || result.end == Connection::End::TooLarge
+                      ? End::Spoilt
+                      : End::Refused;
         return happens(Ended{call, how});
     }
     ServerList list;
@@ -160,8 +164,8 @@
     return listing;
 }
 
-// Servers are replaced by new ones under new ids for as long as the node runs. One that comes back under an id
-// that had gone is another process.
+// Servers are replaced by new ones under new ids for as long as the node runs. One that comes back under an
+// id that had gone is another process.
 void Watcher::forget_unnamed(const ServerList& list) {
     std::unordered_set<std::string_view> named;
     for (const ServerList::Member& member : list.members) named.insert(member.id);
--- a/src/discovery/watcher.h
+++ b/src/discovery/watcher.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <memory>
 #include <string>
+#include <unordered_map>
 #include <utility>
 #include <vector>
-#include <unordered_map>
 
 #include "base/asio_scheduler.h"
 #include "discovery/server_list.h"
@@ -54,9 +54,9 @@
     boost::asio::ip::tcp::endpoint discovery_;
     Listed listed_;
     Watch watch_;
-    std::vector<Out> out_;                       // at most two: the call, and the one before it
-    std::shared_ptr<http::Connection> idle_;     // to `discovery_`, for the next call
-    const char* why_ = "";                       // of the last end, for the log
+    std::vector<Out> out_;                    // at most two: the call, and the one before it
+    std::shared_ptr<http::Connection> idle_;  // to `discovery_`, for the next call
+    const char* why_ = "";                    // of the last end, for the log
     TimerId timer_ = 0;
     std::unordered_map<std::string, ServerId> ids_;  // of the servers listed; a number is never given twice
     ServerId next_id_ = 0;
--- a/src/engine/counters.h
+++ b/src/engine/counters.h
@@ -1,5 +1,5 @@
-// What is counted of requests, attempts and servers: one definition each, for the figures and the second address
-// alike. Written by the node's loop alone, where the event happens; read by any thread at any time.
+// What is counted of requests, attempts and servers: one definition each, for the figures and the second
+// address alike. Written by the node's loop alone, where the event happens; read by any thread at any time.
 #pragma once
 
 #include <atomic>
@@ -21,8 +21,8 @@
 };
 
 struct Counters {
-    /// Of whole requests of a class, by the answer that went out whole: 200 (off the platform: below 400), 429 or
-    /// 503, any other. One whose client left is in none of them.
+    /// Of whole requests of a class, by the answer that went out whole: 200 (off the platform: below 400),
+    /// 429 or 503, any other. One whose client left is in none of them.
     struct Class {
         Count answered, deferred, errored;
     };
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -8,7 +8,10 @@
 namespace ochrehub {
 
 Engine::Engine(Scheduler& scheduler, const Settings& settings, std::uint64_t seed)
-    : scheduler_(scheduler), balancer_(settings, seed), grace_(settings.grace_to_answer), max_attempts_(settings.max_attempts) {
+    : scheduler_(scheduler),
+      balancer_(settings, seed),
+      grace_(settings.grace_to_answer),
+      max_attempts_(settings.max_attempts) {
     for (const ClassSettings& c : settings.classes) repeatable_.push_back(c.effect != Effect::SingleShot);
 }
 
@@ -68,7 +71,8 @@
         Attempt& attempt = request->attempts[k];
         if (attempt.ended) continue;
         attempt.sent = scheduler_.now();  // a server begins with the last byte
-        attempt.limit = scheduler_.call_at(give_up_at, [this, a = AttemptId{id, int(k)}] { attempt_late(a); });
+        attempt.limit =
+            scheduler_.call_at(give_up_at, [this, a = AttemptId{id, int(k)}] { attempt_late(a); });
     }
     post(Uploaded{id, give_up_at});
 }
@@ -129,8 +133,8 @@
         actions.clear();
         balancer_.handle(scheduler_.now(), event, actions);
         for (const Action& action : actions) carry_out(action);
-        // An event concludes others' requests too: a wake gives up all that have waited too long. Guards against
-        // keeping them, and the buffers of their bodies, for good.
+        // An event concludes others' requests too: a wake gives up all that have waited too long. Guards
+        // against keeping them, and the buffers of their bodies, for good.
         for (RequestId id : concluded_) drop_if_over(id);
         concluded_.clear();
         if (const auto* ended = std::get_if<AttemptEnded>(&event)) drop_if_over(ended->request);
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,10 +1,10 @@
 // Owns the decision module, its clock and its tables of requests and attempts. Turns what happens into the
-// module's events, one at a time, and carries its actions out in order. It knows no clock, socket or protocol but
-// through the seams it is given, and so runs unchanged on virtual time.
+// module's events, one at a time, and carries its actions out in order. It knows no clock, socket or protocol
+// but through the seams it is given, and so runs unchanged on virtual time.
 #pragma once
 
-#include <functional>
 #include <deque>
+#include <functional>
 #include <memory>
 #include <unordered_map>
 #include <vector>
@@ -44,8 +44,8 @@
     void sharers(int gateways, int me) { post(Sharers{gateways < 1 ? 1 : gateways, me}); }
     /// Where the module's count of avoided servers goes; may be null.
     void count_in(Counters* counters) { counters_ = counters; }
-    /// It may still be written: its request is unanswered, its time and the window for a repeat are not over, and its
-    /// caller is not gone; where that is, the request departs.
+    /// It may still be written: its request is unanswered, its time and the window for a repeat are not over,
+    /// and its caller is not gone; where that is, the request departs.
     bool wanted(AttemptId id) override;
     bool may_repeat(AttemptId id) override;
     void attempt_ended(AttemptId id, AttemptResult result) override;
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -39,8 +39,8 @@
 public:
     virtual ~Caller() = default;
     virtual void answer(Reply reply) = 0;
-    /// Looked at in the instant before an attempt begins, and before its first byte leaves: the client has closed its
-    /// connection or called its request off, though nobody has read that yet.
+    /// Looked at in the instant before an attempt begins, and before its first byte leaves: the client has
+    /// closed its connection or called its request off, though nobody has read that yet.
     virtual bool gone() { return false; }
 };
 
@@ -67,8 +67,8 @@
 class UpstreamEvents {
 public:
     virtual ~UpstreamEvents() = default;
-    /// Somebody still waits for this attempt, and it may still be written. Asked once its connection is up, which may be
-    /// long after its start, and before each further write of what was not written at once.
+    /// Somebody still waits for this attempt, and it may still be written. Asked once its connection is up,
+    /// which may be long after its start, and before each further write of what was not written at once.
     virtual bool wanted(AttemptId /*id*/) { return true; }
     /// Its request may be sent again where this attempt ends without an answer, though it may have run.
     virtual bool may_repeat(AttemptId /*id*/) { return true; }
@@ -87,8 +87,8 @@
     virtual bool stop(AttemptId id) = 0;
     virtual void probe(ServerId server, Duration limit) = 0;
     virtual void close_idle(ServerId server) = 0;
-    /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out. For an
-    /// upstream whose connections are up at once the module's own word is enough.
+    /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out.
+    /// For an upstream whose connections are up at once the module's own word is enough.
     virtual void by_hand(std::uint64_t /*key*/, bool /*out*/) {}
 };
 
--- a/src/fleet/agreement/document.cpp
+++ b/src/fleet/agreement/document.cpp
@@ -39,7 +39,8 @@
 /// Names, doubles and the number of entries.
 template <class Entries>
 std::optional<Failure> names(const Entries& entries, std::string_view what) {
-    if (entries.size() > kEntriesMost) return wrong(Error::TooLong, std::to_string(entries.size()) + " entries");
+    if (entries.size() > kEntriesMost)
+        return wrong(Error::TooLong, std::to_string(entries.size()) + " entries");
     std::set<std::string_view> seen;
     for (const auto& e : entries) {
         std::string about(what);
@@ -54,33 +55,39 @@
     if (auto bad = names(c.limits, "limit")) return bad;
     std::uint64_t sum = 0;
     for (const Limit& l : c.limits) {
-        if (l.rate == 0 || l.rate > kRateMost || l.burst > kRateMost) return wrong(Error::WrongValue, "limit `" + l.name + "`: rate or burst");
-        if (l.floor > l.rate) return wrong(Error::WrongValue, "limit `" + l.name + "`: a floor above its rate");
+        if (l.rate == 0 || l.rate > kRateMost || l.burst > kRateMost)
+            return wrong(Error::WrongValue, "limit `" + l.name + "`: rate or burst");
+        if (l.floor > l.rate)
+            return wrong(Error::WrongValue, "limit `" + l.name + "`: a floor above its rate");
         sum += l.rate;
     }
     if (c.budget > kRateMost) return wrong(Error::WrongValue, "budget");
     if (c.budget != 0 && sum > c.budget)
-        return wrong(Error::OverBudget, "the sum of limits, " + std::to_string(sum) + " of " + std::to_string(c.budget) + " thousandths");
+        return wrong(Error::OverBudget, "the sum of limits, " + std::to_string(sum) + " of " +
+                                            std::to_string(c.budget) + " thousandths");
     return {};
 }
 std::optional<Failure> sound(const Classes& c) {
     if (auto bad = names(c.classes, "class")) return bad;
     for (const ClassRule& r : c.classes) {
-        if (r.repeat == Repeat::Unsaid) return wrong(Error::WrongValue, "class `" + r.name + "`: must say whether it may be repeated");
+        if (r.repeat == Repeat::Unsaid)
+            return wrong(Error::WrongValue, "class `" + r.name + "`: must say whether it may be repeated");
         if (r.attempts == 0 || r.attempts > 10 || (r.repeat == Repeat::MayNot && r.attempts != 1))
             return wrong(Error::WrongValue, "class `" + r.name + "`: attempts");
     }
     return {};
 }
 bool token(std::string_view name) {
-    return !name.empty() && name.size() <= kNameMost &&
-           std::all_of(name.begin(), name.end(), [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; });
+    return !name.empty() && name.size() <= kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
+        return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
+    });
 }
 bool printable(std::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c < 127; });
 }
 std::optional<Failure> sound(const Headers& c) {
-    if (c.rules.size() > kEntriesMost) return wrong(Error::TooLong, std::to_string(c.rules.size()) + " rules");
+    if (c.rules.size() > kEntriesMost)
+        return wrong(Error::TooLong, std::to_string(c.rules.size()) + " rules");
     for (std::size_t i = 0; i < c.rules.size(); ++i) {
         const HeaderRule& r = c.rules[i];
         std::string about = "rule " + std::to_string(i + 1);
@@ -96,11 +103,13 @@
     if (auto bad = names(c.partners, "partner")) return bad;
     std::set<std::string_view> keys;
     for (const Partner& p : c.partners) {
-        if (p.standing == Standing::Held) return wrong(Error::WrongValue, "partner `" + p.name + "`: must be open or shut");
+        if (p.standing == Standing::Held)
+            return wrong(Error::WrongValue, "partner `" + p.name + "`: must be open or shut");
         if (p.keys.size() > kKeysMost) return wrong(Error::TooLong, "partner `" + p.name + "`: its keys");
         for (const std::string& key : p.keys) {
             if (!named_well(key)) return wrong(Error::WrongValue, "partner `" + p.name + "`: a key");
-            if (!keys.insert(key).second) return wrong(Error::Duplicate, "partner `" + p.name + "`: key `" + key + "`");
+            if (!keys.insert(key).second)
+                return wrong(Error::Duplicate, "partner `" + p.name + "`: key `" + key + "`");
         }
     }
     return {};
@@ -108,10 +117,13 @@
 std::optional<Failure> sound(const Servers& c) {
     if (auto bad = names(c.servers, "server")) return bad;
     if (c.partial) return wrong(Error::WrongValue, "a part of a list");
-    if (c.revision != 0 && c.source != Source::Discovery) return wrong(Error::WrongValue, "revision: of discovery's list alone");
+    if (c.revision != 0 && c.source != Source::Discovery)
+        return wrong(Error::WrongValue, "revision: of discovery's list alone");
     for (const Server& s : c.servers) {
-        if (s.use != Use::In && s.use != Use::Out) return wrong(Error::WrongValue, "server `" + s.name + "`: must be in or out");
-        if (!s.zone.empty() && !named_well(s.zone)) return wrong(Error::WrongValue, "server `" + s.name + "`: zone");
+        if (s.use != Use::In && s.use != Use::Out)
+            return wrong(Error::WrongValue, "server `" + s.name + "`: must be in or out");
+        if (!s.zone.empty() && !named_well(s.zone))
+            return wrong(Error::WrongValue, "server `" + s.name + "`: zone");
     }
     return {};
 }
@@ -154,7 +166,8 @@
     auto in_b = index(b.classes);
     return std::any_of(a.classes.begin(), a.classes.end(), [&](const ClassRule& r) {
         auto other = in_b.find(r.name);
-        return other != in_b.end() && r.repeat != Repeat::Unsaid && other->second->repeat != Repeat::Unsaid && r.repeat != other->second->repeat;
+        return other != in_b.end() && r.repeat != Repeat::Unsaid && other->second->repeat != Repeat::Unsaid &&
+               r.repeat != other->second->repeat;
     });
 }
 bool clash(const Headers& a, const Headers& b) {
@@ -171,7 +184,8 @@
         for (const std::string& key : p.keys) owners.emplace(key, p.name);
     for (const Partner& p : a.partners) {
         auto other = in_b.find(p.name);
-        if (other != in_b.end() && p.standing != Standing::Held && other->second->standing != Standing::Held && p.standing != other->second->standing)
+        if (other != in_b.end() && p.standing != Standing::Held &&
+            other->second->standing != Standing::Held && p.standing != other->second->standing)
             return true;
         for (const std::string& key : p.keys) {
             auto owner = owners.find(key);
@@ -187,7 +201,8 @@
         Use x = use_of(a, in_a, s.name), y = use_of(b, in_b, s.name);
         return (x == Use::In && y == Use::Out) || (x == Use::Out && y == Use::In);
     };
-    return std::any_of(a.servers.begin(), a.servers.end(), one) || std::any_of(b.servers.begin(), b.servers.end(), one);
+    return std::any_of(a.servers.begin(), a.servers.end(), one) ||
+           std::any_of(b.servers.begin(), b.servers.end(), one);
 }
 
 Limits part(const Limits& a, const Limits& b) {
@@ -197,7 +212,8 @@
         auto other = in_b.find(l.name);
         if (other == in_b.end()) continue;
         const Limit& o = *other->second;
-        out.limits.push_back({l.name, std::min(l.rate, o.rate), std::min(l.burst, o.burst), std::min(l.floor, o.floor)});
+        out.limits.push_back(
+            {l.name, std::min(l.rate, o.rate), std::min(l.burst, o.burst), std::min(l.floor, o.floor)});
     }
     return out;
 }
@@ -207,7 +223,8 @@
     for (const ClassRule& r : a.classes) {
         auto other = in_b.find(r.name);
         bool same = other != in_b.end() && other->second->repeat == r.repeat;
-        out.classes.push_back({r.name, same ? r.repeat : Repeat::Unsaid, same ? std::min(r.attempts, other->second->attempts) : 1});
+        out.classes.push_back({r.name, same ? r.repeat : Repeat::Unsaid,
+                               same ? std::min(r.attempts, other->second->attempts) : 1});
     }
     for (const ClassRule& r : b.classes)
         if (!in_a.contains(r.name)) out.classes.push_back({r.name, Repeat::Unsaid, 1});
@@ -232,7 +249,9 @@
             if (other->second->standing == p.standing) both.standing = p.standing;
             const auto& keys = other->second->keys;
             std::copy_if(p.keys.begin(), p.keys.end(), std::back_inserter(both.keys),
-                         [&](const std::string& key) { return std::find(keys.begin(), keys.end(), key) != keys.end(); });
+                         [&](const std::string& key) {
+                             return std::find(keys.begin(), keys.end(), key) != keys.end();
+                         });
         }
         out.partners.push_back(std::move(both));
     }
@@ -282,8 +301,9 @@
 }
 
 bool named_well(std::string_view name) {
-    return !name.empty() && name.size() <= kNameMost &&
-           std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127 && c != '"' && c != '`' && c != '#'; });
+    return !name.empty() && name.size() <= kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
+        return c > ' ' && c < 127 && c != '"' && c != '`' && c != '#';
+    });
 }
 
 std::optional<Failure> checked(const Content& content) {
@@ -299,7 +319,8 @@
         auto in_b = index(std::get<Limits>(next).limits);
         for (const Limit& l : a->limits) {
             auto other = in_b.find(l.name);
-            if (l.floor != 0 && (other == in_b.end() || other->second->floor < l.floor)) return wrong(Error::Floor, "limit `" + l.name + "`");
+            if (l.floor != 0 && (other == in_b.end() || other->second->floor < l.floor))
+                return wrong(Error::Floor, "limit `" + l.name + "`");
         }
     }
     const auto *a = std::get_if<Servers>(&old), *b = std::get_if<Servers>(&next);
@@ -314,34 +335,40 @@
 
 Content between(const Content& a, const Content& b) {
     if (a.index() != b.index()) return caution(a);
-    return std::visit([&](const auto& x) { return Content(part(x, std::get<std::decay_t<decltype(x)>>(b))); }, a);
+    return std::visit([&](const auto& x) { return Content(part(x, std::get<std::decay_t<decltype(x)>>(b))); },
+                      a);
 }
 
 Content caution(const Content& content) {
-    return std::visit(Overloaded{[](const Limits& c) -> Content {
-                                     Limits out;
-                                     for (const Limit& l : c.limits)
-                                         if (l.floor != 0) out.limits.push_back({l.name, l.floor, l.burst * (l.floor * 1000 / l.rate) / 1000, l.floor});
-                                     return out;
-                                 },
-                                 [](const Classes& c) -> Content {
-                                     Classes out;
-                                     for (const ClassRule& r : c.classes) out.classes.push_back({r.name, Repeat::Unsaid, 1});
-                                     return out;
-                                 },
-                                 [](const Headers&) -> Content { return Headers{}; },
-                                 [](const Partners& c) -> Content {
-                                     Partners out;
-                                     for (const Partner& p : c.partners) out.partners.push_back({p.name, Standing::Held, {}});
-                                     return out;
-                                 },
-                                 [](const Servers& c) -> Content {
-                                     Servers out{c.source, 0, {}, true};
-                                     for (const Server& s : c.servers)
-                                         out.servers.push_back({s.name, s.use == Use::In ? Use::Last : Use::Rest, s.zone});
-                                     return out;
-                                 }},
-                      content);
+    return std::visit(
+        Overloaded{[](const Limits& c) -> Content {
+                       Limits out;
+                       for (const Limit& l : c.limits)
+                           if (l.floor != 0)
+                               out.limits.push_back(
+                                   {l.name, l.floor, l.burst * (l.floor * 1000 / l.rate) / 1000, l.floor});
+                       return out;
+                   },
+                   [](const Classes& c) -> Content {
+                       Classes out;
+                       for (const ClassRule& r : c.classes)
+                           out.classes.push_back({r.name, Repeat::Unsaid, 1});
+                       return out;
+                   },
+                   [](const Headers&) -> Content { return Headers{}; },
+                   [](const Partners& c) -> Content {
+                       Partners out;
+                       for (const Partner& p : c.partners)
+                           out.partners.push_back({p.name, Standing::Held, {}});
+                       return out;
+                   },
+                   [](const Servers& c) -> Content {
+                       Servers out{c.source, 0, {}, true};
+                       for (const Server& s : c.servers)
+                           out.servers.push_back({s.name, s.use == Use::In ? Use::Last : Use::Rest, s.zone});
+                       return out;
+                   }},
+        content);
 }
 
 Content refuse(const Content& content) {
@@ -365,7 +392,8 @@
 }
 
 Content canonical(Content content) {
-    std::visit(Overloaded{[](Limits& c) { by_name(c.limits); }, [](Classes& c) { by_name(c.classes); }, [](Headers&) {},
+    std::visit(Overloaded{[](Limits& c) { by_name(c.limits); }, [](Classes& c) { by_name(c.classes); },
+                          [](Headers&) {},
                           [](Partners& c) {
                               by_name(c.partners);
                               for (Partner& p : c.partners) std::sort(p.keys.begin(), p.keys.end());
--- a/src/fleet/agreement/document.h
+++ b/src/fleet/agreement/document.h
@@ -1,6 +1,7 @@
-// Documents on which a fleet agrees: a kind, a name, a content, and a version that rises for ever. What it means that two
-// contents contradict each other, what of two contradicts neither, and what of one contradicts no possible successor is code,
-// for each kind. Functions without state; a content that `checked` took is what all of them expect.
+// Documents on which a fleet agrees: a kind, a name, a content, and a version that rises for ever. What it
+// means that two contents contradict each other, what of two contradicts neither, and what of one contradicts
+// no possible successor is code, for each kind. Functions without state; a content that `checked` took is
+// what all of them expect.
 #pragma once
 
 #include <array>
@@ -16,7 +17,8 @@
 
 namespace ochrehub::agreement {
 
-inline constexpr std::size_t kContentMost = 256 << 10;  ///< octets of a content; with room for it in one message of a channel
+inline constexpr std::size_t kContentMost =
+    256 << 10;  ///< octets of a content; with room for it in one message of a channel
 inline constexpr std::size_t kEntriesMost = 20'000, kNameMost = 64, kValueMost = 1024, kKeysMost = 16;
 inline constexpr std::uint64_t kRateMost = 1'000'000'000'000;  ///< thousandths of a request a second
 
@@ -27,12 +29,13 @@
 };
 /// What a process does whose permit is over.
 enum class Choice : std::uint8_t {
-    Keep,     ///< goes on: what the mode promises then holds only for those whom a majority of keepers reaches
+    Keep,  ///< goes on: what the mode promises then holds only for those whom a majority of keepers reaches
     Caution,  ///< acts on the part that contradicts no possible successor
     Refuse,   ///< acts on nothing that the document allows
 };
 
-/// The most that whoever it names may use over the whole fleet. `floor` is what a process out of reach goes on with; it never falls.
+/// The most that whoever it names may use over the whole fleet. `floor` is what a process out of reach goes
+/// on with; it never falls.
 struct Limit {
     std::string name;
     std::uint64_t rate = 0;  ///< thousandths of a request a second
@@ -109,7 +112,8 @@
     Source source = Source::Static;
     std::uint64_t revision = 0;  ///< discovery's own
     std::vector<Server> servers;
-    bool partial = false;  ///< what `caution` leaves: others are neither in nor out, they are used last. Never proposed
+    bool partial =
+        false;  ///< what `caution` leaves: others are neither in nor out, they are used last. Never proposed
     friend bool operator==(const Servers&, const Servers&) = default;
 };
 
@@ -133,7 +137,7 @@
     std::string proposer;
     std::uint64_t when = 0;  ///< seconds since 1970 by the proposer's clock: for people
     std::optional<Scope> scope;
-    std::uint64_t of = 0;    ///< a step back: the version whose content this is
+    std::uint64_t of = 0;  ///< a step back: the version whose content this is
     friend bool operator==(const Document&, const Document&) = default;
 };
 
@@ -152,7 +156,8 @@
 /// Whether `next` may come behind `old` under one name: the same kind, and nothing below a floor.
 std::optional<Failure> follows(const Content& old, const Content& next);
 
-/// Two processes that act on one each do harm: see docs/design/agreement.md for each kind. Symmetric; of two kinds, never.
+/// Two processes that act on one each do harm: see docs/design/agreement.md for each kind. Symmetric; of two
+/// kinds, never.
 bool contradict(const Content& a, const Content& b);
 /// The part that contradicts neither, nor what `caution` leaves of either.
 Content between(const Content& a, const Content& b);
@@ -161,19 +166,22 @@
 /// What acts on nothing that the document allows.
 Content refuse(const Content& content);
 
-/// How the lists of one fleet join: who is out by hand is out, whatever discovery says; else discovery's word, else the static list's.
+/// How the lists of one fleet join: who is out by hand is out, whatever discovery says; else discovery's
+/// word, else the static list's.
 Servers joined(const Servers& list, const Servers& hand);
 
 /// Entries by name (header rules by their order), so that equal contents are equal octets.
 Content canonical(Content content);
 std::string encode(const Content& content);
-/// Nothing where the octets are not what `encode` gives for it: cut, changed, of an unknown kind or of a later release.
+/// Nothing where the octets are not what `encode` gives for it: cut, changed, of an unknown kind or of a
+/// later release.
 std::optional<Content> decode(std::string_view octets);
 Digest digest(std::string_view octets);
 
 /// One entry a line, `kind limits` first.
 std::string text(const Content& content);
-/// Reads what `text` writes, and files by hand: blank lines and `#` are skipped. `Failure::about` names the line.
+/// Reads what `text` writes, and files by hand: blank lines and `#` are skipped. `Failure::about` names the
+/// line.
 std::variant<Content, Failure> read_text(std::string_view text);
 /// Lines of `b` that are not in `a` behind `+ `, the reverse behind `- `. Empty: the same.
 std::string diff(const Content& a, const Content& b);
--- a/src/fleet/agreement/holder.cpp
+++ b/src/fleet/agreement/holder.cpp
@@ -14,7 +14,8 @@
     return std::make_shared<const Content>(std::move(content));
 }
 bool is(const std::optional<Document>& document, const wire::Document& told) {
-    return document && document->version == told.version() && digest_octets(document->content) == told.digest();
+    return document && document->version == told.version() &&
+           digest_octets(document->content) == told.digest();
 }
 
 }  // namespace
@@ -57,7 +58,8 @@
         }
     } else if (std::holds_alternative<Woken>(event)) {
         for (auto& [name, held] : documents_)
-            if (held.canary && held.permit.now.version == held.canary_version) settle(now, name, held, actions);
+            if (held.canary && held.permit.now.version == held.canary_version)
+                settle(now, name, held, actions);
     } else if (const auto* switched = std::get_if<Switched>(&event)) {
         for (auto& [name, held] : documents_) {
             if (held.serial != switched->serial) continue;
@@ -87,7 +89,8 @@
     }
     wire::News in;
     bool sound = in.ParseFromArray(renewed.news.data(), int(renewed.news.size()));
-    // What brings no news, or old ones, proves nothing about what is in force: it does not lengthen the permit either.
+    // What brings no news, or old ones, proves nothing about what is in force: it does not lengthen the
+    // permit either.
     if (!sound || renewed.session < least_ || renewed.until <= now || in.revision() < revision_) {
         ++refused_news_;
         return;
@@ -105,7 +108,9 @@
         held.next_version = 0;
     }
     for (const auto& news : in.documents()) {
-        if (!named_well(news.name()) || (documents_.size() >= kDocumentsMost && !documents_.contains(news.name()))) continue;
+        if (!named_well(news.name()) ||
+            (documents_.size() >= kDocumentsMost && !documents_.contains(news.name())))
+            continue;
         take(news.name(), news, actions, changed);
     }
     for (auto& [name, held] : documents_) {
@@ -126,9 +131,11 @@
             document = held.in_force;
         else if (is(held.next, told))
             document = held.next;
-        // What cannot be read here is in force all the same: whatever older one is known must not be acted on.
+        // What cannot be read here is in force all the same: whatever older one is known must not be acted
+        // on.
         if (document && document->name == name) {
-            if (!told.content().empty()) actions.push_back(Say{has(name, document->version, document->content)});
+            if (!told.content().empty())
+                actions.push_back(Say{has(name, document->version, document->content)});
             changed |= !held.in_force || held.in_force->version != document->version;
             held.in_force = std::move(document);
             held.told = true;
@@ -139,17 +146,22 @@
     std::optional<Document> next;
     if (news.has_next()) {
         held.next_version = news.next().version();
-        next = news.next().content().empty() ? (is(held.next, news.next()) ? held.next : std::nullopt) : read(news.next());
-        held.canary = news.canary(), held.draining = news.draining(), held.said = news.said(), held.gave_back = news.gave_back();
+        next = news.next().content().empty() ? (is(held.next, news.next()) ? held.next : std::nullopt)
+                                             : read(news.next());
+        held.canary = news.canary(), held.draining = news.draining(), held.said = news.said(),
+        held.gave_back = news.gave_back();
         if (!next && !news.next().content().empty()) {
             // Not to be read by this release: that is a no.
-            if (!held.said && !held.draining && !held.canary) actions.push_back(Say{said(name, news.next().version(), false, "cannot be read by this release")});
+            if (!held.said && !held.draining && !held.canary)
+                actions.push_back(
+                    Say{said(name, news.next().version(), false, "cannot be read by this release")});
             held.said = true;
         }
     }
     held.next = std::move(next);
     auto spoken_of = [&](std::uint64_t version) {
-        return (held.in_force && held.in_force->version == version) || (held.next && held.next->version == version);
+        return (held.in_force && held.in_force->version == version) ||
+               (held.next && held.next->version == version);
     };
     std::erase_if(held.verdicts, [&](const auto& v) { return !spoken_of(v.first); });
     std::erase_if(held.reasons, [&](const auto& r) { return !spoken_of(r.first); });
@@ -168,13 +180,18 @@
     bool permitted = this->held(now) && held.told && taken(held.in_force);
     // The keepers count a canary's end anew with each leader; a process holds it for its length at most.
     bool canary = permitted && held.canary && taken(held.next);
-    if (canary && held.canary_version != held.next->version) held.canary_version = held.next->version, held.canary_ends = now + held.next->scope->length;
+    if (canary && held.canary_version != held.next->version)
+        held.canary_version = held.next->version, held.canary_ends = now + held.next->scope->length;
     canary &= now < held.canary_ends;
     const std::optional<Document>& document = canary ? held.next : held.in_force;
-    // What a version is never changes: where the same is acted on in the same way, nothing is to be handed out anew.
+    // What a version is never changes: where the same is acted on in the same way, nothing is to be handed
+    // out anew.
     How how = !permitted ? without(held) : held.draining ? How::Between : How::Version;
-    std::uint64_t version = document ? document->version : 0, beside = how == How::Between ? held.next_version : 0;
-    if (held.serial == 0 ? how == How::Nothing : held.permit.now.how == how && held.permit.now.version == version && held.beside == beside) {
+    std::uint64_t version = document ? document->version : 0,
+                  beside = how == How::Between ? held.next_version : 0;
+    if (held.serial == 0
+            ? how == How::Nothing
+            : held.permit.now.how == how && held.permit.now.version == version && held.beside == beside) {
         if (permitted) held.permit.until = until_;
     } else {
         Acted acted{how, version, {}};
@@ -191,7 +208,8 @@
     if (this->held(now)) say(name, held, actions);
 }
 
-/// How to act without a permit. Whoever has a session and no word on a document must not go on with what others may have left.
+/// How to act without a permit. Whoever has a session and no word on a document must not go on with what
+/// others may have left.
 How Holder::without(const Held& held) const {
     if (!held.in_force) return How::Nothing;
     switch (held.in_force->choice) {
@@ -223,9 +241,12 @@
     permit.until = until_, permit.most = most;
     if (acted.how == How::Version || acted.how == How::Between) {
         const Document& d = *held.in_force;
-        How then = d.choice == Choice::Refuse ? How::Refuse : d.choice == Choice::Keep && !patient_ ? How::Keep : How::Caution;
+        How then = d.choice == Choice::Refuse              ? How::Refuse
+                   : d.choice == Choice::Keep && !patient_ ? How::Keep
+                                                           : How::Caution;
         // A canary is kept by nobody beyond its end.
-        permit.then = {then, d.version, then == How::Keep && acted.version == d.version ? acted.content : whole(d, then)};
+        permit.then = {then, d.version,
+                       then == How::Keep && acted.version == d.version ? acted.content : whole(d, then)};
     }
     held.permit = permit;
     held.serial = ++serial_;
@@ -236,10 +257,12 @@
     if (held.next && !held.draining && !held.canary && !held.said) {
         auto verdict = held.verdicts.find(held.next->version);
         if (verdict != held.verdicts.end() && verdict->second)
-            actions.push_back(Say{said(name, held.next->version, *verdict->second, held.reasons[held.next->version])});
+            actions.push_back(
+                Say{said(name, held.next->version, *verdict->second, held.reasons[held.next->version])});
     }
     bool old = held.permit.now.how == How::Version || held.permit.now.how == How::Keep;
-    if (held.draining && !held.gave_back && !old && held.switched == held.serial) actions.push_back(Say{gave_back(name, held.next_version)});
+    if (held.draining && !held.gave_back && !old && held.switched == held.serial)
+        actions.push_back(Say{gave_back(name, held.next_version)});
 }
 
 void Holder::write(Actions& actions) const {
--- a/src/fleet/agreement/holder.h
+++ b/src/fleet/agreement/holder.h
@@ -1,9 +1,12 @@
-// A node's side of documents: what it may act on, by its session with the keepers. A core without I/O: handed the session's
-// renewals, the local check's verdicts and times, it says what to act on, what to tell the keepers and what to keep on disk.
+// A node's side of documents: what it may act on, by its session with the keepers. A core without I/O: handed
+// the session's renewals, the local check's verdicts and times, it says what to act on, what to tell the
+// keepers and what to keep on disk.
 //
-// A permit is as long as the session's lease, which whoever runs the session counts from before it asked, less its margin
-// (`until`). What is acted on is handed out together with what takes its place at that time (`Permit`), and whoever decides
-// something asks the permit with the time first: a process that stood still finds out before it decides, not after.
+// A permit is as long as the session's lease, which whoever runs the session counts from before it asked,
+// less its margin
+// (`until`). What is acted on is handed out together with what takes its place at that time (`Permit`), and
+// whoever decides something asks the permit with the time first: a process that stood still finds out before
+// it decides, not after.
 //
 // Older versions are given back only once whoever acts says that it has switched (`Switched`).
 #pragma once
@@ -37,10 +40,11 @@
 
 struct Acted {
     How how = How::Nothing;
-    std::uint64_t version = 0;  ///< that it is, or is a part of
+    std::uint64_t version = 0;               ///< that it is, or is a part of
     std::shared_ptr<const Content> content;  ///< never null but with Nothing
 };
-/// What to act on, by the process's own clock. Copied freely; whoever decides asks it with the time of the decision.
+/// What to act on, by the process's own clock. Copied freely; whoever decides asks it with the time of the
+/// decision.
 struct Permit {
     Acted now, then;  ///< then: once `until` or `most` is there
     TimePoint until{};
@@ -49,13 +53,14 @@
 };
 
 struct HolderSettings {
-    /// After its start a node that keeps on (`Choice::Keep`) is cautious for so long: others may be ahead of what its disk says.
+    /// After its start a node that keeps on (`Choice::Keep`) is cautious for so long: others may be ahead of
+    /// what its disk says.
     Duration patience{5000};
 };
 
 // ---- What happens
-/// The session's lease was renewed, or the first of a new session. `news`: what this machine had to tell with that same answer;
-/// empty: nothing.
+/// The session's lease was renewed, or the first of a new session. `news`: what this machine had to tell with
+/// that same answer; empty: nothing.
 struct Renewed {
     keeper::SessionId session = 0;
     TimePoint until{};
@@ -78,14 +83,15 @@
 using Event = std::variant<Renewed, Lost, Verdict, Switched, Woken>;
 
 // ---- What is to be done about it
-/// From now on act by this. `how` of `permit.now` says whether on a version, between two, or without a permit.
+/// From now on act by this. `how` of `permit.now` says whether on a version, between two, or without a
+/// permit.
 struct Apply {
     std::string document;
     std::uint64_t serial = 0;
     Permit permit;
 };
-/// All permits count until then. Whoever acts carries out Apply and Extend in their order, by one and the same path: a permit that
-/// is longer before what replaces it has come would be acted on for too long.
+/// All permits count until then. Whoever acts carries out Apply and Extend in their order, by one and the
+/// same path: a permit that is longer before what replaces it has come would be acted on for too long.
 struct Extend {
     TimePoint until{};
 };
@@ -106,7 +112,8 @@
 
 class Holder {
 public:
-    /// `kept`: from its file, as far as the local check takes them. It acts on these by their choice until the keepers have said more.
+    /// `kept`: from its file, as far as the local check takes them. It acts on these by their choice until
+    /// the keepers have said more.
     Holder(const HolderSettings& settings, std::vector<Document> kept, TimePoint now, Actions& actions);
 
     void handle(TimePoint now, const Event& event, Actions& actions);
@@ -127,14 +134,14 @@
         std::optional<Document> in_force;  ///< the last that is known with its content
         bool told = false;                 ///< in this session: it may be acted on
         std::optional<Document> next;
-        std::uint64_t next_version = 0;    ///< also where its content is not known
+        std::uint64_t next_version = 0;  ///< also where its content is not known
         bool draining = false, canary = false, said = false, gave_back = false;
         std::uint64_t canary_version = 0;
-        TimePoint canary_ends{};           ///< counted from when this process first heard that it is to act on it
+        TimePoint canary_ends{};  ///< counted from when this process first heard that it is to act on it
         std::map<std::uint64_t, std::optional<bool>> verdicts;  ///< by version; without a value: asked for
         std::map<std::uint64_t, std::string> reasons;
         Permit permit;
-        std::uint64_t beside = 0;          ///< with Between: the version that is coming
+        std::uint64_t beside = 0;                ///< with Between: the version that is coming
         std::uint64_t serial = 0, switched = 0;  ///< of its last Apply, and the last that was confirmed
     };
 
--- a/src/fleet/agreement/holder_file.cpp
+++ b/src/fleet/agreement/holder_file.cpp
@@ -27,13 +27,18 @@
     if (octets.size() < sum.size()) return bad("its end");
     std::string_view body = octets.substr(sum.size());
     sum = digest(body);
-    if (!std::equal(sum.begin(), sum.end(), octets.begin(), [](std::uint8_t a, char b) { return char(a) == b; })) return bad("its digest");
+    if (!std::equal(sum.begin(), sum.end(), octets.begin(),
+                    [](std::uint8_t a, char b) { return char(a) == b; }))
+        return bad("its digest");
     wire::Kept kept;
-    if (!kept.ParseFromArray(body.data(), int(body.size())) || std::size_t(kept.documents_size()) > kDocumentsMost) return bad("its documents");
+    if (!kept.ParseFromArray(body.data(), int(body.size())) ||
+        std::size_t(kept.documents_size()) > kDocumentsMost)
+        return bad("its documents");
     std::vector<Document> out;
     for (const auto& d : kept.documents()) {
         auto document = read(d);
-        if (!document || checked(document->content)) return bad("document `" + d.name().substr(0, kNameMost) + "`");
+        if (!document || checked(document->content))
+            return bad("document `" + d.name().substr(0, kNameMost) + "`");
         out.push_back(std::move(*document));
     }
     return out;
--- a/src/fleet/agreement/machine.cpp
+++ b/src/fleet/agreement/machine.cpp
@@ -30,11 +30,13 @@
         for (const Document& b : d.before) write(b, contents, *to.add_before());
         for (const Ended& e : d.ended) {
             auto& ended = *to.add_ended();
-            ended.set_version(e.version), ended.set_error(std::uint32_t(e.why.error)), ended.set_about(e.why.about), ended.set_proposer(e.proposer);
+            ended.set_version(e.version), ended.set_error(std::uint32_t(e.why.error)),
+                ended.set_about(e.why.about), ended.set_proposer(e.proposer);
         }
         for (const NodeStatus& n : d.nodes) {
             auto& node = *to.add_nodes();
-            node.set_name(n.name), node.set_zone(n.zone), node.set_version(n.version), node.set_word(std::uint32_t(n.word));
+            node.set_name(n.name), node.set_zone(n.zone), node.set_version(n.version),
+                node.set_word(std::uint32_t(n.word));
             node.set_reason(n.reason), node.set_holds_up(n.holds_up);
         }
     }
@@ -55,7 +57,8 @@
 
 std::string Agreement::read(std::string_view question) const {
     wire::Question in;
-    if (!in.ParseFromArray(question.data(), int(question.size()))) return written(failed(Error::Malformed, "a question"), false).SerializeAsString();
+    if (!in.ParseFromArray(question.data(), int(question.size())))
+        return written(failed(Error::Malformed, "a question"), false).SerializeAsString();
     wire::Answer out = written(status(in.name()), !in.name().empty());
     out.mutable_status()->set_revision(revision_);
     return out.SerializeAsString();
@@ -63,7 +66,8 @@
 
 Answer Agreement::take(const wire::Command& command, keeper::SessionId session) {
     using What = wire::Command::WhatCase;
-    // Of a session that is over nothing counts: what it says of itself now is about a time in which others hold its permits.
+    // Of a session that is over nothing counts: what it says of itself now is about a time in which others
+    // hold its permits.
     auto asker = sessions_.find(session);
     bool live = asker != sessions_.end() && asker->second.attends;
     auto of = [&](const std::string& name) {
@@ -78,8 +82,10 @@
         case What::kSaid: {
             const auto& c = command.said();
             State* state = of(c.name());
-            if (!live || !state || state->phase != Phase::Staging || state->next.version != c.version()) return failed(Error::Unknown, numbered(c.name(), c.version()));
-            if (!asked(*state, sessions_[session]) || state->said[session].word != Word::None) return {{}, c.version(), {}};
+            if (!live || !state || state->phase != Phase::Staging || state->next.version != c.version())
+                return failed(Error::Unknown, numbered(c.name(), c.version()));
+            if (!asked(*state, sessions_[session]) || state->said[session].word != Word::None)
+                return {{}, c.version(), {}};
             ++revision_;
             state->said[session] = {c.yes() ? Word::Yes : Word::No, c.reason().substr(0, kReasonMost)};
             state->has[session].insert(c.version());
@@ -89,7 +95,8 @@
         case What::kGaveBack: {
             const auto& c = command.gave_back();
             State* state = of(c.name());
-            if (!live || !state || state->phase != Phase::Draining || state->next.version != c.version()) return failed(Error::Unknown, numbered(c.name(), c.version()));
+            if (!live || !state || state->phase != Phase::Draining || state->next.version != c.version())
+                return failed(Error::Unknown, numbered(c.name(), c.version()));
             ++revision_;
             state->to_give.erase(session);
             go_on(*state);
@@ -99,10 +106,12 @@
             const auto& c = command.has();
             State* state = of(c.name());
             if (!live || !state) return failed(Error::Unknown, numbered(c.name(), c.version()));
-            const Document* document = state->in_force && state->in_force->version == c.version()           ? &*state->in_force
-                                       : state->phase != Phase::None && state->next.version == c.version() ? &state->next
-                                                                                                           : nullptr;
-            if (!document || digest_octets(document->content) != c.digest()) return failed(Error::NoVersion, numbered(c.name(), c.version()));
+            const Document* document =
+                state->in_force && state->in_force->version == c.version()          ? &*state->in_force
+                : state->phase != Phase::None && state->next.version == c.version() ? &state->next
+                                                                                    : nullptr;
+            if (!document || digest_octets(document->content) != c.digest())
+                return failed(Error::NoVersion, numbered(c.name(), c.version()));
             ++revision_;
             state->has[session].insert(c.version());
             return {{}, c.version(), {}};
@@ -110,13 +119,18 @@
         case What::kTimeOver: {
             const auto& c = command.time_over();
             for (auto& [name, state] : documents_) {
-                if (state.key != c.key() || state.phase == Phase::None || state.armed_revision != c.revision()) continue;
+                if (state.key != c.key() || state.phase == Phase::None ||
+                    state.armed_revision != c.revision())
+                    continue;
                 std::string who;
                 for (const auto& [id, s] : sessions_) {
-                    bool waits = state.phase == Phase::Draining ? state.to_give.contains(id) : asked(state, s) && state.said[id].word == Word::None;
+                    bool waits = state.phase == Phase::Draining
+                                     ? state.to_give.contains(id)
+                                     : asked(state, s) && state.said[id].word == Word::None;
                     if (waits && who.size() < kReasonMost) who += (who.empty() ? "" : ", ") + s.name;
                 }
-                stop(state, {Error::TimeOver, numbered(name, state.next.version) + (who.empty() ? "" : ": waits for " + who)});
+                stop(state, {Error::TimeOver,
+                             numbered(name, state.next.version) + (who.empty() ? "" : ": waits for " + who)});
                 return {};
             }
             return {};  // something has happened meanwhile
@@ -124,8 +138,10 @@
         case What::kWithdraw: {
             const auto& c = command.withdraw();
             State* state = of(c.name());
-            if (!state || state->phase == Phase::None || state->next.version != c.version()) return failed(Error::Unknown, numbered(c.name(), c.version()));
-            stop(*state, {Error::Withdrawn, numbered(c.name(), c.version()) + ": by " + c.proposer().substr(0, kNameMost)});
+            if (!state || state->phase == Phase::None || state->next.version != c.version())
+                return failed(Error::Unknown, numbered(c.name(), c.version()));
+            stop(*state, {Error::Withdrawn,
+                          numbered(c.name(), c.version()) + ": by " + c.proposer().substr(0, kNameMost)});
             return {{}, c.version(), {}};
         }
         case What::kAttend: {
@@ -145,19 +161,24 @@
 
 Answer Agreement::take(const wire::Propose& c) {
     auto document = agreement::read(c.document());
-    if (c.document().content().size() > kContentMost) return failed(Error::TooLong, c.document().name().substr(0, kNameMost));
-    if (!document || c.stage_ms() > std::uint64_t(kStageMost.count()) || c.stage_ms() < std::uint64_t(kStageLeast.count()))
+    if (c.document().content().size() > kContentMost)
+        return failed(Error::TooLong, c.document().name().substr(0, kNameMost));
+    if (!document || c.stage_ms() > std::uint64_t(kStageMost.count()) ||
+        c.stage_ms() < std::uint64_t(kStageLeast.count()))
         return failed(Error::Malformed, c.document().name().substr(0, kNameMost));
-    return stage({std::move(*document), c.base(), c.token(), !c.no_stops_none(), Duration{double(c.stage_ms())}});
+    return stage(
+        {std::move(*document), c.base(), c.token(), !c.no_stops_none(), Duration{double(c.stage_ms())}});
 }
 
 Answer Agreement::take(const wire::Back& c) {
     auto found = documents_.find(c.name());
     if (found == documents_.end()) return failed(Error::Unknown, c.name().substr(0, kNameMost));
     const auto& before = found->second.before;
-    auto old = std::find_if(before.begin(), before.end(), [&](const Document& d) { return d.version == c.to(); });
+    auto old =
+        std::find_if(before.begin(), before.end(), [&](const Document& d) { return d.version == c.to(); });
     if (old == before.end()) return failed(Error::NoVersion, numbered(c.name(), c.to()));
-    if (c.stage_ms() > std::uint64_t(kStageMost.count()) || c.stage_ms() < std::uint64_t(kStageLeast.count()) || c.proposer().size() > kNameMost)
+    if (c.stage_ms() > std::uint64_t(kStageMost.count()) ||
+        c.stage_ms() < std::uint64_t(kStageLeast.count()) || c.proposer().size() > kNameMost)
         return failed(Error::Malformed, c.name());
     Document next = *old;
     next.proposer = c.proposer(), next.when = c.when(), next.of = old->version;
@@ -167,20 +188,27 @@
 std::optional<Failure> Agreement::refused(const Proposal& p, const State* state) const {
     const Document& d = p.document;
     if (auto bad = checked(d.content)) return Failure{bad->error, d.name + ": " + bad->about};
-    if (!allowed(d.content, d.mode)) return Failure{Error::Mode, d.name + ": " + std::string(agreement::name(agreement::kind(d.content)))};
+    if (!allowed(d.content, d.mode))
+        return Failure{Error::Mode, d.name + ": " + std::string(agreement::name(agreement::kind(d.content)))};
     if (!state && documents_.size() >= kDocumentsMost) return Failure{Error::Full, d.name};
     if (octets() + encode(d.content).size() > kOctetsMost) return Failure{Error::Full, d.name};
     const Document* stands = state && state->in_force ? &*state->in_force : nullptr;
     if (state && state->phase != Phase::None)
         return Failure{Error::Busy, numbered(d.name, state->next.version) + " by " + state->next.proposer};
     if (p.base != (stands ? stands->version : 0))
-        return Failure{Error::BaseMoved, d.name + ": made on " + std::to_string(p.base) + ", in force is " +
-                                             (stands ? std::to_string(stands->version) + " by " + stands->proposer : std::string("none"))};
-    if (d.scope && (!stands || (d.mode == Mode::Strict && contradict(stands->content, d.content)))) return Failure{Error::Canary, d.name};
+        return Failure{
+            Error::BaseMoved,
+            d.name + ": made on " + std::to_string(p.base) + ", in force is " +
+                (stands ? std::to_string(stands->version) + " by " + stands->proposer : std::string("none"))};
+    if (d.scope && (!stands || (d.mode == Mode::Strict && contradict(stands->content, d.content))))
+        return Failure{Error::Canary, d.name};
     if (!stands) return {};
-    if (stands->mode != d.mode) return Failure{Error::ModeChanged, d.name + ": " + std::string(agreement::name(stands->mode))};
-    if (auto bad = follows(stands->content, d.content)) return Failure{bad->error, d.name + ": " + bad->about};
-    if (stands->content == d.content && stands->choice == d.choice) return Failure{Error::Same, numbered(d.name, stands->version)};
+    if (stands->mode != d.mode)
+        return Failure{Error::ModeChanged, d.name + ": " + std::string(agreement::name(stands->mode))};
+    if (auto bad = follows(stands->content, d.content))
+        return Failure{bad->error, d.name + ": " + bad->about};
+    if (stands->content == d.content && stands->choice == d.choice)
+        return Failure{Error::Same, numbered(d.name, stands->version)};
     return {};
 }
 
@@ -190,7 +218,8 @@
     if (found != documents_.end() && p.token != 0)
         for (const auto& [token, version] : found->second.tokens)
             if (token == p.token) return {{}, version, {}};  // its answer was lost
-    if (auto bad = refused(p, found == documents_.end() ? nullptr : &found->second)) return {std::move(bad), 0, {}};
+    if (auto bad = refused(p, found == documents_.end() ? nullptr : &found->second))
+        return {std::move(bad), 0, {}};
     ++revision_;
     State& state = documents_[p.document.name];
     if (state.key == 0) state.key = ++last_key_;
@@ -227,7 +256,8 @@
             ++(word == Word::Yes ? yes : word == Word::No ? no : open);
         }
         if (no != 0 && (state.any_no_stops || (yes == 0 && open == 0)))
-            return stop(state, {Error::NodeRefused, numbered(state.next.name, state.next.version) + ": " + why});
+            return stop(state,
+                        {Error::NodeRefused, numbered(state.next.name, state.next.version) + ": " + why});
         if (open != 0) return;
         if (state.next.scope) {
             state.phase = Phase::Canary;
@@ -292,7 +322,8 @@
 
 void Agreement::session_began(keeper::SessionId session, std::string_view name, std::string_view zone) {
     ++revision_;
-    sessions_[session] = {std::string(name.substr(0, kNameMost)), std::string(zone.substr(0, kNameMost)), false};
+    sessions_[session] = {std::string(name.substr(0, kNameMost)), std::string(zone.substr(0, kNameMost)),
+                          false};
 }
 
 void Agreement::session_over(keeper::SessionId session) {
@@ -309,7 +340,8 @@
 void Agreement::armed(std::vector<keeper::Armed>& armed) const {
     for (const auto& [name, state] : documents_)
         if (state.phase != Phase::None)
-            armed.push_back({state.key, state.armed_revision, state.phase == Phase::Canary ? state.next.scope->length : state.stage});
+            armed.push_back({state.key, state.armed_revision,
+                             state.phase == Phase::Canary ? state.next.scope->length : state.stage});
 }
 
 std::string Agreement::over(std::uint64_t key, std::uint64_t revision) const {
@@ -351,18 +383,27 @@
     Answer out;
     for (const auto& [name, state] : documents_) {
         if (!one.empty() && name != one) continue;
-        DocumentStatus d{name, state.in_force, {}, state.phase, {state.before.begin(), state.before.end()}, {state.ended.begin(), state.ended.end()}, {}};
+        DocumentStatus d{name,
+                         state.in_force,
+                         {},
+                         state.phase,
+                         {state.before.begin(), state.before.end()},
+                         {state.ended.begin(), state.ended.end()},
+                         {}};
         if (state.phase != Phase::None) d.next = state.next;
         for (const auto& [id, session] : sessions_) {
             if (!session.attends) continue;
             NodeStatus n{session.name, session.zone, 0, Word::None, {}, state.to_give.contains(id)};
-            if (auto has = state.has.find(id); has != state.has.end() && !has->second.empty()) n.version = *has->second.rbegin();
-            if (auto said = state.said.find(id); said != state.said.end()) n.word = said->second.word, n.reason = said->second.reason;
+            if (auto has = state.has.find(id); has != state.has.end() && !has->second.empty())
+                n.version = *has->second.rbegin();
+            if (auto said = state.said.find(id); said != state.said.end())
+                n.word = said->second.word, n.reason = said->second.reason;
             d.nodes.push_back(std::move(n));
         }
         out.documents.push_back(std::move(d));
     }
-    if (!one.empty() && out.documents.empty()) return failed(Error::Unknown, std::string(one.substr(0, kNameMost)));
+    if (!one.empty() && out.documents.empty())
+        return failed(Error::Unknown, std::string(one.substr(0, kNameMost)));
     return out;
 }
 
--- a/src/fleet/agreement/machine.h
+++ b/src/fleet/agreement/machine.h
@@ -1,14 +1,18 @@
-// What the keepers agree on about documents: which version is in force, which is on its way, who has said what of it and who
-// may still act on an older one. A machine of theirs (fleet/keeper/machine.h), so it knows no time.
+// What the keepers agree on about documents: which version is in force, which is on its way, who has said
+// what of it and who may still act on an older one. A machine of theirs (fleet/keeper/machine.h), so it knows
+// no time.
 //
-// A proposal is made on a version in force; another that was made on the same one is told that it came second. It is staged: each
-// live session has its octets and says yes or no. A `quick` one is in force then. A `strict` one is drained first: every session
-// that may act on what is older says that it does not any more, or is over. The permit to act on a version hangs on the session
-// and on nothing else. A version's number is never given twice, whatever becomes of it.
+// A proposal is made on a version in force; another that was made on the same one is told that it came
+// second. It is staged: each live session has its octets and says yes or no. A `quick` one is in force then.
+// A `strict` one is drained first: every session that may act on what is older says that it does not any
+// more, or is over. The permit to act on a version hangs on the session and on nothing else. A version's
+// number is never given twice, whatever becomes of it.
 //
-// A session that acts on documents attends: others, of tools and of processes of other kinds, hold no permits and hold nothing up.
+// A session that acts on documents attends: others, of tools and of processes of other kinds, hold no permits
+// and hold nothing up.
 //
-// A canary is acted on in its scope alone, and ends by itself; meanwhile the document takes no other proposal.
+// A canary is acted on in its scope alone, and ends by itself; meanwhile the document takes no other
+// proposal.
 #pragma once
 
 #include <deque>
@@ -34,7 +38,8 @@
 inline constexpr std::size_t kDocumentsMost = 64, kBeforeMost = 8, kEndedMost = 8;
 inline constexpr std::size_t kOctetsMost = 16 << 20;  ///< of all contents that are kept
 inline constexpr std::size_t kReasonMost = 200;
-inline constexpr std::size_t kNewsMost = 512 << 10;   ///< octets of contents in one renewal's answer; others follow
+inline constexpr std::size_t kNewsMost =
+    512 << 10;  ///< octets of contents in one renewal's answer; others follow
 inline constexpr Duration kStageLeast{1000}, kStageMost{600'000};
 
 struct Proposal {
@@ -47,7 +52,8 @@
 
 // Commands, as octets.
 std::string propose(const Proposal& proposal);
-std::string back(std::string_view name, std::uint64_t to, const Proposal& as);  ///< of `as` all but its content counts
+std::string back(std::string_view name, std::uint64_t to,
+                 const Proposal& as);  ///< of `as` all but its content counts
 std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason);
 std::string gave_back(std::string_view name, std::uint64_t next);
 std::string has(std::string_view name, std::uint64_t version, const Content& content);
@@ -69,7 +75,7 @@
     std::uint64_t version = 0;  ///< the newest whose content it has
     Word word = Word::None;     ///< on what is staged
     std::string reason;
-    bool holds_up = false;      ///< older versions are not given back yet
+    bool holds_up = false;  ///< older versions are not given back yet
 };
 struct DocumentStatus {
     std::string name;
@@ -81,7 +87,7 @@
 };
 struct Answer {
     std::optional<Failure> failure;
-    std::uint64_t version = 0;  ///< what was proposed is now called
+    std::uint64_t version = 0;              ///< what was proposed is now called
     std::vector<DocumentStatus> documents;  ///< to a question; of all documents without contents
 };
 std::optional<Answer> read_answer(std::string_view octets);
--- a/src/fleet/agreement/machine_state.cpp
+++ b/src/fleet/agreement/machine_state.cpp
@@ -13,20 +13,23 @@
     wire::Command out;
     auto& c = *out.mutable_propose();
     write(p.document, true, *c.mutable_document());
-    c.set_base(p.base), c.set_token(p.token), c.set_no_stops_none(!p.any_no_stops), c.set_stage_ms(std::uint64_t(p.stage.count()));
+    c.set_base(p.base), c.set_token(p.token), c.set_no_stops_none(!p.any_no_stops),
+        c.set_stage_ms(std::uint64_t(p.stage.count()));
     return out.SerializeAsString();
 }
 std::string back(std::string_view name, std::uint64_t to, const Proposal& as) {
     wire::Command out;
     auto& c = *out.mutable_back();
-    c.set_name(std::string(name)), c.set_to(to), c.set_base(as.base), c.set_token(as.token), c.set_proposer(as.document.proposer);
+    c.set_name(std::string(name)), c.set_to(to), c.set_base(as.base), c.set_token(as.token),
+        c.set_proposer(as.document.proposer);
     c.set_when(as.document.when), c.set_stage_ms(std::uint64_t(as.stage.count()));
     return out.SerializeAsString();
 }
 std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason) {
     wire::Command out;
     auto& c = *out.mutable_said();
-    c.set_name(std::string(name)), c.set_version(version), c.set_yes(yes), c.set_reason(std::string(reason.substr(0, kReasonMost)));
+    c.set_name(std::string(name)), c.set_version(version), c.set_yes(yes),
+        c.set_reason(std::string(reason.substr(0, kReasonMost)));
     return out.SerializeAsString();
 }
 std::string gave_back(std::string_view name, std::uint64_t next) {
@@ -90,11 +93,13 @@
 // ---- Snapshots
 
 void Agreement::write(const std::string& name, const State& s, wire::DocumentState& to) const {
-    to.set_name(name), to.set_key(s.key), to.set_last_version(s.last_version), to.set_phase(std::uint32_t(s.phase));
+    to.set_name(name), to.set_key(s.key), to.set_last_version(s.last_version),
+        to.set_phase(std::uint32_t(s.phase));
     if (s.in_force) agreement::write(*s.in_force, true, *to.mutable_in_force());
     for (const Document& d : s.before) agreement::write(d, true, *to.add_before());
     if (s.phase != Phase::None) agreement::write(s.next, true, *to.mutable_next());
-    to.set_no_stops_none(!s.any_no_stops), to.set_stage_ms(std::uint64_t(s.stage.count())), to.set_armed_revision(s.armed_revision);
+    to.set_no_stops_none(!s.any_no_stops), to.set_stage_ms(std::uint64_t(s.stage.count())),
+        to.set_armed_revision(s.armed_revision);
     for (const auto& [id, said] : s.said) {
         auto& one = *to.add_said();
         one.set_session(id), one.set_word(std::uint32_t(said.word)), one.set_reason(said.reason);
@@ -107,7 +112,8 @@
     }
     for (const Ended& e : s.ended) {
         auto& one = *to.add_ended();
-        one.set_version(e.version), one.set_error(std::uint32_t(e.why.error)), one.set_about(e.why.about), one.set_proposer(e.proposer);
+        one.set_version(e.version), one.set_error(std::uint32_t(e.why.error)), one.set_about(e.why.about),
+            one.set_proposer(e.proposer);
     }
     for (const auto& [token, version] : s.tokens) {
         auto& one = *to.add_tokens();
@@ -117,7 +123,8 @@
 
 bool Agreement::read(const wire::DocumentState& from, State& s) {
     s.key = from.key(), s.last_version = from.last_version(), s.phase = Phase(from.phase());
-    if (from.phase() > std::uint32_t(Phase::Canary) || from.has_next() != (s.phase != Phase::None)) return false;
+    if (from.phase() > std::uint32_t(Phase::Canary) || from.has_next() != (s.phase != Phase::None))
+        return false;
     if (from.has_in_force() && !(s.in_force = agreement::read(from.in_force()))) return false;
     for (const auto& b : from.before()) {
         auto document = agreement::read(b);
@@ -129,7 +136,8 @@
         if (!next || (s.phase == Phase::Canary) > next->scope.has_value()) return false;
         s.next = std::move(*next);
     }
-    s.any_no_stops = !from.no_stops_none(), s.stage = Duration{double(from.stage_ms())}, s.armed_revision = from.armed_revision();
+    s.any_no_stops = !from.no_stops_none(), s.stage = Duration{double(from.stage_ms())},
+    s.armed_revision = from.armed_revision();
     for (const auto& one : from.said()) {
         if (one.word() > std::uint32_t(Word::No)) return false;
         s.said[one.session()] = {Word(one.word()), one.reason()};
@@ -150,7 +158,8 @@
     for (const auto& [name, state] : documents_) write(name, state, *out.add_documents());
     for (const auto& [id, session] : sessions_) {
         auto& one = *out.add_sessions();
-        one.set_id(id), one.set_name(session.name), one.set_zone(session.zone), one.set_attends(session.attends);
+        one.set_id(id), one.set_name(session.name), one.set_zone(session.zone),
+            one.set_attends(session.attends);
     }
     return out.SerializeAsString();
 }
--- a/src/fleet/agreement/side.cpp
+++ b/src/fleet/agreement/side.cpp
@@ -51,7 +51,12 @@
 }
 
 Side::Side(keeper::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls)
-    : session_(session), clock_(clock), acting_(acting), calls_(std::move(calls)), work_(io_.get_executor()), wake_(io_) {
+    : session_(session),
+      clock_(clock),
+      acting_(acting),
+      calls_(std::move(calls)),
+      work_(io_.get_executor()),
+      wake_(io_) {
     std::vector<Document> kept;
     if (!folder.empty()) {
         try {
@@ -70,7 +75,9 @@
     holder_.emplace(HolderSettings{}, std::move(kept), clock_.now(), actions);
     asio::post(io_, [this, actions = std::move(actions)]() mutable { carry_out(std::move(actions)); });
     session_.listen([this](const keeper::SessionSide::Told& what) { told(what); });
-    thread_ = side_thread(io_, [](const std::exception& bad) { log(LogLevel::Error, "rules:", {{"fault", bad.what()}}); });
+    thread_ = side_thread(io_, [](const std::exception& bad) {
+        log(LogLevel::Error, "rules:", {{"fault", bad.what()}});
+    });
 }
 
 void Side::stop() {
@@ -78,7 +85,8 @@
     if (thread_.joinable()) thread_.join();
 }
 
-/// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the next one.
+/// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
+/// next one.
 void Side::told(const keeper::SessionSide::Told& what) {
     if (const auto* held = std::get_if<keeper::Held>(&what)) {
         if (!held_ || held_->session != held->session || !had_news_) renewed(*held, {});
@@ -95,7 +103,9 @@
 }
 
 void Side::renewed(const keeper::Held& held, std::string news) {
-    asio::post(io_, [this, held, news = std::move(news)] { handle(Renewed{held.session, held.until, news}); });
+    asio::post(io_, [this, held, news = std::move(news)] {
+        handle(Renewed{held.session, held.until, news});
+    });
 }
 
 void Side::handle(const Event& event) {
@@ -113,9 +123,12 @@
             to_act.emplace_back(*extend);
         } else if (auto* check = std::get_if<Check>(&action)) {
             std::string bad = calls_.check(check->document);
-            asio::post(io_, [this, name = check->document.name, version = check->document.version, bad] { handle(Verdict{name, version, bad.empty(), bad}); });
+            asio::post(io_, [this, name = check->document.name, version = check->document.version, bad] {
+                handle(Verdict{name, version, bad.empty(), bad});
+            });
         } else if (auto* say = std::get_if<Say>(&action)) {
-            session_.submit("rules", std::move(say->command), [](keeper::Error, const std::string&) {});  // the news say what came of it
+            session_.submit("rules", std::move(say->command),
+                            [](keeper::Error, const std::string&) {});  // the news say what came of it
         } else if (auto* write = std::get_if<Write>(&action)) {
             auto bad = files_ ? save(*files_, kFile, write->octets) : std::nullopt;
             if (bad && !std::exchange(complained_, true)) complain(*bad);
@@ -137,14 +150,22 @@
                 }
             }
         });
-    std::string text = "# HELP ochrehub_rules_in_force Version of a document that is in force, as far as this node knows\n# TYPE ochrehub_rules_in_force gauge\n";
-    std::string acted = "# HELP ochrehub_rules_acted Version that this node acts on, and how\n# TYPE ochrehub_rules_acted gauge\n";
+    std::string text =
+        "# HELP ochrehub_rules_in_force Version of a document that is in force, as far as this node knows\n# "
+        "TYPE ochrehub_rules_in_force gauge\n";
+    std::string acted =
+        "# HELP ochrehub_rules_acted Version that this node acts on, and how\n# TYPE ochrehub_rules_acted "
+        "gauge\n";
     for (const auto& s : holder_->status(clock_.now())) {
-        text += "ochrehub_rules_in_force{document=\"" + s.document + "\"} " + std::to_string(s.in_force) + "\n";
-        acted += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" + std::string(name(s.how)) + "\"} " + std::to_string(s.acted) + "\n";
+        text +=
+            "ochrehub_rules_in_force{document=\"" + s.document + "\"} " + std::to_string(s.in_force) + "\n";
+        acted += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" + std::string(name(s.how)) +
+                 "\"} " + std::to_string(s.acted) + "\n";
     }
-    acted += "# HELP ochrehub_rules_lapses_total Times that the permit to act on documents ended\n# TYPE ochrehub_rules_lapses_total counter\nochrehub_rules_lapses_total " +
-             std::to_string(holder_->lapses()) + "\n";
+    acted +=
+        "# HELP ochrehub_rules_lapses_total Times that the permit to act on documents ended\n# TYPE "
+        "ochrehub_rules_lapses_total counter\nochrehub_rules_lapses_total " +
+        std::to_string(holder_->lapses()) + "\n";
     std::lock_guard lock(showing_);
     shown_ = text + acted;
 }
--- a/src/fleet/agreement/side.h
+++ b/src/fleet/agreement/side.h
@@ -1,5 +1,5 @@
-// Documents in a process: a Holder on a thread and a loop of its own beside the session's, its file, and what it hands to the loop
-// that acts. The shell of Holder; it decides nothing, and nobody who acts waits for it.
+// Documents in a process: a Holder on a thread and a loop of its own beside the session's, its file, and what
+// it hands to the loop that acts. The shell of Holder; it decides nothing, and nobody who acts waits for it.
 #pragma once
 
 #include <atomic>
@@ -25,7 +25,8 @@
 /// What the acting loop knows: asked before each decision, on that loop alone.
 class Acting {
 public:
-    /// Called where what is to be acted on has become another: by word of the holder, or since a permit is over.
+    /// Called where what is to be acted on has become another: by word of the holder, or since a permit is
+    /// over.
     using Changed = std::function<void(const std::string& document, const Acted&)>;
     explicit Acting(Changed changed) : changed_(std::move(changed)) {}
 
@@ -60,13 +61,16 @@
         /// Runs what it is given on the acting loop, in order.
         std::function<void(std::function<void()>)> post;
     };
-    /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not have been started.
+    /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not
+    /// have been started.
     Side(keeper::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls);
     ~Side() { stop(); }
-    /// Waits for its thread's end; nothing is said on the session any more. To be called before the session goes, which goes before this.
+    /// Waits for its thread's end; nothing is said on the session any more. To be called before the session
+    /// goes, which goes before this.
     void stop();
 
-    /// For the metrics of the node: versions in force, how they are acted on, how often a permit ended. From any thread.
+    /// For the metrics of the node: versions in force, how they are acted on, how often a permit ended. From
+    /// any thread.
     std::string figures() const;
 
 private:
--- a/src/fleet/agreement/stated.cpp
+++ b/src/fleet/agreement/stated.cpp
@@ -16,8 +16,11 @@
 std::optional<Failure> checked(const Timing& t) {
     auto ms = [](Duration d) { return std::to_string(std::llround(std::ceil(d.count()))) + " ms"; };
     Duration held = (t.lease - t.margin) * (1 + t.drift);
-    if (held > t.lease || t.margin >= t.lease) return Failure{Error::Margin, "lease " + ms(t.lease) + ", margin " + ms(t.margin)};
-    if (t.stated && *t.stated < held) return Failure{Error::StatedTime, ms(*t.stated) + " with a lease of " + ms(t.lease) + ", which needs " + ms(held)};
+    if (held > t.lease || t.margin >= t.lease)
+        return Failure{Error::Margin, "lease " + ms(t.lease) + ", margin " + ms(t.margin)};
+    if (t.stated && *t.stated < held)
+        return Failure{Error::StatedTime,
+                       ms(*t.stated) + " with a lease of " + ms(t.lease) + ", which needs " + ms(held)};
     return {};
 }
 
--- a/src/fleet/agreement/stated.h
+++ b/src/fleet/agreement/stated.h
@@ -1,5 +1,5 @@
-// The stated time: the longest that two processes may act on versions of one document that contradict each other, from the
-// settings alone. It is what `check` prints and what the world's judge holds the code to.
+// The stated time: the longest that two processes may act on versions of one document that contradict each
+// other, from the settings alone. It is what `check` prints and what the world's judge holds the code to.
 #pragma once
 
 #include <optional>
@@ -10,15 +10,17 @@
 
 struct Timing {
     Duration lease{3000};
-    Duration margin{80};     ///< how much earlier a process takes its session for over: a hundredth of the lease and 50 ms
-    double drift = 0.01;     ///< how far apart two monotonic clocks may run
+    Duration margin{
+        80};  ///< how much earlier a process takes its session for over: a hundredth of the lease and 50 ms
+    double drift = 0.01;             ///< how far apart two monotonic clocks may run
     std::optional<Duration> stated;  ///< what operators ask for, of quick documents
 };
 /// With the margin that a session of this lease has.
 Timing timing(Duration lease, std::optional<Duration> stated = {});
 
-/// Strict: zero. Quick: what the lease of a process is that was renewed just before the next version was in force, and hears
-/// nothing any more; where all is well, a renewal and its round trip. A canary of a quick document adds its own length.
+/// Strict: zero. Quick: what the lease of a process is that was renewed just before the next version was in
+/// force, and hears nothing any more; where all is well, a renewal and its round trip. A canary of a quick
+/// document adds its own length.
 Duration stated_time(const Timing& timing, Mode mode);
 /// A stated time that these cannot hold, or a margin that does not cover the clocks.
 std::optional<Failure> checked(const Timing& timing);
--- a/src/fleet/agreement/text.cpp
+++ b/src/fleet/agreement/text.cpp
@@ -7,8 +7,10 @@
 namespace ochrehub::agreement {
 namespace {
 
-constexpr std::string_view kActs[] = {"set", "add", "remove"}, kStandings[] = {"held", "open", "shut"}, kUses[] = {"rest", "in", "out", "last"},
-                           kSources[] = {"static", "hand", "discovery"}, kRepeats[] = {"unsaid", "may", "may-not"};
+constexpr std::string_view kActs[] = {"set", "add", "remove"}, kStandings[] = {"held", "open", "shut"},
+                           kUses[] = {"rest", "in", "out", "last"},
+                           kSources[] = {"static", "hand", "discovery"},
+                           kRepeats[] = {"unsaid", "may", "may-not"};
 
 /// Requests a second, with the thousandths that there are.
 std::string rate(std::uint64_t thousandths) {
@@ -24,11 +26,14 @@
 void lines(const Limits& c, std::string& out) {
     if (c.budget != 0) out += "budget " + rate(c.budget) + "\n";
     for (const Limit& l : c.limits)
-        out += "limit " + l.name + " rate " + rate(l.rate) + " burst " + std::to_string(l.burst) + " floor " + rate(l.floor) + "\n";
+        out += "limit " + l.name + " rate " + rate(l.rate) + " burst " + std::to_string(l.burst) + " floor " +
+               rate(l.floor) + "\n";
 }
 void lines(const Classes& c, std::string& out) {
     for (const ClassRule& r : c.classes)
-        out.append("class " + r.name + " repeat ").append(kRepeats[std::size_t(r.repeat)]).append(" attempts " + std::to_string(r.attempts) + "\n");
+        out.append("class " + r.name + " repeat ")
+            .append(kRepeats[std::size_t(r.repeat)])
+            .append(" attempts " + std::to_string(r.attempts) + "\n");
 }
 void lines(const Headers& c, std::string& out) {
     for (const HeaderRule& r : c.rules) {
@@ -104,7 +109,9 @@
     l.name = words.next();
     while (!words.end()) {
         std::string_view key = words.next(), value = words.next();
-        if (!(key == "rate" ? thousandths(value, l.rate) : key == "burst" ? number(value, l.burst) : key == "floor" && thousandths(value, l.floor)))
+        if (!(key == "rate"    ? thousandths(value, l.rate)
+              : key == "burst" ? number(value, l.burst)
+                               : key == "floor" && thousandths(value, l.floor)))
             return false;
     }
     c.limits.push_back(std::move(l));
@@ -117,7 +124,9 @@
     while (!words.end()) {
         std::string_view key = words.next(), value = words.next();
         std::uint64_t attempts = 0;
-        if (key == "repeat" ? !named(value, kRepeats, r.repeat) : key != "attempts" || !number(value, attempts) || attempts > 1000) return false;
+        if (key == "repeat" ? !named(value, kRepeats, r.repeat)
+                            : key != "attempts" || !number(value, attempts) || attempts > 1000)
+            return false;
         if (key == "attempts") r.attempts = std::uint32_t(attempts);
     }
     c.classes.push_back(std::move(r));
@@ -168,7 +177,8 @@
 }
 
 std::variant<Content, Failure> read_text(std::string_view text) {
-    if (text.size() > 2 * kContentMost) return Failure{Error::TooLong, std::to_string(text.size()) + " octets of text"};
+    if (text.size() > 2 * kContentMost)
+        return Failure{Error::TooLong, std::to_string(text.size()) + " octets of text"};
     std::optional<Content> content;
     for (std::size_t line = 1; !text.empty(); ++line) {
         std::size_t end = text.find('\n');
@@ -178,17 +188,29 @@
         Words words{whole};
         std::string_view first = words.next();
         if (first.empty() || first.front() == '#') continue;
-        auto where = [&] { return "line " + std::to_string(line) + ": `" + std::string(whole.substr(0, 80)) + "`"; };
+        auto where = [&] {
+            return "line " + std::to_string(line) + ": `" + std::string(whole.substr(0, 80)) + "`";
+        };
         if (!content) {
             if (first != "kind") return Failure{Error::Malformed, where() + ": `kind` comes first"};
             auto found = kind_named(words.next());
             if (!found || !words.end()) return Failure{Error::UnknownKind, where()};
             switch (*found) {
-                case Kind::Limits: content = Limits{}; break;
-                case Kind::Classes: content = Classes{}; break;
-                case Kind::Headers: content = Headers{}; break;
-                case Kind::Partners: content = Partners{}; break;
-                case Kind::Servers: content = Servers{}; break;
+                case Kind::Limits:
+                    content = Limits{};
+                    break;
+                case Kind::Classes:
+                    content = Classes{};
+                    break;
+                case Kind::Headers:
+                    content = Headers{};
+                    break;
+                case Kind::Partners:
+                    content = Partners{};
+                    break;
+                case Kind::Servers:
+                    content = Servers{};
+                    break;
             }
         } else if (!std::visit([&](auto& c) { return take(c, first, words); }, *content)) {
             return Failure{Error::Malformed, where()};
--- a/src/fleet/agreement/wire.cpp
+++ b/src/fleet/agreement/wire.cpp
@@ -131,18 +131,22 @@
     if (content) into.set_content(std::move(octets));
     into.set_mode(std::uint32_t(d.mode)), into.set_choice(std::uint32_t(d.choice));
     into.set_proposer(d.proposer), into.set_when(d.when), into.set_of(d.of);
-    if (d.scope) into.set_zone(d.scope->zone), into.set_node(d.scope->node), into.set_canary_ms(std::uint64_t(d.scope->length.count()));
+    if (d.scope)
+        into.set_zone(d.scope->zone), into.set_node(d.scope->node),
+            into.set_canary_ms(std::uint64_t(d.scope->length.count()));
 }
 
 std::optional<Document> read(const wire::Document& from, bool empty_content) {
     Document out{from.name(), from.version(), {}, {}, {}, from.proposer(), from.when(), {}, from.of()};
-    if (!named_well(out.name) || out.proposer.size() > kNameMost || !take(from.mode(), Mode::Quick, out.mode) ||
-        !take(from.choice(), Choice::Refuse, out.choice))
+    if (!named_well(out.name) || out.proposer.size() > kNameMost ||
+        !take(from.mode(), Mode::Quick, out.mode) || !take(from.choice(), Choice::Refuse, out.choice))
         return {};
     if (from.canary_ms() != 0 || !from.zone().empty() || !from.node().empty()) {
         out.scope = Scope{from.zone(), from.node(), Duration{double(from.canary_ms())}};
         const std::string& where = from.zone().empty() ? from.node() : from.zone();
-        if (from.zone().empty() == from.node().empty() || !named_well(where) || out.scope->length > kCanaryMost || from.canary_ms() == 0) return {};
+        if (from.zone().empty() == from.node().empty() || !named_well(where) ||
+            out.scope->length > kCanaryMost || from.canary_ms() == 0)
+            return {};
     }
     if (from.content().empty() && empty_content) return out;
     auto content = decode(from.content());
--- a/src/fleet/agreement/wire.h
+++ b/src/fleet/agreement/wire.h
@@ -11,7 +11,8 @@
 
 /// With or without its content; its digest always.
 void write(const Document& document, bool content, wire::Document& into);
-/// Nothing where name, mode, scope or content are none. `empty_content`: a content that is left out is taken as Limits{}.
+/// Nothing where name, mode, scope or content are none. `empty_content`: a content that is left out is taken
+/// as Limits{}.
 std::optional<Document> read(const wire::Document& from, bool empty_content = false);
 std::string digest_octets(const Content& content);
 
--- a/src/fleet/channel/channel.cpp
+++ b/src/fleet/channel/channel.cpp
@@ -25,8 +25,9 @@
 
 /// Names reach logs and terminals.
 bool sound(std::string_view name) {
-    return name.size() <= Channel::kNameMost &&
-           std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127 && c != '"' && c != '\\'; });
+    return name.size() <= Channel::kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
+               return c > ' ' && c < 127 && c != '"' && c != '\\';
+           });
 }
 
 constexpr std::array<fleet::ErrorRow, fleet::kErrorsOf<Error>> kRows{{
@@ -42,14 +43,18 @@
      "run releases side by side that are neighbours; update the older process"},
     {"channel.cluster", "the other side belongs to another cluster", false,
      "correct the address, or the cluster's name in the settings of one of the two"},
-    {"channel.forged", "a frame bears no tag by a key of this fleet, or one that was made for another place", false,
-     "give both sides a key in common, the new one behind the old one first; with equal keys somebody meddles"},
+    {"channel.forged", "a frame bears no tag by a key of this fleet, or one that was made for another place",
+     false,
+     "give both sides a key in common, the new one behind the old one first; with equal keys somebody "
+     "meddles"},
     {"channel.full", "as much waits to be sent or is connected as is allowed", true,
      "nothing where it passes; else see why the other process reads slowly, or who connects so often"},
-    {"channel.replaced", "another connection to the same process is used instead, or it leads to this process itself", true,
+    {"channel.replaced",
+     "another connection to the same process is used instead, or it leads to this process itself", true,
      "nothing; an address of the process's own can be taken from its list"},
     {"channel.unreachable", "no connection came about in time", true,
-     "see whether the other process runs, whether its address is right and whether the network lets it through"},
+     "see whether the other process runs, whether its address is right and whether the network lets it "
+     "through"},
 }};
 
 }  // namespace
@@ -106,9 +111,11 @@
         const std::vector<std::string>& keys = channel.settings_.keys;
         if (keys.empty()) return octets;
         if (octets.size() < fleet::kTag) return std::nullopt;
-        std::string_view body = octets.substr(0, octets.size() - fleet::kTag), tag = octets.substr(body.size());
+        std::string_view body = octets.substr(0, octets.size() - fleet::kTag),
+                         tag = octets.substr(body.size());
         if (channel.opens_) {
-            if (!fleet::same(channel.opens_->update(channel.taken_ + 1).update(body).tag(), tag)) return std::nullopt;
+            if (!fleet::same(channel.opens_->update(channel.taken_ + 1).update(body).tag(), tag))
+                return std::nullopt;
             return body;
         }
         for (const std::string& one : keys)
@@ -124,7 +131,8 @@
         auto body = open(octets, key);
         if (!body) return channel.end(Error::Forged, actions);
         wire::Frame frame;
-        if (!frame.ParseFromArray(body->data(), int(body->size()))) return channel.end(Error::Malformed, actions);
+        if (!frame.ParseFromArray(body->data(), int(body->size())))
+            return channel.end(Error::Malformed, actions);
         if (channel.stage_ == Stage::Hello) return take_hello(frame, key);
         ++channel.taken_;
         if (channel.stage_ == Stage::Ready) {
@@ -136,15 +144,20 @@
         if (frame.has_message()) {
             wire::Message& message = *frame.mutable_message();
             // Which kinds a peer knows goes by its release: one that sends others is faulty.
-            bool known = message.kind() >= std::uint32_t(Kind::Raft) && message.kind() <= std::uint32_t(Kind::Migration);
+            bool known = message.kind() >= std::uint32_t(Kind::Raft) &&
+                         message.kind() <= std::uint32_t(Kind::Migration);
             if (!known) return channel.end(Error::Malformed, actions);
-            if (message.body().size() > channel.settings_.message) return channel.end(Error::TooLong, actions);
+            if (message.body().size() > channel.settings_.message)
+                return channel.end(Error::TooLong, actions);
             actions.emplace_back(Deliver{Kind(message.kind()), std::move(*message.mutable_body())});
         } else if (frame.has_ping()) {
             wire::Frame answer;
             answer.mutable_pong()->set_number(frame.ping().number());
-            // Where much waits to be written, that will show this one's life; and whoever asks and never reads gets no more room.
-            if (channel.queued_ + answer.ByteSizeLong() + kLength + channel.tag_size() <= channel.settings_.queue) send(answer);
+            // Where much waits to be written, that will show this one's life; and whoever asks and never
+            // reads gets no more room.
+            if (channel.queued_ + answer.ByteSizeLong() + kLength + channel.tag_size() <=
+                channel.settings_.queue)
+                send(answer);
         } else if (!frame.has_pong()) {
             channel.end(Error::Malformed, actions);
         }
@@ -154,11 +167,13 @@
         const Settings& set = channel.settings_;
         const wire::Hello& hello = frame.hello();
         bool has_nonce = hello.nonce().size() == kNonce || (!key && hello.nonce().empty());
-        if (!frame.has_hello() || !has_nonce || !sound(hello.name()) || !sound(hello.zone()) || hello.instance() == 0)
+        if (!frame.has_hello() || !has_nonce || !sound(hello.name()) || !sound(hello.zone()) ||
+            hello.instance() == 0)
             return channel.end(Error::Malformed, actions);
-        if (key && hello.nonce() == set.nonce) return channel.end(Error::Forged, actions);  // its own, turned around
+        if (key && hello.nonce() == set.nonce)
+            return channel.end(Error::Forged, actions);  // its own, turned around
         if (hello.instance() == set.self.instance) return channel.end(Error::Replaced, actions);
-        channel.peer_ = {hello.name(),   hello.zone(),    hello.instance(),     hello.keeper(),
+        channel.peer_ = {hello.name(),    hello.zone(),         hello.instance(),   hello.keeper(),
                          hello.release(), hello.schema_least(), hello.schema_most()};
         if (key) {
             // The sender's nonce first: the two directions have nothing in common.
@@ -234,7 +249,8 @@
         in_ += octets;
         std::size_t done = consume(in_, actions);
         in_.erase(0, done);
-        if (in_.empty() && in_.capacity() > kHelloMost) in_ = {};  // a long message now and then is not held for ever
+        if (in_.empty() && in_.capacity() > kHelloMost)
+            in_ = {};  // a long message now and then is not held for ever
     }
     if (stage_ == Stage::Over) in_ = {};
     // Before Up nobody has shown who they are: what they send gives them no more time.
@@ -295,7 +311,8 @@
         actions.emplace_back(WakeAt{wake_});
         return;
     }
-    // This process stood still itself: what came meanwhile has not been read yet, and says nothing against the peer.
+    // This process stood still itself: what came meanwhile has not been read yet, and says nothing against
+    // the peer.
     bool stood = now - wake_ > settings_.idle;
     if (stage_ != Stage::Up) {
         if (!stood) return end(Error::Silent, actions);
@@ -307,7 +324,8 @@
         heard_ = std::max(heard_, now - settings_.idle);
         left_ = now, asked_ = false;
     }
-    if (now - heard_ >= settings_.dead || (queued_ > 0 && now - left_ >= settings_.dead)) return end(Error::Silent, actions);
+    if (now - heard_ >= settings_.dead || (queued_ > 0 && now - left_ >= settings_.dead))
+        return end(Error::Silent, actions);
     if (!asked_ && now - heard_ >= settings_.idle) {
         asked_ = true;
         wire::Frame ping;
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -1,11 +1,13 @@
-// Messages in order between two processes of the fleet: a length, then protobuf. First on each side stand version, cluster's
-// fingerprint and whether it signs, then a Hello, which says who speaks; frames bear a tag where the fleet has keys. One
-// connection as a core without I/O: `Channel` is handed octets and times and returns octets, messages and its end. What waits
-// to be written is bounded: who reads slowly is sent no more, and whoever wanted to send is told so.
+// Messages in order between two processes of the fleet: a length, then protobuf. First on each side stand
+// version, cluster's fingerprint and whether it signs, then a Hello, which says who speaks; frames bear a tag
+// where the fleet has keys. One connection as a core without I/O: `Channel` is handed octets and times and
+// returns octets, messages and its end. What waits to be written is bounded: who reads slowly is sent no
+// more, and whoever wanted to send is told so.
 //
-// A tag is made with a key of this connection and direction alone (of both sides' nonces, the sender's first), over the frame's
-// running number and octets: what was recorded elsewhere or before, turned around, left out or sent in another order is Forged.
-// Up comes behind the first frame that the peer has signed over both nonces, so a Hello that was recorded gets nobody anywhere.
+// A tag is made with a key of this connection and direction alone (of both sides' nonces, the sender's
+// first), over the frame's running number and octets: what was recorded elsewhere or before, turned around,
+// left out or sent in another order is Forged. Up comes behind the first frame that the peer has signed over
+// both nonces, so a Hello that was recorded gets nobody anywhere.
 #pragma once
 
 #include <cstddef>
@@ -35,17 +37,30 @@
 
 struct Settings {
     Peer self;
-    std::uint32_t cluster = 0;       ///< fleet::fingerprint of its name
-    std::vector<std::string> keys;   ///< the first signs, any is taken; none: whoever reaches the port is believed
-    std::string nonce;               ///< of this connection: kNonce octets that never come again. Without keys: may be empty
-    std::size_t message = 1 << 20;   ///< octets of one's body, at most
-    std::size_t queue = 4 << 20;     ///< octets that wait to be written, at most
-    Duration idle{1000};             ///< silence after which one asks; below `dead`
-    Duration dead{3000};             ///< ... and after which the connection is given up; also for all up to Up
+    std::uint32_t cluster = 0;  ///< fleet::fingerprint of its name
+    std::vector<std::string>
+        keys;  ///< the first signs, any is taken; none: whoever reaches the port is believed
+    std::string
+        nonce;  ///< of this connection: kNonce octets that never come again. Without keys: may be empty
+    std::size_t message = 1 << 20;  ///< octets of one's body, at most
+    std::size_t queue = 4 << 20;    ///< octets that wait to be written, at most
+    Duration idle{1000};            ///< silence after which one asks; below `dead`
+    Duration dead{3000};            ///< ... and after which the connection is given up; also for all up to Up
 };
 inline constexpr std::size_t kNonce = 16;
 
-enum class Error { Closed, Silent, TooLong, Malformed, Version, Cluster, Forged, Full, Replaced, Unreachable };
+enum class Error {
+    Closed,
+    Silent,
+    TooLong,
+    Malformed,
+    Version,
+    Cluster,
+    Forged,
+    Full,
+    Replaced,
+    Unreachable
+};
 const fleet::ErrorRow& row(Error error);
 
 // ---- What happens
@@ -90,14 +105,15 @@
 
 /// One connection, from its opening to its end, on either side. Not for use by several threads.
 ///
-/// Of one call's actions at most one is a Put, and it is the first: whoever has carried that out may call again from inside of
-/// what the others lead to. End is the last of all; whatever happens behind it is answered by nothing, a Say by Refused.
-/// Memory: what waits to be written lives with whoever carries out Put; in here one frame at most that is not whole yet, as
-/// many octets of it as have come (up to Up kHelloMost, then `message` and kOverhead, and what was read with them), and twice
-/// that while a string grows.
+/// Of one call's actions at most one is a Put, and it is the first: whoever has carried that out may call
+/// again from inside of what the others lead to. End is the last of all; whatever happens behind it is
+/// answered by nothing, a Say by Refused. Memory: what waits to be written lives with whoever carries out
+/// Put; in here one frame at most that is not whole yet, as many octets of it as have come (up to Up
+/// kHelloMost, then `message` and kOverhead, and what was read with them), and twice that while a string
+/// grows.
 ///
-/// Whose own process stood still for longer than `idle` behind a time that it asked for takes no silence for the peer's; it
-/// asks and waits anew.
+/// Whose own process stood still for longer than `idle` behind a time that it asked for takes no silence for
+/// the peer's; it asks and waits anew.
 class Channel {
 public:
     static constexpr std::size_t kPreamble = 9;      ///< "och", version 1, cluster 4, signs 1
@@ -112,9 +128,9 @@
 
     bool up() const { return stage_ == Stage::Up; }
     bool over() const { return stage_ == Stage::Over; }
-    const Peer& peer() const { return peer_; }        ///< once Up
-    std::size_t queued() const { return queued_; }    ///< octets put that have not left
-    std::size_t held() const { return in_.size(); }   ///< octets of a frame that is not whole yet
+    const Peer& peer() const { return peer_; }       ///< once Up
+    std::size_t queued() const { return queued_; }   ///< octets put that have not left
+    std::size_t held() const { return in_.size(); }  ///< octets of a frame that is not whole yet
 
 private:
     enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Up, Over };
@@ -122,7 +138,8 @@
 
     void open(TimePoint now);
     void take(TimePoint now, std::string_view octets, Actions& actions);
-    /// How many of the octets it was done with; fewer than all only where more must come. Ends where they are wrong.
+    /// How many of the octets it was done with; fewer than all only where more must come. Ends where they are
+    /// wrong.
     std::size_t consume(std::string_view octets, Actions& actions);
     void preamble(std::string_view octets, Actions& actions);
     void say(const Say& say, Actions& actions);
@@ -135,13 +152,14 @@
     Settings settings_;
     Stage stage_ = Stage::New;
     Peer peer_;
-    std::string put_;                         // of the call under way
-    std::string in_;                          // of a frame that is not whole
+    std::string put_;  // of the call under way
+    std::string in_;   // of a frame that is not whole
     std::size_t queued_ = 0;
-    std::optional<fleet::Mac> signs_, opens_;  // keyed for this connection and direction, once both nonces are known
-    std::uint64_t sent_ = 0, taken_ = 0;       // frames behind the Hello
+    std::optional<fleet::Mac> signs_,
+        opens_;  // keyed for this connection and direction, once both nonces are known
+    std::uint64_t sent_ = 0, taken_ = 0;  // frames behind the Hello
     std::uint64_t pings_ = 0;
-    TimePoint heard_{}, left_{}, wake_{};      // left_: octets last left, or nothing waited
+    TimePoint heard_{}, left_{}, wake_{};  // left_: octets last left, or nothing waited
     bool asked_ = false;
 };
 
--- a/src/fleet/channel/dialer.h
+++ b/src/fleet/channel/dialer.h
@@ -1,7 +1,7 @@
-// Which addresses to connect to and when, and which of two connections between the same processes stays. A core without I/O:
-// `Dialer` is told what became of its connections and of everybody's, and draws on its seed alone. Whoever has lost a connection
-// tries again behind a wait that doubles up to a bound, each wait drawn from its upper half, so that those who lost the same
-// peer do not come back to it at once.
+// Which addresses to connect to and when, and which of two connections between the same processes stays. A
+// core without I/O: `Dialer` is told what became of its connections and of everybody's, and draws on its seed
+// alone. Whoever has lost a connection tries again behind a wait that doubles up to a bound, each wait drawn
+// from its upper half, so that those who lost the same peer do not come back to it at once.
 #pragma once
 
 #include <cstdint>
@@ -23,10 +23,12 @@
     Duration steady{1000};  ///< a connection that lived for this begins with `first` again
 };
 
-/// Of two connections between the same processes, told by who dialled them: is the newer one the one that stays? The one that the
-/// process with the lower instance dialled stays, whichever came first, so that both ends choose the same; of two that the
-/// same one dialled the newer, since it would not have dialled had it not lost the other.
-constexpr bool newer_stays(bool older_dialled_here, bool newer_dialled_here, std::uint64_t here, std::uint64_t there) {
+/// Of two connections between the same processes, told by who dialled them: is the newer one the one that
+/// stays? The one that the process with the lower instance dialled stays, whichever came first, so that both
+/// ends choose the same; of two that the same one dialled the newer, since it would not have dialled had it
+/// not lost the other.
+constexpr bool newer_stays(bool older_dialled_here, bool newer_dialled_here, std::uint64_t here,
+                           std::uint64_t there) {
     if (older_dialled_here == newer_dialled_here) return true;
     return newer_dialled_here == (here < there);
 }
@@ -77,7 +79,8 @@
     /// Of the process that answers there, connected by this or another way; zero: none is.
     std::uint64_t instance_at(const std::string& address) const {
         auto found = entries_.find(address);
-        bool there = found != entries_.end() && (found->second.state == State::Up || found->second.state == State::Held);
+        bool there = found != entries_.end() &&
+                     (found->second.state == State::Up || found->second.state == State::Held);
         return there ? found->second.instance : 0;
     }
 
--- a/src/fleet/channel/mesh.cpp
+++ b/src/fleet/channel/mesh.cpp
@@ -12,19 +12,24 @@
 namespace ochrehub::channel {
 
 namespace asio = boost::asio;
-using boost::system::error_code;
 using asio::ip::tcp;
+using boost::system::error_code;
 
 namespace {
-constexpr Duration kAcceptAgain{100};             // where the system would not give a descriptor
-constexpr std::size_t kChunk = 64 * 1024;         // octets that wait stand in pieces of this, and leave memory with them
-constexpr std::size_t kChunks = 8;                // are written before other connections have their turn
+constexpr Duration kAcceptAgain{100};  // where the system would not give a descriptor
+constexpr std::size_t kChunk =
+    64 * 1024;                      // octets that wait stand in pieces of this, and leave memory with them
+constexpr std::size_t kChunks = 8;  // are written before other connections have their turn
 }  // namespace
 
 class Mesh::Link : public std::enable_shared_from_this<Link> {
 public:
     Link(Mesh& mesh, tcp::socket socket, std::string address, std::uint64_t order, const Settings& settings)
-        : mesh_(&mesh), socket_(std::move(socket)), address_(std::move(address)), order_(order), channel_(settings) {}
+        : mesh_(&mesh),
+          socket_(std::move(socket)),
+          address_(std::move(address)),
+          order_(order),
+          channel_(settings) {}
 
     void connect(const Endpoint& to) {
         socket_.async_connect(to, [self = shared_from_this()](error_code error) {
@@ -79,7 +84,8 @@
             if (auto* put = std::get_if<Put>(&action)) {
                 write(std::move(put->octets));
             } else if (auto* message = std::get_if<Deliver>(&action)) {
-                if (used && mesh_->deliver) mesh_->deliver(channel_.peer(), message->kind, std::move(message->body));
+                if (used && mesh_->deliver)
+                    mesh_->deliver(channel_.peer(), message->kind, std::move(message->body));
             } else if (const auto* wake = std::get_if<WakeAt>(&action)) {
                 wake_at(wake->at);
             } else if (std::holds_alternative<Up>(action)) {
@@ -116,7 +122,8 @@
         } else {
             out_.push_back(std::move(octets));
         }
-        if (!std::exchange(writing_, true)) asio::post(mesh_->io_, [self = shared_from_this()] { self->flush(); });
+        if (!std::exchange(writing_, true))
+            asio::post(mesh_->io_, [self = shared_from_this()] { self->flush(); });
     }
     void flush() {
         if (!mesh_) return;
@@ -128,7 +135,8 @@
         std::size_t left = socket_.write_some(std::span(some).first(chunks), error);
         if (error && error != asio::error::would_block) return hand(Closed{});
         auto whole = out_.begin();
-        for (out_at_ += left; whole != out_.end() && out_at_ >= whole->size(); ++whole) out_at_ -= whole->size();
+        for (out_at_ += left; whole != out_.end() && out_at_ >= whole->size(); ++whole)
+            out_at_ -= whole->size();
         out_.erase(out_.begin(), whole);
         writing_ = !out_.empty();
         if (writing_)
@@ -157,8 +165,8 @@
     TimerId timer_ = 0;
 };
 
-Mesh::Mesh(asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen, MeshSettings settings,
-           std::uint64_t seed)
+Mesh::Mesh(asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen,
+           MeshSettings settings, std::uint64_t seed)
     : io_(io),
       scheduler_(scheduler),
       settings_(std::move(settings)),
@@ -197,7 +205,8 @@
     acceptor_.async_accept([this, here = std::weak_ptr<bool>(here_)](error_code error, tcp::socket socket) {
         if (here.expired() || closed_) return;
         if (error) {  // no descriptor, say; those who wait stay in the kernel's queue
-            accept_timer_ = scheduler_.call_at(scheduler_.now() + kAcceptAgain, [this] { accept_timer_ = 0, accept(); });
+            accept_timer_ =
+                scheduler_.call_at(scheduler_.now() + kAcceptAgain, [this] { accept_timer_ = 0, accept(); });
             return;
         }
         if (strangers_ >= settings_.strangers)
@@ -243,7 +252,8 @@
     tell_dialer(Dialer::Unwanted{address});
 }
 
-// One event after the other, also where carrying out one leads to the next: of two WakeAt the later one must count.
+// One event after the other, also where carrying out one leads to the next: of two WakeAt the later one must
+// count.
 void Mesh::tell_dialer(const Dialer::Event& event) {
     if (closed_) return;
     told_.push_back(event);
@@ -294,7 +304,8 @@
     auto found = peers_.find(instance);
     if (found != peers_.end()) {
         std::shared_ptr<Link> older = found->second;
-        bool stays = newer_stays(older->dialled(), link->dialled(), settings_.channel.self.instance, instance);
+        bool stays =
+            newer_stays(older->dialled(), link->dialled(), settings_.channel.self.instance, instance);
         if (!stays) return end(link, Error::Replaced);
         found->second = link;  // first, so that nobody dials for want of one
         link->used = true;
--- a/src/fleet/channel/mesh.h
+++ b/src/fleet/channel/mesh.h
@@ -1,12 +1,12 @@
-// A process's connections to others of its fleet: a listener, and connections kept to addresses that may change while it runs.
-// Between two processes one connection is used, whoever dialled it (`newer_stays` says which, where both did). Whoever connects
-// is told of and can be answered, on any list or not. The shell of `Channel` and `Dialer`: sockets, timers, nonces; it decides
-// nothing but how many it takes in.
+// A process's connections to others of its fleet: a listener, and connections kept to addresses that may
+// change while it runs. Between two processes one connection is used, whoever dialled it (`newer_stays` says
+// which, where both did). Whoever connects is told of and can be answered, on any list or not. The shell of
+// `Channel` and `Dialer`: sockets, timers, nonces; it decides nothing but how many it takes in.
 //
-// All of it on its io_context's one thread, the callbacks too. From inside of a callback all may be called but the destructor.
-// Memory of a connection: about 2 KB, one frame that is not whole, and what waits to be written, in pieces of 64 KiB: a
-// reader that stands still costs `queue` octets and little more.
-// What was sent before `down` may have arrived or not; what comes behind the next `up` is in order, each message once.
+// All of it on its io_context's one thread, the callbacks too. From inside of a callback all may be called
+// but the destructor. Memory of a connection: about 2 KB, one frame that is not whole, and what waits to be
+// written, in pieces of 64 KiB: a reader that stands still costs `queue` octets and little more. What was
+// sent before `down` may have arrived or not; what comes behind the next `up` is in order, each message once.
 #pragma once
 
 #include <array>
@@ -28,10 +28,11 @@
 namespace ochrehub::channel {
 
 struct MeshSettings {
-    Settings channel;             ///< its nonce is drawn for each connection
+    Settings channel;  ///< its nonce is drawn for each connection
     DialSettings dial;
-    std::size_t accepted = 256;   ///< connections of others' that are up, at most; more are closed (Full)
-    std::size_t strangers = 64;   ///< accepted ones that have not shown who they are; behind that the oldest goes (Full)
+    std::size_t accepted = 256;  ///< connections of others' that are up, at most; more are closed (Full)
+    std::size_t strangers =
+        64;  ///< accepted ones that have not shown who they are; behind that the oldest goes (Full)
 };
 
 class Mesh {
@@ -40,11 +41,11 @@
     /// Octets that are read of one connection before others have their turn.
     static constexpr std::size_t kTurn = 64 * 1024;
 
-    /// io_context and scheduler must outlive it; what they still run for it when it goes finds nothing to do. Listens from
-    /// here on (port 0: any that is free); without an address it only dials. Throws boost::system::system_error where it
-    /// cannot listen. `seed`: for the waits before it dials again.
-    Mesh(boost::asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen, MeshSettings settings,
-         std::uint64_t seed);
+    /// io_context and scheduler must outlive it; what they still run for it when it goes finds nothing to do.
+    /// Listens from here on (port 0: any that is free); without an address it only dials. Throws
+    /// boost::system::system_error where it cannot listen. `seed`: for the waits before it dials again.
+    Mesh(boost::asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen,
+         MeshSettings settings, std::uint64_t seed);
     ~Mesh();
     Mesh(const Mesh&) = delete;
     Mesh& operator=(const Mesh&) = delete;
@@ -53,7 +54,8 @@
     static std::optional<Endpoint> endpoint(std::string_view address);
     /// How many descriptors it uses, at most, with so many addresses to dial.
     static constexpr std::size_t descriptors(const MeshSettings& settings, std::size_t addresses) {
-        return 2 + settings.accepted + settings.strangers + addresses;  // the listener, and one that is just accepted
+        return 2 + settings.accepted + settings.strangers +
+               addresses;  // the listener, and one that is just accepted
     }
 
     Endpoint at() const { return at_; }
@@ -62,8 +64,8 @@
     bool dial(const std::string& address);
     /// Not any more; what was dialled there is closed.
     void drop(const std::string& address);
-    /// To the process of this instance. False: there is no connection to it, the message is too long, or too much waits
-    /// already; nothing was sent. True: it will arrive, unless `down` is told.
+    /// To the process of this instance. False: there is no connection to it, the message is too long, or too
+    /// much waits already; nothing was sent. True: it will arrive, unless `down` is told.
     bool send(std::uint64_t instance, Kind kind, std::string body);
     /// For connections that begin from now on.
     void use(std::vector<std::string> keys) { settings_.channel.keys = std::move(keys); }
@@ -73,7 +75,8 @@
     std::function<void(const Peer&)> up;
     std::function<void(const Peer&, Error)> down;  ///< also before the `up` of the one that replaces it
     std::function<void(const Peer&, Kind, std::string body)> deliver;
-    std::function<void(const std::string& address, Error)> unreached;  ///< a dial that did not come up, and why
+    std::function<void(const std::string& address, Error)>
+        unreached;  ///< a dial that did not come up, and why
 
     /// Of the process that is connected and answers at this address, which is dialled; zero: none.
     std::uint64_t instance_at(const std::string& address) const { return dialer_.instance_at(address); }
@@ -109,8 +112,8 @@
     std::deque<Dialer::Event> told_;
     TimerId dial_timer_ = 0, accept_timer_ = 0;
     std::uint64_t order_ = 0;
-    std::map<std::uint64_t, std::shared_ptr<Link>> links_;     // in the order in which they began
-    std::map<std::uint64_t, std::shared_ptr<Link>> peers_;     // by instance: the one that is used
+    std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // in the order in which they began
+    std::map<std::uint64_t, std::shared_ptr<Link>> peers_;  // by instance: the one that is used
     std::map<std::string, std::weak_ptr<Link>> dialled_;
     std::size_t strangers_ = 0, accepted_ = 0;
     std::vector<char> octets_;  // what is read, one connection at a time
--- a/src/fleet/duty/error.cpp
+++ b/src/fleet/duty/error.cpp
@@ -4,7 +4,8 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"duty.malformed", "the command cannot be read", false, "compare the releases of this process and the keepers"},
+        {"duty.malformed", "the command cannot be read", false,
+         "compare the releases of this process and the keepers"},
         {"duty.name", "is no name of a duty: 1 to 64 of a-z, 0-9, - and ., and / in a job's alone", false,
          "correct the name"},
         {"duty.weight", "is no weight: 1 to 100", false, "correct the weight"},
--- a/src/fleet/duty/list.cpp
+++ b/src/fleet/duty/list.cpp
@@ -46,7 +46,8 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"list.malformed", "the command cannot be read", false, "compare the releases of this process and the keepers"},
+        {"list.malformed", "the command cannot be read", false,
+         "compare the releases of this process and the keepers"},
         {"list.stale", "another watches discovery by now", false, "nothing: the old owner stops"},
         {"list.not-open", "its owner has not opened it", true, "nothing: it opens and asks discovery anew"},
         {"list.round", "the report belongs to a round that is closed", true,
@@ -127,7 +128,8 @@
     return out.SerializeAsString();
 }
 
-std::optional<Error> Machine::take(Epoch epoch, std::uint64_t version, std::uint64_t round, const Listing& listing) {
+std::optional<Error> Machine::take(Epoch epoch, std::uint64_t version, std::uint64_t round,
+                                   const Listing& listing) {
     if (epoch < epoch_) return Error::Stale;
     if (epoch > epoch_) return Error::NotOpen;
     if (round != round_) return Error::Round;
--- a/src/fleet/duty/list.h
+++ b/src/fleet/duty/list.h
@@ -1,11 +1,12 @@
-// Discovery's list, agreed on: the owner of the duty "list" watches discovery for the tier and reports each revision;
-// nodes hear of it with their renewals. A machine of the keepers'; it holds no time and is itself a receiver: of owners
-// the highest epoch counts.
+// Discovery's list, agreed on: the owner of the duty "list" watches discovery for the tier and reports each
+// revision; nodes hear of it with their renewals. A machine of the keepers'; it holds no time and is itself a
+// receiver: of owners the highest epoch counts.
 //
-// How old is what a node knows? The machine counts rounds. Each report closes the round that is open and opens the
-// next, and an owner asks discovery only once it knows which round is open. So a node that was told that round r is
-// open, and later hears that r + 1 is closed, knows that discovery was asked after the node itself had asked the first
-// time: its list is as of then, by its own clock, whoever was slow or stopped in between.
+// How old is what a node knows? The machine counts rounds. Each report closes the round that is open and
+// opens the next, and an owner asks discovery only once it knows which round is open. So a node that was told
+// that round r is open, and later hears that r + 1 is closed, knows that discovery was asked after the node
+// itself had asked the first time: its list is as of then, by its own clock, whoever was slow or stopped in
+// between.
 #pragma once
 
 #include <deque>
@@ -27,8 +28,9 @@
 struct Limits {
     std::size_t servers = 20'000;
     std::size_t id = 128, body = 1024;  ///< octets
-    std::size_t news = 16 << 10;  ///< octets of changes in one renewal's answer; who lacks more asks for the whole list
-    std::uint64_t rounds = 8;           ///< changes are told for so many rounds
+    std::size_t news =
+        16 << 10;  ///< octets of changes in one renewal's answer; who lacks more asks for the whole list
+    std::uint64_t rounds = 8;  ///< changes are told for so many rounds
 };
 
 enum class Error {
@@ -42,7 +44,8 @@
 inline constexpr std::size_t kErrors = 6;
 const fleet::ErrorRow& row(Error error);
 
-using Entries = std::map<std::string, std::string, std::less<>>;  ///< a server's id, and all that discovery says of it
+using Entries =
+    std::map<std::string, std::string, std::less<>>;  ///< a server's id, and all that discovery says of it
 std::uint64_t digest(const Entries& entries);
 
 struct Change {
@@ -102,7 +105,8 @@
         std::uint64_t round = 0;
         Change change;
     };
-    std::optional<Error> take(Epoch epoch, std::uint64_t version, std::uint64_t round, const Listing& listing);
+    std::optional<Error> take(Epoch epoch, std::uint64_t version, std::uint64_t round,
+                              const Listing& listing);
 
     Limits limits_;
     Epoch epoch_ = 0;
--- a/src/fleet/duty/list_follower.h
+++ b/src/fleet/duty/list_follower.h
@@ -1,12 +1,12 @@
-// A node's side of the agreed list: what of it is used, and when the node goes on to ask discovery itself, as a node
-// without keepers does. A core without I/O.
+// A node's side of the agreed list: what of it is used, and when the node goes on to ask discovery itself, as
+// a node without keepers does. A core without I/O.
 //
-// It knows by its own clock as of when its list certainly stands (list.h, rounds). Where that is longer ago than
-// `silence`, and behind a part of `spread` that it draws, so that a tier which loses its keepers does not ask in one
-// instant, it asks. What discovery then says to it counts at once. It lets that be as soon as the agreed list is
-// certainly as of a moment behind the one at which it began to ask, and goes by the agreed list again once that is
-// certainly as of a later moment than discovery's last word to it. Times are the process's monotonic clock. Not for
-// several threads at once.
+// It knows by its own clock as of when its list certainly stands (list.h, rounds). Where that is longer ago
+// than `silence`, and behind a part of `spread` that it draws, so that a tier which loses its keepers does
+// not ask in one instant, it asks. What discovery then says to it counts at once. It lets that be as soon as
+// the agreed list is certainly as of a moment behind the one at which it began to ask, and goes by the agreed
+// list again once that is certainly as of a later moment than discovery's last word to it. Times are the
+// process's monotonic clock. Not for several threads at once.
 #pragma once
 
 #include <variant>
@@ -29,7 +29,8 @@
 struct HeardWhole {  ///< Machine::read
     std::string whole;
 };
-struct OwnTold {};  ///< discovery has answered this node, as its own watch or as the tier's owner, and it goes by that
+struct OwnTold {
+};  ///< discovery has answered this node, as its own watch or as the tier's owner, and it goes by that
 struct FollowerWoken {};
 using FollowerEvent = std::variant<Heard, HeardWhole, OwnTold, FollowerWoken>;
 
@@ -52,7 +53,8 @@
 
 class Follower {
 public:
-    Follower(const FollowerSettings& settings, TimePoint start) : set_(settings), fresh_(start), own_at_(start) {}
+    Follower(const FollowerSettings& settings, TimePoint start)
+        : set_(settings), fresh_(start), own_at_(start) {}
 
     void handle(TimePoint now, const FollowerEvent& event, FollowerActions& actions);
 
--- a/src/fleet/duty/list_owner.cpp
+++ b/src/fleet/duty/list_owner.cpp
@@ -77,13 +77,14 @@
 void Owner::answered(TimePoint now, const Answered& event, OwnerActions& actions) {
     std::optional<Answer> answer = read_answer(event.answer);
     if (phase_ != Phase::Saying || event.number != numbers_ || !answer) return;
-    if (answer->error == Error::Stale || answer->error == Error::Malformed || answer->error == Error::TooMuch) {
+    if (answer->error == Error::Stale || answer->error == Error::Malformed ||
+        answer->error == Error::TooMuch) {
         phase_ = Phase::GivenBack;
         actions.push_back(GiveBack{});
         return;
     }
-    // A report whose first answer was lost comes back as of a closed round: what stands there now is asked for from the
-    // start.
+    // A report whose first answer was lost comes back as of a closed round: what stands there now is asked
+    // for from the start.
     if (answer->error) return begin(now, epoch_, actions);
     version_ = answer->version, round_ = answer->round;
     ask(now, actions);
--- a/src/fleet/duty/list_owner.h
+++ b/src/fleet/duty/list_owner.h
@@ -1,6 +1,7 @@
-// Who owns the duty "list": watches discovery for the whole tier and reports to the keepers' machine (list.h). A core
-// without I/O: one question to discovery or one report is out at a time, and none is asked before the round that it is
-// to close is known. Times are the process's monotonic clock. Not for several threads at once.
+// Who owns the duty "list": watches discovery for the whole tier and reports to the keepers' machine
+// (list.h). A core without I/O: one question to discovery or one report is out at a time, and none is asked
+// before the round that it is to close is known. Times are the process's monotonic clock. Not for several
+// threads at once.
 #pragma once
 
 #include <variant>
@@ -10,11 +11,12 @@
 namespace ochrehub::duty::list {
 
 struct OwnerSettings {
-    Duration wait{2000};         ///< what a watch asks for: so often nodes hear that the list still stands
-    Duration late{2500};         ///< how much later discovery may answer
-    Duration again{500};  ///< a report that was not answered is said again; zero: whoever carries it sees to that
+    Duration wait{2000};  ///< what a watch asks for: so often nodes hear that the list still stands
+    Duration late{2500};  ///< how much later discovery may answer
+    Duration again{
+        500};  ///< a report that was not answered is said again; zero: whoever carries it sees to that
     Duration first{250}, most{1200};  ///< behind a failed question
-    Duration patience{2500};     ///< discovery has answered nothing for so long: another may reach it
+    Duration patience{2500};          ///< discovery has answered nothing for so long: another may reach it
 };
 
 // ---- What happens
--- a/src/fleet/duty/machine.cpp
+++ b/src/fleet/duty/machine.cpp
@@ -9,8 +9,12 @@
 
 namespace {
 
-std::string octets(const wire::Command& command) { return command.SerializeAsString(); }
-bool is_job(std::string_view name) { return name.find('/') != std::string_view::npos; }
+std::string octets(const wire::Command& command) {
+    return command.SerializeAsString();
+}
+bool is_job(std::string_view name) {
+    return name.find('/') != std::string_view::npos;
+}
 bool parse(google::protobuf::MessageLite& message, std::string_view bytes) {
     return bytes.size() <= (64u << 20) && message.ParseFromArray(bytes.data(), int(bytes.size()));
 }
@@ -117,7 +121,8 @@
         if (duty.owner != 0 && !duty.give_back) ask_back(duty);
         return answer;
     }
-    if (command.session == 0 && !(in.has_over() && duty.owner == 0)) return {Error::NotOwner, *name, duty.epoch};
+    if (command.session == 0 && !(in.has_over() && duty.owner == 0))
+        return {Error::NotOwner, *name, duty.epoch};
     if (in.has_unwant()) {
         // An owner that wants it no more keeps it until it says that it has come to rest.
         if (duty.wanted.erase(command.session) == 0) return answer;
@@ -127,7 +132,9 @@
         drop_if_idle(it);
         return answer;
     }
-    const Epoch epoch = in.has_over() ? in.over().epoch() : in.has_end() ? in.end().epoch() : in.give_up().epoch();
+    const Epoch epoch = in.has_over()  ? in.over().epoch()
+                        : in.has_end() ? in.end().epoch()
+                                       : in.give_up().epoch();
     if (duty.owner != command.session || (command.session != 0 && duty.epoch != epoch))
         return {Error::NotOwner, *name, duty.epoch};
     if ((in.has_over() || in.has_end()) && !is_job(*name))
@@ -305,7 +312,8 @@
         for (const std::string& name : known->second.owned) {
             const Duty& duty = duties_.find(name)->second;
             wire::Owned& one = *news.add_owned();
-            one.set_name(name), one.set_epoch(duty.epoch), one.set_give_back(duty.give_back), one.set_ended(duty.ended);
+            one.set_name(name), one.set_epoch(duty.epoch), one.set_give_back(duty.give_back),
+                one.set_ended(duty.ended);
         }
     return news.SerializeAsString();
 }
@@ -345,7 +353,8 @@
         auto [it, fresh] = duties.try_emplace(one.name());
         if (!fresh || !named(one.name(), true) || one.epoch() > in.epochs()) return false;
         Duty& duty = it->second;
-        duty.epoch = one.epoch(), duty.owner = one.owner(), duty.give_back = one.give_back(), duty.ended = one.ended();
+        duty.epoch = one.epoch(), duty.owner = one.owner(), duty.give_back = one.give_back(),
+        duty.ended = one.ended();
         for (const wire::Wanted& wanted : one.wanted()) duty.wanted[wanted.session()] = wanted.weight();
         wants += duty.wanted.size();
         if (duty.owner == 0) continue;
--- a/src/fleet/duty/machine.h
+++ b/src/fleet/duty/machine.h
@@ -1,13 +1,15 @@
-// The keepers' machine of duties: for each piece of work one owner at a time, a session, under an epoch. Epochs of all
-// duties come from one counter that never goes back, so that a duty which vanished and came again is granted under a
-// higher one than ever before, and a receiver may forget single duties behind a bound (fence::Fence::retire).
+// The keepers' machine of duties: for each piece of work one owner at a time, a session, under an epoch.
+// Epochs of all duties come from one counter that never goes back, so that a duty which vanished and came
+// again is granted under a higher one than ever before, and a receiver may forget single duties behind a
+// bound (fence::Fence::retire).
 //
-// Two kinds: a standing duty has a name and is there while somebody wants it; a job is opened, is named by a number
-// that is never given twice, ends once (`end_job`: from then on nothing of it is done, its owner only tells the
-// receivers to retire it), and is then over for good. An owner is named where somebody wants the duty: who would have
-// fewest for its weight, then the older session. Who has so many that with one less it still has no less than another
-// would with one more, for their weights, is asked to give one back, of many an eighth at a time; the next owner is
-// named by the command that says the old one has come to rest, or by the end of the old one's session.
+// Two kinds: a standing duty has a name and is there while somebody wants it; a job is opened, is named by a
+// number that is never given twice, ends once (`end_job`: from then on nothing of it is done, its owner only
+// tells the receivers to retire it), and is then over for good. An owner is named where somebody wants the
+// duty: who would have fewest for its weight, then the older session. Who has so many that with one less it
+// still has no less than another would with one more, for their weights, is asked to give one back, of many
+// an eighth at a time; the next owner is named by the command that says the old one has come to rest, or by
+// the end of the old one's session.
 //
 // No time in it: sessions end by the leader's count (keeper/machine.h). Not for several threads at once.
 #pragma once
@@ -30,9 +32,9 @@
 
 struct Limits {  ///< part of the replicated rules: the same at every keeper
     std::size_t duties = 10'000;
-    std::size_t wants = 1'000;         ///< of one duty
-    std::size_t wants_all = 200'000;   ///< of all
-    std::size_t name = 64;      ///< octets, the fence's too
+    std::size_t wants = 1'000;        ///< of one duty
+    std::size_t wants_all = 200'000;  ///< of all
+    std::size_t name = 64;            ///< octets, the fence's too
 };
 
 // Commands as octets. Answers and news are read by `read_answer` and `read_news`.
--- a/src/fleet/duty/owner.cpp
+++ b/src/fleet/duty/owner.cpp
@@ -23,42 +23,41 @@
 
 void Owner::handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions) {
     look_at_clock(now, actions);
-    std::visit(
-        overloaded{
-            [&](const SessionHeld& e) { held(now, e, actions); },
-            [&](const SessionLost&) { lost(actions); },
-            [&](const Heard& e) { heard(now, e, actions); },
-            [&](const Answered& e) { answered(now, e, actions); },
-            [&](const WantDuty& e) {
-                if (leaving_) return;
-                Wish& mine = wishes_[e.name];
-                if (mine.weight != e.weight) mine = {e.weight, false};
-                wish(now, actions);
-            },
-            [&](const UnwantDuty& e) { unwant(now, e.name, actions); },
-            [&](const Stopped& e) { stopped(now, e, actions); },
-            [&](const JobDone& e) { job_done(now, e, actions); },
-            [&](const Told& e) { told(now, e, actions); },
-            [&](const HandBack& e) {
-                auto it = works_.find(e.name);
-                if (it == works_.end() || it->second.epoch != e.epoch || it->second.stopping) return;
-                it->second.give_up = true;
-                stop(it, Why::GiveBack, actions);
-            },
-            [&](const Leave&) {
-                leaving_ = true;
-                while (!wishes_.empty()) unwant(now, std::string(wishes_.begin()->first), actions);
-            },
-            [&](const Woken&) {
-                if (!lease(now) || set_.again <= Duration{0}) return;
-                for (auto& [number, waiting] : waiting_)
-                    if (waiting.again <= now) {
-                        waiting.again = now + set_.again;
-                        actions.push_back(Say{number, session_, waiting.command});
-                    }
-            },
-        },
-        event);
+    std::visit(overloaded{
+                   [&](const SessionHeld& e) { held(now, e, actions); },
+                   [&](const SessionLost&) { lost(actions); },
+                   [&](const Heard& e) { heard(now, e, actions); },
+                   [&](const Answered& e) { answered(now, e, actions); },
+                   [&](const WantDuty& e) {
+                       if (leaving_) return;
+                       Wish& mine = wishes_[e.name];
+                       if (mine.weight != e.weight) mine = {e.weight, false};
+                       wish(now, actions);
+                   },
+                   [&](const UnwantDuty& e) { unwant(now, e.name, actions); },
+                   [&](const Stopped& e) { stopped(now, e, actions); },
+                   [&](const JobDone& e) { job_done(now, e, actions); },
+                   [&](const Told& e) { told(now, e, actions); },
+                   [&](const HandBack& e) {
+                       auto it = works_.find(e.name);
+                       if (it == works_.end() || it->second.epoch != e.epoch || it->second.stopping) return;
+                       it->second.give_up = true;
+                       stop(it, Why::GiveBack, actions);
+                   },
+                   [&](const Leave&) {
+                       leaving_ = true;
+                       while (!wishes_.empty()) unwant(now, std::string(wishes_.begin()->first), actions);
+                   },
+                   [&](const Woken&) {
+                       if (!lease(now) || set_.again <= Duration{0}) return;
+                       for (auto& [number, waiting] : waiting_)
+                           if (waiting.again <= now) {
+                               waiting.again = now + set_.again;
+                               actions.push_back(Say{number, session_, waiting.command});
+                           }
+                   },
+               },
+               event);
     see_whether_left(actions);
     if (!lease(now)) return;
     TimePoint at = until_ - set_.margin;
@@ -139,7 +138,8 @@
                 actions.push_back(Begin{one.name, one.epoch});
         } else {  // nothing of it ever ran here, or it has come to rest
             given_up_[one.name] = one.epoch;
-            say(now, {give_up(one.name, one.epoch, wished), one.name, Waiting::Kind::GiveUp, one.epoch, {}}, actions);
+            say(now, {give_up(one.name, one.epoch, wished), one.name, Waiting::Kind::GiveUp, one.epoch, {}},
+                actions);
         }
     }
 }
@@ -152,10 +152,12 @@
     bool wished = wishes_.contains(event.name);
     if (session_ == 0 || (!work.give_up && wished)) return;
     given_up_[event.name] = work.epoch;
-    say(now, {give_up(event.name, work.epoch, wished), event.name, Waiting::Kind::GiveUp, work.epoch, {}}, actions);
+    say(now, {give_up(event.name, work.epoch, wished), event.name, Waiting::Kind::GiveUp, work.epoch, {}},
+        actions);
 }
 
-// It is no work any more from here on: `may` says no, and news of it as it was a moment ago does not begin it again.
+// It is no work any more from here on: `may` says no, and news of it as it was a moment ago does not begin it
+// again.
 void Owner::job_done(TimePoint now, const JobDone& event, OwnerActions& actions) {
     auto it = works_.find(event.name);
     if (it == works_.end() || it->second.epoch != event.epoch || it->second.stopping || session_ == 0) return;
@@ -170,7 +172,8 @@
         return;
     works_.erase(it);
     given_up_[event.name] = event.epoch;
-    say(now, {over_for_good(event.name, event.epoch), event.name, Waiting::Kind::Over, event.epoch, {}}, actions);
+    say(now, {over_for_good(event.name, event.epoch), event.name, Waiting::Kind::Over, event.epoch, {}},
+        actions);
 }
 
 void Owner::unwant(TimePoint now, std::string_view duty, OwnerActions& actions) {
--- a/src/fleet/duty/owner.h
+++ b/src/fleet/duty/owner.h
@@ -1,7 +1,7 @@
-// The process's side of duties, as a core without I/O: what it may do under which epoch, by its session with the
-// keepers and its own clock. Whoever runs it hands in the session's events and carries out what it says; what is done
-// under a duty asks `may` before each effect, bears the epoch, and is refused by the receiver's fence where the epoch
-// is old.
+// The process's side of duties, as a core without I/O: what it may do under which epoch, by its session with
+// the keepers and its own clock. Whoever runs it hands in the session's events and carries out what it says;
+// what is done under a duty asks `may` before each effect, bears the epoch, and is refused by the receiver's
+// fence where the epoch is old.
 //
 // - It stops a margin before the session's end by its own clock, whatever else happens.
 // - Behind a pause it looks at the clock before it takes in anything: the first thing said is Stop.
@@ -20,9 +20,10 @@
 namespace ochrehub::duty {
 
 struct OwnerSettings {
-    Duration margin{
-        80};  ///< before the session's end: a hundredth of the lease and 50 ms; zero where the session's `until` has it
-    Duration again{500};  ///< a command that was not answered is said again; zero: whoever carries it sees to that
+    Duration margin{80};  ///< before the session's end: a hundredth of the lease and 50 ms; zero where the
+                          ///< session's `until` has it
+    Duration again{
+        500};  ///< a command that was not answered is said again; zero: whoever carries it sees to that
 };
 
 enum class Why {
@@ -55,8 +56,8 @@
 struct UnwantDuty {
     std::string name;
 };
-struct Stopped {  ///< what was begun under this epoch has come to rest: nothing is on its way any more that it would
-                  ///< send again
+struct Stopped {  ///< what was begun under this epoch has come to rest: nothing is on its way any more that
+                  ///< it would send again
     std::string name;
     Epoch epoch = 0;
 };
@@ -74,8 +75,8 @@
 };
 struct Leave {};  ///< the process is going: all is stopped and handed over
 struct Woken {};
-using OwnerEvent = std::variant<SessionHeld, SessionLost, Heard, Answered, WantDuty, UnwantDuty, Stopped, JobDone, Told,
-                                HandBack, Leave, Woken>;
+using OwnerEvent = std::variant<SessionHeld, SessionLost, Heard, Answered, WantDuty, UnwantDuty, Stopped,
+                                JobDone, Told, HandBack, Leave, Woken>;
 
 // ---- What is to be done about it
 struct Begin {
@@ -96,8 +97,8 @@
     std::string name;
     Error error{};
 };
-struct Retire {  ///< the keepers have written down that the job has ended: receivers are told `retire` under this
-                 ///< epoch, then Told
+struct Retire {  ///< the keepers have written down that the job has ended: receivers are told `retire` under
+                 ///< this epoch, then Told
     std::string name;
     Epoch epoch = 0;
 };
@@ -114,7 +115,8 @@
 
     void handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions);
 
-    /// Before each effect: the epoch that it bears. None: not now. The clock is this moment's, not the turn's.
+    /// Before each effect: the epoch that it bears. None: not now. The clock is this moment's, not the
+    /// turn's.
     std::optional<Epoch> may(TimePoint now, std::string_view duty) const;
     SessionId session() const { return session_; }
     std::size_t running() const;
--- a/src/fleet/error/error.h
+++ b/src/fleet/error/error.h
@@ -1,5 +1,6 @@
-// Errors with types. A room has a closed set of its own (`enum class Error`) and a row for each, found by `row(error)`. What is
-// told to people, to `--json` and in answers is the row's stable code, never a text that somebody compares.
+// Errors with types. A room has a closed set of its own (`enum class Error`) and a row for each, found by
+// `row(error)`. What is told to people, to `--json` and in answers is the row's stable code, never a text
+// that somebody compares.
 #pragma once
 
 #include <string>
--- a/src/fleet/error/rows.h
+++ b/src/fleet/error/rows.h
@@ -1,5 +1,5 @@
-// All errors of a room, counted by the compiler: for the table in docs/errors.md and whoever else needs each of them. A room
-// whose `Error` begins at zero or one and leaves no gap needs nothing but its `row`.
+// All errors of a room, counted by the compiler: for the table in docs/errors.md and whoever else needs each
+// of them. A room whose `Error` begins at zero or one and leaves no gap needs nothing but its `row`.
 #pragma once
 
 #include <array>
@@ -23,7 +23,8 @@
 template <auto Value>
 constexpr bool named() {
     std::string_view text = written<Value>();
-    return !(text.back() >= '0' && text.back() <= '9' && text.substr(0, text.find_last_not_of("0123456789") + 1).back() == ')');
+    return !(text.back() >= '0' && text.back() <= '9' &&
+             text.substr(0, text.find_last_not_of("0123456789") + 1).back() == ')');
 }
 /// The first number that has an error's name, and the first behind it that has none.
 template <class E>
@@ -52,8 +53,10 @@
 std::array<NamedRow, kErrorsOf<E>> rows_of() {
     return []<std::size_t... I>(std::index_sequence<I...>) {
         auto last = [](std::string_view text) { return text.substr(text.rfind(':') + 1); };
-        return std::array<NamedRow, sizeof...(I)>{NamedRow{last(detail::written<E(I + detail::kFirst<E>)>()), row(E(I + detail::kFirst<E>))}...};
-    }(std::make_index_sequence<kErrorsOf<E>>());
+        return std::array<NamedRow, sizeof...(I)>{
+            NamedRow{last(detail::written<E(I + detail::kFirst<E>)>()), row(E(I + detail::kFirst<E>))}...};
+    }
+    (std::make_index_sequence<kErrorsOf<E>>());
 }
 
 }  // namespace ochrehub::fleet
--- a/src/fleet/fence/fence.cpp
+++ b/src/fleet/fence/fence.cpp
@@ -5,8 +5,8 @@
 namespace ochrehub::fence {
 
 std::string_view name(Verdict verdict) {
-    constexpr std::string_view kNames[] = {"do", "done", "doing", "never", "stale", "settled", "full", "not yet", "malformed",
-                                            "behind", "retired"};
+    constexpr std::string_view kNames[] = {"do",   "done",    "doing",     "never",  "stale",  "settled",
+                                           "full", "not yet", "malformed", "behind", "retired"};
     return kNames[std::size_t(verdict)];
 }
 
@@ -71,10 +71,10 @@
     Duty* duty = enter(name, epoch, step, answer);
     if (!duty) return answer;
     auto found = duty->steps.find(step);
-    answer.verdict = step <= duty->settled              ? Verdict::Settled
-                     : found == duty->steps.end()       ? Verdict::Never
-                     : found->second.done               ? Verdict::Done
-                                                        : Verdict::Doing;
+    answer.verdict = step <= duty->settled        ? Verdict::Settled
+                     : found == duty->steps.end() ? Verdict::Never
+                     : found->second.done         ? Verdict::Done
+                                                  : Verdict::Doing;
     if (found != duty->steps.end()) answer.outcome = found->second.outcome;
     return answer;
 }
@@ -212,7 +212,8 @@
     for (const auto& [name, duty] : duties_) {
         if (duty.epoch > 0) all.push_back(record(Kind::Epoch, name, duty.epoch, {}));
         if (duty.settled > 0) all.push_back(record(Kind::Settled, name, duty.settled, {}));
-        for (const auto& [number, step] : duty.steps) all.push_back(record(step.done ? Kind::Done : Kind::Begun, name, number, step.outcome));
+        for (const auto& [number, step] : duty.steps)
+            all.push_back(record(step.done ? Kind::Done : Kind::Begun, name, number, step.outcome));
     }
     return all;
 }
--- a/src/fleet/keeper/asking.cpp
+++ b/src/fleet/keeper/asking.cpp
@@ -8,7 +8,9 @@
 
 namespace ochrehub::keeper {
 
-std::map<std::string, std::string> ask_each(const AskSettings& settings, const std::vector<std::string>& addresses, const std::string& ask) {
+std::map<std::string, std::string> ask_each(const AskSettings& settings,
+                                            const std::vector<std::string>& addresses,
+                                            const std::string& ask) {
     boost::asio::io_context io{1};
     AsioScheduler scheduler(io);
     std::random_device device;
@@ -31,7 +33,8 @@
     };
     std::map<std::string, int> failed;
     mesh.unreached = [&](const std::string& address, channel::Error) {
-        ++failed[address];  // it is dialled again; a command waits no longer than for a second refusal of each
+        ++failed[address];  // it is dialled again; a command waits no longer than for a second refusal of
+                            // each
         std::size_t settled = answers.size();
         for (const auto& [each, times] : failed) settled += times >= 2 && !answers.contains(each);
         if (settled >= addresses.size()) io.stop();
--- a/src/fleet/keeper/asking.h
+++ b/src/fleet/keeper/asking.h
@@ -15,7 +15,10 @@
     Duration patience{3000};
 };
 
-/// The answers (wire::Answer) of those that gave one in time, by address. Blocks for no longer than `patience`.
-std::map<std::string, std::string> ask_each(const AskSettings& settings, const std::vector<std::string>& addresses, const std::string& ask);
+/// The answers (wire::Answer) of those that gave one in time, by address. Blocks for no longer than
+/// `patience`.
+std::map<std::string, std::string> ask_each(const AskSettings& settings,
+                                            const std::vector<std::string>& addresses,
+                                            const std::string& ask);
 
 }  // namespace ochrehub::keeper
--- a/src/fleet/keeper/machine.h
+++ b/src/fleet/keeper/machine.h
@@ -1,11 +1,12 @@
-// What a majority of keepers agrees on, one small machine a matter: duties, documents, views, budgets, levels. A machine is
-// deterministic and knows no time: the same commands in the same order give the same state and the same answers at every
-// keeper, of every release that speaks its schema. Time is the leader's alone: it counts what a machine has `armed`, on its
-// monotonic clock and from after it became leader or saw it armed, and proposes what the machine makes of its end.
+// What a majority of keepers agrees on, one small machine a matter: duties, documents, views, budgets,
+// levels. A machine is deterministic and knows no time: the same commands in the same order give the same
+// state and the same answers at every keeper, of every release that speaks its schema. Time is the leader's
+// alone: it counts what a machine has `armed`, on its monotonic clock and from after it became leader or saw
+// it armed, and proposes what the machine makes of its end.
 //
-// Processes hold what they hold through a session: one lease, renewed by one call for all. A process counts it from before it
-// asked and stops a margin early; the leader counts from after the renewal was applied. A new leader gives each session and each
-// armed time its whole length again.
+// Processes hold what they hold through a session: one lease, renewed by one call for all. A process counts
+// it from before it asked and stops a margin early; the leader counts from after the renewal was applied. A
+// new leader gives each session and each armed time its whole length again.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,8 @@
     std::string_view body;  ///< the machine's own protobuf
 };
 
-/// A time that the leader counts. The same (key, revision) goes on being counted; another revision begins anew.
+/// A time that the leader counts. The same (key, revision) goes on being counted; another revision begins
+/// anew.
 struct Armed {
     std::uint64_t key = 0, revision = 0;
     Duration length{};
@@ -35,12 +37,13 @@
 public:
     virtual ~Machine() = default;
 
-    virtual std::string_view kind() const = 0;   ///< its name in commands, snapshots and figures
-    virtual std::uint32_t schema() const = 0;    ///< of its snapshots and commands
+    virtual std::string_view kind() const = 0;  ///< its name in commands, snapshots and figures
+    virtual std::uint32_t schema() const = 0;   ///< of its snapshots and commands
 
     /// Never throws for what a command says: a command that is wrong has an answer that says so.
     virtual std::string apply(const Command& command) = 0;
-    /// Answers a question without changing anything. Asked at the leader, with all in it that was answered before the question.
+    /// Answers a question without changing anything. Asked at the leader, with all in it that was answered
+    /// before the question.
     virtual std::string read(std::string_view /*question*/) const { return {}; }
     virtual void session_began(SessionId session, std::string_view name, std::string_view zone) = 0;
     /// Whoever had it holds nothing any more.
--- a/src/fleet/keeper/process.cpp
+++ b/src/fleet/keeper/process.cpp
@@ -19,11 +19,16 @@
 
 const char* worded(raft::Role role) {
     switch (role) {
-        case raft::Role::Follower: return "follows";
-        case raft::Role::PreCandidate: return "asks whether it might lead";
-        case raft::Role::Candidate: return "asks for votes";
-        case raft::Role::Leader: return "leads";
-        case raft::Role::Learner: return "learns";
+        case raft::Role::Follower:
+            return "follows";
+        case raft::Role::PreCandidate:
+            return "asks whether it might lead";
+        case raft::Role::Candidate:
+            return "asks for votes";
+        case raft::Role::Leader:
+            return "leads";
+        case raft::Role::Learner:
+            return "learns";
     }
     return "";
 }
@@ -43,19 +48,27 @@
     return mesh;
 }
 
-KeeperProcess::KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler, const ProcessSettings& settings, MakeMachines machines)
+KeeperProcess::KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler,
+                             const ProcessSettings& settings, MakeMachines machines)
     : io_(io),
       scheduler_(scheduler),
       set_(settings),
-      storing_(std::make_unique<Storing>(std::make_unique<store::PosixFiles>(settings.folder),
-                                         Storing::Settings{{folder_cluster(settings.cluster)}, settings.begin, settings.members})),
+      storing_(std::make_unique<Storing>(
+          std::make_unique<store::PosixFiles>(settings.folder),
+          Storing::Settings{{folder_cluster(settings.cluster)}, settings.begin, settings.members})),
       disk_(storing_->disk()),
       raft_(settings.raft, disk_, draw()),
-      replica_(settings.replica, std::move(machines),
-               [this](TimePoint now, const raft::Event& event, raft::Actions& actions) { raft_.handle(now, event, actions); }, disk_),
+      replica_(
+          settings.replica, std::move(machines),
+          [this](TimePoint now, const raft::Event& event, raft::Actions& actions) {
+              raft_.handle(now, event, actions);
+          },
+          disk_),
       mesh_(io, scheduler, settings.listen, mesh_settings(settings, draw()), draw()) {
     if (!disk_.trusted)
-        log(LogLevel::Warn, "keeper: something that was promised is not in the folder: it does not vote until others have told what they know",
+        log(LogLevel::Warn,
+            "keeper: something that was promised is not in the folder: it does not vote until others have "
+            "told what they know",
             {{"folder", set_.folder}});
     disk_ = {};
     mesh_.up = [this](const channel::Peer& peer) {
@@ -85,8 +98,11 @@
             if (*alive) what();
         });
     };
-    storing_->start([this, on_loop](std::uint64_t number) { on_loop([this, number] { handle(Written{number}); }); },
-                    [this, on_loop](int why) { on_loop([this, why] { stop(Error::Broken, set_.folder + ": " + std::strerror(why)); }); });
+    storing_->start(
+        [this, on_loop](std::uint64_t number) { on_loop([this, number] { handle(Written{number}); }); },
+        [this, on_loop](int why) {
+            on_loop([this, why] { stop(Error::Broken, set_.folder + ": " + std::strerror(why)); });
+        });
     meet(raft_.members().empty() ? set_.members : raft_.members());
     handle(Woken{});
 }
@@ -135,10 +151,12 @@
     }
     if (!among) log(LogLevel::Info, "keeper: not among the members", {{"number", set_.raft.self}});
     for (const auto& [id, address] : dialled_)
-        if (auto still = wanted.find(id); still == wanted.end() || still->second != address) mesh_.drop(address);
+        if (auto still = wanted.find(id); still == wanted.end() || still->second != address)
+            mesh_.drop(address);
     for (const auto& [id, address] : wanted)
         if (auto was = dialled_.find(id); was == dialled_.end() || was->second != address)
-            if (!mesh_.dial(address)) log(LogLevel::Error, "keeper: no address:", {{"number", id}, {"address", address}});
+            if (!mesh_.dial(address))
+                log(LogLevel::Error, "keeper: no address:", {{"number", id}, {"address", address}});
     dialled_ = std::move(wanted);
 }
 
--- a/src/fleet/keeper/process.h
+++ b/src/fleet/keeper/process.h
@@ -1,5 +1,5 @@
-// A keeper as a process runs it: Replica over Raft, the folder on a thread of its own, connections to the other keepers and to
-// whoever asks. On its loop's thread; it decides nothing.
+// A keeper as a process runs it: Replica over Raft, the folder on a thread of its own, connections to the
+// other keepers and to whoever asks. On its loop's thread; it decides nothing.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,27 +19,29 @@
 namespace ochrehub::keeper {
 
 struct ProcessSettings {
-    raft::Settings raft;                            ///< its `self` is this keeper's number
+    raft::Settings raft;  ///< its `self` is this keeper's number
     ReplicaSettings replica;
     channel::Mesh::Endpoint listen;
     std::string name, zone, cluster, folder;
     std::vector<std::string> keys;
-    std::map<raft::KeeperId, std::string> reach;    ///< where others are dialled, instead of where they say
-    raft::Members members;                          ///< of the cluster's beginning
+    std::map<raft::KeeperId, std::string> reach;  ///< where others are dialled, instead of where they say
+    raft::Members members;                        ///< of the cluster's beginning
     Begin begin = Begin::Again;
     std::uint32_t release = 0;
-    std::size_t asking = 4096;                      ///< connections of processes
+    std::size_t asking = 4096;  ///< connections of processes
 };
 
 class KeeperProcess {
 public:
     /// Opens its folder and listens. Throws what Storing and Mesh throw.
-    KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler, const ProcessSettings& settings, MakeMachines machines);
+    KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler, const ProcessSettings& settings,
+                  MakeMachines machines);
     ~KeeperProcess();
     KeeperProcess(const KeeperProcess&) = delete;
 
     void start();
-    /// It can't go on: its disk failed, or others have written what it does not know. Called once; end the process then.
+    /// It can't go on: its disk failed, or others have written what it does not know. Called once; end the
+    /// process then.
     std::function<void(Error, const std::string& about)> stopped;
 
     channel::Mesh::Endpoint at() const { return mesh_.at(); }
