--- a/src/fleet/keeper/replica.cpp
+++ b/src/fleet/keeper/replica.cpp
@@ -8,8 +8,8 @@
 namespace ochrehub::keeper {
 namespace {
 
-constexpr Duration kLate{250};    // woken so much behind its time, the process stood still: nobody could renew
-constexpr Duration kAgain{100};   // after a proposal that found no room
+constexpr Duration kLate{250};   // woken so much behind its time, the process stood still: nobody could renew
+constexpr Duration kAgain{100};  // after a proposal that found no room
 constexpr int kSessionsTold = 1000;
 
 template <class... F>
@@ -21,11 +21,16 @@
 
 std::string_view name(raft::Role role) {
     switch (role) {
-        case raft::Role::Follower: return "follower";
-        case raft::Role::PreCandidate: return "pre-candidate";
-        case raft::Role::Candidate: return "candidate";
-        case raft::Role::Leader: return "leader";
-        case raft::Role::Learner: return "learner";
+        case raft::Role::Follower:
+            return "follower";
+        case raft::Role::PreCandidate:
+            return "pre-candidate";
+        case raft::Role::Candidate:
+            return "candidate";
+        case raft::Role::Leader:
+            return "leader";
+        case raft::Role::Learner:
+            return "learner";
     }
     return "";
 }
@@ -40,12 +45,18 @@
 
 Error translated(raft::Error error) {
     switch (error) {
-        case raft::Error::NotLeader: return Error::NotLeader;
-        case raft::Error::Busy: return Error::Busy;
-        case raft::Error::Changing: return Error::Changing;
-        case raft::Error::Lost: return Error::Uncertain;
-        case raft::Error::Unknown: return Error::UnknownMember;
-        case raft::Error::Last: return Error::LastVoter;
+        case raft::Error::NotLeader:
+            return Error::NotLeader;
+        case raft::Error::Busy:
+            return Error::Busy;
+        case raft::Error::Changing:
+            return Error::Changing;
+        case raft::Error::Lost:
+            return Error::Uncertain;
+        case raft::Error::Unknown:
+            return Error::UnknownMember;
+        case raft::Error::Last:
+            return Error::LastVoter;
     }
     return Error::Uncertain;
 }
@@ -53,7 +64,10 @@
 }  // namespace
 
 Replica::Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree, const raft::Disk& disk)
-    : set_(settings), agree_(std::move(agree)), state_(settings.bounds, std::move(machines)), trusted_(disk.trusted) {
+    : set_(settings),
+      agree_(std::move(agree)),
+      state_(settings.bounds, std::move(machines)),
+      trusted_(disk.trusted) {
     members_ = disk.snapshot ? disk.snapshot->members : disk.members;
 }
 
@@ -64,12 +78,15 @@
         return;
     }
     // Before anything else: while this one stood still nobody could renew.
-    if (leads() && wake_ != TimePoint::max() && now - wake_ > kLate) sessions_.put_off(now - wake_), armed_.put_off(now - wake_);
+    if (leads() && wake_ != TimePoint::max() && now - wake_ > kLate)
+        sessions_.put_off(now - wake_), armed_.put_off(now - wake_);
     std::visit(Overloaded{[&](const Woken&) {
                               if (now_ >= raft_wake_) raft_wake_ = TimePoint::max();
                               raft(raft::Woken{});
                           },
-                          [&](const FromKeeper& from) { raft(raft::Received{from.from, from.message}); },
+                          [&](const FromKeeper& from) {
+                              raft(raft::Received{from.from, from.message});
+                          },
                           [&](const Written& written) { raft(raft::Written{written.number}); },
                           [&](const Asked& ask) { asked(ask); }},
                event);
@@ -129,12 +146,14 @@
                               if (found == waiting_.end()) return;
                               Waiting waiting = std::move(found->second);
                               waiting_.erase(found);
-                              // Behind the Applied of all up to its index, of which the last may be an entry of Raft's own.
+                              // Behind the Applied of all up to its index, of which the last may be an entry
+                              // of Raft's own.
                               ready(waiting);
                           },
                           [&](raft::Rejected& r) { rejected(r); },
                           [&](raft::Became& became) {
-                              bool anew = became.role == raft::Role::Leader && (!leads() || became.term != term_);
+                              bool anew =
+                                  became.role == raft::Role::Leader && (!leads() || became.term != term_);
                               bool down = leads() && became.role != raft::Role::Leader;
                               role_ = became.role, term_ = became.term, leader_ = became.leader;
                               if (anew) count_anew();
@@ -185,13 +204,15 @@
         wire::Answer told;
         told.set_call(what.call());
         wire::StatusIs& status = *told.mutable_status();
-        status.set_self(set_.self), status.set_role(std::string(name(role_))), status.set_term(term_), status.set_leader(leader_);
+        status.set_self(set_.self), status.set_role(std::string(name(role_))), status.set_term(term_),
+            status.set_leader(leader_);
         status.set_applied(applied_), status.set_trusted(trusted_), status.set_snapshot(snapshot_at_);
         add_members(members_, status);
         state_.each_session([&](const SessionInfo& info) {
             if (status.sessions_size() >= kSessionsTold) return;
             wire::Session& one = *status.add_sessions();
-            one.set_id(info.id), one.set_name(info.name), one.set_zone(info.zone), one.set_instance(info.instance);
+            one.set_id(info.id), one.set_name(info.name), one.set_zone(info.zone),
+                one.set_instance(info.instance);
             one.set_lease_ms(info.lease_ms), one.set_release(info.release);
             one.set_schema_least(info.schema_least), one.set_schema_most(info.schema_most);
         });
@@ -200,14 +221,17 @@
     }
     if (!leads()) return no(Error::NotLeader);
     if (waiting_.size() >= set_.asked) return no(Error::Busy);
-    Waiting waiting{.who = ask.who, .call = what.call(), .what = What::Open, .session = 0, .kind = {}, .body = {}};
+    Waiting waiting{
+        .who = ask.who, .call = what.call(), .what = What::Open, .session = 0, .kind = {}, .body = {}};
     wire::Entry entry;
     switch (what.what_case()) {
         case wire::Ask::kOpen: {
             const wire::Open& open = what.open();
             Duration lease{double(open.lease_ms())};
-            if (open.name().size() > set_.bounds.name || open.zone().size() > set_.bounds.name) return no(Error::TooLong);
-            if (open.name().empty() || lease < set_.lease_least || lease > set_.lease_most) return no(Error::Malformed);
+            if (open.name().size() > set_.bounds.name || open.zone().size() > set_.bounds.name)
+                return no(Error::TooLong);
+            if (open.name().empty() || lease < set_.lease_least || lease > set_.lease_most)
+                return no(Error::Malformed);
             *entry.mutable_open() = open;
             return propose(entry.SerializeAsString(), waiting);
         }
@@ -221,14 +245,16 @@
         case wire::Ask::kDo: {
             waiting.what = What::Do;
             // What was decided stays so, whoever leads.
-            if (auto before = state_.answered(what.do_().session(), what.do_().number())) return outcome(waiting, *before);
+            if (auto before = state_.answered(what.do_().session(), what.do_().number()))
+                return outcome(waiting, *before);
             Error wrong = what.do_().body().size() > set_.bounds.body ? Error::TooLong
                           : state_.machine(what.do_().kind())         ? Error::None
                                                                       : Error::UnknownKind;
             if (wrong != Error::None && what.do_().session() == 0) return no(wrong);
             *entry.mutable_do_() = what.do_();
             entry.mutable_do_()->set_refused(std::uint32_t(wrong));
-            // Its number is taken all the same: an earlier leader, of another release, may have carried it out.
+            // Its number is taken all the same: an earlier leader, of another release, may have carried it
+            // out.
             if (wrong != Error::None) entry.mutable_do_()->clear_kind(), entry.mutable_do_()->clear_body();
             return propose(entry.SerializeAsString(), waiting);
         }
@@ -240,7 +266,8 @@
             waiting.what = What::Change;
             std::uint64_t id = next_id_++;
             waiting_.emplace(id, std::move(waiting));
-            return raft(raft::Change{id, what.change().member(), what.change().add(), what.change().address()});
+            return raft(
+                raft::Change{id, what.change().member(), what.change().add(), what.change().address()});
         }
         case wire::Ask::kTransfer: {
             raft(raft::Transfer{what.transfer().to()});
@@ -249,7 +276,8 @@
             return answer(ask.who, begun);
         }
         case wire::Ask::kStatus:
-        case wire::Ask::WHAT_NOT_SET: break;
+        case wire::Ask::WHAT_NOT_SET:
+            break;
     }
     no(Error::Malformed);
 }
@@ -274,7 +302,8 @@
 
 void Replica::outcome(const Waiting& waiting, const Outcome& is) {
     using What = Waiting::What;
-    if (waiting.what == What::Over) return armed_.erase({std::size_t(waiting.session), waiting.key});  // still armed: it begins anew
+    if (waiting.what == What::Over)
+        return armed_.erase({std::size_t(waiting.session), waiting.key});  // still armed: it begins anew
     if (waiting.what == What::SessionOver) return sessions_.erase(waiting.session);
     if (is.error != Error::None) return refuse(waiting.who, waiting.call, is.error, leader_);
     wire::Answer done;
@@ -342,7 +371,8 @@
 }
 
 void Replica::count_session(SessionId id) {
-    if (const SessionInfo* info = state_.session(id); info && leads()) sessions_.set(id, now_ + Duration{double(info->lease_ms)});
+    if (const SessionInfo* info = state_.session(id); info && leads())
+        sessions_.set(id, now_ + Duration{double(info->lease_ms)});
 }
 
 void Replica::look_at_armed() {
@@ -385,15 +415,19 @@
         armed_.ending(key);
         wire::Entry entry;
         wire::Over& over = *entry.mutable_over();
-        over.set_kind(std::string(state_.machines()[key.first]->kind())), over.set_key(key.second), over.set_revision(revision);
+        over.set_kind(std::string(state_.machines()[key.first]->kind())), over.set_key(key.second),
+            over.set_revision(revision);
         Waiting waiting{};
-        waiting.what = What::Over, waiting.session = key.first, waiting.key = key.second, waiting.revision = revision;
+        waiting.what = What::Over, waiting.session = key.first, waiting.key = key.second,
+        waiting.revision = revision;
         propose(entry.SerializeAsString(), std::move(waiting));
     }
 }
 
 void Replica::snapshot_if_due() {
-    if (applied_ - snapshot_at_ < set_.snapshot_entries && octets_ < std::max(set_.snapshot_octets, snapshot_size_)) return;
+    if (applied_ - snapshot_at_ < set_.snapshot_entries &&
+        octets_ < std::max(set_.snapshot_octets, snapshot_size_))
+        return;
     std::string state = state_.snapshot();
     snapshot_size_ = state.size(), octets_ = 0, snapshot_at_ = applied_;
     ++snapshots_;
--- a/src/fleet/keeper/replica.h
+++ b/src/fleet/keeper/replica.h
@@ -1,11 +1,13 @@
-// One keeper without I/O: Raft, the state that all keepers hold alike, and the leader's own clock for what ends. It is handed
-// events with their time and returns what is to be sent, written and answered. Not for two threads.
+// One keeper without I/O: Raft, the state that all keepers hold alike, and the leader's own clock for what
+// ends. It is handed events with their time and returns what is to be sent, written and answered. Not for two
+// threads.
 //
-// Time. The leader counts a session from after its last renewal, a machine's armed time from when it first saw it, and both
-// anew from when it became leader; it proposes their ends. A renewal writes nothing: it is answered once the leader knows that it
-// was still leader after it was asked (Raft's read index). So any later leader came later than the process asked, and counts from
-// there on. Whoever is about to be ended is not renewed any more; and a leader hears of no read before all that leaders before it
-// had proposed is decided.
+// Time. The leader counts a session from after its last renewal, a machine's armed time from when it first
+// saw it, and both anew from when it became leader; it proposes their ends. A renewal writes nothing: it is
+// answered once the leader knows that it was still leader after it was asked (Raft's read index). So any
+// later leader came later than the process asked, and counts from there on. Whoever is about to be ended is
+// not renewed any more; and a leader hears of no read before all that leaders before it had proposed is
+// decided.
 #pragma once
 
 #include <cstdint>
@@ -31,10 +33,11 @@
     raft::KeeperId self = 0;
     Bounds bounds;
     Duration lease_least{500}, lease_most{60'000};
-    std::uint64_t snapshot_entries = 20'000;     ///< a snapshot after so many entries ...
-    std::size_t snapshot_octets = 16 << 20;      ///< ... or so many octets, or as many as the last one had, if that is more
-    std::size_t asked = 4096;                    ///< asks that wait for their answer; more are told Busy
-    Duration look{20};                           ///< least time between two looks at what machines have armed
+    std::uint64_t snapshot_entries = 20'000;  ///< a snapshot after so many entries ...
+    std::size_t snapshot_octets =
+        16 << 20;              ///< ... or so many octets, or as many as the last one had, if that is more
+    std::size_t asked = 4096;  ///< asks that wait for their answer; more are told Busy
+    Duration look{20};         ///< least time between two looks at what machines have armed
 };
 
 /// Raft as this one runs it. In a test something that errs on purpose may stand between.
@@ -49,23 +52,24 @@
 struct Written {
     std::uint64_t number = 0;
 };
-struct Asked {               ///< by a process or a command
-    std::uint64_t who = 0;   ///< its connection, for the answer
-    std::string body;        ///< wire::Ask
+struct Asked {              ///< by a process or a command
+    std::uint64_t who = 0;  ///< its connection, for the answer
+    std::string body;       ///< wire::Ask
 };
 using ReplicaEvent = std::variant<Woken, FromKeeper, Written, Asked>;
 
 // ---- What is to be done about it
 struct Answer {
     std::uint64_t who = 0;
-    std::string body;        ///< wire::Answer
+    std::string body;  ///< wire::Answer
 };
-struct Stop {                ///< nothing else is to be done: this keeper can't go on
+struct Stop {  ///< nothing else is to be done: this keeper can't go on
     Error error{};
     std::string about;
 };
 /// Of raft's: Send, Write, Became, MembersAre.
-using ReplicaAction = std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, Answer, Stop>;
+using ReplicaAction =
+    std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, Answer, Stop>;
 using ReplicaActions = std::vector<ReplicaAction>;
 
 /// What the leader counts, by key. What is being ended is in it without a time.
@@ -138,11 +142,11 @@
     std::uint64_t snapshots() const { return snapshots_; }  ///< taken here
 
 private:
-    struct Waiting {                 // for an entry to be applied, or for a read
+    struct Waiting {  // for an entry to be applied, or for a read
         std::uint64_t who = 0, call = 0;
         enum class What { Open, Do, Close, Renew, Look, Status, Change, SessionOver, Over } what{};
-        SessionId session = 0;       // of Renew, SessionOver
-        std::string kind, body;      // of Look
+        SessionId session = 0;   // of Renew, SessionOver
+        std::string kind, body;  // of Look
         std::uint64_t key = 0, revision = 0;
     };
     using ArmedKey = std::pair<std::size_t, std::uint64_t>;  // machine, key
--- a/src/fleet/keeper/session.cpp
+++ b/src/fleet/keeper/session.cpp
@@ -8,14 +8,16 @@
 namespace ochrehub::keeper {
 namespace {
 
-constexpr double kMarginPart = 0.01;  // of the lease: clocks of two machines may be so far apart in their rate
+constexpr double kMarginPart =
+    0.01;  // of the lease: clocks of two machines may be so far apart in their rate
 constexpr Duration kMargin{50};
-constexpr int kHops = 3;              // hints followed without a pause
-constexpr Duration kSilent{1500};     // so long nobody is sent back to one that did not answer
+constexpr int kHops = 3;           // hints followed without a pause
+constexpr Duration kSilent{1500};  // so long nobody is sent back to one that did not answer
 
 }  // namespace
 
-Session::Session(const SessionSettings& settings) : set_(settings), random_(settings.seed), keepers_(settings.keepers) {
+Session::Session(const SessionSettings& settings)
+    : set_(settings), random_(settings.seed), keepers_(settings.keepers) {
     if (!keepers_.empty()) target_ = keepers_[std::size_t(uniform() * double(keepers_.size()))];
 }
 
@@ -31,14 +33,31 @@
         if (session_ == 0)
             out_->push_back(Answered{submit->call, Error::NoSession, {}});
         else if (waiting() >= set_.waiting || submit->body.size() > set_.body)
-            out_->push_back(Answered{submit->call, waiting() >= set_.waiting ? Error::Busy : Error::TooLong, {}});
+            out_->push_back(
+                Answered{submit->call, waiting() >= set_.waiting ? Error::Busy : Error::TooLong, {}});
         else
-            commands_.push_back({submit->call, next_call_++, next_number_++, submit->kind, submit->body, false, false, {}, {}});
+            commands_.push_back({submit->call,
+                                 next_call_++,
+                                 next_number_++,
+                                 submit->kind,
+                                 submit->body,
+                                 false,
+                                 false,
+                                 {},
+                                 {}});
     } else if (const auto* question = std::get_if<Question>(&event)) {
         if (closed_ || waiting() >= set_.waiting)
             out_->push_back(Answered{question->call, closed_ ? Error::NoSession : Error::Busy, {}});
         else
-            questions_.push_back({question->call, next_call_++, 0, question->kind, question->body, false, false, {}, now_ + set_.question});
+            questions_.push_back({question->call,
+                                  next_call_++,
+                                  0,
+                                  question->kind,
+                                  question->body,
+                                  false,
+                                  false,
+                                  {},
+                                  now_ + set_.question});
     } else if (std::holds_alternative<CloseSession>(event) && !closed_) {
         closed_ = true;
         if (session_ != 0) {
@@ -63,7 +82,8 @@
 }
 
 Duration Session::backoff() {
-    double most = std::min(set_.backoff_most.count(), set_.backoff_least.count() * double(1 << std::min(failures_, 10)));
+    double most = std::min(set_.backoff_most.count(),
+                           set_.backoff_least.count() * double(1 << std::min(failures_, 10)));
     ++failures_;
     return Duration{most * (0.5 + 0.5 * uniform())};
 }
@@ -94,7 +114,8 @@
     ask.set_call(probe_.call);
     if (session_ == 0) {
         wire::Open& open = *ask.mutable_open();
-        open.set_name(set_.name), open.set_zone(set_.zone), open.set_instance(set_.instance), open.set_attempt(attempt_);
+        open.set_name(set_.name), open.set_zone(set_.zone), open.set_instance(set_.instance),
+            open.set_attempt(attempt_);
         open.set_lease_ms(std::uint32_t(set_.lease.count())), open.set_release(set_.release);
         open.set_schema_least(set_.schema_least), open.set_schema_most(set_.schema_most);
     } else {
@@ -146,7 +167,8 @@
     }
     TimePoint until = probe_.asked + set_.lease * (1 - kMarginPart) - kMargin;
     if (until <= now_) {
-        // Too late to be of use. A session that was opened so is asked for again under the same attempt, and counts from then.
+        // Too late to be of use. A session that was opened so is asked for again under the same attempt, and
+        // counts from then.
         try_at_ = now_;
         return;
     }
@@ -170,9 +192,11 @@
 }
 
 void Session::answered_command(const std::string& from, const wire::Answer& answer) {
-    auto at = std::find_if(commands_.begin(), commands_.end(), [&](const Sending& one) { return one.ours == answer.call(); });
+    auto at = std::find_if(commands_.begin(), commands_.end(),
+                           [&](const Sending& one) { return one.ours == answer.call(); });
     switch (auto error = Error(answer.error())) {
-        case Error::NoSession: return lose();
+        case Error::NoSession:
+            return lose();
         case Error::NotLeader:
         case Error::Busy:
         case Error::Uncertain:
@@ -188,7 +212,8 @@
 }
 
 void Session::answered_question(const std::string& from, const wire::Answer& answer) {
-    auto at = std::find_if(questions_.begin(), questions_.end(), [&](const Sending& one) { return one.ours == answer.call(); });
+    auto at = std::find_if(questions_.begin(), questions_.end(),
+                           [&](const Sending& one) { return one.ours == answer.call(); });
     auto error = Error(answer.error());
     if (error == Error::NotLeader || error == Error::Busy || error == Error::Uncertain) {
         at->sent = false;
@@ -253,7 +278,8 @@
         sooner(one.ends);
         if (found_) waits(one);
     }
-    for (const Sending& one : commands_) unsent |= !one.sent && one.number < commands_.front().number + set_.window;
+    for (const Sending& one : commands_)
+        unsent |= !one.sent && one.number < commands_.front().number + set_.window;
     if (found_ && unsent && resend_at_ > now_) sooner(resend_at_);
     if (at == wake_ && now_ < wake_) return;
     wake_ = at;
--- a/src/fleet/keeper/session.h
+++ b/src/fleet/keeper/session.h
@@ -1,10 +1,11 @@
-// A process's side of its session with the keepers, without I/O: finds the keeper that leads, opens, renews at a third of the
-// lease, and sends commands in order under numbers that do not change when they are sent again, so that each is carried out once.
-// Not for two threads; it never makes anybody wait.
+// A process's side of its session with the keepers, without I/O: finds the keeper that leads, opens, renews
+// at a third of the lease, and sends commands in order under numbers that do not change when they are sent
+// again, so that each is carried out once. Not for two threads; it never makes anybody wait.
 //
-// The lease is counted from before it was asked for, on the process's own clock, and ends a margin early (a hundredth and 50 ms).
-// Whatever happens, the clock is looked at first: behind a pause `Lost` is the first that its owner hears. Whoever acts on a
-// session compares `until` with the clock himself before each act; `Lost` only tells him sooner.
+// The lease is counted from before it was asked for, on the process's own clock, and ends a margin early (a
+// hundredth and 50 ms). Whatever happens, the clock is looked at first: behind a pause `Lost` is the first
+// that its owner hears. Whoever acts on a session compares `until` with the clock himself before each act;
+// `Lost` only tells him sooner.
 #pragma once
 
 #include <cstdint>
@@ -28,16 +29,16 @@
 struct SessionSettings {
     std::vector<std::string> keepers;  ///< addresses of some; others are learnt from answers
     std::string name, zone;
-    std::uint64_t instance = 0;        ///< drawn at the process's start
+    std::uint64_t instance = 0;  ///< drawn at the process's start
     std::uint32_t release = 0, schema_least = 0, schema_most = 0;
     Duration lease{3000};
-    Duration patience{400};            ///< with one keeper that does not answer
+    Duration patience{400};  ///< with one keeper that does not answer
     Duration backoff_least{50}, backoff_most{300};
-    Duration resend{1000};             ///< a command or question without an answer goes out again
-    Duration question{5000};           ///< after which a question is told Unreachable
-    std::size_t window = 32;           ///< commands on their way; keepers keep the answers of 64
-    std::size_t waiting = 4096;        ///< commands and questions not answered; more are told Busy
-    std::size_t body = 768 << 10;      ///< octets of a command
+    Duration resend{1000};         ///< a command or question without an answer goes out again
+    Duration question{5000};       ///< after which a question is told Unreachable
+    std::size_t window = 32;       ///< commands on their way; keepers keep the answers of 64
+    std::size_t waiting = 4096;    ///< commands and questions not answered; more are told Busy
+    std::size_t body = 768 << 10;  ///< octets of a command
     std::uint64_t seed = 1;
 };
 
@@ -46,32 +47,32 @@
 struct Heard {
     std::string from, body;  ///< an address; wire::Answer
 };
-struct Cut {                 ///< the connection to this address is gone, or there was none to be had
+struct Cut {  ///< the connection to this address is gone, or there was none to be had
     std::string from;
 };
 struct Submit {              ///< a command for a machine, under the session that is held
     std::uint64_t call = 0;  ///< chosen by whoever asks; comes back in Answered, once
     std::string kind, body;
 };
-struct Question {            ///< Machine::read at the leader; needs no session
+struct Question {  ///< Machine::read at the leader; needs no session
     std::uint64_t call = 0;
     std::string kind, body;
 };
-struct CloseSession {};      ///< hand it back; nothing is opened any more
+struct CloseSession {};  ///< hand it back; nothing is opened any more
 using SessionEvent = std::variant<SessionWoken, Heard, Cut, Submit, Question, CloseSession>;
 
 // ---- What is to be done about it
-struct Say {                 ///< connecting first where there is no connection
+struct Say {  ///< connecting first where there is no connection
     std::string to, body;
 };
-struct Held {                ///< from now on, or longer
+struct Held {  ///< from now on, or longer
     SessionId session = 0;
     TimePoint until;
 };
-struct Lost {                ///< nothing may be done under it any more
+struct Lost {  ///< nothing may be done under it any more
     SessionId session = 0;
 };
-struct News {                ///< as of the last renewal; each kind that has any, each time
+struct News {  ///< as of the last renewal; each kind that has any, each time
     std::string kind, bytes;
 };
 struct Answered {
@@ -79,7 +80,7 @@
     Error error = Error::None;  ///< NoSession: never sent; Uncertain: sent, and the session is over since
     std::string result;
 };
-struct SessionWakeAt {       ///< replaces what was asked for before
+struct SessionWakeAt {  ///< replaces what was asked for before
     TimePoint at;
 };
 using SessionAction = std::variant<Say, Held, Lost, News, Answered, SessionWakeAt>;
@@ -107,9 +108,9 @@
         std::uint64_t number = 0;  // of a command
         std::string kind, body;
         bool sent = false, ever = false;
-        TimePoint at{}, ends{};    // sent; of a question: after which nobody waits
+        TimePoint at{}, ends{};  // sent; of a question: after which nobody waits
     };
-    struct Probe {          // the one Open or Renew that is out
+    struct Probe {  // the one Open or Renew that is out
         std::uint64_t call = 0;
         TimePoint asked{};
         bool out = false, open = false;
--- a/src/fleet/keeper/session_side.cpp
+++ b/src/fleet/keeper/session_side.cpp
@@ -10,7 +10,8 @@
 namespace ochrehub::keeper {
 namespace {
 
-constexpr std::size_t kUnsent = 256;  // messages that wait for one connection; what is more goes again by itself
+constexpr std::size_t kUnsent =
+    256;  // messages that wait for one connection; what is more goes again by itself
 
 std::uint64_t draw() {
     std::random_device device;
@@ -29,8 +30,10 @@
 channel::MeshSettings SessionSide::mesh_settings(const SideSettings& settings) {
     channel::MeshSettings mesh;
     channel::Peer& self = mesh.channel.self;
-    self.name = settings.session.name, self.zone = settings.session.zone, self.instance = settings.session.instance;
-    self.release = settings.session.release, self.schema_least = settings.session.schema_least, self.schema_most = settings.session.schema_most;
+    self.name = settings.session.name, self.zone = settings.session.zone,
+    self.instance = settings.session.instance;
+    self.release = settings.session.release, self.schema_least = settings.session.schema_least,
+    self.schema_most = settings.session.schema_most;
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
     mesh.channel.keys = settings.keys;
     mesh.channel.idle = settings.session.lease / 6, mesh.channel.dead = settings.session.lease / 2;
@@ -90,11 +93,12 @@
 
 template <class Event>
 void SessionSide::ask(std::string kind, std::string body, Done done) {
-    boost::asio::post(io_, [this, kind = std::move(kind), body = std::move(body), done = std::move(done)]() mutable {
-        std::uint64_t call = next_call_++;
-        done_.emplace(call, std::move(done));
-        handle(Event{call, std::move(kind), std::move(body)});
-    });
+    boost::asio::post(
+        io_, [this, kind = std::move(kind), body = std::move(body), done = std::move(done)]() mutable {
+            std::uint64_t call = next_call_++;
+            done_.emplace(call, std::move(done));
+            handle(Event{call, std::move(kind), std::move(body)});
+        });
 }
 
 void SessionSide::submit(std::string kind, std::string body, Done done) {
@@ -175,7 +179,8 @@
         auto found = unsent_.find(address);
         if (found == unsent_.end()) continue;
         // They may have waited for long: only the last ones are of use, and a session asks again by itself.
-        for (std::string& body : std::exchange(found->second, {})) mesh_.send(instance, channel::Kind::Ask, std::move(body));
+        for (std::string& body : std::exchange(found->second, {}))
+            mesh_.send(instance, channel::Kind::Ask, std::move(body));
         unsent_.erase(address);
     }
 }
--- a/src/fleet/keeper/session_side.h
+++ b/src/fleet/keeper/session_side.h
@@ -1,5 +1,6 @@
-// A process's session with the keepers on a thread and a loop of its own: posts to its listeners what the session becomes, takes
-// commands from any thread, and makes nobody wait. The shell of `Session`; it decides nothing.
+// A process's session with the keepers on a thread and a loop of its own: posts to its listeners what the
+// session becomes, takes commands from any thread, and makes nobody wait. The shell of `Session`; it decides
+// nothing.
 #pragma once
 
 #include <atomic>
@@ -21,9 +22,9 @@
 namespace ochrehub::keeper {
 
 struct SideSettings {
-    SessionSettings session;         ///< its instance and seed are drawn where they are zero
-    std::string cluster;             ///< its name
-    std::vector<std::string> keys;   ///< the fleet's
+    SessionSettings session;        ///< its instance and seed are drawn where they are zero
+    std::string cluster;            ///< its name
+    std::vector<std::string> keys;  ///< the fleet's
     channel::DialSettings dial;
 };
 
@@ -35,9 +36,11 @@
     /// Once, on the side's own thread; from the destructor, Uncertain, where no answer came.
     using Done = std::function<void(Error, std::string result)>;
 
-    /// `clock`: a copy of the one that its listeners compare `Held::until` with. Nothing is sent before `start`.
+    /// `clock`: a copy of the one that its listeners compare `Held::until` with. Nothing is sent before
+    /// `start`.
     SessionSide(SideSettings settings, Clock clock);
-    /// Waits for its thread's end. The session is not handed back by that alone: `close` it before, and wait for Lost.
+    /// Waits for its thread's end. The session is not handed back by that alone: `close` it before, and wait
+    /// for Lost.
     ~SessionSide();
 
     /// Before `start`. All are told all; each picks its machines' news.
@@ -71,8 +74,8 @@
     channel::Mesh mesh_;
     Session core_;
     std::vector<Listener> listeners_;
-    std::map<std::string, std::uint64_t> instances_;            // by address, while connected
-    std::map<std::string, std::vector<std::string>> unsent_;    // until the connection is up
+    std::map<std::string, std::uint64_t> instances_;          // by address, while connected
+    std::map<std::string, std::vector<std::string>> unsent_;  // until the connection is up
     std::map<std::uint64_t, Done> done_;
     std::uint64_t next_call_ = 1;
     TimerId timer_ = 0;
--- a/src/fleet/keeper/state.cpp
+++ b/src/fleet/keeper/state.cpp
@@ -13,7 +13,8 @@
 
 }  // namespace
 
-State::State(const Bounds& bounds, MakeMachines make) : bounds_(bounds), make_(std::move(make)), machines_(make_()) {}
+State::State(const Bounds& bounds, MakeMachines make)
+    : bounds_(bounds), make_(std::move(make)), machines_(make_()) {}
 
 Machine* State::find(std::string_view kind) const {
     for (const auto& machine : machines_)
@@ -35,7 +36,8 @@
     if (found == sessions_.end()) return std::nullopt;
     auto kept = found->second.kept.find(number);
     if (kept == found->second.kept.end()) return std::nullopt;
-    return Outcome{.error = kept->second.error, .session = session, .result = kept->second.result, .again = true};
+    return Outcome{
+        .error = kept->second.error, .session = session, .result = kept->second.result, .again = true};
 }
 
 void State::end(SessionId id) {
@@ -44,8 +46,8 @@
 }
 
 Outcome State::carry_out(SessionId session, std::string_view kind, std::string_view body) {
-    // A leader proposes nothing that it does not know. What another release's has put into the log cannot be passed over:
-    // the others have carried it out.
+    // A leader proposes nothing that it does not know. What another release's has put into the log cannot be
+    // passed over: the others have carried it out.
     Machine* machine = find(kind);
     if (!machine) return failed(Error::Behind);
     return {.error = Error::None, .session = session, .result = machine->apply({session, body})};
@@ -60,14 +62,24 @@
             SessionId before = 0;
             for (const auto& [id, one] : sessions_)
                 if (one.info.instance == open.instance() && one.info.name == open.name()) before = id;
-            if (before != 0 && sessions_.at(before).info.attempt == open.attempt()) return {.session = before};
+            if (before != 0 && sessions_.at(before).info.attempt == open.attempt())
+                return {.session = before};
             // An ask that was overtaken by a later one of the same process must not end what that has opened.
-            if (before != 0 && open.attempt() < sessions_.at(before).info.attempt) return failed(Error::Forgotten);
+            if (before != 0 && open.attempt() < sessions_.at(before).info.attempt)
+                return failed(Error::Forgotten);
             // The same process opens another: it says that it holds nothing of the one before.
             if (before != 0) end(before);
             if (sessions_.size() >= bounds_.sessions) return failed(Error::TooMany);
             SessionId id = next_++;
-            SessionInfo info{id, open.name(), open.zone(), open.instance(), open.attempt(), open.lease_ms(), open.release(), open.schema_least(), open.schema_most()};
+            SessionInfo info{id,
+                             open.name(),
+                             open.zone(),
+                             open.instance(),
+                             open.attempt(),
+                             open.lease_ms(),
+                             open.release(),
+                             open.schema_least(),
+                             open.schema_most()};
             sessions_[id].info = info;
             for (const auto& machine : machines_) machine->session_began(id, info.name, info.zone);
             return {.session = id};
@@ -97,14 +109,17 @@
             }
             if (what.number() != one.last + 1) return failed(Error::OutOfOrder);
             one.kept.erase(one.kept.begin(), one.kept.upper_bound(what.settled()));
-            if (one.kept.size() >= bounds_.window) return failed(Error::Busy);  // more than it may leave unsettled
-            Outcome outcome = what.refused() != 0 ? failed(Error(what.refused())) : carry_out(what.session(), what.kind(), what.body());
+            if (one.kept.size() >= bounds_.window)
+                return failed(Error::Busy);  // more than it may leave unsettled
+            Outcome outcome = what.refused() != 0 ? failed(Error(what.refused()))
+                                                  : carry_out(what.session(), what.kind(), what.body());
             if (outcome.fatal) return outcome;
             one.last = what.number();
             one.kept[what.number()] = {outcome.error, outcome.result};
             return outcome;
         }
-        case wire::Entry::WHAT_NOT_SET: break;
+        case wire::Entry::WHAT_NOT_SET:
+            break;
     }
     return failed(Error::Behind);
 }
@@ -115,9 +130,12 @@
     state.set_next_session(next_);
     for (const auto& [id, one] : sessions_) {
         wire::Session* to = state.add_sessions();
-        to->set_id(id), to->set_name(one.info.name), to->set_zone(one.info.zone), to->set_instance(one.info.instance);
-        to->set_attempt(one.info.attempt), to->set_lease_ms(one.info.lease_ms), to->set_release(one.info.release);
-        to->set_schema_least(one.info.schema_least), to->set_schema_most(one.info.schema_most), to->set_last(one.last);
+        to->set_id(id), to->set_name(one.info.name), to->set_zone(one.info.zone),
+            to->set_instance(one.info.instance);
+        to->set_attempt(one.info.attempt), to->set_lease_ms(one.info.lease_ms),
+            to->set_release(one.info.release);
+        to->set_schema_least(one.info.schema_least), to->set_schema_most(one.info.schema_most),
+            to->set_last(one.last);
         for (const auto& [number, kept] : one.kept) {
             wire::Kept* k = to->add_kept();
             k->set_number(number), k->set_error(std::uint32_t(kept.error)), k->set_result(kept.result);
@@ -125,7 +143,8 @@
     }
     for (const auto& machine : machines_) {
         wire::MachineState* to = state.add_machines();
-        to->set_kind(std::string(machine->kind())), to->set_schema(machine->schema()), to->set_bytes(machine->snapshot());
+        to->set_kind(std::string(machine->kind())), to->set_schema(machine->schema()),
+            to->set_bytes(machine->snapshot());
     }
     return state.SerializeAsString();
 }
@@ -138,9 +157,11 @@
     next_ = state.next_session();
     for (const wire::Session& from : state.sessions()) {
         One& one = sessions_[from.id()];
-        one.info = {from.id(), from.name(), from.zone(), from.instance(), from.attempt(), from.lease_ms(), from.release(), from.schema_least(), from.schema_most()};
+        one.info = {from.id(),       from.name(),    from.zone(),         from.instance(),   from.attempt(),
+                    from.lease_ms(), from.release(), from.schema_least(), from.schema_most()};
         one.last = from.last();
-        for (const wire::Kept& kept : from.kept()) one.kept[kept.number()] = {Error(kept.error()), kept.result()};
+        for (const wire::Kept& kept : from.kept())
+            one.kept[kept.number()] = {Error(kept.error()), kept.result()};
     }
     for (const wire::MachineState& from : state.machines()) {
         Machine* machine = find(from.kind());
--- a/src/fleet/keeper/state.h
+++ b/src/fleet/keeper/state.h
@@ -1,4 +1,5 @@
-// What all keepers hold alike: sessions and machines. Deterministic and without time; changed by entries alone, in their order.
+// What all keepers hold alike: sessions and machines. Deterministic and without time; changed by entries
+// alone, in their order.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +17,17 @@
 
 namespace ochrehub::keeper {
 
-using Machines = std::vector<std::unique_ptr<Machine>>;  ///< each kind once, in the same order at every keeper
-/// All of them, empty. A machine that is in no snapshot, as one of a newer release is, begins with the sessions that there are.
+using Machines =
+    std::vector<std::unique_ptr<Machine>>;  ///< each kind once, in the same order at every keeper
+/// All of them, empty. A machine that is in no snapshot, as one of a newer release is, begins with the
+/// sessions that there are.
 using MakeMachines = std::function<Machines()>;
 
 struct Bounds {
     std::size_t sessions = 10'000;
-    std::size_t name = 128;          ///< octets of a session's name and zone
-    std::size_t body = 768 << 10;    ///< octets of a command
-    std::size_t window = 64;         ///< answers of one session that are kept
+    std::size_t name = 128;        ///< octets of a session's name and zone
+    std::size_t body = 768 << 10;  ///< octets of a command
+    std::size_t window = 64;       ///< answers of one session that are kept
 };
 
 struct SessionInfo {
@@ -50,7 +53,8 @@
 
     Outcome apply(std::string_view entry);
     std::string snapshot() const;
-    /// False: not of a form, or with a machine or schema, that this release reads; nothing is to be done with it any more.
+    /// False: not of a form, or with a machine or schema, that this release reads; nothing is to be done with
+    /// it any more.
     bool restore(std::string_view bytes);
 
     const SessionInfo* session(SessionId id) const;
--- a/src/fleet/keeper/storing.cpp
+++ b/src/fleet/keeper/storing.cpp
@@ -30,7 +30,8 @@
     wire::StoredSnapshot from;
     if (!from.ParseFromString(bytes)) return std::nullopt;
     std::pair<raft::Members, std::string> out;
-    for (const wire::Member& one : from.members()) out.first.push_back({one.id(), one.voter(), one.address()});
+    for (const wire::Member& one : from.members())
+        out.first.push_back({one.id(), one.voter(), one.address()});
     out.second = std::move(*from.mutable_state());
     return out;
 }
@@ -42,22 +43,29 @@
 }  // namespace
 
 std::uint64_t folder_cluster(std::string_view cluster) {
-    return std::uint64_t(fleet::fingerprint(cluster)) << 32 | fleet::fingerprint(std::string(cluster) + " keepers");
+    return std::uint64_t(fleet::fingerprint(cluster)) << 32 |
+           fleet::fingerprint(std::string(cluster) + " keepers");
 }
 
 Storing::Storing(std::unique_ptr<store::Files> files, const Settings& settings) : files_(std::move(files)) {
     if (store::Error why = files_->lock())
-        throw store::StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock" : std::string("the lock: ") + std::strerror(why));
+        throw store::StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock"
+                                                   : std::string("the lock: ") + std::strerror(why));
     std::vector<std::string> names;
     must(files_->list(names), "the folder");
     bool first = std::find(names.begin(), names.end(), kFirst) != names.end();
-    bool logs = std::any_of(names.begin(), names.end(), [](const std::string& name) { return name.starts_with("log-") || name.starts_with("snapshot-"); });
+    bool logs = std::any_of(names.begin(), names.end(), [](const std::string& name) {
+        return name.starts_with("log-") || name.starts_with("snapshot-");
+    });
     if (!first) {
         if (logs) throw FolderError(Error::Untrusted, "a part of the folder is missing");
         if (settings.begin == Begin::Again) throw FolderError(Error::Untrusted, "the folder");
-        // One that has promised something must not take the place of one that has not: so this is written down first.
+        // One that has promised something must not take the place of one that has not: so this is written
+        // down first.
         files_->remove(kFirstFresh);
-        must(files_->append(kFirstFresh, stored(settings.begin == Begin::Join ? raft::Members{} : settings.members, settings.begin == Begin::Lost ? "lost" : "")),
+        must(files_->append(kFirstFresh,
+                            stored(settings.begin == Begin::Join ? raft::Members{} : settings.members,
+                                   settings.begin == Begin::Lost ? "lost" : "")),
              kFirst);
         must(files_->sync(kFirstFresh), kFirst);
         must(files_->rename(kFirstFresh, kFirst), kFirst);
@@ -71,11 +79,13 @@
     if (!told) throw FolderError(Error::Untrusted, "the file `first` cannot be read");
     members_ = std::move(told->first);
     log_ = std::make_unique<store::Log>(*files_, settings.log);
-    // Begun, and nothing is left of it; or its number's earlier folder is gone, and it has had nothing from others yet.
+    // Begun, and nothing is left of it; or its number's earlier folder is gone, and it has had nothing from
+    // others yet.
     bool bare = log_->last() == 0 && !log_->snapshot();
     bool gone = (first && log_->found() == store::Found::Empty) || (bare && told->second == "lost");
     if (gone && !log_->lose()) throw store::StoreError(std::strerror(log_->why()));
-    if (log_->snapshot() && !read_stored(log_->snapshot()->data)) throw FolderError(Error::Behind, "the snapshot");
+    if (log_->snapshot() && !read_stored(log_->snapshot()->data))
+        throw FolderError(Error::Behind, "the snapshot");
 }
 
 Storing::~Storing() {
@@ -94,7 +104,8 @@
     disk.vote.who = log.vote().who.empty() ? 0 : raft::KeeperId(std::stoul(log.vote().who));
     if (log.snapshot()) {
         auto [members, state] = *read_stored(log.snapshot()->data);
-        disk.snapshot = raft::Snapshot{log.snapshot()->index, log.snapshot()->term, std::move(members), std::move(state)};
+        disk.snapshot =
+            raft::Snapshot{log.snapshot()->index, log.snapshot()->term, std::move(members), std::move(state)};
     }
     disk.first = log.first();
     for (std::uint64_t i = log.first(); i <= log.last(); ++i) {
@@ -147,8 +158,10 @@
     store::Log& log = *log_;
     if (write.vote) log.vote({write.vote->term, write.vote->who == 0 ? "" : std::to_string(write.vote->who)});
     if (write.cut) log.cut(*write.cut);
-    for (raft::Entry& entry : write.append) log.append({entry.term, char(entry.kind) + std::move(entry.data)});
-    if (write.snapshot && !log.save({write.snapshot->index, write.snapshot->term, stored(write.snapshot->members, write.snapshot->state)}))
+    for (raft::Entry& entry : write.append)
+        log.append({entry.term, char(entry.kind) + std::move(entry.data)});
+    if (write.snapshot && !log.save({write.snapshot->index, write.snapshot->term,
+                                     stored(write.snapshot->members, write.snapshot->state)}))
         return false;
     return !write.caught_up || log.caught_up();
 }
--- a/src/fleet/keeper/storing.h
+++ b/src/fleet/keeper/storing.h
@@ -1,5 +1,5 @@
-// A keeper's folder: a store::Log on a thread of its own, so that the loop waits for no disk. Whatever waits when the disk is ready
-// goes out under one sync (group commit).
+// A keeper's folder: a store::Log on a thread of its own, so that the loop waits for no disk. Whatever waits
+// when the disk is ready goes out under one sync (group commit).
 #pragma once
 
 #include <atomic>
@@ -24,8 +24,10 @@
 enum class Begin {
     Again,  ///< from its folder, which must not be empty
     New,    ///< with its cluster: its number has never run, and its folder is empty
-    Join,   ///< one more in a cluster that runs, under a number that never ran: a member once the others have added it
-    Lost,   ///< its number ran, and its folder is gone: it neither votes nor counts until all others have told what they know
+    Join,   ///< one more in a cluster that runs, under a number that never ran: a member once the others have
+            ///< added it
+    Lost,  ///< its number ran, and its folder is gone: it neither votes nor counts until all others have told
+           ///< what they know
 };
 
 /// What a folder bears of its cluster's name.
@@ -33,12 +35,14 @@
 
 /// A folder that is not to be used: what() begins with its error's code.
 struct FolderError : std::runtime_error {
-    FolderError(Error why, const std::string& about) : std::runtime_error(fleet::sentence(row(why), about)), error(why) {}
+    FolderError(Error why, const std::string& about)
+        : std::runtime_error(fleet::sentence(row(why), about)), error(why) {}
     Error error;
 };
 
-/// Opens the folder, or begins it as it is told to. `members`: those of the cluster's beginning, kept in the folder from then on,
-/// so that a file of settings that has changed since means nothing. Throws FolderError, store::StoreError, std::system_error.
+/// Opens the folder, or begins it as it is told to. `members`: those of the cluster's beginning, kept in the
+/// folder from then on, so that a file of settings that has changed since means nothing. Throws FolderError,
+/// store::StoreError, std::system_error.
 class Storing {
 public:
     struct Settings {
--- a/src/fleet/keys/keys.h
+++ b/src/fleet/keys/keys.h
@@ -1,5 +1,5 @@
-// The fleet's keys, for datagrams and for connections: what one signs with the first of them, others open with any. HMAC-SHA256,
-// of which the first half is sent along.
+// The fleet's keys, for datagrams and for connections: what one signs with the first of them, others open
+// with any. HMAC-SHA256, of which the first half is sent along.
 #pragma once
 
 #include <nettle/hmac.h>
@@ -40,8 +40,8 @@
 /// In a time that does not depend on where they differ. False as well where `octets` are not kTag many.
 bool same(const Tag& tag, std::string_view octets);
 
-/// The first signs, any is taken, so that a key can be rolled one instance after the other. None: what is sent bears no tag,
-/// and whoever reaches the port is believed.
+/// The first signs, any is taken, so that a key can be rolled one instance after the other. None: what is
+/// sent bears no tag, and whoever reaches the port is believed.
 class Keys {
 public:
     Keys() = default;
--- a/src/fleet/membership/datagram.cpp
+++ b/src/fleet/membership/datagram.cpp
@@ -17,7 +17,8 @@
     explicit Writer(std::string& out) : out_(out) {}
     template <class Number>
     void put(Number value) {
-        for (int shift = int(sizeof value) * 8 - 8; shift >= 0; shift -= 8) out_ += char(value >> shift & 0xff);
+        for (int shift = int(sizeof value) * 8 - 8; shift >= 0; shift -= 8)
+            out_ += char(value >> shift & 0xff);
     }
     void put(const Place& place) {
         put(place.host);
@@ -47,7 +48,8 @@
     template <class Number>
     Number take() {
         Number value = 0;
-        for (std::size_t i = 0; i < sizeof value; ++i) value = Number(value << 8 | std::uint8_t(octets_[at_++]));
+        for (std::size_t i = 0; i < sizeof value; ++i)
+            value = Number(value << 8 | std::uint8_t(octets_[at_++]));
         return value;
     }
     Place take_place() {
@@ -112,8 +114,8 @@
 }
 
 std::string_view name(Fault fault) {
-    constexpr std::array<std::string_view, kFaults> kNames{"none",      "short",  "long", "forged", "version",
-                                                               "malformed", "cluster"};
+    constexpr std::array<std::string_view, kFaults> kNames{"none",    "short",     "long",   "forged",
+                                                           "version", "malformed", "cluster"};
     return kNames[std::size_t(fault)];
 }
 
@@ -136,7 +138,8 @@
     out.plan.epoch = reader.take<std::uint32_t>();
     out.plan.number = reader.take<std::uint32_t>();
     out.about = reader.take_place();
-    if (!reader.take_text(out.name) || !reader.take_text(out.zone) || reader.left() < 1) return Fault::Malformed;
+    if (!reader.take_text(out.name) || !reader.take_text(out.zone) || reader.left() < 1)
+        return Fault::Malformed;
     auto count = reader.take<std::uint8_t>();
     if (count > kMostUpdates || reader.left() != count * kUpdate) return Fault::Malformed;
     out.updates.clear();
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -7,8 +7,8 @@
 
 namespace ochrehub::membership {
 
-/// Where a member's datagrams reach it, which is also its identity: an instance that restarts there is the same
-/// member, one that moves is another.
+/// Where a member's datagrams reach it, which is also its identity: an instance that restarts there is the
+/// same member, one that moves is another.
 struct Place {
     std::uint32_t host = 0;  ///< IPv4, in the machine's byte order
     std::uint16_t port = 0;
@@ -41,8 +41,8 @@
     State state = State::Alive;
     Role role = Role::Forwarder;
     std::uint8_t zone = 0;
-    std::uint8_t speaks = 0;  ///< the newest version of plans that it reads
-    std::uint8_t said = 0;    ///< by `who` of itself; it raises its incarnation where that changes
+    std::uint8_t speaks = 0;    ///< the newest version of plans that it reads
+    std::uint8_t said = 0;      ///< by `who` of itself; it raises its incarnation where that changes
     std::uint16_t accuser = 0;  ///< Suspect: the mark of whoever found it silent itself
 
     friend bool operator==(const Update&, const Update&) = default;
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -11,23 +11,25 @@
 
 constexpr int kGossipsAnInterval = 2;  // while there is news that cannot wait: who is new, back or gone
 constexpr std::size_t kGossipTo = 2;
-constexpr double kTellings = 4;        // of one update, times the decimal logarithm of the members
-// After the first list: again behind waits that double, and on at the longest while a whole list brings somebody new.
+constexpr double kTellings = 4;  // of one update, times the decimal logarithm of the members
+// After the first list: again behind waits that double, and on at the longest while a whole list brings
+// somebody new.
 constexpr Duration kFetchAgain{1000}, kFetchAgainMost{32'000};
-constexpr Duration kKnock{10'000};     // between looks for those that are gone, and for seeds that are not seen
-constexpr double kNackAfter = 0.8;     // of a helper's time-out: before whoever asked has ended its probe
+constexpr Duration kKnock{10'000};  // between looks for those that are gone, and for seeds that are not seen
+constexpr double kNackAfter = 0.8;  // of a helper's time-out: before whoever asked has ended its probe
 constexpr int kPageTries = 4;
-// Behind a return others that are taken for dead are most likely back too: three at a time, twice an interval.
+// Behind a return others that are taken for dead are most likely back too: three at a time, twice an
+// interval.
 constexpr std::size_t kKnocksAtOnce = 3, kHurriedMost = 64;
-constexpr double kAskAt = 0.6;         // of the time to isolation: from then on others are asked whether it is heard
-constexpr std::size_t kAskOf = 3;      // ... so many an interval
+constexpr double kAskAt = 0.6;  // of the time to isolation: from then on others are asked whether it is heard
+constexpr std::size_t kAskOf = 3;          // ... so many an interval
 constexpr std::uint32_t kOwnRecent = 256;  // of its own sequence numbers, so many last ones may be answered
 constexpr Duration kDoubledWithin{60'000};
-constexpr int kLastCalls = 2;          // one datagram or its answer is lost now and then
+constexpr int kLastCalls = 2;  // one datagram or its answer is lost now and then
 constexpr int kGoodbyes = 4;
 constexpr std::size_t kGoodbyeTo = 4;
-// Incarnations rise by one with each refutation. One that is beyond this was made up, and refuting it would end in the
-// last number there is, after which nobody could refute anything.
+// Incarnations rise by one with each refutation. One that is beyond this was made up, and refuting it would
+// end in the last number there is, after which nobody could refute anything.
 constexpr std::uint32_t kMostIncarnation = 1u << 31;
 
 bool is_here(State state) {
@@ -42,7 +44,8 @@
     self_.role = set_.role;
     self_.zone = set_.zone;
     self_.speaks = set_.speaks;
-    sequence_ = set_.instance;  // what answered an earlier process at this place answers nothing of this one's
+    sequence_ =
+        set_.instance;  // what answered an earlier process at this place answers nothing of this one's
     probe_.slot = kNobody;
 }
 
@@ -66,7 +69,8 @@
     }
     std::visit([this](const auto& e) { on(e); }, event);
     if (over_) return;
-    // Never before now: what has been counted as lost time once is not to be counted with each datagram that waited too.
+    // Never before now: what has been counted as lost time once is not to be counted with each datagram that
+    // waited too.
     TimePoint next = std::max(next_wake(), now_);
     if (woken_for_ == next || (woken_for_ && *woken_for_ <= now_ && next == now_)) return;
     woken_for_ = next;
@@ -99,7 +103,8 @@
         }
     }
     std::erase_if(relays_, [this](const Relay& relay) { return now_ >= relay.end; });
-    if (probe_.slot != kNobody && !probe_.answered && !probe_.asked && now_ >= probe_.ask_others) ask_others();
+    if (probe_.slot != kNobody && !probe_.answered && !probe_.asked && now_ >= probe_.ask_others)
+        ask_others();
     if (now_ >= next_probe_ && goodbyes_ < 0) {
         probe_ends();
         next_probe_ = now_ + set_.interval * (1 + doubt_);
@@ -115,8 +120,8 @@
         if (!one.empty() && fetching_ == 0) fetch(members_[one[0]].update.who, {});
     }
     if (now_ >= fetch_until_) {
-        // A page is asked for again where it was lost; a seed that stays silent gives way to the next. Where all do,
-        // the knocks ask on.
+        // A page is asked for again where it was lost; a seed that stays silent gives way to the next. Where
+        // all do, the knocks ask on.
         fetching_ = 0;
         fetch_until_ = TimePoint::max();
         if (++page_tries_ < kPageTries)
@@ -146,7 +151,8 @@
     for (std::size_t tried = 0; tried < ring_.size(); ++tried) {
         if (ring_at_ >= ring_.size()) {
             ring_at_ = 0;
-            for (std::size_t i = ring_.size(); i > 1; --i) std::swap(ring_[i - 1], ring_[below(std::uint32_t(i))]);
+            for (std::size_t i = ring_.size(); i > 1; --i)
+                std::swap(ring_[i - 1], ring_[below(std::uint32_t(i))]);
         }
         std::uint32_t slot = ring_[ring_at_++];
         if (!is_here(members_[slot].update.state)) continue;
@@ -233,13 +239,16 @@
             }
             // What it may refute it must hear, or it would be here and gone at once.
             const Member* member = find(d.from.who);
-            bool believed = !member || (member->update.state == State::Alive && member->update.incarnation <= d.from.incarnation) ||
-                            d.from.state == State::Left;
+            bool believed =
+                !member ||
+                (member->update.state == State::Alive && member->update.incarnation <= d.from.incarnation) ||
+                d.from.state == State::Left;
             Update belief = member ? member->update : Update{};
             send(d.from.who, make(Kind::Ack, d.sequence, set_.self), believed ? nullptr : &belief);
             return;
         }
-        case Kind::Forward: return relay(d);
+        case Kind::Forward:
+            return relay(d);
         case Kind::Ack: {
             if (probe_.slot != kNobody && d.sequence == probe_.sequence && d.about == probe_.who) {
                 probe_.answered = true;
@@ -258,8 +267,10 @@
             if (probe_.slot != kNobody && d.sequence == probe_.sequence && d.about == probe_.who)
                 probe_.nacks = std::min(probe_.nacks + 1, probe_.nacks_due);
             return;
-        case Kind::Gossip: return;
-        case Kind::Fetch: return list(d);
+        case Kind::Gossip:
+            return;
+        case Kind::Fetch:
+            return list(d);
         case Kind::Listed:
             if (fetching_ == 0 || d.sequence != fetching_ || d.from.who != fetched_from_) return;
             fetching_ = 0;
@@ -267,7 +278,8 @@
             fetch_until_ = TimePoint::max();
             // Pages come in order; one that does not would be asked for without end.
             if (d.about.known() && d.about > fetched_to_) return fetch(fetched_from_, d.about);
-            // Where many join at once, gossip takes longer to tell of them all than lists do, and misses some.
+            // Where many join at once, gossip takes longer to tell of them all than lists do, and misses
+            // some.
             if (fetched_new_ == 0 && fetch_wait_ >= kFetchAgainMost) return;
             fetch_again_ = now_ + (0.5 + uniform()) * fetch_wait_;
             fetch_wait_ = std::min(2 * fetch_wait_, kFetchAgainMost);
@@ -333,12 +345,14 @@
     hurry();  // whom it took for dead meanwhile hears of it, and nobody else
 }
 
-// Found alone: others cannot tell it whom it does not hear, nor one that they do not hear. Told to all once it can be.
+// Found alone: others cannot tell it whom it does not hear, nor one that they do not hear. Told to all once
+// it can be.
 void Membership::look_at_itself() {
     std::uint8_t word = now_ - heard_at_ >= kAskAt * set_.isolated_after ? kSaysDeaf : kSaysUnheard;
     // What it heard last may have come long behind the last answer: which of the two it is shows later.
     if (isolated()) return say(std::uint8_t((self_.said & kSaysStalled) | word));
-    // In the very terms of next_wake: a difference that rounds the other way would have it woken for now without end.
+    // In the very terms of next_wake: a difference that rounds the other way would have it woken for now
+    // without end.
     if (now_ < answered_at_ + kAskAt * set_.isolated_after) return;
     if (!anybody()) {
         answered_at_ = now_;
@@ -458,8 +472,8 @@
     return set_.suspicion * std::max(1.0, std::log10(double(here_ + 1))) * set_.interval;
 }
 
-// The time that a suspect has falls with each other member that finds it silent too: a lone accuser may be the one that
-// is cut off.
+// The time that a suspect has falls with each other member that finds it silent too: a lone accuser may be
+// the one that is cut off.
 void Membership::confirm(Slot& member, std::uint16_t accuser) {
     if (!set_.lifeguard) {  // one accuser is as good as four
         if (member.accused++ == 0) member.until = member.began + suspicion_least();
@@ -467,7 +481,8 @@
     }
     int most = std::clamp(int(here_) - 1, 1, kConfirmations + 1);  // the first included
     auto end = member.accusers + member.accused;
-    if (std::find(member.accusers, end, accuser) != end || member.accused >= most || member.last_calls > 0) return;
+    if (std::find(member.accusers, end, accuser) != end || member.accused >= most || member.last_calls > 0)
+        return;
     member.accusers[member.accused++] = accuser;
     Duration least = suspicion_least(), span = least * (set_.suspicion_most - 1);
     double part = most > 1 ? std::log(double(member.accused)) / std::log(double(most)) : 1;
@@ -484,8 +499,8 @@
             continue;
         }
         Update update = members_[slot].update;
-        // Gossip misses somebody now and then, also with what was refuted long ago: it is asked once more before all
-        // hear that it is dead.
+        // Gossip misses somebody now and then, also with what was refuted long ago: it is asked once more
+        // before all hear that it is dead.
         if (set_.last_call && members_[slot].last_calls < kLastCalls) {
             ++members_[slot].last_calls;
             members_[slot].until = now_ + 2 * set_.timeout;
@@ -510,7 +525,8 @@
     member.told = 0;
     if (!std::exchange(member.news, true)) news_.push_back(slot);
     urgent_ += int(urgent) - int(std::exchange(member.urgent, urgent));
-    if (urgent && next_gossip_ == TimePoint::max()) next_gossip_ = now_ + uniform() * set_.interval / kGossipsAnInterval;
+    if (urgent && next_gossip_ == TimePoint::max())
+        next_gossip_ = now_ + uniform() * set_.interval / kGossipsAnInterval;
 }
 
 int Membership::tellings() const {
@@ -563,7 +579,7 @@
         --room;
         if (++self_told_ >= most && goodbyes_ < 0) self_news_ = false;
     }
-    if (isolated()) room = 0;  // whatever it has found since then is its own trouble
+    if (isolated()) room = 0;   // whatever it has found since then is its own trouble
     if (news_.size() > room) {  // what was told least goes first
         std::nth_element(news_.begin(), news_.begin() + std::ptrdiff_t(room), news_.end(),
                          [this](std::uint32_t a, std::uint32_t b) {
@@ -620,12 +636,14 @@
     actions_->push_back(Send{d.from.who, std::move(listed)});
 }
 
-// A partition that has healed shows only if someone asks those that it took for dead. Each asks one now and then, so
-// that all together ask for each as often, whatever the size of the tier.
+// A partition that has healed shows only if someone asks those that it took for dead. Each asks one now and
+// then, so that all together ask for each as often, whatever the size of the tier.
 void Membership::knock() {
     bool hurried = hurried_ > 0 || isolated();
     hurried_ -= hurried_ > 0;
-    next_knock_ = now_ + (0.75 + 0.5 * uniform()) * (hurried_ > 0 ? set_.interval / 2 : isolated() ? 2 * set_.interval : kKnock);
+    next_knock_ = now_ + (0.75 + 0.5 * uniform()) * (hurried_ > 0 ? set_.interval / 2
+                                                     : isolated() ? 2 * set_.interval
+                                                                  : kKnock);
     std::vector<std::uint32_t> old;
     std::vector<std::uint32_t> dead;
     for (const auto& [place, slot] : index_) {
@@ -652,9 +670,10 @@
     // In the order of their places where many are asked, so that none is left out.
     std::size_t first = below(std::uint32_t(dead.size()));
     if (hurried)
-        first = std::size_t(std::find_if(dead.begin(), dead.end(), [this](std::uint32_t slot) {
-                                return members_[slot].update.who > knocked_;
-                            }) - dead.begin());
+        first = std::size_t(
+            std::find_if(dead.begin(), dead.end(),
+                         [this](std::uint32_t slot) { return members_[slot].update.who > knocked_; }) -
+            dead.begin());
     for (std::size_t i = 0; i < std::min(dead.size(), hurried ? kKnocksAtOnce : 1); ++i) {
         Update belief = members_[dead[(first + i) % dead.size()]].update;
         knocked_ = belief.who;
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -1,10 +1,11 @@
-// Who is there, by gossip: SWIM with Lifeguard's changes, as one member runs it. A pure state machine: it is handed
-// datagrams and wake-ups with their times and returns datagrams to send, when to be woken, and what has changed. It
-// reads no clock, opens no socket, and draws on its seed alone.
+// Who is there, by gossip: SWIM with Lifeguard's changes, as one member runs it. A pure state machine: it is
+// handed datagrams and wake-ups with their times and returns datagrams to send, when to be woken, and what
+// has changed. It reads no clock, opens no socket, and draws on its seed alone.
 //
-// Each interval a member pings one other, each in turn; one that does not answer is asked through others, and then
-// suspected, which it can refute by raising its incarnation. Updates ride on whatever is sent. A member that misses
-// answers doubts itself first: it gives others longer. Messages a member and second do not grow with the tier.
+// Each interval a member pings one other, each in turn; one that does not answer is asked through others, and
+// then suspected, which it can refute by raising its incarnation. Updates ride on whatever is sent. A member
+// that misses answers doubts itself first: it gives others longer. Messages a member and second do not grow
+// with the tier.
 #pragma once
 
 #include <boost/container/flat_map.hpp>
@@ -32,10 +33,12 @@
     Duration interval{500};    ///< between pings
     Duration timeout{150};     ///< for an answer, before others are asked to try; under half of `interval`
     int helpers = 3;           ///< ... how many of them
-    double suspicion = 6;      ///< intervals that a suspect has at least, times the decimal logarithm of the members
-    double suspicion_most = 3; ///< ... and so many times that while nobody else suspects it
-    Duration forget{600'000};  ///< after which one that is dead or has left is forgotten
-    std::size_t most = 4096;   ///< members that are kept, those that are gone included; others are not taken in
+    double suspicion =
+        6;  ///< intervals that a suspect has at least, times the decimal logarithm of the members
+    double suspicion_most = 3;  ///< ... and so many times that while nobody else suspects it
+    Duration forget{600'000};   ///< after which one that is dead or has left is forgotten
+    std::size_t most =
+        4096;  ///< members that are kept, those that are gone included; others are not taken in
     Duration isolated_after{5000};  ///< without an answer from anybody
     // For comparisons alone, in the lab: plain SWIM is without both.
     bool lifeguard = true;  ///< doubts itself, lets accusers add up, gives back the time that it stood still
@@ -88,13 +91,13 @@
 
     struct Member {
         Update update;
-        PlanInForce plan;       ///< as it last said itself
-        TimePoint changed{};    ///< when its state became what it is
-        bool met = false;       ///< it has spoken to this one itself
+        PlanInForce plan;                                 ///< as it last said itself
+        TimePoint changed{};                              ///< when its state became what it is
+        bool met = false;                                 ///< it has spoken to this one itself
         std::uint32_t instance = 0, instance_before = 0;  ///< as it last said itself
         std::uint32_t restarts = 0;
-        TimePoint heard{};      ///< itself, last
-        TimePoint doubled{};    ///< when two processes were last seen to speak at its place
+        TimePoint heard{};    ///< itself, last
+        TimePoint doubled{};  ///< when two processes were last seen to speak at its place
         Name name;
         ZoneName zone_name;
     };
@@ -110,11 +113,13 @@
     int doubt() const { return doubt_; }  ///< in itself, from 0 to kDoubtMost
     const Update& self() const { return self_; }
     const Settings& settings() const { return set_; }
-    TimePoint isolated_since() const { return answered_at_; }  ///< where `self().said` says that it is isolated
+    TimePoint isolated_since() const {
+        return answered_at_;
+    }  ///< where `self().said` says that it is isolated
 
     struct Counts {
-        std::uint64_t sent = 0, received = 0, probes = 0, failed = 0, refuted = 0, late = 0, strangers = 0, full = 0,
-                      doubled = 0, isolated = 0;
+        std::uint64_t sent = 0, received = 0, probes = 0, failed = 0, refuted = 0, late = 0, strangers = 0,
+                      full = 0, doubled = 0, isolated = 0;
     };
     const Counts& counts() const { return counts_; }
 
@@ -127,11 +132,11 @@
 
     struct Slot : Member {
         bool news = false, urgent = false;
-        int last_calls = 0;      ///< Suspect: how often it was asked once more
-        bool alone = false;      ///< Dead: found by this one alone, while it was isolated; told to nobody
-        int told = 0;          ///< how often its news went out
-        TimePoint until{};     ///< Suspect: when it is dead
-        TimePoint began{};     ///< ... and since when
+        int last_calls = 0;  ///< Suspect: how often it was asked once more
+        bool alone = false;  ///< Dead: found by this one alone, while it was isolated; told to nobody
+        int told = 0;        ///< how often its news went out
+        TimePoint until{};   ///< Suspect: when it is dead
+        TimePoint began{};   ///< ... and since when
         std::uint16_t accusers[kConfirmations + 1] = {};
         int accused = 0;
     };
@@ -222,12 +227,12 @@
     std::size_t fetched_new_ = 0;  // members, since the list was last asked for from its begin
     Duration fetch_wait_{0};
     TimePoint next_probe_{}, next_gossip_{}, next_knock_{}, fetch_until_ = TimePoint::max(),
-              fetch_again_ = TimePoint::max();
+                                                            fetch_again_ = TimePoint::max();
     std::optional<TimePoint> woken_for_;
     int doubt_ = 0, goodbyes_ = -1;  // goodbyes: ticks of gossip left; negative: it stays
     TimePoint heard_at_{}, answered_at_{}, next_ask_ = TimePoint::max();
-    Place knocked_;              // the last that was knocked at
-    std::size_t hurried_ = 0;    // knocks left that do not wait
+    Place knocked_;            // the last that was knocked at
+    std::size_t hurried_ = 0;  // knocks left that do not wait
     bool started_ = false, over_ = false;
     Counts counts_;
 };
--- a/src/fleet/membership/settings.cpp
+++ b/src/fleet/membership/settings.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t kKeyLeast = 16, kKeyMost = 128, kKeysMost = 4;
 
-config::Setting<Told> milliseconds(config::Described described, Duration Told::*into, double least, double most) {
+config::Setting<Told> milliseconds(config::Described described, Duration Told::*into, double least,
+                                   double most) {
     return config::number<Told, double>(described, least, most, config::kMilliseconds,
                                         [into](Told& told, double ms) { told.*into = Duration{ms}; });
 }
@@ -24,28 +25,39 @@
 
 config::Table<Told> settings() {
     return {
-        config::flag({.name = "on", .fallback = "off", .help = "the switch; the section alone turns it on"}, &Told::on),
-        config::address({.name = "listen", .help = "where its datagrams come in, `a.b.c.d:port`; needed"}, &Told::listen),
-        config::address({.name = "advertise", .help = "where others reach it, if that is another address: its place"},
-                        &Told::advertise),
-        {{.name = "join", .kind = config::Kind::Texts, .help = "places of some members, asked for the others"},
+        config::flag({.name = "on", .fallback = "off", .help = "the switch; the section alone turns it on"},
+                     &Told::on),
+        config::address({.name = "listen", .help = "where its datagrams come in, `a.b.c.d:port`; needed"},
+                        &Told::listen),
+        config::address(
+            {.name = "advertise", .help = "where others reach it, if that is another address: its place"},
+            &Told::advertise),
+        {{.name = "join",
+          .kind = config::Kind::Texts,
+          .help = "places of some members, asked for the others"},
          [](Told& told, std::string_view value) -> std::string {
              auto found = parse_address(value);
-             if (!found || found->port() == 0 || !found->address().is_v4()) return "is not an address a.b.c.d:port";
+             if (!found || found->port() == 0 || !found->address().is_v4())
+                 return "is not an address a.b.c.d:port";
              told.join.emplace_back(found->address(), found->port());
              return {};
          }},
-        config::text({.name = "cluster", .fallback = "ochrehub", .help = "the tier's name: others are not heard"},
-                     &Told::cluster),
-        config::text({.name = "zone", .help = "what it tells others of where it stands; else the node's `zone`"},
-                     &Told::zone),
-        config::text({.name = "key_file", .help = "a key a line, the first signs; read again on SIGHUP"}, &Told::key_file),
-        config::number({.name = "nodes_least",
-                        .fallback = "0",
-                        .help = "whoever is seen: its part is never more than one of so many; 0: half of `nodes`"},
-                       &Told::nodes_least, 0, 100000),
-        milliseconds({.name = "interval_ms", .fallback = "500", .help = "between looks at one other, 100 to 10000"},
-                     &Told::interval, 100, 10000),
+        config::text(
+            {.name = "cluster", .fallback = "ochrehub", .help = "the tier's name: others are not heard"},
+            &Told::cluster),
+        config::text(
+            {.name = "zone", .help = "what it tells others of where it stands; else the node's `zone`"},
+            &Told::zone),
+        config::text({.name = "key_file", .help = "a key a line, the first signs; read again on SIGHUP"},
+                     &Told::key_file),
+        config::number(
+            {.name = "nodes_least",
+             .fallback = "0",
+             .help = "whoever is seen: its part is never more than one of so many; 0: half of `nodes`"},
+            &Told::nodes_least, 0, 100000),
+        milliseconds(
+            {.name = "interval_ms", .fallback = "500", .help = "between looks at one other, 100 to 10000"},
+            &Told::interval, 100, 10000),
         milliseconds({.name = "isolated_ms",
                       .fallback = "5000",
                       .help = "without an answer from anybody it is isolated, 1000 to 60000"},
@@ -101,8 +113,10 @@
 }
 
 std::string fault_of_name(std::string_view name, std::size_t most) {
-    if (name.size() > most) return "is longer than the " + std::to_string(most) + " characters that members tell each other";
-    bool plain = std::all_of(name.begin(), name.end(), [](char c) { return printable(c) && c != '"' && c != '\\'; });
+    if (name.size() > most)
+        return "is longer than the " + std::to_string(most) + " characters that members tell each other";
+    bool plain =
+        std::all_of(name.begin(), name.end(), [](char c) { return printable(c) && c != '"' && c != '\\'; });
     return plain ? "" : "holds a character that members do not tell each other";
 }
 
--- a/src/fleet/membership/side.cpp
+++ b/src/fleet/membership/side.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr Duration kTick{100};
-constexpr Duration kTickLate{500};  // behind its time: the whole process stood still, which says nothing of the node's loop
+constexpr Duration kTickLate{
+    500};  // behind its time: the whole process stood still, which says nothing of the node's loop
 
 std::uint32_t draw() {
     return std::random_device{}();
@@ -45,7 +46,8 @@
       member_(io_, scheduler_, told.listen, core_settings(told, name, draw()), Keys(told.keys), draw(),
               fingerprint(told.cluster)),
       told_gateways_(nodes),
-      share_({nodes, told.nodes_least > 0 ? told.nodes_least : (nodes + 1) / 2, Duration{5000}, Duration{1000}}) {
+      share_({nodes, told.nodes_least > 0 ? told.nodes_least : (nodes + 1) / 2, Duration{5000},
+              Duration{1000}}) {
     member_.changed = [this](const Changed& change) { log_change(change); };
     member_.restarted = [](const Restarted& other) {
         std::string place = text(other.who);
@@ -55,7 +57,8 @@
     };
     member_.of_itself = [](const OfItself& itself) {
         std::string says = words(itself.said);
-        log(itself.said == 0 ? LogLevel::Info : LogLevel::Warn, "this member of the fleet now says of itself:",
+        log(itself.said == 0 ? LogLevel::Info : LogLevel::Warn,
+            "this member of the fleet now says of itself:",
             {{"says", says.empty() ? std::string_view("well") : std::string_view(says)},
              {"isolated", (itself.said & kSaysIsolated) != 0}});
     };
@@ -112,7 +115,8 @@
     view.sharing = share_.see(now, view.here);
     int me = 0;
     for (const View::One& one : view.members)
-        me += one.update.state <= State::Suspect && (one.update.said & kSaysStalled) == 0 && one.update.who < view.self.who;
+        me += one.update.state <= State::Suspect && (one.update.said & kSaysStalled) == 0 &&
+              one.update.who < view.self.who;
     // While it does not see as many as it counts on, its number among them would be another's too.
     if (view.here != view.sharing) me = kNone;
     bool other = std::exchange(told_gateways_, view.sharing) != view.sharing;
--- a/src/fleet/membership/side.h
+++ b/src/fleet/membership/side.h
@@ -1,6 +1,6 @@
-// A node's membership: a thread and a loop of its own, so that a node that is busy is not called dead. It hears from the
-// node's loop that that turns; where it does not for `stalled_ms`, the node says so of itself, and others do not count on
-// it. That word wins over the thread's own liveness.
+// A node's membership: a thread and a loop of its own, so that a node that is busy is not called dead. It
+// hears from the node's loop that that turns; where it does not for `stalled_ms`, the node says so of itself,
+// and others do not count on it. That word wins over the thread's own liveness.
 #pragma once
 
 #include <atomic>
@@ -25,8 +25,8 @@
 public:
     /// Descriptors that it holds: its socket and what its loop needs, and some to spare.
     static constexpr std::size_t kDescriptors = 6;
-    /// By how many nodes this one divides, and which of them it is, from 0, or kNone: not known. Called where either
-    /// changes, on the side's own thread.
+    /// By how many nodes this one divides, and which of them it is, from 0, or kNone: not known. Called where
+    /// either changes, on the side's own thread.
     using Shares = std::function<void(int gateways, int me)>;
 
     /// Throws boost::system::system_error where it cannot listen; nothing is sent before `start`.
@@ -46,7 +46,8 @@
     std::string figures() const;
 
 private:
-    static membership::Settings core_settings(const Told& told, const std::string& name, std::uint32_t instance);
+    static membership::Settings core_settings(const Told& told, const std::string& name,
+                                              std::uint32_t instance);
     void tick();
     void publish();
     void log_change(const Changed& change) const;
--- a/src/fleet/membership/udp.cpp
+++ b/src/fleet/membership/udp.cpp
@@ -22,8 +22,8 @@
     return settings;
 }
 
-UdpMember::UdpMember(asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings, Keys keys,
-                     std::uint64_t seed, std::uint32_t cluster)
+UdpMember::UdpMember(asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
+                     Keys keys, std::uint64_t seed, std::uint32_t cluster)
     : scheduler_(scheduler),
       socket_(io),
       place_(bound(socket_, listen)),
--- a/src/fleet/membership/udp.h
+++ b/src/fleet/membership/udp.h
@@ -11,19 +11,20 @@
 
 namespace ochrehub::membership {
 
-/// Must outlive all that its io_context still runs for it: `close` it and let that come to its end. Datagrams are read
-/// one a turn, and no more than kReadMost in a tenth of a second: a flood neither holds up the loop nor takes the core from
-/// requests. A member hears 4 to 16 a second, whatever the tier's size. What the kernel then drops was as good as lost.
+/// Must outlive all that its io_context still runs for it: `close` it and let that come to its end. Datagrams
+/// are read one a turn, and no more than kReadMost in a tenth of a second: a flood neither holds up the loop
+/// nor takes the core from requests. A member hears 4 to 16 a second, whatever the tier's size. What the
+/// kernel then drops was as good as lost.
 class UdpMember {
 public:
     using Endpoint = boost::asio::ip::udp::endpoint;
     static constexpr Duration kSlice{100};
     static constexpr std::size_t kReadMost = 200;
 
-    /// Binds to `listen` (IPv4; port 0: any that is free) and takes its place from there. Throws where it cannot.
-    /// Where `settings.self` is given, that is its place: others reach it there, by whatever way.
-    UdpMember(boost::asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings, Keys keys,
-              std::uint64_t seed, std::uint32_t cluster = 0);
+    /// Binds to `listen` (IPv4; port 0: any that is free) and takes its place from there. Throws where it
+    /// cannot. Where `settings.self` is given, that is its place: others reach it there, by whatever way.
+    UdpMember(boost::asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
+              Keys keys, std::uint64_t seed, std::uint32_t cluster = 0);
 
     void start() { hand(Woken{}); }
     void plan(const PlanInForce& plan) { hand(NewPlan{plan}); }
--- a/src/fleet/membership/view.h
+++ b/src/fleet/membership/view.h
@@ -27,7 +27,7 @@
     Membership::Counts counts;
     std::uint64_t refused[kFaults] = {};
     std::uint64_t unsent = 0;
-    std::uint64_t held = 0;  ///< times that a flood had to wait
+    std::uint64_t held = 0;    ///< times that a flood had to wait
     std::vector<One> members;  ///< in the order of their places
 };
 
--- a/src/fleet/migration/error.h
+++ b/src/fleet/migration/error.h
@@ -10,7 +10,7 @@
 namespace ochrehub::migration {
 
 enum class Error : std::uint8_t {
-    Malformed,   ///< no message of this version, or one that says nonsense
+    Malformed,  ///< no message of this version, or one that says nonsense
     UnknownKind,
     NotNextTo,   ///< a level that is no neighbour of the fleet's
     Running,     ///< another migration is under way
@@ -37,15 +37,35 @@
 using Failure = fleet::Failure<Error>;
 
 /// Of a migration, in their order. Those behind Done lead back.
-enum class Stage : std::uint8_t { None, Widen, Convert, Compare, Switch, Hold, Narrow, Done, Unswitch, Unwiden, Undone };
+enum class Stage : std::uint8_t {
+    None,
+    Widen,
+    Convert,
+    Compare,
+    Switch,
+    Hold,
+    Narrow,
+    Done,
+    Unswitch,
+    Unwiden,
+    Undone
+};
 std::string_view name(Stage stage);
-inline bool ended(Stage stage) { return stage == Stage::None || stage == Stage::Done || stage == Stage::Undone; }
+inline bool ended(Stage stage) {
+    return stage == Stage::None || stage == Stage::Done || stage == Stage::Undone;
+}
 /// Stages in which shards have something to do.
-inline bool works(Stage stage) { return !ended(stage) && stage != Stage::Hold; }
+inline bool works(Stage stage) {
+    return !ended(stage) && stage != Stage::Hold;
+}
 
 /// How errors stand in messages: 0 is none.
-inline std::uint32_t on_wire(Error error) { return std::uint32_t(error) + 1; }
+inline std::uint32_t on_wire(Error error) {
+    return std::uint32_t(error) + 1;
+}
 /// Zero or nonsense is taken for Malformed; to be asked where one was said.
-inline Error from_wire(std::uint32_t error) { return error - 1 < kErrors ? Error(error - 1) : Error::Malformed; }
+inline Error from_wire(std::uint32_t error) {
+    return error - 1 < kErrors ? Error(error - 1) : Error::Malformed;
+}
 
 }  // namespace ochrehub::migration
--- a/src/fleet/migration/machine.cpp
+++ b/src/fleet/migration/machine.cpp
@@ -18,12 +18,14 @@
     return std::to_string(range.least) + " to " + std::to_string(range.most);
 }
 std::uint64_t added(std::uint64_t a, std::uint64_t b) {
-    return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max() : a + b;
+    return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max()
+                                                             : a + b;
 }
 bool bit(const std::string& bits, std::uint32_t at) {
     return (std::uint8_t(bits[at / 8]) >> (at % 8) & 1) != 0;
 }
-/// What a stage has found in all shards, together. Digests are summed: the order in which shards are through does not count.
+/// What a stage has found in all shards, together. Digests are summed: the order in which shards are through
+/// does not count.
 void add(wire::Counts& to, const wire::Counts& from) {
     to.set_groups(added(to.groups(), from.groups()));
     to.set_records_from(added(to.records_from(), from.records_from()));
@@ -47,14 +49,29 @@
         refuse(answer, Error::Malformed);
     } else {
         switch (what.what_case()) {
-            case wire::Command::kSays: says(command.session, what.says(), answer); break;
-            case wire::Command::kStart: start(what.start(), answer); break;
-            case wire::Command::kWant: want(command.session, answer); break;
-            case wire::Command::kDid: did(command.session, what.did(), answer); break;
-            case wire::Command::kTrouble: trouble(command.session, what.trouble(), answer); break;
-            case wire::Command::kSteer: steer(what.steer(), answer); break;
-            case wire::Command::kShow: break;
-            case wire::Command::WHAT_NOT_SET: refuse(answer, Error::Malformed); break;
+            case wire::Command::kSays:
+                says(command.session, what.says(), answer);
+                break;
+            case wire::Command::kStart:
+                start(what.start(), answer);
+                break;
+            case wire::Command::kWant:
+                want(command.session, answer);
+                break;
+            case wire::Command::kDid:
+                did(command.session, what.did(), answer);
+                break;
+            case wire::Command::kTrouble:
+                trouble(command.session, what.trouble(), answer);
+                break;
+            case wire::Command::kSteer:
+                steer(what.steer(), answer);
+                break;
+            case wire::Command::kShow:
+                break;
+            case wire::Command::WHAT_NOT_SET:
+                refuse(answer, Error::Malformed);
+                break;
         }
     }
     advance();
@@ -81,12 +98,13 @@
         const schema::Range& reads = live.ranges[kind];
         if (live.refused || reads.holds(number)) return;
         live.refused = on_wire(reads.most < number ? Error::OldRelease : Error::NewRelease);
-        live.about = live.name + ": " + std::string(schema::name(schema::Kind(kind))) + ": reads " + words(reads) + ", the fleet " +
-                     std::string(what) + std::to_string(number);
+        live.about = live.name + ": " + std::string(schema::name(schema::Kind(kind))) + ": reads " +
+                     words(reads) + ", the fleet " + std::string(what) + std::to_string(number);
     };
     for (std::size_t i = 0; i < kKinds; ++i) needs(i, levels_[i], "writes ");
     // The way back is open: whoever could not go it must not come in.
-    if (stage() == Stage::Switch || stage() == Stage::Hold) needs(now_.kind(), now_.from(), "may go back to ");
+    if (stage() == Stage::Switch || stage() == Stage::Hold)
+        needs(now_.kind(), now_.from(), "may go back to ");
 }
 
 void Migrations::says(keeper::SessionId session, const wire::Says& said, Answer& answer) {
@@ -96,7 +114,8 @@
     Live& live = found->second;
     for (std::size_t i = 0; i < kKinds; ++i) {
         live.ranges[i] = {said.ranges(int(i)).least(), said.ranges(int(i)).most()};
-        if (live.ranges[i].least == 0 || live.ranges[i].least > live.ranges[i].most) return refuse(answer, Error::Malformed);
+        if (live.ranges[i].least == 0 || live.ranges[i].least > live.ranges[i].most)
+            return refuse(answer, Error::Malformed);
     }
     live.said = true;
     judge(live);
@@ -105,14 +124,18 @@
         return;
     }
     // It may serve by the level of now, and there is nowhere to go while it does.
-    if (!ended(stage()) && stage() < Stage::Switch && !live.ranges[now_.kind()].holds(now_.to())) stop(Error::OldProcess, live.name);
+    if (!ended(stage()) && stage() < Stage::Switch && !live.ranges[now_.kind()].holds(now_.to()))
+        stop(Error::OldProcess, live.name);
 }
 
 bool Migrations::someone_cannot(schema::Kind kind, schema::Number number, Failure& why) const {
     for (const auto& [id, live] : sessions_) {
-        if (!live.said) why = {Error::Silent, live.name};
-        else if (!live.refused && !live.ranges[std::size_t(kind)].holds(number)) why = {Error::OldProcess, live.name};
-        else continue;
+        if (!live.said)
+            why = {Error::Silent, live.name};
+        else if (!live.refused && !live.ranges[std::size_t(kind)].holds(number))
+            why = {Error::OldProcess, live.name};
+        else
+            continue;
         return true;
     }
     return false;
@@ -124,8 +147,10 @@
     auto kind = schema::Kind(start.kind());
     schema::Number level = levels_[start.kind()], to = start.to();
     bool next_to = to + 1 == level || to == level + 1;
-    if (!next_to || to == 0 || to > schema::last(kind)) return refuse(answer, Error::NotNextTo, "the level is " + std::to_string(level));
-    if (start.shards() == 0 || start.shards() > kShardsMost) return refuse(answer, Error::Malformed, "shards");
+    if (!next_to || to == 0 || to > schema::last(kind))
+        return refuse(answer, Error::NotNextTo, "the level is " + std::to_string(level));
+    if (start.shards() == 0 || start.shards() > kShardsMost)
+        return refuse(answer, Error::Malformed, "shards");
     Failure why;
     if (someone_cannot(kind, to, why)) return refuse(answer, why.error, why.about);
     now_.Clear();
@@ -144,52 +169,63 @@
     if (!live.said) return refuse(answer, Error::Silent, live.name);
     if (live.refused) return refuse(answer, from_wire(live.refused), live.about);
     const schema::Range& reads = live.ranges[now_.kind()];
-    if (!reads.holds(now_.from()) || !reads.holds(now_.to())) return refuse(answer, Error::OldProcess, live.name);
+    if (!reads.holds(now_.from()) || !reads.holds(now_.to()))
+        return refuse(answer, Error::OldProcess, live.name);
     if (now_.owner() == session) return;
     if (now_.owner()) return refuse(answer, Error::Owned);
     now_.set_owner(session);
     now_.set_epoch(++epochs_);
 }
 
-bool Migrations::of_owner(keeper::SessionId session, std::uint64_t id, std::uint64_t epoch, std::uint64_t revision,
-                          std::uint32_t shard) const {
-    return session && now_.owner() == session && now_.id() == id && now_.epoch() == epoch && now_.revision() == revision &&
-           works(stage()) && shard < now_.shards();
+bool Migrations::of_owner(keeper::SessionId session, std::uint64_t id, std::uint64_t epoch,
+                          std::uint64_t revision, std::uint32_t shard) const {
+    return session && now_.owner() == session && now_.id() == id && now_.epoch() == epoch &&
+           now_.revision() == revision && works(stage()) && shard < now_.shards();
 }
 
 void Migrations::did(keeper::SessionId session, const wire::Did& did, Answer& answer) {
-    if (!of_owner(session, did.migration(), did.epoch(), did.revision(), did.shard())) return refuse(answer, Error::Stale);
+    if (!of_owner(session, did.migration(), did.epoch(), did.revision(), did.shard()))
+        return refuse(answer, Error::Stale);
     const wire::Counts& counts = did.counts();
     if (!bit(now_.done(), did.shard())) {
         char& octet = (*now_.mutable_done())[did.shard() / 8];
         octet = char(std::uint8_t(octet) | 1u << (did.shard() % 8));
         add(*now_.mutable_counts(), counts);
     }
-    if (counts.refusals() > now_.refusals(int(did.shard()))) now_.set_refusals(int(did.shard()), counts.refusals());
+    if (counts.refusals() > now_.refusals(int(did.shard())))
+        now_.set_refusals(int(did.shard()), counts.refusals());
     std::uint64_t refusals = 0;
     for (std::uint64_t each : now_.refusals()) refusals = added(refusals, each);
     now_.mutable_counts()->set_refusals(refusals);
-    if (stage() == Stage::Compare && (counts.differ() || counts.digest_from() != counts.digest_to() || counts.spent_to() < counts.spent_from()))
+    if (stage() == Stage::Compare && (counts.differ() || counts.digest_from() != counts.digest_to() ||
+                                      counts.spent_to() < counts.spent_from()))
         return stop(Error::Differs, "shard " + std::to_string(did.shard()) + ", group " + counts.differs());
-    if (stage() < Stage::Narrow && refusals > now_.refusals_most()) stop(Error::Refusals, std::to_string(refusals));
+    if (stage() < Stage::Narrow && refusals > now_.refusals_most())
+        stop(Error::Refusals, std::to_string(refusals));
 }
 
 void Migrations::trouble(keeper::SessionId session, const wire::Trouble& trouble, Answer& answer) {
     if (!of_owner(session, trouble.migration(), trouble.epoch(), trouble.revision(), trouble.shard()))
         return refuse(answer, Error::Stale);
-    stop(from_wire(trouble.error()), "shard " + std::to_string(trouble.shard()) + (trouble.about().empty() ? "" : ", ") + trouble.about());
+    stop(from_wire(trouble.error()), "shard " + std::to_string(trouble.shard()) +
+                                         (trouble.about().empty() ? "" : ", ") + trouble.about());
 }
 
 void Migrations::steer(wire::Steer way, Answer& answer) {
     if (ended(stage())) return refuse(answer, Error::Nothing);
     Failure why;
     switch (way) {
-        case wire::PAUSE: now_.set_paused(true); return;
+        case wire::PAUSE:
+            now_.set_paused(true);
+            return;
         case wire::GO_ON:
             if (stage() < Stage::Switch && someone_cannot(schema::Kind(now_.kind()), now_.to(), why))
                 return refuse(answer, why.error, why.about);
-            // Behind a stop the stage begins anew, so that what was said of it before is stale; what differed is converted once more.
-            if (now_.stopped()) enter(stage() == Stage::Compare && now_.stopped() == on_wire(Error::Differs) ? Stage::Convert : stage());
+            // Behind a stop the stage begins anew, so that what was said of it before is stale; what differed
+            // is converted once more.
+            if (now_.stopped())
+                enter(stage() == Stage::Compare && now_.stopped() == on_wire(Error::Differs) ? Stage::Convert
+                                                                                             : stage());
             if (now_.stopped() == on_wire(Error::Refusals)) {
                 // Those that the operators have seen are allowed for.
                 std::uint64_t sum = now_.refusals_most();
@@ -214,7 +250,8 @@
             if (stage() != Stage::Hold) return refuse(answer, Error::NotYet);
             now_.set_narrows(true);
             break;
-        default: return refuse(answer, Error::Malformed);
+        default:
+            return refuse(answer, Error::Malformed);
     }
     now_.set_paused(false), now_.set_stopped(0), now_.clear_about();
 }
@@ -250,8 +287,12 @@
         if (!all_done()) return;
         Failure why;
         switch (stage()) {
-            case Stage::Widen: enter(Stage::Convert); break;
-            case Stage::Convert: enter(Stage::Compare); break;
+            case Stage::Widen:
+                enter(Stage::Convert);
+                break;
+            case Stage::Convert:
+                enter(Stage::Compare);
+                break;
             case Stage::Compare:
                 // A session that has not said yet is waited for; one that cannot was told of when it said so.
                 if (someone_cannot(schema::Kind(now_.kind()), now_.to(), why)) {
@@ -262,11 +303,20 @@
                 for (auto& [id, live] : sessions_) judge(live);
                 enter(Stage::Switch);
                 break;
-            case Stage::Switch: enter(Stage::Hold); break;
-            case Stage::Narrow: enter(Stage::Done); break;
-            case Stage::Unswitch: enter(Stage::Unwiden); break;
-            case Stage::Unwiden: enter(Stage::Undone); break;
-            default: return;
+            case Stage::Switch:
+                enter(Stage::Hold);
+                break;
+            case Stage::Narrow:
+                enter(Stage::Done);
+                break;
+            case Stage::Unswitch:
+                enter(Stage::Unwiden);
+                break;
+            case Stage::Unwiden:
+                enter(Stage::Undone);
+                break;
+            default:
+                return;
         }
     }
 }
@@ -314,16 +364,19 @@
     wire::Machine all;
     if (schema != this->schema() || !all.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
     const wire::Status& status = all.migration();
-    std::size_t bits = ended(Stage(status.stage())) || Stage(status.stage()) == Stage::Hold ? 0 : (status.shards() + 7) / 8;
+    std::size_t bits =
+        ended(Stage(status.stage())) || Stage(status.stage()) == Stage::Hold ? 0 : (status.shards() + 7) / 8;
     if (std::size_t(all.levels_size()) != kKinds || std::size_t(all.sessions_size()) > kSessionsMost ||
-        status.stage() > std::uint32_t(Stage::Undone) || status.kind() >= kKinds || status.shards() > kShardsMost ||
-        std::uint32_t(status.refusals_size()) != status.shards() || status.done().size() != bits)
+        status.stage() > std::uint32_t(Stage::Undone) || status.kind() >= kKinds ||
+        status.shards() > kShardsMost || std::uint32_t(status.refusals_size()) != status.shards() ||
+        status.done().size() != bits)
         return false;
     std::map<keeper::SessionId, Live> sessions;
     for (const wire::Session& one : all.sessions()) {
         Live live{one.name(), one.zone(), one.about(), one.said(), {}, one.refused()};
         if (std::size_t(one.ranges_size()) != kKinds) return false;
-        for (std::size_t i = 0; i < kKinds; ++i) live.ranges[i] = {one.ranges(int(i)).least(), one.ranges(int(i)).most()};
+        for (std::size_t i = 0; i < kKinds; ++i)
+            live.ranges[i] = {one.ranges(int(i)).least(), one.ranges(int(i)).most()};
         sessions.emplace(one.id(), std::move(live));
     }
     for (std::size_t i = 0; i < kKinds; ++i) levels_[i] = all.levels(int(i));
--- a/src/fleet/migration/machine.h
+++ b/src/fleet/migration/machine.h
@@ -1,11 +1,14 @@
-// What a majority of keepers knows of levels and migrations: which schema the fleet writes of each kind, what each live process
-// reads, and the one migration that is under way: its stage, its owner's epoch, which shards are through. A machine as all are:
-// no time, no I/O, the same at every keeper. One thread at a time.
+// What a majority of keepers knows of levels and migrations: which schema the fleet writes of each kind, what
+// each live process reads, and the one migration that is under way: its stage, its owner's epoch, which
+// shards are through. A machine as all are: no time, no I/O, the same at every keeper. One thread at a time.
 //
-// The level changes at the entry to Switch, and only where each live session reads the new schema. Until then a process that does not
-// stops the migration; from then on it is refused. The way back sets the level back at once, and is open until Narrow.
+// The level changes at the entry to Switch, and only where each live session reads the new schema. Until then
+// a process that does not stops the migration; from then on it is refused. The way back sets the level back
+// at once, and is open until Narrow.
 #pragma once
 
+#include <migration.pb.h>
+
 #include <array>
 #include <map>
 #include <string>
@@ -13,7 +16,6 @@
 
 #include "fleet/keeper/machine.h"
 #include "fleet/migration/error.h"
-#include <migration.pb.h>
 
 namespace ochrehub::migration {
 
--- a/src/fleet/migration/owner.cpp
+++ b/src/fleet/migration/owner.cpp
@@ -15,11 +15,14 @@
     const wire::News& news = told.news;
     const wire::Status& status = news.migration();
     // Answers come late and out of order: one that is behind what is known says nothing.
-    if (status.id() < status_.id() || (status.id() == status_.id() && (status.revision() < status_.revision() || status.epoch() < status_.epoch())))
+    if (status.id() < status_.id() ||
+        (status.id() == status_.id() &&
+         (status.revision() < status_.revision() || status.epoch() < status_.epoch())))
         return;
     until_ = std::max(until_, told.until);
     asks_ = set_.willing && news.asked() && !news.refused();
-    bool anew = status.id() != status_.id() || status.revision() != status_.revision() || status.epoch() != status_.epoch();
+    bool anew = status.id() != status_.id() || status.revision() != status_.revision() ||
+                status.epoch() != status_.epoch();
     bool owns = news.mine() && !news.refused() && works(Stage(status.stage()));
     if (owns && (anew || !owns_)) {
         shards_.assign(status.shards(), {});
@@ -28,13 +31,14 @@
     status_ = status;
     owns_ = owns;
     for (std::uint32_t i = 0; owns && i < status.shards() && i / 8 < status.done().size(); ++i)
-        if (std::uint8_t(status.done()[i / 8]) >> (i % 8) & 1) shards_[i].done = true, shards_[i].said.reset();
+        if (std::uint8_t(status.done()[i / 8]) >> (i % 8) & 1)
+            shards_[i].done = true, shards_[i].said.reset();
 }
 
 void Owner::on(const Replied& replied) {
     const wire::Reply& reply = replied.reply;
-    if (!owns_ || reply.migration() != status_.id() || reply.epoch() != status_.epoch() || reply.revision() != status_.revision() ||
-        reply.shard() >= shards_.size())
+    if (!owns_ || reply.migration() != status_.id() || reply.epoch() != status_.epoch() ||
+        reply.revision() != status_.revision() || reply.shard() >= shards_.size())
         return;
     load_ = reply.load() / 100.0;
     Shard& shard = shards_[reply.shard()];
@@ -43,12 +47,14 @@
     shard.next = now_;
     if (!reply.error()) {
         std::uint64_t groups = reply.counts().groups();
-        if (shard.looked && groups > shard.groups) next_order_ = std::max(next_order_, now_) + pause(groups - shard.groups);
+        if (shard.looked && groups > shard.groups)
+            next_order_ = std::max(next_order_, now_) + pause(groups - shard.groups);
         shard.groups = groups;
         shard.looked = true, shard.failed = 0;
         if (!reply.done()) return;
         wire::Did& did = *shard.said.emplace().mutable_did();
-        did.set_migration(reply.migration()), did.set_epoch(reply.epoch()), did.set_revision(reply.revision());
+        did.set_migration(reply.migration()), did.set_epoch(reply.epoch()),
+            did.set_revision(reply.revision());
         did.set_shard(reply.shard());
         *did.mutable_counts() = reply.counts();
         return;
@@ -63,7 +69,8 @@
     if (row(error).passes && ++shard.failed < set_.tries) return;
     shard.failed = 0;
     wire::Trouble& trouble = *shard.said.emplace().mutable_trouble();
-    trouble.set_migration(reply.migration()), trouble.set_epoch(reply.epoch()), trouble.set_revision(reply.revision());
+    trouble.set_migration(reply.migration()), trouble.set_epoch(reply.epoch()),
+        trouble.set_revision(reply.revision());
     trouble.set_shard(reply.shard());
     trouble.set_error(reply.error()), trouble.set_about(reply.about());
 }
@@ -77,8 +84,10 @@
 void Owner::order(std::uint32_t number, OwnerActions& actions) {
     Shard& shard = shards_[number];
     wire::Order order;
-    order.set_migration(status_.id()), order.set_epoch(status_.epoch()), order.set_revision(status_.revision());
-    order.set_kind(status_.kind()), order.set_shard(number), order.set_from(status_.from()), order.set_to(status_.to());
+    order.set_migration(status_.id()), order.set_epoch(status_.epoch()),
+        order.set_revision(status_.revision());
+    order.set_kind(status_.kind()), order.set_shard(number), order.set_from(status_.from()),
+        order.set_to(status_.to());
     order.set_stage(status_.stage()), order.set_most(shard.looked ? set_.batch : 0);
     shard.out = true, shard.next = now_ + set_.patience;
     ++orders_;
@@ -99,7 +108,8 @@
     TimePoint next = until_;
     std::size_t out = 0;
     for (Shard& shard : shards_) {
-        if (shard.out && now_ >= shard.next) shard.out = shard.looked = false;  // whether it was done is asked first
+        if (shard.out && now_ >= shard.next)
+            shard.out = shard.looked = false;  // whether it was done is asked first
         if (shard.out) ++out, next = std::min(next, shard.next);
         if (!shard.said) continue;
         if (now_ >= shard.next) {
@@ -123,7 +133,8 @@
                 continue;
             }
             order(number, actions);
-            at_ = number;  // it goes on with this one while it may: a shard at a time is what is compared soonest
+            at_ = number;  // it goes on with this one while it may: a shard at a time is what is compared
+                           // soonest
             ++out;
             next = std::min(next, shard.next);
         }
--- a/src/fleet/migration/owner.h
+++ b/src/fleet/migration/owner.h
@@ -1,11 +1,15 @@
-// The side of a process that may own a migration: asks the keepers for it where it is wanted, and as its owner takes the shards
-// through the stage that is written down. A core without I/O, clock or threads; the seed of its draws is its settings'.
+// The side of a process that may own a migration: asks the keepers for it where it is wanted, and as its
+// owner takes the shards through the stage that is written down. A core without I/O, clock or threads; the
+// seed of its draws is its settings'.
 //
-// It never guesses what was done before it: the first order to each shard under an epoch looks, which shuts out the owner before it and
-// tells how far the shard is. Its pace is bounded and yields to the holders' load. It stops at the end of its session as it counts it, and
-// looks at the clock first whenever it is woken.
+// It never guesses what was done before it: the first order to each shard under an epoch looks, which shuts
+// out the owner before it and tells how far the shard is. Its pace is bounded and yields to the holders'
+// load. It stops at the end of its session as it counts it, and looks at the clock first whenever it is
+// woken.
 #pragma once
 
+#include <migration.pb.h>
+
 #include <cstdint>
 #include <optional>
 #include <variant>
@@ -13,20 +17,21 @@
 
 #include "fleet/migration/error.h"
 #include "ochrehub/rules.h"
-#include <migration.pb.h>
 
 namespace ochrehub::migration {
 
 struct OwnerSettings {
-    bool willing = true;          ///< asks for what nobody owns
-    std::uint32_t batch = 200;    ///< groups in one order
-    std::size_t window = 2;       ///< shards at once
-    double per_s = 20'000;        ///< groups a second, over all shards
-    double yields_from = 0.7, yields_to = 0.95;  ///< load at which it begins to slow down, and at which it is at its least
-    double least = 0.05;          ///< part of its pace that it never goes below
-    Duration patience{1000};      ///< for an answer, then it asks again
-    Duration again{200}, again_most{5000};  ///< between tries of a shard that could not go on, doubled each time
-    int tries = 6;                ///< then the migration is stopped
+    bool willing = true;        ///< asks for what nobody owns
+    std::uint32_t batch = 200;  ///< groups in one order
+    std::size_t window = 2;     ///< shards at once
+    double per_s = 20'000;      ///< groups a second, over all shards
+    double yields_from = 0.7,
+           yields_to = 0.95;  ///< load at which it begins to slow down, and at which it is at its least
+    double least = 0.05;      ///< part of its pace that it never goes below
+    Duration patience{1000};  ///< for an answer, then it asks again
+    Duration again{200},
+        again_most{5000};  ///< between tries of a shard that could not go on, doubled each time
+    int tries = 6;         ///< then the migration is stopped
 };
 
 // ---- What happens
--- a/src/fleet/migration/receiver.cpp
+++ b/src/fleet/migration/receiver.cpp
@@ -49,13 +49,15 @@
     bool keep_only(Number schema) {
         auto& forms = *stored_.mutable_forms();
         int before = forms.size();
-        forms.erase(std::remove_if(forms.begin(), forms.end(), [&](const wire::Form& form) { return form.schema() != schema; }),
+        forms.erase(std::remove_if(forms.begin(), forms.end(),
+                                   [&](const wire::Form& form) { return form.schema() != schema; }),
                     forms.end());
         return forms.size() != before;
     }
     /// Empty where no form has a record.
     std::string octets() const {
-        bool any = std::any_of(stored_.forms().begin(), stored_.forms().end(), [](const auto& form) { return form.records_size() > 0; });
+        bool any = std::any_of(stored_.forms().begin(), stored_.forms().end(),
+                               [](const auto& form) { return form.records_size() > 0; });
         return any ? stored_.SerializeAsString() : std::string();
     }
 
@@ -78,7 +80,8 @@
     return hash;
 }
 std::uint64_t added(std::uint64_t a, std::uint64_t b) {
-    return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max() : a + b;
+    return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max()
+                                                             : a + b;
 }
 void fail(wire::Reply& reply, Error error, std::string_view about = {}) {
     reply.set_error(on_wire(error)), reply.set_about(std::string(about));
@@ -132,10 +135,15 @@
     Number least = state.from(), most = state.from();
     switch (ShardForm(state.form())) {
         case ShardForm::Plain:
-        case ShardForm::Unwidening: break;
-        case ShardForm::Wide: least = std::min(state.from(), state.to()), most = std::max(state.from(), state.to()); break;
+        case ShardForm::Unwidening:
+            break;
+        case ShardForm::Wide:
+            least = std::min(state.from(), state.to()), most = std::max(state.from(), state.to());
+            break;
         case ShardForm::Switched:
-        case ShardForm::Narrowing: least = most = state.to(); break;
+        case ShardForm::Narrowing:
+            least = most = state.to();
+            break;
     }
     why = schema < least ? Error::OldLevel : Error::NewLevel;
     return least <= schema && schema <= most;
@@ -154,12 +162,14 @@
     if (ask.kind() != std::uint32_t(set_.kind) || ask.group().empty())
         fail(given, Error::Malformed);
     else if (!takes(now, ask.schema(), why))
-        fail(given, why, "writes " + std::to_string(given.schema()) + ", not " + std::to_string(ask.schema()));
+        fail(given, why,
+             "writes " + std::to_string(given.schema()) + ", not " + std::to_string(ask.schema()));
     else if (ask.writes())
         take(now, ask, given);
     else
         give(now, ask, given);
-    if (given.error() && ask.writes() && from_wire(given.error()) != Error::Changed) ++refusals_, ++refused_[ask.shard()];
+    if (given.error() && ask.writes() && from_wire(given.error()) != Error::Changed)
+        ++refusals_, ++refused_[ask.shard()];
     return given;
 }
 
@@ -180,7 +190,8 @@
 void Receiver::take(const State& state, const wire::Ask& ask, wire::Given& given) {
     Group written = group_of(ask.records());
     for (const schema::Record& record : written)
-        if (schema::group_of(set_.kind, ask.schema(), record.key) != ask.group()) return fail(given, Error::Malformed, shown(ask.group()));
+        if (schema::group_of(set_.kind, ask.schema(), record.key) != ask.group())
+            return fail(given, Error::Malformed, shown(ask.group()));
     schema::Result taken = schema::canonical(set_.kind, ask.schema(), written);
     if (!std::holds_alternative<Group>(taken)) return fail(given, Error::Malformed, shown(ask.group()));
     const Group& group = std::get<Group>(taken);
@@ -199,9 +210,15 @@
         // Else it stands in the form that counts; converting meets it again and stops there.
     }
     switch (records_.write(ask.shard(), ask.group(), ask.version(), forms.octets())) {
-        case Records::Wrote::Done: given.set_version(records_.read(ask.shard(), ask.group()).version); break;
-        case Records::Wrote::Changed: fail(given, Error::Changed); break;
-        case Records::Wrote::Full: fail(given, Error::Full); break;
+        case Records::Wrote::Done:
+            given.set_version(records_.read(ask.shard(), ask.group()).version);
+            break;
+        case Records::Wrote::Changed:
+            fail(given, Error::Changed);
+            break;
+        case Records::Wrote::Full:
+            fail(given, Error::Full);
+            break;
     }
 }
 
@@ -209,16 +226,19 @@
 
 /// The first of a new migration, epoch or stage shuts out all before it. False: this is one of those.
 bool Receiver::enter(State& state, const wire::Order& order, wire::Reply& reply) const {
-    if (order.kind() != std::uint32_t(set_.kind) || order.stage() > std::uint32_t(Stage::Undone) || !works(Stage(order.stage()))) {
+    if (order.kind() != std::uint32_t(set_.kind) || order.stage() > std::uint32_t(Stage::Undone) ||
+        !works(Stage(order.stage()))) {
         fail(reply, Error::Malformed);
         return false;
     }
-    if (order.migration() < state.migration() || order.epoch() < state.epoch() || order.revision() < state.revision()) {
+    if (order.migration() < state.migration() || order.epoch() < state.epoch() ||
+        order.revision() < state.revision()) {
         fail(reply, Error::Stale);
         return false;
     }
     bool anew = order.revision() > state.revision();
-    state.set_migration(order.migration()), state.set_epoch(order.epoch()), state.set_revision(order.revision());
+    state.set_migration(order.migration()), state.set_epoch(order.epoch()),
+        state.set_revision(order.revision());
     if (!anew) return true;
     state.clear_cursor(), state.set_done(false), state.clear_counts();
     auto form = ShardForm(state.form());
@@ -246,23 +266,29 @@
             if (both) return become(ShardForm::Wide), true;
             break;
         case Stage::Narrow:
-            if (form == ShardForm::Switched || form == ShardForm::Narrowing) return become(ShardForm::Narrowing), true;
+            if (form == ShardForm::Switched || form == ShardForm::Narrowing)
+                return become(ShardForm::Narrowing), true;
             if (plain == order.to()) return state.set_done(true), true;
             break;
         case Stage::Unwiden:
             // It may never have been widened.
-            if (form == ShardForm::Wide || form == ShardForm::Unwidening) return become(ShardForm::Unwidening), true;
+            if (form == ShardForm::Wide || form == ShardForm::Unwidening)
+                return become(ShardForm::Unwidening), true;
             if (plain == order.from()) return state.set_done(true), true;
             break;
-        default: break;
+        default:
+            break;
     }
-    fail(reply, Error::Malformed, "shard " + std::to_string(order.shard()) + " is in no form for " + std::string(name(Stage(order.stage()))));
+    fail(reply, Error::Malformed,
+         "shard " + std::to_string(order.shard()) + " is in no form for " +
+             std::string(name(Stage(order.stage()))));
     return false;
 }
 
 wire::Reply Receiver::handle(const wire::Order& order) {
     wire::Reply reply;
-    reply.set_migration(order.migration()), reply.set_epoch(order.epoch()), reply.set_revision(order.revision());
+    reply.set_migration(order.migration()), reply.set_epoch(order.epoch()),
+        reply.set_revision(order.revision());
     reply.set_shard(order.shard()), reply.set_looked(order.most() == 0);
     if (set_.holds && !set_.holds(order.shard())) {
         fail(reply, Error::Elsewhere);
@@ -293,7 +319,8 @@
     std::size_t most = std::min(order.most(), set_.step_most);
     Records::Page page;
     records_.scan(order.shard(), state.cursor(), most, page);
-    // Writes by others may come between the scan and ours only where this is not called under the shard's lock; the version tells.
+    // Writes by others may come between the scan and ours only where this is not called under the shard's
+    // lock; the version tells.
     for (const auto& [name, held] : page) {
         bool went = true;
         if (stage == Stage::Convert) went = widen_group(order.shard(), state, name, held, reply);
@@ -314,11 +341,12 @@
     return true;
 }
 
-bool Receiver::widen_group(std::uint32_t shard, const State& state, const std::string& name, const Records::Held& held,
-                           wire::Reply& reply) {
+bool Receiver::widen_group(std::uint32_t shard, const State& state, const std::string& name,
+                           const Records::Held& held, wire::Reply& reply) {
     Forms forms(held.octets);
     schema::Result made = schema::Failure{};
-    if (forms.sound() && forms.has(state.from())) made = convert(state.from(), state.to(), forms.get(state.from()));
+    if (forms.sound() && forms.has(state.from()))
+        made = convert(state.from(), state.to(), forms.get(state.from()));
     const Group* group = std::get_if<Group>(&made);
     if (!group) {
         fail(reply, Error::Conversion, shown(name));
@@ -327,9 +355,14 @@
     if (forms.has(state.to()) && forms.get(state.to()) == *group) return true;
     forms.set(state.to(), *group);
     switch (records_.write(shard, name, held.version, forms.octets())) {
-        case Records::Wrote::Done: return true;
-        case Records::Wrote::Changed: fail(reply, Error::Changed, shown(name)); return false;
-        case Records::Wrote::Full: fail(reply, Error::Full, shown(name)); return false;
+        case Records::Wrote::Done:
+            return true;
+        case Records::Wrote::Changed:
+            fail(reply, Error::Changed, shown(name));
+            return false;
+        case Records::Wrote::Full:
+            fail(reply, Error::Full, shown(name));
+            return false;
     }
     return false;
 }
@@ -340,12 +373,14 @@
     Group from = forms.get(state.from()), to = forms.get(state.to());
     schema::Result made = convert(state.from(), state.to(), from);
     const Group* as = std::get_if<Group>(&made);
-    auto sums_from = schema::spent(set_.kind, state.from(), from), sums_to = schema::spent(set_.kind, state.to(), to);
+    auto sums_from = schema::spent(set_.kind, state.from(), from),
+         sums_to = schema::spent(set_.kind, state.to(), to);
     // And back: a step that loses something would lose it in both, and be the same.
     schema::Result back = convert(state.to(), state.from(), to);
     if (const Group* group = std::get_if<Group>(&back)) back = schema::bare(set_.kind, state.from(), *group);
     schema::Result bare = schema::bare(set_.kind, state.from(), from);
-    bool returns = std::holds_alternative<Group>(back) && std::holds_alternative<Group>(bare) && std::get<Group>(back) == std::get<Group>(bare);
+    bool returns = std::holds_alternative<Group>(back) && std::holds_alternative<Group>(bare) &&
+                   std::get<Group>(back) == std::get<Group>(bare);
     bool same = forms.sound() && as && *as == to && returns && sums_from.index() == 0 && sums_to.index() == 0;
     if (sums_from.index() == 0 && sums_to.index() == 0) {
         // Partner by partner, so that one's loss is not another's gain.
@@ -358,7 +393,8 @@
         for (const auto& [tenant, sum] : behind) counts.set_spent_to(added(counts.spent_to(), sum));
     }
     counts.set_groups(counts.groups() + 1);
-    counts.set_records_from(counts.records_from() + from.size()), counts.set_records_to(counts.records_to() + to.size());
+    counts.set_records_from(counts.records_from() + from.size()),
+        counts.set_records_to(counts.records_to() + to.size());
     counts.set_digest_from(counts.digest_from() + digest(name, as ? *as : Group()));
     counts.set_digest_to(counts.digest_to() + digest(name, to));
     if (same) return;
@@ -366,7 +402,8 @@
     counts.set_differ(counts.differ() + 1);
 }
 
-bool Receiver::drop(std::uint32_t shard, const std::string& name, const Records::Held& held, Number stays, wire::Reply& reply) {
+bool Receiver::drop(std::uint32_t shard, const std::string& name, const Records::Held& held, Number stays,
+                    wire::Reply& reply) {
     Forms forms(held.octets);
     if (!forms.sound() || !forms.has(stays)) {  // what would be lost with it is left, and said
         fail(reply, Error::Conversion, shown(name));
--- a/src/fleet/migration/receiver.h
+++ b/src/fleet/migration/receiver.h
@@ -1,5 +1,6 @@
-// The shard holder's side of a migration, for the records of one kind: what is written in which form, and what an owner's orders do. A
-// core without clock, threads or I/O of its own; all calls for one shard are made under its lock.
+// The shard holder's side of a migration, for the records of one kind: what is written in which form, and
+// what an owner's orders do. A core without clock, threads or I/O of its own; all calls for one shard are
+// made under its lock.
 //
 //     form       takes writes in    writes          left by
 //     Plain      its schema         that            Widen
@@ -8,10 +9,13 @@
 //     Narrowing  the new one        the new one     its end: Plain
 //     Unwidening the old one        the old one     its end: Plain
 //
-// Orders of an older epoch, stage or migration are refused; what a shard is told first under a new one is written down before
-// it is acted on. A step is bounded, does no harm when it is done twice, and goes on behind the last that was written down.
+// Orders of an older epoch, stage or migration are refused; what a shard is told first under a new one is
+// written down before it is acted on. A step is bounded, does no harm when it is done twice, and goes on
+// behind the last that was written down.
 #pragma once
 
+#include <migration.pb.h>
+
 #include <functional>
 #include <string>
 #include <string_view>
@@ -19,7 +23,6 @@
 #include "fleet/migration/error.h"
 #include "fleet/migration/records.h"
 #include "fleet/schema/schema.h"
-#include <migration.pb.h>
 
 namespace ochrehub::migration {
 
@@ -27,11 +30,12 @@
 
 class Receiver {
 public:
-    using Convert = std::function<schema::Result(schema::Kind, schema::Number from, schema::Number to, schema::Group)>;
+    using Convert =
+        std::function<schema::Result(schema::Kind, schema::Number from, schema::Number to, schema::Group)>;
     struct Settings {
         schema::Kind kind = schema::Kind::Sessions;
-        schema::Number first = 1;         ///< the level of a shard that was never migrated
-        std::uint32_t step_most = 1000;   ///< groups in one step, whatever the owner asks for
+        schema::Number first = 1;           ///< the level of a shard that was never migrated
+        std::uint32_t step_most = 1000;     ///< groups in one step, whatever the owner asks for
         Convert convert = schema::convert;  ///< what it throws is a conversion that failed
         std::function<bool(std::uint32_t shard)> holds = nullptr;  ///< none: all
     };
@@ -56,9 +60,11 @@
     bool enter(State& state, const wire::Order& order, wire::Reply& reply) const;
     /// One bounded step; false: it could not go on, and `reply` says why.
     bool step(const wire::Order& order, State& state, wire::Reply& reply);
-    bool widen_group(std::uint32_t shard, const State& state, const std::string& name, const Records::Held& held, wire::Reply& reply);
+    bool widen_group(std::uint32_t shard, const State& state, const std::string& name,
+                     const Records::Held& held, wire::Reply& reply);
     void compare_group(State& state, const std::string& name, const Records::Held& held) const;
-    bool drop(std::uint32_t shard, const std::string& name, const Records::Held& held, schema::Number stays, wire::Reply& reply);
+    bool drop(std::uint32_t shard, const std::string& name, const Records::Held& held, schema::Number stays,
+              wire::Reply& reply);
 
     Settings set_;
     Records& records_;
--- a/src/fleet/migration/records.h
+++ b/src/fleet/migration/records.h
@@ -1,6 +1,7 @@
-// Where the records of one kind are, as a migration sees them: groups by name in shards, each as octets with a version. Whoever holds
-// shards implements it; all calls for one shard are made under that shard's lock, and each write is whole or not at all and
-// with both holders before it returns (or is answered later by the same rule, where the shell waits for that).
+// Where the records of one kind are, as a migration sees them: groups by name in shards, each as octets with
+// a version. Whoever holds shards implements it; all calls for one shard are made under that shard's lock,
+// and each write is whole or not at all and with both holders before it returns (or is answered later by the
+// same rule, where the shell waits for that).
 #pragma once
 
 #include <cstdint>
@@ -28,7 +29,8 @@
     virtual ~Records() = default;
     virtual Held read(std::uint32_t shard, std::string_view group) const = 0;
     /// Compare and swap. Empty octets erase.
-    virtual Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) = 0;
+    virtual Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                        std::string octets) = 0;
     /// Appends at most `most` groups behind `after`, by name.
     virtual void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const = 0;
     /// The shard's own record, which lasts as long as its groups do.
@@ -47,7 +49,8 @@
         auto found = s->second.groups.find(group);
         return found == s->second.groups.end() ? Held() : found->second;
     }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version, std::string octets) override {
+    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                std::string octets) override {
         Shard& s = shards_[shard];
         auto found = s.groups.find(group);
         bool there = found != s.groups.end();
@@ -66,7 +69,9 @@
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
         auto s = shards_.find(shard);
         if (s == shards_.end()) return;
-        for (auto it = s->second.groups.upper_bound(after); it != s->second.groups.end() && most; ++it, --most) page.push_back(*it);
+        for (auto it = s->second.groups.upper_bound(after); it != s->second.groups.end() && most;
+             ++it, --most)
+            page.push_back(*it);
     }
     std::string state(std::uint32_t shard) const override {
         auto s = shards_.find(shard);
@@ -87,7 +92,8 @@
         std::map<std::string, Held, std::less<>> groups;
         std::string state;
         std::size_t octets = 0;
-        std::uint64_t versions = 0;  ///< of the shard, so that a group written anew has no version that another had
+        std::uint64_t versions =
+            0;  ///< of the shard, so that a group written anew has no version that another had
     };
     std::map<std::uint32_t, Shard> shards_;
     std::size_t most_;
--- a/src/fleet/quota/budget.cpp
+++ b/src/fleet/quota/budget.cpp
@@ -12,30 +12,42 @@
         {"quota.no-name", "a partner has no name", false, "name it as requests do"},
         {"quota.name-too-long", "a partner's name is longer than 64 octets", false, "shorten it"},
         {"quota.twice-named", "two budgets are for one partner", false, "leave one of them"},
-        {"quota.too-many", "there are more partners than a gateway holds", false, "name fewer, or raise the most"},
-        {"quota.no-rate", "its rate is not above zero", false, "set a rate, or freeze the partner to let nothing in"},
-        {"quota.no-burst", "its burst is not above zero", false, "set a burst of at least one request of its dearest class"},
-        {"quota.too-large", "an amount is larger than can be counted", false, "stay at or below 1000000 a second"},
-        {"quota.cost-wrong", "a class costs less than a millionth", false, "let it cost something, or leave it out"},
-        {"quota.cost-over-burst", "a request of a class costs more than the burst: none could ever enter", false,
-         "raise the burst or lower the cost"},
+        {"quota.too-many", "there are more partners than a gateway holds", false,
+         "name fewer, or raise the most"},
+        {"quota.no-rate", "its rate is not above zero", false,
+         "set a rate, or freeze the partner to let nothing in"},
+        {"quota.no-burst", "its burst is not above zero", false,
+         "set a burst of at least one request of its dearest class"},
+        {"quota.too-large", "an amount is larger than can be counted", false,
+         "stay at or below 1000000 a second"},
+        {"quota.cost-wrong", "a class costs less than a millionth", false,
+         "let it cost something, or leave it out"},
+        {"quota.cost-over-burst", "a request of a class costs more than the burst: none could ever enter",
+         false, "raise the burst or lower the cost"},
         {"quota.kind-twice", "a class has two costs", false, "leave one of them"},
-        {"quota.site-unknown", "it names a site that is none of the federation", false, "use a name of the list of sites"},
+        {"quota.site-unknown", "it names a site that is none of the federation", false,
+         "use a name of the list of sites"},
         {"quota.site-twice", "a site is named twice", false, "leave one of them"},
-        {"quota.floor-wrong", "a floor needs a rate and a burst, both above zero", false, "set both, or leave the floor out"},
-        {"quota.floors-over-rate", "its floors' rates are together above its rate", false, "lower floors or raise the rate"},
+        {"quota.floor-wrong", "a floor needs a rate and a burst, both above zero", false,
+         "set both, or leave the floor out"},
+        {"quota.floors-over-rate", "its floors' rates are together above its rate", false,
+         "lower floors or raise the rate"},
         {"quota.floors-over-burst", "its floors' bursts are together above its burst", false,
          "lower floors or raise the burst"},
-        {"quota.burst-too-small", "it is hard, and its burst is less than what is under way between levels: part of its rate "
-                                  "can never be used", false, "raise the burst, state a bound, or let leases be asked for more often"},
-        {"quota.floor-raised-at-once", "a floor rises while what the federation lends does not shrink first", false,
-         "propose the shrunk budget, wait until it is in force, then raise the floor"},
+        {"quota.burst-too-small",
+         "it is hard, and its burst is less than what is under way between levels: part of its rate "
+         "can never be used",
+         false, "raise the burst, state a bound, or let leases be asked for more often"},
+        {"quota.floor-raised-at-once", "a floor rises while what the federation lends does not shrink first",
+         false, "propose the shrunk budget, wait until it is in force, then raise the floor"},
         {"quota.unknown", "there is no such partner", false, "look at `ochrehub fleet quota show`"},
         {"quota.not-owner", "whoever asks does not own the lender", true, "nothing: the owner asks again"},
         {"quota.stale", "a newer owner has taken over", true, "nothing: the older one stops by itself"},
-        {"quota.malformed", "it cannot be read, or says what cannot be", false, "look at who sent it, and its release"},
+        {"quota.malformed", "it cannot be read, or says what cannot be", false,
+         "look at who sent it, and its release"},
         {"quota.dry", "the partner's budget is used up here", true, "nothing, or a larger budget"},
-        {"quota.frozen", "an operator has frozen the partner", false, "let it go on with `ochrehub fleet quota freeze --off`"},
+        {"quota.frozen", "an operator has frozen the partner", false,
+         "let it go on with `ochrehub fleet quota freeze --off`"},
     };
     static_assert(std::size(kRows) == std::size_t(Error::Frozen) + 1);
     return kRows[std::size_t(error)];
@@ -60,12 +72,13 @@
 }
 
 Amount under_way(Amount rate, const Timing& timing) {
-    Amount carry = 0;  // a node holds and tells late, its site once more, half of either being there on the average
+    Amount carry =
+        0;  // a node holds and tells late, its site once more, half of either being there on the average
     return grown(rate, std::int64_t(1000 * (timing.ask.count() * (2 + timing.settle))), carry);
 }
 
-std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites, const Timing& timing,
-                           std::size_t most) {
+std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
+                           const Timing& timing, std::size_t most) {
     std::vector<Failure> wrong;
     std::set<std::string, std::less<>> names, places;
     for (const std::string& site : sites)
@@ -104,7 +117,8 @@
         }
         if (rate > b.rate) fault(Error::FloorsOverRate);
         if (burst > b.burst) fault(Error::FloorsOverBurst);
-        if (b.bound == 0 && b.rate > 0 && b.rate <= kMost && b.burst < under_way(b.rate, timing)) fault(Error::BurstTooSmall);
+        if (b.bound == 0 && b.rate > 0 && b.rate <= kMost && b.burst < under_way(b.rate, timing))
+            fault(Error::BurstTooSmall);
     }
     return wrong;
 }
@@ -112,12 +126,15 @@
 std::vector<Failure> check_change(const std::vector<Budget>& old, const std::vector<Budget>& next) {
     std::vector<Failure> wrong;
     for (const Budget& b : next) {
-        auto was = std::find_if(old.begin(), old.end(), [&](const Budget& o) { return o.partner == b.partner; });
+        auto was =
+            std::find_if(old.begin(), old.end(), [&](const Budget& o) { return o.partner == b.partner; });
         if (was == old.end()) continue;
-        // Each site may act on either version for a while, and so may the federation: the worst mixture counts.
+        // Each site may act on either version for a while, and so may the federation: the worst mixture
+        // counts.
         std::map<std::string_view, std::pair<Amount, Amount>> floors;
         Amount own[2] = {was->rate, b.rate}, burst[2] = {was->burst + was->bound, b.burst + b.bound};
-        for (const Floor& f : was->floors) floors[f.site] = {f.rate, f.burst}, own[0] -= f.rate, burst[0] -= f.burst;
+        for (const Floor& f : was->floors)
+            floors[f.site] = {f.rate, f.burst}, own[0] -= f.rate, burst[0] -= f.burst;
         for (const Floor& f : b.floors) {
             auto& most = floors[f.site];
             most = {std::max(most.first, f.rate), std::max(most.second, f.burst)};
--- a/src/fleet/quota/budget.h
+++ b/src/fleet/quota/budget.h
@@ -1,5 +1,6 @@
-// What operators say of a partner's budget, and whether that can be held to. All amounts are whole millionths, so that sums
-// are exact at every gateway: a request of a class that nothing is said of costs 1'000'000.
+// What operators say of a partner's budget, and whether that can be held to. All amounts are whole
+// millionths, so that sums are exact at every gateway: a request of a class that nothing is said of costs
+// 1'000'000.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,8 @@
 
 using Amount = std::int64_t;  ///< millionths
 inline constexpr Amount kUnit = 1'000'000;
-inline constexpr Amount kMost = 1'000'000 * kUnit;  ///< of a rate (a second), a burst, a bound: sums of all sites still fit
+inline constexpr Amount kMost =
+    1'000'000 * kUnit;  ///< of a rate (a second), a burst, a bound: sums of all sites still fit
 
 /// What a site mints by itself, whoever it reaches; the rest of the budget is the federation's to lend.
 struct Floor {
@@ -37,7 +39,7 @@
 /// In any window, all gateways together let in at most rate * window + burst + bound.
 struct Budget {
     std::string partner;
-    Amount rate = 0;   ///< a second
+    Amount rate = 0;  ///< a second
     Amount burst = 0;
     Amount bound = 0;  ///< how far the burst may be passed so that leases are never short; zero: hard
     std::vector<Cost> costs;
@@ -48,15 +50,18 @@
     friend bool operator==(const Budget&, const Budget&) = default;
 };
 
-/// How leases run. The same at every level; whoever borrows holds on to what it needs for `cover` times its own level.
+/// How leases run. The same at every level; whoever borrows holds on to what it needs for `cover` times its
+/// own level.
 struct Timing {
-    Duration ask{100};      ///< one asks this often, and earlier where it runs dry
-    Duration lease{3000};   ///< of what is lent, by the lender's clock, from its answer on
-    Duration margin{20};    ///< a borrower stops so long before, and `drift` of the lease
-    int drift = 20;         ///< thousandths: how far two clocks are apart at most, with each at most half of it from true time
-    int settle = 1;         ///< asks that a charge waits before it is told as spent: so long it can be given back
-    Duration cover{300};    ///< what a node holds for, spent and untold included; a site twice as much
-    Duration linger{10000}; ///< so long behind its last request a partner finds one request's worth at a node
+    Duration ask{100};     ///< one asks this often, and earlier where it runs dry
+    Duration lease{3000};  ///< of what is lent, by the lender's clock, from its answer on
+    Duration margin{20};   ///< a borrower stops so long before, and `drift` of the lease
+    int drift = 20;  ///< thousandths: how far two clocks are apart at most, with each at most half of it from
+                     ///< true time
+    int settle = 1;  ///< asks that a charge waits before it is told as spent: so long it can be given back
+    Duration cover{300};  ///< what a node holds for, spent and untold included; a site twice as much
+    Duration linger{
+        10000};  ///< so long behind its last request a partner finds one request's worth at a node
 };
 
 enum class Error {
@@ -75,9 +80,10 @@
     FloorWrong,
     FloorsOverRate,
     FloorsOverBurst,
-    BurstTooSmall,     ///< hard, and less than what is under way between levels: part of the rate could never be used
-    FloorRaisedAtOnce, ///< a change that gives a floor what the federation may still have lent
-    Unknown,           ///< no such partner
+    BurstTooSmall,  ///< hard, and less than what is under way between levels: part of the rate could never be
+                    ///< used
+    FloorRaisedAtOnce,  ///< a change that gives a floor what the federation may still have lent
+    Unknown,            ///< no such partner
     NotOwner,
     Stale,
     Malformed,
@@ -87,11 +93,12 @@
 const fleet::ErrorRow& row(Error error);
 using Failure = fleet::Failure<Error>;
 
-/// Everything that is wrong, in the order of the budgets. Empty: they can be held to. `sites`: the federation's; none: any name is one.
-std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites, const Timing& timing,
-                           std::size_t most = 10'000);
-/// What is wrong with going from one to the other in a single version: at no time may the federation's part and the floors
-/// be more than the larger budget.
+/// Everything that is wrong, in the order of the budgets. Empty: they can be held to. `sites`: the
+/// federation's; none: any name is one.
+std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
+                           const Timing& timing, std::size_t most = 10'000);
+/// What is wrong with going from one to the other in a single version: at no time may the federation's part
+/// and the floors be more than the larger budget.
 std::vector<Failure> check_change(const std::vector<Budget>& old, const std::vector<Budget>& next);
 /// Unspent or untold amounts that a rate needs under way with these times.
 Amount under_way(Amount rate, const Timing& timing);
--- a/src/fleet/quota/charger.cpp
+++ b/src/fleet/quota/charger.cpp
@@ -6,7 +6,9 @@
 namespace ochrehub::quota {
 namespace {
 
-std::int64_t micros(Duration length) { return std::int64_t(std::floor(length.count() * 1000)); }
+std::int64_t micros(Duration length) {
+    return std::int64_t(std::floor(length.count() * 1000));
+}
 Amount over(Amount rate, Duration length) {
     Amount carry = 0;
     return grown(rate, micros(length), carry);
@@ -41,9 +43,11 @@
     }
 }
 
-/// Of a partner that was not here for a while nothing is in the caches: all of it is fetched at once, not line by line.
+/// Of a partner that was not here for a while nothing is in the caches: all of it is fetched at once, not
+/// line by line.
 void Charger::fetch(const Entry& entry) {
-    for (std::size_t line = 0; line < sizeof(Entry); line += 64) __builtin_prefetch(reinterpret_cast<const char*>(&entry) + line);
+    for (std::size_t line = 0; line < sizeof(Entry); line += 64)
+        __builtin_prefetch(reinterpret_cast<const char*>(&entry) + line);
 }
 
 std::optional<std::uint32_t> Charger::find(std::string_view partner) const {
@@ -71,7 +75,8 @@
     Entry& entry = entries_[partner];
     fetch(entry);
     auto lock = locked(partner);
-    Amount cost = kind >= 0 && std::size_t(kind) < entry.costs.size() ? entry.costs[std::size_t(kind)] : kUnit;
+    Amount cost =
+        kind >= 0 && std::size_t(kind) < entry.costs.size() ? entry.costs[std::size_t(kind)] : kUnit;
     entry.offered += cost;
     entry.last = now;
     bool frozen = entry.shared.pot.frozen();
@@ -96,8 +101,8 @@
     return Refusal{frozen ? Error::Frozen : Error::Dry, back};
 }
 
-/// Each that is refused is told a moment of its own, as far apart as this node's part lets them in. More than fit before the
-/// last moment are strewn over the later half, each where the gaps are widest.
+/// Each that is refused is told a moment of its own, as far apart as this node's part lets them in. More than
+/// fit before the last moment are strewn over the later half, each where the gaps are widest.
 Duration Charger::slot(TimePoint now, Entry& entry, Amount cost) {
     Amount share = entry.floor.pot.share() + entry.shared.pot.share();
     Duration apart = share > 0 ? Duration{double(cost) / double(share) * 1000} : set_.back_least;
@@ -116,8 +121,9 @@
     Entry& entry = entries_[receipt.partner_];
     Purse& purse = receipt.floor_ ? entry.floor : entry.shared;
     Amount& untold = purse.untold[receipt.turn_ % kTurns];
-    if (purse.pot.lease() != receipt.lease_ || receipt.turn_ + std::uint64_t(set_.timing.settle) < purse.turn ||
-        untold < receipt.cost_ || !purse.pot.live(now)) {
+    if (purse.pot.lease() != receipt.lease_ ||
+        receipt.turn_ + std::uint64_t(set_.timing.settle) < purse.turn || untold < receipt.cost_ ||
+        !purse.pot.live(now)) {
         ++entry.counts.forfeited;
         return false;
     }
@@ -132,9 +138,11 @@
     Duration passed = now - entry.measured;
     if (passed < set_.timing.ask / 5) return;
     std::int64_t length = std::max<std::int64_t>(1, micros(std::min(passed, Duration{10'000})));
-    Amount rate = std::min(kMost, entry.offered / length * 1'000'000 + entry.offered % length * 1'000'000 / length);
+    Amount rate =
+        std::min(kMost, entry.offered / length * 1'000'000 + entry.offered % length * 1'000'000 / length);
     std::int64_t follows = micros(rate > entry.demand ? kUp : kDown);
-    entry.demand += std::int64_t(double(rate - entry.demand) * double(std::min(length, follows)) / double(follows));
+    entry.demand +=
+        std::int64_t(double(rate - entry.demand) * double(std::min(length, follows)) / double(follows));
     entry.offered = 0, entry.measured = now;
     if (now - entry.last > set_.timing.linger || entry.last == TimePoint{})
         entry.demand = 0;
@@ -142,7 +150,8 @@
         entry.demand = std::max(entry.demand, kLeast);
 }
 
-void Charger::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns, std::vector<AskLine>& lines) {
+void Charger::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
+                   std::vector<AskLine>& lines) {
     purse.pot.look(now);
     Amount demand = entry.demand;
     if (!floor && entry.floors) demand = std::max<Amount>(0, demand - entry.floor.pot.share());
@@ -151,12 +160,14 @@
     purse.pot.give_up(purse.pot.balance(now) - keeps);
     if (turns) purse.untold[++purse.turn % kTurns] = 0;
     // Charges of older turns than may be given back count as spent from here on.
-    for (std::uint64_t back = std::uint64_t(set_.timing.settle) + 1; back < kTurns && back <= purse.turn; ++back)
+    for (std::uint64_t back = std::uint64_t(set_.timing.settle) + 1; back < kTurns && back <= purse.turn;
+         ++back)
         purse.untold[(purse.turn - back) % kTurns] = 0;
     bool idle = demand == 0 && purse.pot.balance(now) == 0 && purse.told() == purse.pot.spent();
     purse.idle = idle ? purse.idle + 1 : 0;
     if (idle && (purse.pot.lease() == 0 || purse.idle > 3)) return;
-    lines.push_back({{entry.partner, floor}, purse.pot.lease(), purse.told(), purse.pot.returned(), demand, 0});
+    lines.push_back(
+        {{entry.partner, floor}, purse.pot.lease(), purse.told(), purse.pot.returned(), demand, 0});
 }
 
 Ask Charger::ask(TimePoint now, bool all) {
@@ -201,7 +212,8 @@
         if (named == names_.end()) continue;
         auto lock = locked(named->second);
         Purse& purse = l.account.floor ? entries_[named->second].floor : entries_[named->second].shared;
-        if (purse.pot.answered(now, asked, answer.seq, l, set_.timing) == Pot::Taken::Anew) purse.untold.fill(0);
+        if (purse.pot.answered(now, asked, answer.seq, l, set_.timing) == Pot::Taken::Anew)
+            purse.untold.fill(0);
     }
 }
 
--- a/src/fleet/quota/charger.h
+++ b/src/fleet/quota/charger.h
@@ -1,9 +1,11 @@
-// A node's side, asked on its loop: may this request of this partner enter? No request waits for a message: what is there is
-// charged, or the request is refused and told when to come back. What was spent is told, and what is needed asked for, by an
-// `Ask` that whoever carries messages takes from here, every `Timing::ask` and earlier where `asks_early` says so.
+// A node's side, asked on its loop: may this request of this partner enter? No request waits for a message:
+// what is there is charged, or the request is refused and told when to come back. What was spent is told, and
+// what is needed asked for, by an `Ask` that whoever carries messages takes from here, every `Timing::ask`
+// and earlier where `asks_early` says so.
 //
-// Threads: charge, give_back, ask and answered from any; what is changed stands under one of 64 short locks, none of which is
-// held over anything but arithmetic, and never two at once. configure and find: from one thread, with none of the others.
+// Threads: charge, give_back, ask and answered from any; what is changed stands under one of 64 short locks,
+// none of which is held over anything but arithmetic, and never two at once. configure and find: from one
+// thread, with none of the others.
 #pragma once
 
 #include <array>
@@ -25,11 +27,11 @@
 namespace ochrehub::quota {
 
 struct ChargerSettings {
-    std::uint64_t instance = 0;       ///< drawn at each start, never zero
-    std::vector<std::string> kinds;   ///< the classes' names, by their index
+    std::uint64_t instance = 0;      ///< drawn at each start, never zero
+    std::vector<std::string> kinds;  ///< the classes' names, by their index
     Timing timing;
-    Duration back_least{250};         ///< what a refused client is told, at least ...
-    Duration back_most{30'000};       ///< ... and at most
+    Duration back_least{250};    ///< what a refused client is told, at least ...
+    Duration back_most{30'000};  ///< ... and at most
 };
 
 /// One charge, which may be given back once: move it there.
@@ -47,7 +49,8 @@
     /// For saboteurs alone: a charge that is given back twice.
     Receipt forged() const {
         Receipt copy;
-        copy.partner_ = partner_, copy.floor_ = floor_, copy.lease_ = lease_, copy.turn_ = turn_, copy.cost_ = cost_;
+        copy.partner_ = partner_, copy.floor_ = floor_, copy.lease_ = lease_, copy.turn_ = turn_,
+        copy.cost_ = cost_;
         return copy;
     }
 
@@ -65,7 +68,8 @@
 };
 
 struct PartnerCounts {
-    std::uint64_t allowed = 0, refused = 0, given_back = 0, forfeited = 0;  ///< forfeited: given back when it was told as spent
+    std::uint64_t allowed = 0, refused = 0, given_back = 0,
+                  forfeited = 0;  ///< forfeited: given back when it was told as spent
     Amount spent = 0, balance = 0, share = 0, demand = 0;
 };
 
@@ -79,10 +83,11 @@
     std::optional<std::uint32_t> find(std::string_view partner) const;
 
     using Outcome = std::variant<Receipt, Refusal>;
-    /// One request, once: its retries and hedges are not charged again. `kind`: the class's index; kNone: a unit.
+    /// One request, once: its retries and hedges are not charged again. `kind`: the class's index; kNone: a
+    /// unit.
     Outcome charge(TimePoint now, std::uint32_t partner, int kind);
-    /// Of a request that never ran. False: nothing came back, since the charge has been told as spent, its lease is over,
-    /// or it was given back before.
+    /// Of a request that never ran. False: nothing came back, since the charge has been told as spent, its
+    /// lease is over, or it was given back before.
     bool give_back(TimePoint now, Receipt receipt);
 
     /// Something runs dry before the next ask would be answered.
@@ -134,7 +139,8 @@
     bool spend(TimePoint now, Purse& purse, Amount cost, Receipt& receipt);
     Duration slot(TimePoint now, Entry& entry, Amount cost);
     void measure(TimePoint now, Entry& entry);
-    void line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns, std::vector<AskLine>& lines);
+    void line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
+              std::vector<AskLine>& lines);
 
     ChargerSettings set_;
     std::deque<Entry> entries_;  // none ever moves
--- a/src/fleet/quota/lender.cpp
+++ b/src/fleet/quota/lender.cpp
@@ -5,14 +5,20 @@
 namespace ochrehub::quota {
 namespace {
 
-std::int64_t micros(TimePoint at) { return std::int64_t(std::floor(at.time_since_epoch().count() * 1000)); }
-std::int64_t micros(Duration length) { return std::int64_t(std::floor(length.count() * 1000)); }
+std::int64_t micros(TimePoint at) {
+    return std::int64_t(std::floor(at.time_since_epoch().count() * 1000));
+}
+std::int64_t micros(Duration length) {
+    return std::int64_t(std::floor(length.count() * 1000));
+}
 Amount over(Amount rate, Duration length) {
     Amount carry = 0;
     return grown(rate, micros(length), carry);
 }
 /// Lengths of clocks that are too fast mint less than they say.
-Amount cautious(Amount rate, const Timing& timing) { return rate - rate / 2000 * timing.drift; }
+Amount cautious(Amount rate, const Timing& timing) {
+    return rate - rate / 2000 * timing.drift;
+}
 /// Numbers that are not given twice by different instances.
 std::uint64_t mixed(std::uint64_t x) {
     x += 0x9e3779b97f4a7c15;
@@ -35,7 +41,9 @@
 
 // ---- What is here
 
-Amount Lender::here(TimePoint now, const Tree& tree) const { return tree.root ? tree.here : tree.pot.balance(now); }
+Amount Lender::here(TimePoint now, const Tree& tree) const {
+    return tree.root ? tree.here : tree.pot.balance(now);
+}
 
 /// What comes back; of a budget that has shrunk only what it still has room for.
 void Lender::bring(Tree& tree, Amount amount) {
@@ -69,7 +77,8 @@
     child.lease = 0;
 }
 
-void Lender::forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance, std::uint64_t lease) {
+void Lender::forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance,
+                    std::uint64_t lease) {
     if (!durable(tree) || lease == 0) return;
     to_record_.erase({account, name});
     closed_.push_back({account, name, instance, lease, 0, 0, 0, true});
@@ -80,7 +89,8 @@
         // Nothing below outlives this; whatever was not told as spent is counted so.
         tree.pot.count_spent(tree.lent_sum + tree.lost_sum);
         tree.pot.look(now);
-        for (auto& [name, child] : tree.children) child.granted = child.spent = child.returned = 0, child.lease = 0;
+        for (auto& [name, child] : tree.children)
+            child.granted = child.spent = child.returned = 0, child.lease = 0;
         tree.lost.clear();
         tree.lent_sum = tree.lost_sum = 0;
     }
@@ -106,8 +116,8 @@
 
 // ---- Who gets how much
 
-/// Weighted max-min of what comes in over what children are believed to need; what is left over by weight, so that who
-/// grows need not ask first.
+/// Weighted max-min of what comes in over what children are believed to need; what is left over by weight, so
+/// that who grows need not ask first.
 void Lender::share_out(TimePoint now, Tree& tree) {
     Duration passed = now - tree.shared;
     if (passed < kShares) return;
@@ -125,11 +135,13 @@
         weights += child.weight;
         open.push_back(&child);
     }
-    // Where there is not enough for all, who asks for more than its fair part is believed four times what it uses: it
-    // neither takes what others need by saying so, nor is it kept from growing.
+    // Where there is not enough for all, who asks for more than its fair part is believed four times what it
+    // uses: it neither takes what others need by saying so, nor is it kept from growing.
     for (Child* child : open) {
         Amount fair = weights ? Amount(income / Amount(weights) * child->weight) : 0;
-        child->believed = asked <= income ? child->demand : std::min(child->demand, std::max(fair, 4 * child->used) + tree.dearest);
+        child->believed = asked <= income
+                              ? child->demand
+                              : std::min(child->demand, std::max(fair, 4 * child->used) + tree.dearest);
     }
     std::vector<Child*> by_need = open;
     std::stable_sort(by_need.begin(), by_need.end(), [](const Child* a, const Child* b) {
@@ -159,7 +171,9 @@
 }
 
 void Lender::lend(TimePoint now, const Account& account, Tree& tree, const std::string& name, Child& child) {
-    if (tree.frozen || tree.recalling || now < waits_until_ || (!tree.root && (tree.pot.recalled() || tree.pot.frozen()))) return;
+    if (tree.frozen || tree.recalling || now < waits_until_ ||
+        (!tree.root && (tree.pot.recalled() || tree.pot.frozen())))
+        return;
     Amount want = wanted(tree, child);
     if (want <= 0) return;
     Amount there = here(now, tree), others = 0;
@@ -179,7 +193,8 @@
 }
 
 void Lender::note(const Account& account, const std::string& name, const Child& child) {
-    to_record_[{account, name}] = {account, name, child.instance, child.lease, child.granted, child.spent, child.returned, false};
+    to_record_[{account, name}] = {account,       name,        child.instance, child.lease,
+                                   child.granted, child.spent, child.returned, false};
 }
 
 // ---- What happens
@@ -218,7 +233,8 @@
         }
         Amount given = floor == trees_.end() ? 0 : floor->second.given;
         if (demand == 0 && tree.pot.lease() == 0 && given == 0) continue;
-        ask.lines.push_back({account, tree.pot.lease(), tree.pot.spent(), tree.pot.returned(), demand, given});
+        ask.lines.push_back(
+            {account, tree.pot.lease(), tree.pot.spent(), tree.pot.returned(), demand, given});
     }
     asked_[seq_] = now;
     while (asked_.size() > 64) asked_.erase(asked_.begin());
@@ -235,9 +251,11 @@
         if (found == trees_.end() || found->second.root) continue;
         Tree& tree = found->second;
         tick(now, line.account, tree);
-        if (tree.pot.answered(now, asked->second, answered.answer.seq, line, set_.timing) != Pot::Taken::Anew) continue;
+        if (tree.pot.answered(now, asked->second, answered.answer.seq, line, set_.timing) != Pot::Taken::Anew)
+            continue;
         // Whatever was lent on of the lease before is not of this one.
-        for (auto& [name, child] : tree.children) child.granted = child.spent = child.returned = 0, child.lease = 0;
+        for (auto& [name, child] : tree.children)
+            child.granted = child.spent = child.returned = 0, child.lease = 0;
         tree.lost.clear();
         tree.lent_sum = tree.lost_sum = 0;
     }
@@ -270,8 +288,9 @@
         tick(now, line.account, tree);
         Child& child = tree.children[asked.child];
         if (child.instance != ask.instance) {
-            if (std::any_of(tree.lost.begin(), tree.lost.end(),
-                            [&](const Lost& l) { return l.child == asked.child && l.instance == ask.instance; }))
+            if (std::any_of(tree.lost.begin(), tree.lost.end(), [&](const Lost& l) {
+                    return l.child == asked.child && l.instance == ask.instance;
+                }))
                 continue;  // from before its next start, and late
             lose(line.account, tree, asked.child, child);
             child = {};
@@ -294,7 +313,8 @@
         else if (tree.root && line.given > gift.seen)
             bring(tree, line.given - std::exchange(gift.seen, line.given));
         share_out(now, tree);
-        // Its end is told to the child with what is left of this one's own, from before it asked: it ends before.
+        // Its end is told to the child with what is left of this one's own, from before it asked: it ends
+        // before.
         Duration length = set_.timing.lease;
         if (!tree.root) length = std::min(length, std::max(Duration{0}, tree.pot.ends() - now));
         if (length <= 2 * set_.timing.margin) length = Duration{0};
@@ -305,7 +325,8 @@
         }
         bool back = child.recalled || tree.recalling || (!tree.root && tree.pot.recalled());
         bool frozen = tree.frozen || (!tree.root && tree.pot.frozen());
-        answer.lines.push_back({line.account, child.lease, child.granted, micros(length), child.share, back || frozen, frozen});
+        answer.lines.push_back(
+            {line.account, child.lease, child.granted, micros(length), child.share, back || frozen, frozen});
     }
     std::uint64_t behind = to_record_.empty() ? (waiting_.empty() ? recorded_ : recording_) : recording_ + 1;
     waiting_.push_back({behind, {asked.child, std::move(answer)}});
@@ -321,11 +342,14 @@
         actions.push_back(std::move(record));
     }
     std::size_t out = 0;
-    for (; out < waiting_.size() && waiting_[out].behind <= recorded_; ++out) actions.push_back(std::move(waiting_[out].reply));
+    for (; out < waiting_.size() && waiting_[out].behind <= recorded_; ++out)
+        actions.push_back(std::move(waiting_[out].reply));
     waiting_.erase(waiting_.begin(), waiting_.begin() + std::ptrdiff_t(out));
 }
 
-void Lender::on(TimePoint, const Recorded& recorded, Actions&) { recorded_ = std::max(recorded_, std::min(recorded.number, recording_)); }
+void Lender::on(TimePoint, const Recorded& recorded, Actions&) {
+    recorded_ = std::max(recorded_, std::min(recorded.number, recording_));
+}
 
 void Lender::on(TimePoint now, const Owned& owned, Actions& actions) {
     if (!owned_) {
@@ -406,7 +430,8 @@
     }
     // One that is gone lends no more; what it lent is still counted, should it come back soon.
     for (auto& [account, tree] : trees_)
-        if (!named.contains(account) && tree.root) tree.rate = tree.cap = tree.here = 0, tree.recalling = tree.lent_sum > 0;
+        if (!named.contains(account) && tree.root)
+            tree.rate = tree.cap = tree.here = 0, tree.recalling = tree.lent_sum > 0;
 }
 
 void Lender::on(TimePoint now, const Ordered& ordered, Actions&) {
@@ -427,11 +452,12 @@
     std::vector<Status> all;
     for (const auto& [account, tree] : trees_) {
         if (!partner.empty() && account.partner != partner) continue;
-        Status status{account, tree.root, tree.frozen, !tree.recalling, tree.rate, tree.cap, here(now, tree),
-                      tree.lent_sum, tree.lost_sum, {}};
+        Status status{account,  tree.root,       tree.frozen,   !tree.recalling, tree.rate,
+                      tree.cap, here(now, tree), tree.lent_sum, tree.lost_sum,   {}};
         if (!tree.root) status.rate = tree.pot.share();
         for (const auto& [name, child] : tree.children)
-            status.children.push_back({name, child.lent(), child.demand, child.believed, child.share, child.spent});
+            status.children.push_back(
+                {name, child.lent(), child.demand, child.believed, child.share, child.spent});
         all.push_back(std::move(status));
     }
     return all;
--- a/src/fleet/quota/lender.h
+++ b/src/fleet/quota/lender.h
@@ -1,14 +1,16 @@
-// One level of the tree that a budget is lent down: federation, site. A core without I/O. For each account it mints (as root) or
-// borrows (of whoever is above), and lends amounts on to children, each under a lease with an end.
+// One level of the tree that a budget is lent down: federation, site. A core without I/O. For each account it
+// mints (as root) or borrows (of whoever is above), and lends amounts on to children, each under a lease with
+// an end.
 //
-// What it holds to: for each account, what is here unspent and what is lent and neither told as spent nor given back is
-// together never more than the cap (as root) or what was granted (else). What was lent to one that is lost stays lent until
-// its lease is over by this clock; then it counts as spent. So in any window all that is let in is at most what was unspent
-// at its beginning (the cap) and what was minted in it. docs/design/quota.md has the proof.
+// What it holds to: for each account, what is here unspent and what is lent and neither told as spent nor
+// given back is together never more than the cap (as root) or what was granted (else). What was lent to one
+// that is lost stays lent until its lease is over by this clock; then it counts as spent. So in any window
+// all that is let in is at most what was unspent at its beginning (the cap) and what was minted in it.
+// docs/design/quota.md has the proof.
 //
-// A root's leases are written down (Record) before they are answered, and whoever takes over goes on with them (Owned): nobody
-// is lent again what is lent already. One that borrows writes nothing: restarted, it is another borrower, and whoever is above
-// waits out the lease of the old one.
+// A root's leases are written down (Record) before they are answered, and whoever takes over goes on with
+// them (Owned): nobody is lent again what is lent already. One that borrows writes nothing: restarted, it is
+// another borrower, and whoever is above waits out the lease of the old one.
 //
 // Threads: one. Nothing is drawn, and no clock is read; the same events give the same actions.
 #pragma once
@@ -26,7 +28,7 @@
 namespace ochrehub::quota {
 
 struct LenderSettings {
-    std::string site;            ///< whose floors are minted here; empty: the federation's, whose root all else has
+    std::string site;  ///< whose floors are minted here; empty: the federation's, whose root all else has
     std::uint64_t instance = 0;  ///< drawn at each start, never zero
     int levels = 1;              ///< that lie below: 1 a site with nodes, 2 a federation of sites
     Timing timing;
@@ -54,8 +56,9 @@
 struct Recorded {  ///< all Records up to this one last
     std::uint64_t number = 0;
 };
-/// This process owns the lender until then, by its own clock, or for longer by a later one. `books`, the first time: what
-/// the owners before it have recorded. Without them and with `fresh` false it waits out the longest lease before it lends.
+/// This process owns the lender until then, by its own clock, or for longer by a later one. `books`, the
+/// first time: what the owners before it have recorded. Without them and with `fresh` false it waits out the
+/// longest lease before it lends.
 struct Owned {
     TimePoint until;
     std::optional<std::vector<Book>> books;
@@ -166,7 +169,8 @@
     Amount here(TimePoint now, const Tree& tree) const;
     void bring(Tree& tree, Amount amount);
     void lose(const Account& account, Tree& tree, const std::string& name, Child& child);
-    void forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance, std::uint64_t lease);
+    void forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance,
+                std::uint64_t lease);
     bool heard(Tree& tree, Child& child, const AskLine& line, TimePoint now);
     void share_out(TimePoint now, Tree& tree);
     void lend(TimePoint now, const Account& account, Tree& tree, const std::string& name, Child& child);
--- a/src/fleet/quota/machine.cpp
+++ b/src/fleet/quota/machine.cpp
@@ -10,16 +10,25 @@
 constexpr Amount kSum = std::int64_t(1) << 62;
 
 void put(const Book& book, wire::Book& to) {
-    to.mutable_account()->set_partner(book.account.partner), to.mutable_account()->set_floor(book.account.floor);
+    to.mutable_account()->set_partner(book.account.partner),
+        to.mutable_account()->set_floor(book.account.floor);
     to.set_child(book.child), to.set_instance(book.instance), to.set_lease(book.lease);
-    to.set_granted(book.granted), to.set_spent(book.spent), to.set_returned(book.returned), to.set_closed(book.closed);
+    to.set_granted(book.granted), to.set_spent(book.spent), to.set_returned(book.returned),
+        to.set_closed(book.closed);
 }
 std::optional<Book> get(const wire::Book& from) {
-    Book book{{from.account().partner(), from.account().floor()}, from.child(), from.instance(), from.lease(),
-              from.granted(), from.spent(), from.returned(), from.closed()};
+    Book book{{from.account().partner(), from.account().floor()},
+              from.child(),
+              from.instance(),
+              from.lease(),
+              from.granted(),
+              from.spent(),
+              from.returned(),
+              from.closed()};
     auto sound = [](Amount a) { return a >= 0 && a <= kSum; };
     if (!sound(book.granted) || !sound(book.spent) || !sound(book.returned) || book.lease == 0 ||
-        book.granted - book.spent < book.returned || book.account.partner.size() > 64 || book.child.size() > 256)
+        book.granted - book.spent < book.returned || book.account.partner.size() > 64 ||
+        book.child.size() > 256)
         return std::nullopt;
     return book;
 }
@@ -28,7 +37,8 @@
 void put(const std::vector<Budget>& budgets, Budgets& to) {
     for (const Budget& b : budgets) {
         wire::Budget& budget = *to.add_budgets();
-        budget.set_partner(b.partner), budget.set_rate(b.rate), budget.set_burst(b.burst), budget.set_bound(b.bound);
+        budget.set_partner(b.partner), budget.set_rate(b.rate), budget.set_burst(b.burst),
+            budget.set_bound(b.bound);
         for (const Cost& c : b.costs) {
             wire::Cost& cost = *budget.add_costs();
             cost.set_kind(c.kind), cost.set_cost(c.cost);
@@ -47,7 +57,8 @@
 std::vector<Budget> get_budgets(const Budgets& from) {
     std::vector<Budget> budgets;
     for (const wire::Budget& b : from.budgets()) {
-        Budget& budget = budgets.emplace_back(Budget{b.partner(), b.rate(), b.burst(), b.bound(), {}, {}, {}});
+        Budget& budget =
+            budgets.emplace_back(Budget{b.partner(), b.rate(), b.burst(), b.bound(), {}, {}, {}});
         for (const wire::Cost& c : b.costs()) budget.costs.push_back({c.kind(), c.cost()});
         for (const wire::Floor& f : b.floors()) budget.floors.push_back({f.site(), f.rate(), f.burst()});
         for (const wire::Weight& w : b.weights()) budget.weights.push_back({w.site(), w.weight()});
@@ -68,8 +79,15 @@
 }
 
 State state_of(const wire::Snapshot& from) {
-    State state{from.epoch(), from.budgets().version(), from.orders(), from.owner(), from.owner_name(),
-                get_budgets(from.budgets()), {}, {}, {}};
+    State state{from.epoch(),
+                from.budgets().version(),
+                from.orders(),
+                from.owner(),
+                from.owner_name(),
+                get_budgets(from.budgets()),
+                {},
+                {},
+                {}};
     for (const wire::Book& b : from.books())
         if (auto book = get(b)) state.books.push_back(*book);
     for (const std::string& partner : from.frozen()) state.frozen.push_back(partner);
@@ -108,7 +126,8 @@
 }
 std::optional<MachineReply> decode_reply(std::string_view octets) {
     wire::Reply from;
-    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.error() > unsigned(Error::Frozen) + 1) return std::nullopt;
+    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.error() > unsigned(Error::Frozen) + 1)
+        return std::nullopt;
     MachineReply reply{std::nullopt, from.about(), from.epoch(), from.version(), std::nullopt};
     if (from.error() > 0) reply.error = Error(from.error() - 1);
     if (from.has_state()) reply.state = state_of(from.state());
@@ -123,7 +142,8 @@
     return news;
 }
 
-Quotas::Quotas(std::vector<std::string> sites, const Timing& timing) : sites_(std::move(sites)), timing_(timing) {}
+Quotas::Quotas(std::vector<std::string> sites, const Timing& timing)
+    : sites_(std::move(sites)), timing_(timing) {}
 
 std::string Quotas::apply(const keeper::Command& command) {
     wire::Command from;
@@ -137,7 +157,8 @@
     if (!from.ParseFromArray(command.body.data(), int(command.body.size()))) return answer(Error::Malformed);
     switch (from.what_case()) {
         case wire::Command::kOwn:
-            if (command.session == 0 || !sessions_.contains(command.session)) return answer(Error::NotOwner, "no session");
+            if (command.session == 0 || !sessions_.contains(command.session))
+                return answer(Error::NotOwner, "no session");
             if (owner_ != 0 && owner_ != command.session) return answer(Error::NotOwner, sessions_[owner_]);
             if (owner_ != command.session) ++epoch_;  // else it asks again, not having heard
             owner_ = command.session;
@@ -165,7 +186,8 @@
             return answer();
         }
         case wire::Command::kSet: {
-            if (from.set().version() != version_) return answer(Error::Stale, "version " + std::to_string(version_));
+            if (from.set().version() != version_)
+                return answer(Error::Stale, "version " + std::to_string(version_));
             std::vector<Budget> next = get_budgets(from.set());
             std::vector<Failure> wrong = check(next, sites_, timing_);
             if (wrong.empty()) wrong = check_change(budgets_, next);
@@ -176,9 +198,11 @@
         }
         case wire::Command::kOperate: {
             Ordered order = get(from.operate());
-            if (!wire::Operate::What_IsValid(from.operate().what()) || order.amount < 0 || order.amount > kMost)
+            if (!wire::Operate::What_IsValid(from.operate().what()) || order.amount < 0 ||
+                order.amount > kMost)
                 return answer(Error::Malformed);
-            if (std::none_of(budgets_.begin(), budgets_.end(), [&](const Budget& b) { return b.partner == order.partner; }))
+            if (std::none_of(budgets_.begin(), budgets_.end(),
+                             [&](const Budget& b) { return b.partner == order.partner; }))
                 return answer(Error::Unknown, order.partner);
             if (order.what == Ordered::What::Freeze) frozen_.insert(order.partner);
             if (order.what == Ordered::What::Thaw) frozen_.erase(order.partner);
@@ -202,7 +226,9 @@
     return reply.SerializeAsString();
 }
 
-void Quotas::session_began(keeper::SessionId session, std::string_view name, std::string_view) { sessions_[session] = name; }
+void Quotas::session_began(keeper::SessionId session, std::string_view name, std::string_view) {
+    sessions_[session] = name;
+}
 void Quotas::session_over(keeper::SessionId session) {
     sessions_.erase(session);
     if (owner_ == session) owner_ = 0;
--- a/src/fleet/quota/machine.h
+++ b/src/fleet/quota/machine.h
@@ -1,9 +1,9 @@
-// What the keepers keep of a lender: budgets with a version, whose the lender is (with an epoch), the leases that are open, and
-// what operators said. A site's keepers have one of these for the site's floors, the federation's for all else. It knows no
-// time: leases end by the owner's clock, which says so in a Record.
+// What the keepers keep of a lender: budgets with a version, whose the lender is (with an epoch), the leases
+// that are open, and what operators said. A site's keepers have one of these for the site's floors, the
+// federation's for all else. It knows no time: leases end by the owner's clock, which says so in a Record.
 //
-// A Record under an older epoch is refused: an owner that was stopped, and goes on when another has taken over, can write
-// nothing down any more, and so answers nothing that lends.
+// A Record under an older epoch is refused: an owner that was stopped, and goes on when another has taken
+// over, can write nothing down any more, and so answers nothing that lends.
 //
 // Threads: as every machine, the keeper's alone.
 #pragma once
--- a/src/fleet/quota/message.cpp
+++ b/src/fleet/quota/message.cpp
@@ -7,10 +7,16 @@
 
 constexpr int kLines = 20'000;
 constexpr Amount kSum = std::int64_t(1) << 62;  // of a lease since it began
-bool sound(Amount amount, Amount most) { return amount >= 0 && amount <= most; }
+bool sound(Amount amount, Amount most) {
+    return amount >= 0 && amount <= most;
+}
 
-void put(const Account& account, wire::Account& to) { to.set_partner(account.partner), to.set_floor(account.floor); }
-Account get(const wire::Account& from) { return {from.partner(), from.floor()}; }
+void put(const Account& account, wire::Account& to) {
+    to.set_partner(account.partner), to.set_floor(account.floor);
+}
+Account get(const wire::Account& from) {
+    return {from.partner(), from.floor()};
+}
 
 }  // namespace
 
@@ -39,20 +45,23 @@
 
 std::optional<Ask> decode_ask(std::string_view octets) {
     wire::Ask from;
-    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines) return std::nullopt;
+    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines)
+        return std::nullopt;
     Ask ask{from.instance(), from.seq(), {}};
     if (ask.instance == 0 || ask.seq == 0) return std::nullopt;
     for (const wire::AskLine& l : from.lines()) {
-        if (!sound(l.spent(), kSum) || !sound(l.returned(), kSum) || !sound(l.given(), kSum) || l.demand() < 0 ||
-            l.account().partner().size() > 64)
+        if (!sound(l.spent(), kSum) || !sound(l.returned(), kSum) || !sound(l.given(), kSum) ||
+            l.demand() < 0 || l.account().partner().size() > 64)
             return std::nullopt;
-        ask.lines.push_back({get(l.account()), l.lease(), l.spent(), l.returned(), std::min(l.demand(), kMost), l.given()});
+        ask.lines.push_back(
+            {get(l.account()), l.lease(), l.spent(), l.returned(), std::min(l.demand(), kMost), l.given()});
     }
     return ask;
 }
 std::optional<Answer> decode_answer(std::string_view octets) {
     wire::Answer from;
-    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines) return std::nullopt;
+    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines)
+        return std::nullopt;
     Answer answer{from.instance(), from.seq(), {}};
     for (const wire::AnswerLine& l : from.lines()) {
         if (!sound(l.granted(), kSum) || !sound(l.length(), 3'600'000'000) || !sound(l.share(), kMost) ||
--- a/src/fleet/quota/message.h
+++ b/src/fleet/quota/message.h
@@ -1,5 +1,5 @@
-// What borrower and lender say to each other. All amounts of a lease are sums since it began, so that a message that is lost,
-// late, doubled or out of order changes nothing that the next one does not put right.
+// What borrower and lender say to each other. All amounts of a lease are sums since it began, so that a
+// message that is lost, late, doubled or out of order changes nothing that the next one does not put right.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace ochrehub::quota {
 
-/// A partner's budget is lent in two trees: the federation's part, and each site's floor, which the site mints itself.
+/// A partner's budget is lent in two trees: the federation's part, and each site's floor, which the site
+/// mints itself.
 struct Account {
     std::string partner;
     bool floor = false;
@@ -23,8 +24,9 @@
     Account account;
     std::uint64_t lease = 0;  ///< that the sums are of; zero: none yet
     Amount spent = 0, returned = 0;
-    Amount demand = 0;        ///< a second, refused requests included
-    Amount given = 0;         ///< of a floor that its site does not need, to the federation: a sum since the instance began
+    Amount demand = 0;  ///< a second, refused requests included
+    Amount given =
+        0;  ///< of a floor that its site does not need, to the federation: a sum since the instance began
     friend bool operator==(const AskLine&, const AskLine&) = default;
 };
 struct Ask {
@@ -53,7 +55,8 @@
 /// As protobuf (proto/quota.proto).
 std::string encode(const Ask& ask);
 std::string encode(const Answer& answer);
-/// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMost` lines or amounts).
+/// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMost` lines or
+/// amounts).
 std::optional<Ask> decode_ask(std::string_view octets);
 std::optional<Answer> decode_answer(std::string_view octets);
 
--- a/src/fleet/quota/pot.h
+++ b/src/fleet/quota/pot.h
@@ -1,5 +1,6 @@
-// What a borrower holds of one account: the same at a node and at a lender that has itself borrowed. Every millionth that came
-// in is in one place: balance, spent, returned, or (at a lender) lent on; `granted` is their sum.
+// What a borrower holds of one account: the same at a node and at a lender that has itself borrowed. Every
+// millionth that came in is in one place: balance, spent, returned, or (at a lender) lent on; `granted` is
+// their sum.
 #pragma once
 
 #include <algorithm>
@@ -46,9 +47,10 @@
     }
 
     enum class Taken { Old, Late, Same, Anew };
-    /// `asked`: when the ask that this answers was sent, by the borrower's clock. Anew: another lease began, and nothing
-    /// of the one before counts any more.
-    Taken answered(TimePoint now, TimePoint asked, std::uint64_t seq, const AnswerLine& line, const Timing& timing) {
+    /// `asked`: when the ask that this answers was sent, by the borrower's clock. Anew: another lease began,
+    /// and nothing of the one before counts any more.
+    Taken answered(TimePoint now, TimePoint asked, std::uint64_t seq, const AnswerLine& line,
+                   const Timing& timing) {
         if (seq <= seq_) return Taken::Old;
         seq_ = seq;
         share_ = line.share, recalled_ = line.recalled, frozen_ = line.frozen;
--- a/src/fleet/raft/codec.cpp
+++ b/src/fleet/raft/codec.cpp
@@ -58,7 +58,8 @@
     }
     void operator()(const Appended& m) const {
         wire::Appended& w = *out.mutable_appended();
-        w.set_term(m.term), w.set_round(m.round), w.set_matches(m.matches), w.set_index(m.index), w.set_doubt(m.doubt);
+        w.set_term(m.term), w.set_round(m.round), w.set_matches(m.matches), w.set_index(m.index),
+            w.set_doubt(m.doubt);
     }
     void operator()(const Piece& m) const {
         wire::Piece& w = *out.mutable_piece();
@@ -68,7 +69,8 @@
     }
     void operator()(const PieceTaken& m) const {
         wire::PieceTaken& w = *out.mutable_piece_taken();
-        w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_next(m.next), w.set_doubt(m.doubt);
+        w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_next(m.next),
+            w.set_doubt(m.doubt);
     }
     void operator()(const TimeoutNow& m) const { out.mutable_timeout_now()->set_term(m.term); }
 };
@@ -96,7 +98,8 @@
 
 std::optional<Message> decode(std::string_view octets) {
     wire::Message in;
-    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size()))) return std::nullopt;
+    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size())))
+        return std::nullopt;
     if (in.version() != kVersion) return std::nullopt;
     switch (in.what_case()) {
         case wire::Message::kAskVote: {
@@ -118,7 +121,8 @@
             const wire::Piece& w = in.piece();
             if (!sane(w.term(), w.round(), w.index(), w.index_term(), w.offset(), w.size())) break;
             Piece m{w.term(), w.round(), w.index(), w.index_term(), w.offset(), w.size(), {}, w.octets()};
-            if (!take(w.members(), m.members) || m.offset > m.size || m.octets.size() > m.size - m.offset) return std::nullopt;
+            if (!take(w.members(), m.members) || m.offset > m.size || m.octets.size() > m.size - m.offset)
+                return std::nullopt;
             return m;
         }
         case wire::Message::kPieceTaken: {
@@ -144,7 +148,8 @@
 std::optional<Members> decode_members(std::string_view octets) {
     wire::Members in;
     Members out;
-    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size()))) return std::nullopt;
+    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size())))
+        return std::nullopt;
     if (!take(in.members(), out)) return std::nullopt;
     return out;
 }
--- a/src/fleet/raft/election.cpp
+++ b/src/fleet/raft/election.cpp
@@ -5,7 +5,9 @@
 
 namespace ochrehub::raft {
 
-void Raft::draw_patience() { patience_ = now_ + set_.election * (1 + uniform()); }
+void Raft::draw_patience() {
+    patience_ = now_ + set_.election * (1 + uniform());
+}
 
 bool Raft::hears_leader() const {
     // A leader that had lost its majority has stepped down before it came here.
@@ -55,14 +57,16 @@
 
 void Raft::take(KeeperId from, const AskVote& m) {
     if (!m.transfer && m.term >= vote_.term && hears_leader()) return;
-    bool newer = m.last_term != log_.last_term() ? m.last_term > log_.last_term() : m.last_index >= log_.last();
+    bool newer =
+        m.last_term != log_.last_term() ? m.last_term > log_.last_term() : m.last_index >= log_.last();
     if (m.pre) {
         bool granted = doubt_ == 0 && m.term > vote_.term && newer;
         return send(from, GiveVote{granted ? m.term : vote_.term, true, granted});
     }
     if (m.term < vote_.term) return send(from, GiveVote{vote_.term, false, false});
     if (m.term > vote_.term) follow(m.term, 0);
-    if (doubt_ != 0 || !newer || (vote_.who != 0 && vote_.who != from)) return send(from, GiveVote{vote_.term, false, false});
+    if (doubt_ != 0 || !newer || (vote_.who != 0 && vote_.who != from))
+        return send(from, GiveVote{vote_.term, false, false});
     if (vote_.who == 0) {
         vote_.who = from;
         write_.vote = vote_;
--- a/src/fleet/raft/entries.cpp
+++ b/src/fleet/raft/entries.cpp
@@ -41,7 +41,8 @@
 }
 
 void Entries::compact(std::uint64_t index, std::string state, std::size_t kept) {
-    snapshot_ = std::make_shared<const Snapshot>(Snapshot{index, *term(index), members_at(index), std::move(state)});
+    snapshot_ =
+        std::make_shared<const Snapshot>(Snapshot{index, *term(index), members_at(index), std::move(state)});
     std::uint64_t to = index;
     for (std::size_t octets = 0; to > base_; --to) {
         octets += at(to).data.size() + sizeof(Entry);
--- a/src/fleet/raft/entries.h
+++ b/src/fleet/raft/entries.h
@@ -1,4 +1,5 @@
-// The log as one keeper has it in memory, written or not yet: entries behind a snapshot, and who is a member by them.
+// The log as one keeper has it in memory, written or not yet: entries behind a snapshot, and who is a member
+// by them.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +17,8 @@
 class Entries {
 public:
     /// `first`: index of entries[0]. What does not join the snapshot is not taken.
-    Entries(const Members& members, const std::optional<Snapshot>& snapshot, std::uint64_t first, const std::vector<Entry>& entries);
+    Entries(const Members& members, const std::optional<Snapshot>& snapshot, std::uint64_t first,
+            const std::vector<Entry>& entries);
 
     std::uint64_t base() const { return base_; }  ///< the last that is no longer here
     std::uint64_t last() const { return base_ + entries_.size(); }
@@ -34,8 +36,12 @@
     void reset(Snapshot snapshot);
 
     const Members& members() const { return members_.rbegin()->second; }
-    std::uint64_t members_since() const { return members_.rbegin()->first; }  ///< index of the entry that says so; or the base
-    const Members& members_at(std::uint64_t index) const { return std::prev(members_.upper_bound(index))->second; }
+    std::uint64_t members_since() const {
+        return members_.rbegin()->first;
+    }  ///< index of the entry that says so; or the base
+    const Members& members_at(std::uint64_t index) const {
+        return std::prev(members_.upper_bound(index))->second;
+    }
     std::uint64_t changes() const { return changes_; }  ///< rises whenever members may be others
 
 private:
--- a/src/fleet/raft/follower.cpp
+++ b/src/fleet/raft/follower.cpp
@@ -19,7 +19,9 @@
     if (m.previous_index >= log_.base() && log_.term(m.previous_index) != m.previous_term) {
         std::uint64_t below = std::min(log_.last() + 1, m.previous_index);
         if (m.previous_index <= log_.last())  // all of the other term may be wrong
-            for (std::uint64_t wrong = *log_.term(below); below > committed_ + 1 && log_.term(below - 1) == wrong;) --below;
+            for (std::uint64_t wrong = *log_.term(below);
+                 below > committed_ + 1 && log_.term(below - 1) == wrong;)
+                --below;
         return send_behind(from, Appended{vote_.term, m.round, false, below, doubt_});
     }
     std::uint64_t index = m.previous_index;
@@ -48,7 +50,8 @@
             id = proposals_.front().second;
             proposals_.pop_front();
         }
-        if (entry.kind == Entry::Kind::Data) out_->emplace_back(Applied{committed_, entry.term, id, entry.data});
+        if (entry.kind == Entry::Kind::Data)
+            out_->emplace_back(Applied{committed_, entry.term, id, entry.data});
     }
 }
 
@@ -65,7 +68,8 @@
         pieces_size_ = m.size;
     }
     if (m.offset == pieces_->state.size()) pieces_->state += m.octets;
-    if (pieces_->state.size() < pieces_size_) return send(from, PieceTaken{vote_.term, m.round, m.index, pieces_->state.size(), doubt_});
+    if (pieces_->state.size() < pieces_size_)
+        return send(from, PieceTaken{vote_.term, m.round, m.index, pieces_->state.size(), doubt_});
 
     // Entries that are promised and not in conflict stay on the disk until the snapshot is there too.
     auto here = log_.term(m.index);
--- a/src/fleet/raft/leader.cpp
+++ b/src/fleet/raft/leader.cpp
@@ -1,4 +1,5 @@
-// What a leader does: entries and snapshots to others, what is agreed on, reads, members, doubts, handing over.
+// What a leader does: entries and snapshots to others, what is agreed on, reads, members, doubts, handing
+// over.
 #include <algorithm>
 #include <limits>
 
@@ -55,15 +56,18 @@
     if (transfer_to_ != 0) return reject(event.id, Error::Busy);
     if (committed_ < began_ || log_.members_since() > committed_) return reject(event.id, Error::Changing);
     Members members = log_.members();
-    auto place = std::lower_bound(members.begin(), members.end(), event.member, [](const Member& m, KeeperId id) { return m.id < id; });
+    auto place = std::lower_bound(members.begin(), members.end(), event.member,
+                                  [](const Member& m, KeeperId id) { return m.id < id; });
     bool there = place != members.end() && place->id == event.member;
     if (event.member == 0 || there == event.add) return reject(event.id, Error::Unknown);
-    bool learns = std::any_of(members.begin(), members.end(), [&](const Member& m) { return !m.voter && m.id != event.member; });
+    bool learns = std::any_of(members.begin(), members.end(),
+                              [&](const Member& m) { return !m.voter && m.id != event.member; });
     if (learns) return reject(event.id, Error::Changing);
     if (event.add) {
         members.insert(place, {event.member, false, event.address});
     } else {
-        if (place->voter && std::count_if(members.begin(), members.end(), [](const Member& m) { return m.voter; }) == 1)
+        if (place->voter &&
+            std::count_if(members.begin(), members.end(), [](const Member& m) { return m.voter; }) == 1)
             return reject(event.id, Error::Last);
         members.erase(place);
     }
@@ -130,7 +134,8 @@
     if (committed_ < began_) return;
     for (std::uint64_t id : early_reads_) reads_.push_back({id, committed_, round_ + 1});
     early_reads_.clear();
-    std::uint64_t confirmed = reached<std::uint64_t>(std::numeric_limits<std::uint64_t>::max(), 0, [](const Peer& peer) { return peer.answered; });
+    std::uint64_t confirmed = reached<std::uint64_t>(std::numeric_limits<std::uint64_t>::max(), 0,
+                                                     [](const Peer& peer) { return peer.answered; });
     for (; !reads_.empty() && reads_.front().round <= confirmed; reads_.pop_front())
         out_->emplace_back(ReadReady{reads_.front().id, reads_.front().index});
     if (!reads_.empty() && reads_.front().round > beat_round_) beat();
@@ -138,9 +143,11 @@
 
 void Raft::settle_doubts() {
     for (auto& [id, peer] : peers_) {
-        if (peer.doubt == 0 || peer.trusts_round != 0 || committed_ < began_ || peer.match < peer.doubted_index) continue;
-        // Who might lead in a later term by a vote that was forgotten would have refused this one's rounds. That may be any
-        // of the others, so that all must have answered.
+        if (peer.doubt == 0 || peer.trusts_round != 0 || committed_ < began_ ||
+            peer.match < peer.doubted_index)
+            continue;
+        // Who might lead in a later term by a vote that was forgotten would have refused this one's rounds.
+        // That may be any of the others, so that all must have answered.
         bool all = true;
         for (const Member& member : log_.members()) {
             if (!member.voter || member.id == set_.self || member.id == id) continue;
@@ -215,7 +222,13 @@
 }
 
 void Raft::send_entries(KeeperId to, Peer& peer, bool with_entries) {
-    Append m{vote_.term, peer.next - 1, *log_.term(peer.next - 1), committed_, ++round_, {}, peer.trusts_round != 0 ? peer.doubt : 0};
+    Append m{vote_.term,
+             peer.next - 1,
+             *log_.term(peer.next - 1),
+             committed_,
+             ++round_,
+             {},
+             peer.trusts_round != 0 ? peer.doubt : 0};
     if (with_entries) {
         std::size_t octets = 0;
         for (; peer.next <= log_.last(); ++peer.next) {
@@ -232,8 +245,8 @@
 void Raft::send_piece(KeeperId to, Peer& peer) {
     const Snapshot& snapshot = *peer.snapshot;
     peer.pieces = ++round_;
-    send(to, Piece{vote_.term, round_, snapshot.index, snapshot.term, peer.offset, snapshot.state.size(), snapshot.members,
-                   snapshot.state.substr(std::size_t(peer.offset), set_.piece)});
+    send(to, Piece{vote_.term, round_, snapshot.index, snapshot.term, peer.offset, snapshot.state.size(),
+                   snapshot.members, snapshot.state.substr(std::size_t(peer.offset), set_.piece)});
 }
 
 Raft::Peer* Raft::answered(KeeperId from, std::uint64_t round, std::uint64_t doubt) {
@@ -249,7 +262,8 @@
         peer.trusts_round = 0;
         peer.snapshot.reset();
     } else if (doubt == 0 && peer.doubt != 0) {
-        // What answers a round that was sent after the doubt was heard of comes from the life that had it, or a later one.
+        // What answers a round that was sent after the doubt was heard of comes from the life that had it, or
+        // a later one.
         if (round < peer.doubted_round) return nullptr;
         peer.doubt = 0;
         peer.trusts_round = 0;
@@ -275,8 +289,8 @@
         if (m.round >= peer->since) peer->probing = false;
         if (peer->snapshot && peer->snapshot->index <= peer->match) peer->snapshot.reset();
     } else if (m.round >= peer->since && !peer->snapshot && m.index > 0) {
-        // It names the first of a term that is wrong somewhere; what it has said to match needs no looking at again. But one in
-        // doubt may have lost that.
+        // It names the first of a term that is wrong somewhere; what it has said to match needs no looking at
+        // again. But one in doubt may have lost that.
         if (peer->doubt != 0) peer->match = std::min(peer->match, m.index - 1);
         peer->next = std::max(m.index, peer->match + 1);
         peer->probing = true;
