--- a/src/fleet/raft/message.h
+++ b/src/fleet/raft/message.h
@@ -1,4 +1,5 @@
-// What keepers say to each other, and what they keep. Numbers of keepers are from 1 on, and never given to another.
+// What keepers say to each other, and what they keep. Numbers of keepers are from 1 on, and never given to
+// another.
 #pragma once
 
 #include <cstdint>
@@ -52,7 +53,8 @@
 };
 struct Append {
     std::uint64_t term = 0, previous_index = 0, previous_term = 0, committed = 0;
-    std::uint64_t round = 0;  ///< rises with each that the leader sends; comes back, for read index and check quorum
+    std::uint64_t round =
+        0;  ///< rises with each that the leader sends; comes back, for read index and check quorum
     std::vector<Entry> entries;
     std::uint64_t trusts = 0;  ///< the doubt that is over: it has again all that it may have promised
     friend bool operator==(const Append&, const Append&) = default;
@@ -61,7 +63,8 @@
     std::uint64_t term = 0, round = 0;
     bool matches = false;
     std::uint64_t index = 0;  ///< matches: on the disk up to here; else: look below this one
-    std::uint64_t doubt = 0;  ///< not zero: its disk is not trusted, and it counts for nothing; drawn at each such start
+    std::uint64_t doubt =
+        0;  ///< not zero: its disk is not trusted, and it counts for nothing; drawn at each such start
     friend bool operator==(const Appended&, const Appended&) = default;
 };
 struct Piece {  ///< of a snapshot
@@ -71,7 +74,8 @@
     friend bool operator==(const Piece&, const Piece&) = default;
 };
 struct PieceTaken {
-    std::uint64_t term = 0, round = 0, index = 0, next = 0;  ///< next: the offset that is wanted; the size: all of it is on the disk
+    std::uint64_t term = 0, round = 0, index = 0,
+                  next = 0;   ///< next: the offset that is wanted; the size: all of it is on the disk
     std::uint64_t doubt = 0;  ///< as in Appended
     friend bool operator==(const PieceTaken&, const PieceTaken&) = default;
 };
--- a/src/fleet/raft/raft.cpp
+++ b/src/fleet/raft/raft.cpp
@@ -6,11 +6,17 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[] = {
-        {"raft.not-leader", "this keeper does not lead", true, "ask the keeper that the answer names; if it names none, wait for an election or look at the keepers' links"},
-        {"raft.busy", "too many proposals wait, or leadership is being handed over", true, "ask again later; if it lasts, look at the keepers' disks and links"},
-        {"raft.changing", "a change of members is under way, or the leader has just begun", true, "wait until it is over, or take the new member out again"},
-        {"raft.lost", "leadership was lost before it was known to be agreed on", true, "look whether it happened before asking again"},
-        {"raft.unknown-member", "there is no such member, or it is one already", false, "look at the list of members"},
+        {"raft.not-leader", "this keeper does not lead", true,
+         "ask the keeper that the answer names; if it names none, wait for an election or look at the "
+         "keepers' links"},
+        {"raft.busy", "too many proposals wait, or leadership is being handed over", true,
+         "ask again later; if it lasts, look at the keepers' disks and links"},
+        {"raft.changing", "a change of members is under way, or the leader has just begun", true,
+         "wait until it is over, or take the new member out again"},
+        {"raft.lost", "leadership was lost before it was known to be agreed on", true,
+         "look whether it happened before asking again"},
+        {"raft.unknown-member", "there is no such member, or it is one already", false,
+         "look at the list of members"},
         {"raft.last-voter", "it is the only member that votes", false, "add another keeper first"},
     };
     return kRows[std::size_t(error)];
@@ -78,7 +84,9 @@
 }
 
 void Raft::on(const Snapshotted& event) {
-    if (event.index > committed_ || event.index <= log_.base() || (log_.snapshot() && event.index <= log_.snapshot()->index)) return;
+    if (event.index > committed_ || event.index <= log_.base() ||
+        (log_.snapshot() && event.index <= log_.snapshot()->index))
+        return;
     log_.compact(event.index, event.state, set_.kept);
     write_.snapshot = *log_.snapshot();
 }
@@ -111,16 +119,20 @@
 namespace {
 
 bool voter_of(const Members& members, KeeperId id) {
-    return std::any_of(members.begin(), members.end(), [&](const Member& m) { return m.id == id && m.voter; });
+    return std::any_of(members.begin(), members.end(),
+                       [&](const Member& m) { return m.id == id && m.voter; });
 }
 
 }  // namespace
 
-bool Raft::voter(KeeperId id) const { return voter_of(log_.members(), id); }
+bool Raft::voter(KeeperId id) const {
+    return voter_of(log_.members(), id);
+}
 
 bool Raft::elects() const {
     if (voter(set_.self)) return true;
-    return log_.members_since() > committed_ && voter_of(log_.members_at(log_.members_since() - 1), set_.self);
+    return log_.members_since() > committed_ &&
+           voter_of(log_.members_at(log_.members_since() - 1), set_.self);
 }
 
 void Raft::send_behind(KeeperId to, Message message) {
--- a/src/fleet/raft/raft.h
+++ b/src/fleet/raft/raft.h
@@ -1,10 +1,12 @@
-// Agreement among a few keepers: Raft after Ongaro's thesis (2014), as one of them runs it: pre-vote (9.6), check quorum and
-// leadership transfer (3.10, 6.2), read index (6.4), one member changed at a time (4.1), snapshots sent in pieces (5). A core
-// without I/O: it is handed events with their time and returns what is to be sent, written and applied. It reads no clock and
-// draws on its seed alone. What an entry means it does not know.
+// Agreement among a few keepers: Raft after Ongaro's thesis (2014), as one of them runs it: pre-vote (9.6),
+// check quorum and leadership transfer (3.10, 6.2), read index (6.4), one member changed at a time (4.1),
+// snapshots sent in pieces (5). A core without I/O: it is handed events with their time and returns what is
+// to be sent, written and applied. It reads no clock and draws on its seed alone. What an entry means it does
+// not know.
 //
-// Nothing is promised before it is on the disk: messages that depend on a write come out behind its Written. Whoever runs it
-// carries out Write in order (they may be joined into one sync) and says Written with the last one's number.
+// Nothing is promised before it is on the disk: messages that depend on a write come out behind its Written.
+// Whoever runs it carries out Write in order (they may be joined into one sync) and says Written with the
+// last one's number.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -34,27 +36,28 @@
     std::size_t piece = 64 << 10;   ///< octets of a snapshot in one message
     std::size_t window = 8;         ///< messages with entries to one follower that are not answered yet
     std::size_t waiting = 4096;     ///< proposals that are not committed yet; more are refused
-    std::size_t kept = 1 << 20;     ///< octets of entries that stay in memory behind a snapshot, for followers a little late
+    std::size_t kept =
+        1 << 20;  ///< octets of entries that stay in memory behind a snapshot, for followers a little late
 };
 
 enum class Error {
-    NotLeader,   ///< ask `hint`
-    Busy,        ///< too many wait
-    Changing,    ///< a change of members is under way
-    Lost,        ///< leadership was lost with it under way: it may have been committed, or may yet
-    Unknown,     ///< no such member, or it is one already
-    Last,        ///< the only voter: without it nobody could decide anything
+    NotLeader,  ///< ask `hint`
+    Busy,       ///< too many wait
+    Changing,   ///< a change of members is under way
+    Lost,       ///< leadership was lost with it under way: it may have been committed, or may yet
+    Unknown,    ///< no such member, or it is one already
+    Last,       ///< the only voter: without it nobody could decide anything
 };
 const fleet::ErrorRow& row(Error error);
 
-/// What was on the disk at the start. `trusted`: false where the store had lost something that was promised (Found::Lost): this
-/// one neither votes nor counts until it has caught up with a leader's word.
+/// What was on the disk at the start. `trusted`: false where the store had lost something that was promised
+/// (Found::Lost): this one neither votes nor counts until it has caught up with a leader's word.
 struct Disk {
     Vote vote;
     std::optional<Snapshot> snapshot;
-    std::uint64_t first = 1;      ///< index of entries[0]
+    std::uint64_t first = 1;  ///< index of entries[0]
     std::vector<Entry> entries;
-    Members members;              ///< at the very first start alone; later ones stand in snapshot and entries
+    Members members;  ///< at the very first start alone; later ones stand in snapshot and entries
     bool trusted = true;
 };
 
@@ -136,14 +139,16 @@
 
 /// One keeper's part. Not for two threads. Cost of an event: what it carries, and the number of members.
 ///
-/// The first event is Woken; its actions bear the snapshot from the disk, if there is one, as Restore, and what lies behind it is
-/// applied again once a leader says that it is agreed on. A Change has no answer but a refusal: it is done when MembersAre shows
-/// it and `members_since() <= committed()`. A proposal and a read that were under way when leadership ends are Rejected as Lost.
-/// A disk that is not trusted is so until a leader has heard every other voter since, not only a majority (see
-/// docs/design/raft.md); where that cannot be, the member is taken out and a new number added.
+/// The first event is Woken; its actions bear the snapshot from the disk, if there is one, as Restore, and
+/// what lies behind it is applied again once a leader says that it is agreed on. A Change has no answer but a
+/// refusal: it is done when MembersAre shows it and `members_since() <= committed()`. A proposal and a read
+/// that were under way when leadership ends are Rejected as Lost. A disk that is not trusted is so until a
+/// leader has heard every other voter since, not only a majority (see docs/design/raft.md); where that cannot
+/// be, the member is taken out and a new number added.
 class Raft {
 public:
-    /// `seed`: another at each start, or a doubt that was settled in an earlier life might be taken for this one's.
+    /// `seed`: another at each start, or a doubt that was settled in an earlier life might be taken for this
+    /// one's.
     Raft(const Settings& settings, const Disk& disk, std::uint64_t seed);
 
     /// `now` is of one monotonic clock and does not go back.
@@ -151,15 +156,19 @@
 
     Role role() const { return role_; }
     std::uint64_t term() const { return vote_.term; }
-    KeeperId leader() const { return leader_; }                ///< as far as is known; zero: nobody
+    KeeperId leader() const { return leader_; }  ///< as far as is known; zero: nobody
     std::uint64_t committed() const { return committed_; }
-    std::uint64_t written() const { return durable_; }         ///< the last entry that is on the disk
-    std::uint64_t first() const { return log_.base() + 1; }    ///< of the entries in memory; `last` may be below it
+    std::uint64_t written() const { return durable_; }  ///< the last entry that is on the disk
+    std::uint64_t first() const {
+        return log_.base() + 1;
+    }  ///< of the entries in memory; `last` may be below it
     std::uint64_t last() const { return log_.last(); }
     std::uint64_t term_of(std::uint64_t index) const { return log_.term(index).value_or(0); }
     const Entry& entry(std::uint64_t index) const { return log_.at(index); }  ///< first() to last()
-    const Members& members() const { return log_.members(); }  ///< as of the last entry
-    std::uint64_t members_since() const { return log_.members_since(); }  ///< in force; agreed on once committed
+    const Members& members() const { return log_.members(); }                 ///< as of the last entry
+    std::uint64_t members_since() const {
+        return log_.members_since();
+    }  ///< in force; agreed on once committed
     bool trusted() const { return doubt_ == 0; }
     std::size_t waiting() const { return proposals_.size(); }  ///< proposals that are not committed
     KeeperId handing_over() const { return transfer_to_; }     ///< to whom; zero: it is not
@@ -170,9 +179,9 @@
         std::uint64_t answered = 0;  ///< the highest round that it has answered with a disk that counts
         std::uint64_t seen = 0;      ///< ... with any
         TimePoint heard{};
-        std::deque<std::uint64_t> flying;  ///< rounds of messages with entries that are not answered
-        bool probing = false;              ///< where its log joins is being looked for
-        std::uint64_t since = 0;           ///< refusals of rounds before this one are old
+        std::deque<std::uint64_t> flying;          ///< rounds of messages with entries that are not answered
+        bool probing = false;                      ///< where its log joins is being looked for
+        std::uint64_t since = 0;                   ///< refusals of rounds before this one are old
         std::shared_ptr<const Snapshot> snapshot;  ///< being sent
         std::uint64_t offset = 0, pieces = 0;      ///< of it; pieces: the round of the last piece
         TimePoint sent_piece{};
@@ -214,8 +223,8 @@
     void leave_lead();
     void draw_patience();
     bool hears_leader() const;
-    /// A voter; or one whose end as a voter is in its log and not agreed on: it may be the only one that can bring it about
-    /// (thesis, 4.2.2).
+    /// A voter; or one whose end as a voter is in its log and not agreed on: it may be the only one that can
+    /// bring it about (thesis, 4.2.2).
     bool elects() const;
     bool may_campaign() const { return doubt_ == 0 && elects(); }
 
@@ -251,7 +260,9 @@
     /// Once all that is being written is on the disk.
     void send_behind(KeeperId to, Message message);
     void reject(std::uint64_t id, Error error) { out_->emplace_back(Rejected{id, error, leader_}); }
-    bool writes() const { return write_.vote || write_.cut || !write_.append.empty() || write_.snapshot || write_.caught_up; }
+    bool writes() const {
+        return write_.vote || write_.cut || !write_.append.empty() || write_.snapshot || write_.caught_up;
+    }
     std::uint64_t last_write() const { return issued_ + (writes() ? 1 : 0); }
     void cut(std::uint64_t from);
     double uniform() { return double(random_()) * 0x1p-32; }
@@ -282,9 +293,9 @@
 
     // The leader's
     std::map<KeeperId, Peer> peers_;
-    std::uint64_t round_ = 0, began_ = 0;  ///< began_: index of its own first entry
-    std::uint64_t beat_round_ = 0;         ///< the first round of the last beat
-    TimePoint beat_{}, led_since_{};       ///< beat_: the next
+    std::uint64_t round_ = 0, began_ = 0;                            ///< began_: index of its own first entry
+    std::uint64_t beat_round_ = 0;                                   ///< the first round of the last beat
+    TimePoint beat_{}, led_since_{};                                 ///< beat_: the next
     std::deque<std::pair<std::uint64_t, std::uint64_t>> proposals_;  ///< index, id
     std::deque<Asked> reads_;
     std::deque<std::uint64_t> early_reads_;
--- a/src/fleet/schema/errors.cpp
+++ b/src/fleet/schema/errors.cpp
@@ -4,7 +4,8 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"schema.unknown-kind", "no kind of shared record has this name", false, "see `ochrehub fleet migrate status` for the kinds"},
+        {"schema.unknown-kind", "no kind of shared record has this name", false,
+         "see `ochrehub fleet migrate status` for the kinds"},
         {"schema.unknown-schema", "this release has no schema of this number", false,
          "upgrade this process; it must not read such records before"},
         {"schema.malformed", "is no record of the schema that it claims", false,
--- a/src/fleet/schema/pairs.h
+++ b/src/fleet/schema/pairs.h
@@ -1,6 +1,8 @@
 // The pairs of neighbours that differ in more than their keys: what a field of the one is in the other.
 #pragma once
 
+#include <records.pb.h>
+
 #include <algorithm>
 #include <charconv>
 #include <limits>
@@ -8,7 +10,6 @@
 #include <string>
 
 #include "fleet/schema/schema.h"
-#include <records.pb.h>
 
 namespace ochrehub::schema {
 
@@ -16,13 +17,17 @@
 __extension__ typedef unsigned __int128 Wide;
 inline constexpr std::uint64_t kMost = std::numeric_limits<std::uint64_t>::max();
 
-inline std::uint64_t rounded_up(Wide of, Wide by) { return std::uint64_t((of + by - 1) / by); }
+inline std::uint64_t rounded_up(Wide of, Wide by) {
+    return std::uint64_t((of + by - 1) / by);
+}
 
 /// Sessions 2 and 3: what counted the time since the client was seen counts what is left of its lease.
 struct IdleToLease {
     using Old = wire::Binding;
     using New = wire::Session3;
-    static std::uint64_t left(std::uint64_t idle) { return idle < kBindingLeaseMs ? kBindingLeaseMs - idle : 0; }
+    static std::uint64_t left(std::uint64_t idle) {
+        return idle < kBindingLeaseMs ? kBindingLeaseMs - idle : 0;
+    }
 
     template <class From, class To>
     static void rest(const From& from, To& to) {
@@ -43,13 +48,15 @@
         y = as;
         rest(now, y);
         // Who has no place has no lease to keep.
-        if (now.idle_ms() != was.idle_ms() || (!y.cell() && y.server().empty())) y.set_left_ms(left(now.idle_ms()));
+        if (now.idle_ms() != was.idle_ms() || (!y.cell() && y.server().empty()))
+            y.set_left_ms(left(now.idle_ms()));
         return {};
     }
     static std::optional<Error> merge_down(const Old& as, const New& was, const New& now, Old& x) {
         x = as;
         rest(now, x);
-        if (now.left_ms() != was.left_ms() || (!x.cell() && x.server().empty())) x.set_idle_ms(left(now.left_ms()));
+        if (now.left_ms() != was.left_ms() || (!x.cell() && x.server().empty()))
+            x.set_idle_ms(left(now.left_ms()));
         return {};
     }
 };
@@ -60,7 +67,9 @@
     using New = wire::Session4;
     static constexpr std::uint32_t kOther = 0xffffffff;  ///< a cell whose name is no number's
 
-    static std::string name(std::uint32_t cell) { return cell ? "cell-" + std::to_string(cell) : std::string(); }
+    static std::string name(std::uint32_t cell) {
+        return cell ? "cell-" + std::to_string(cell) : std::string();
+    }
     static std::uint32_t number(const std::string& text) {
         if (text.empty()) return 0;
         std::uint32_t cell = 0;
@@ -96,7 +105,8 @@
     }
 };
 
-/// Rates 2 and 3: windows counted become a bucket in millionths. No partner gains: what is spent is rounded up, its rate down.
+/// Rates 2 and 3: windows counted become a bucket in millionths. No partner gains: what is spent is rounded
+/// up, its rate down.
 struct WindowsToBucket {
     using Old = wire::Use;
     using New = wire::Bucket3;
@@ -138,10 +148,11 @@
     }
     static std::optional<Error> merge_up(const New& as, const Old& was, const Old& now, New& y) {
         y = as;
-        if ((now.limit() != was.limit() || now.window_ms() != was.window_ms()) && !rate(now, y)) return Error::DoesNotFit;
+        if ((now.limit() != was.limit() || now.window_ms() != was.window_ms()) && !rate(now, y))
+            return Error::DoesNotFit;
         std::uint64_t spent = 0;
-        if (now.rolls() == was.rolls() && now.previous() == was.previous() && now.window_ms() == was.window_ms() &&
-            now.counted() >= was.counted()) {
+        if (now.rolls() == was.rolls() && now.previous() == was.previous() &&
+            now.window_ms() == was.window_ms() && now.counted() >= was.counted()) {
             Wide sum = as.spent() + Wide(now.counted() - was.counted()) * kMillion;
             if (sum > kMost) return Error::DoesNotFit;
             spent = std::uint64_t(sum);
@@ -177,7 +188,9 @@
         return text;
     }
     static std::string octets_of(const std::string& text) {
-        auto digit = [](char c) { return c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1; };
+        auto digit = [](char c) {
+            return c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
+        };
         std::string out;
         for (std::size_t i = 0; i + 1 < text.size(); i += 2) {
             if (digit(text[i]) < 0 || digit(text[i + 1]) < 0) return {};
--- a/src/fleet/schema/schema.cpp
+++ b/src/fleet/schema/schema.cpp
@@ -51,9 +51,12 @@
     }
     return placed(m) || !orders.empty();
 }
-bool sound(const wire::Use& use) { return use.window_ms() > 0 && use.left_ms() <= use.window_ms(); }
+bool sound(const wire::Use& use) {
+    return use.window_ms() > 0 && use.left_ms() <= use.window_ms();
+}
 
-/// Whether a step made what a reader would take as it is. What is not has been made of a kept record that no step has kept.
+/// Whether a step made what a reader would take as it is. What is not has been made of a kept record that no
+/// step has kept.
 template <class M>
 bool clean(const M& m) {
     if constexpr (requires { m.under_way(); }) {
@@ -89,9 +92,11 @@
 Fault read_whole(const Group& group, Items<Item>& into, const Part& parts, const Value& value) {
     for (const Record& record : group) {
         Whole whole;
-        if (!into.group.empty() || !named(into.group, record.key) || !read(record.value, whole)) return Error::Malformed;
+        if (!into.group.empty() || !named(into.group, record.key) || !read(record.value, whole))
+            return Error::Malformed;
         for (const auto& part : parts(whole)) {
-            if (!only<std::decay_t<decltype(part)>>(octets(part)) || !only<Item>(octets(value(part)))) return Error::Malformed;
+            if (!only<std::decay_t<decltype(part)>>(octets(part)) || !only<Item>(octets(value(part))))
+                return Error::Malformed;
             if (Fault fault = add<Item>(into, part.tenant(), value(part))) return fault;
         }
     }
@@ -103,7 +108,8 @@
     for (const Record& record : group) {
         std::string_view tenant, client;
         Item item;
-        if (!split(record.key, tenant, client) || !named(into.group, client) || !read(record.value, item)) return Error::Malformed;
+        if (!split(record.key, tenant, client) || !named(into.group, client) || !read(record.value, item))
+            return Error::Malformed;
         if (Fault fault = add(into, tenant, std::move(item))) return fault;
     }
     return {};
@@ -135,7 +141,9 @@
         std::string_view tenant, client;
         std::string_view key = record.key;
         bool place = key.starts_with('p');
-        if ((!place && !key.starts_with('w')) || !split(key.substr(1), tenant, client) || !named(into.group, client)) return Error::Malformed;
+        if ((!place && !key.starts_with('w')) || !split(key.substr(1), tenant, client) ||
+            !named(into.group, client))
+            return Error::Malformed;
         wire::Binding& item = items[std::string(tenant)];
         int& parts = seen[std::string(tenant)];
         if (parts & (place ? 1 : 2)) return Error::Malformed;
@@ -189,11 +197,13 @@
 Fault read_one(const Group& group, Items<Item>& into) {
     for (const Record& record : group) {
         Item item;
-        if (!into.group.empty() || !named(into.group, record.key) || !read(record.value, item)) return Error::Malformed;
+        if (!into.group.empty() || !named(into.group, record.key) || !read(record.value, item))
+            return Error::Malformed;
         if constexpr (std::is_same_v<Item, wire::Fence1>) {
             std::map<std::uint64_t, wire::FenceStep> steps;
             for (const wire::FenceStep& step : item.steps())
-                if (!only<wire::FenceStep>(octets(step)) || !steps.emplace(step.step(), step).second) return Error::Malformed;
+                if (!only<wire::FenceStep>(octets(step)) || !steps.emplace(step.step(), step).second)
+                    return Error::Malformed;
             item.clear_steps();
             for (const auto& [number, step] : steps) *item.add_steps() = step;
         }
@@ -214,7 +224,8 @@
     Fault (*read)(const Group&, Items<Item>&);
     Group (*write)(const Items<Item>&);
 };
-constexpr Form<wire::Binding> kSessions1{read_sessions1, write_sessions1}, kSessions2{read_sessions2, write_sessions2};
+constexpr Form<wire::Binding> kSessions1{read_sessions1, write_sessions1},
+    kSessions2{read_sessions2, write_sessions2};
 constexpr Form<wire::Session3> kSessions3{read_each, write_each};
 constexpr Form<wire::Session4> kSessions4{read_each, write_each};
 constexpr Form<wire::Use> kRates1{read_rates1, write_rates1}, kRates2{read_each, write_each};
@@ -239,7 +250,8 @@
 }
 
 template <class From, class To, class Step>
-Result stepped(Kind kind, Number schema, const Group& group, const Form<From>& from, const Form<To>& to, const Step& step) {
+Result stepped(Kind kind, Number schema, const Group& group, const Form<From>& from, const Form<To>& to,
+               const Step& step) {
     Items<From> read;
     Items<To> made;
     Fault fault = bounded(group);
@@ -255,18 +267,21 @@
     return out(kind, schema, to.write(made));
 }
 template <class Item>
-Result same_items(Kind kind, Number schema, const Group& group, const Form<Item>& from, const Form<Item>& to) {
+Result same_items(Kind kind, Number schema, const Group& group, const Form<Item>& from,
+                  const Form<Item>& to) {
     return stepped(kind, schema, group, from, to, [](const Item& item, Item& into) {
         into = item;
         return Fault();
     });
 }
 template <class Pair>
-Result raised(Kind kind, Number schema, const Group& group, const Form<typename Pair::Old>& from, const Form<typename Pair::New>& to) {
+Result raised(Kind kind, Number schema, const Group& group, const Form<typename Pair::Old>& from,
+              const Form<typename Pair::New>& to) {
     return stepped(kind, schema, group, from, to, up_item<Pair>);
 }
 template <class Pair>
-Result lowered(Kind kind, Number schema, const Group& group, const Form<typename Pair::New>& from, const Form<typename Pair::Old>& to) {
+Result lowered(Kind kind, Number schema, const Group& group, const Form<typename Pair::New>& from,
+               const Form<typename Pair::Old>& to) {
     return stepped(kind, schema, group, from, to, down_item<Pair>);
 }
 
@@ -382,10 +397,14 @@
     Items<wire::Use> uses;
     Fault fault = bounded(group);
     if (!fault) {
-        if (schema == 1) fault = read_rates1(group, uses);
-        else if (schema == 2) fault = read_each(group, uses);
-        else if (schema == 3) fault = read_each(group, buckets);
-        else fault = Error::UnknownSchema;
+        if (schema == 1)
+            fault = read_rates1(group, uses);
+        else if (schema == 2)
+            fault = read_each(group, uses);
+        else if (schema == 3)
+            fault = read_each(group, buckets);
+        else
+            fault = Error::UnknownSchema;
     }
     // What older schemas count rounded up counts as what it is where they keep that.
     for (const auto& [tenant, use] : uses.items)
--- a/src/fleet/schema/schema.h
+++ b/src/fleet/schema/schema.h
@@ -1,10 +1,12 @@
-// The schemas of what processes share, and the steps between neighbours. A step is a pure function of a group: all records that
-// belong together whatever the schema (those of one client, one document, one duty), so that one record may become several and
-// several one. Groups are what is stored, locked and compared; a group's name is the same in all schemas of its kind.
+// The schemas of what processes share, and the steps between neighbours. A step is a pure function of a
+// group: all records that belong together whatever the schema (those of one client, one document, one duty),
+// so that one record may become several and several one. Groups are what is stored, locked and compared; a
+// group's name is the same in all schemas of its kind.
 //
-// What a schema cannot say it keeps for the other side (`beyond`, `behind` in proto/records.proto): a record that goes down and up again
-// is what it was, and what was written between is in it. Two records are the same where they differ in nothing but what is kept.
-// Of what is spent nothing is ever lost: it is rounded up. All here is without state and safe from any thread.
+// What a schema cannot say it keeps for the other side (`beyond`, `behind` in proto/records.proto): a record
+// that goes down and up again is what it was, and what was written between is in it. Two records are the same
+// where they differ in nothing but what is kept. Of what is spent nothing is ever lost: it is rounded up. All
+// here is without state and safe from any thread.
 #pragma once
 
 #include <array>
@@ -53,7 +55,8 @@
 
 Number last(Kind kind);  ///< the newest that this tree knows; the first is always 1
 
-/// As every reader takes it: sorted, records that say nothing left out. Octets that are no group of this schema are refused.
+/// As every reader takes it: sorted, records that say nothing left out. Octets that are no group of this
+/// schema are refused.
 Result canonical(Kind kind, Number schema, const Group& group);
 Result up(Kind kind, Number from, const Group& group);    ///< to from + 1
 Result down(Kind kind, Number from, const Group& group);  ///< to from - 1
@@ -74,12 +77,15 @@
     bool holds(Number n) const { return least <= n && n <= most; }
     friend bool operator==(const Range&, const Range&) = default;
 };
-using Ranges = std::array<Range, kKinds>;  ///< by Kind: what a process reads and, once the fleet's level is there, writes
+using Ranges = std::array<Range, kKinds>;  ///< by Kind: what a process reads and, once the fleet's level is
+                                           ///< there, writes
 /// Nothing: they may work side by side. Else the kind at which they may not.
 std::variant<std::monostate, Failure> compatible(const Ranges& one, const Ranges& other);
-/// What a release reads: the newest of each kind and its neighbour below, so that neighbours may work side by side.
+/// What a release reads: the newest of each kind and its neighbour below, so that neighbours may work side by
+/// side.
 Ranges of_newest(const std::array<Number, kKinds>& newest);
-/// Of this program. Not a setting: a test's program of an older release links another object in its place (release.cpp).
+/// Of this program. Not a setting: a test's program of an older release links another object in its place
+/// (release.cpp).
 const Ranges& built();
 
 }  // namespace ochrehub::schema
--- a/src/fleet/shards/client.cpp
+++ b/src/fleet/shards/client.cpp
@@ -33,8 +33,10 @@
                 }
                 auto& open = *open_.try_emplace(e.id).first;
                 open.second.ask = e;
-                open.second.ask.write.record.request = mixed(set_.instance + ++number_ * 0x9e3779b97f4a7c15ull);
-                open.second.shard = std::uint32_t(shard_of(e.write.record.kind, e.write.record.key, set_.shards));
+                open.second.ask.write.record.request =
+                    mixed(set_.instance + ++number_ * 0x9e3779b97f4a7c15ull);
+                open.second.shard =
+                    std::uint32_t(shard_of(e.write.record.kind, e.write.record.key, set_.shards));
                 route(now, open, actions);
             } else if constexpr (std::is_same_v<E, Received>) {
                 received(now, e.body, actions);
@@ -80,7 +82,8 @@
 void Client::later(TimePoint now, Opens::value_type& open) {
     open.second.state = State::Waits;
     numbers_.erase(std::exchange(open.second.number, 0));
-    Duration back_off = std::min(set_.back_off * double(1 << std::min(open.second.tries++, 10)), set_.back_off_most);
+    Duration back_off =
+        std::min(set_.back_off * double(1 << std::min(open.second.tries++, 10)), set_.back_off_most);
     due(open, now + back_off * (0.5 + 0.5 * double(random_()) * 0x1p-32));
     ++counts_.again;
 }
@@ -104,7 +107,8 @@
         ask.set_erases(open.ask.write.erase);
         if (open.ask.write.expect) ask.set_expect(*open.ask.write.expect);
         // Any other write is sent once, and waits for its answer to the end.
-        bool repeats = !open.ask.writes || open.ask.write.expect.value_or(0) != 0 || (open.ask.write.expect && open.ask.stays);
+        bool repeats = !open.ask.writes || open.ask.write.expect.value_or(0) != 0 ||
+                       (open.ask.write.expect && open.ask.stays);
         due(*found, repeats ? now + set_.patience : open.ask.deadline);
         ++counts_.asks;
     }
@@ -128,7 +132,8 @@
         return;
     }
     for (const wire::Answer& a : message.answers()) {
-        if (a.has_entry() && a.entry().shard() < map_.entries.size()) take(a.entry().shard(), from_wire(a.entry()));
+        if (a.has_entry() && a.entry().shard() < map_.entries.size())
+            take(a.entry().shard(), from_wire(a.entry()));
         auto number = numbers_.find(a.id());
         if (number == numbers_.end()) continue;
         auto it = open_.find(number->second);
--- a/src/fleet/shards/client.h
+++ b/src/fleet/shards/client.h
@@ -1,10 +1,11 @@
-// Who asks the holders of shards: a core without I/O. It keeps the map, sends each ask to the shard's first holder under the view
-// that it knows, joins what goes to one holder at one time, and asks again where it was told of a newer view.
+// Who asks the holders of shards: a core without I/O. It keeps the map, sends each ask to the shard's first
+// holder under the view that it knows, joins what goes to one holder at one time, and asks again where it was
+// told of a newer view.
 //
-// What may have been written is never written again blindly: a read goes on until its deadline; a write that expects a
-// version does too, since a second one cannot be taken for the first; any other write that was sent and not answered ends as
-// Unknown, and so does one that expects no record, unless such records stay (else it may find none a second time, behind its
-// own and an erasing). What was refused was not written, and goes on.
+// What may have been written is never written again blindly: a read goes on until its deadline; a write that
+// expects a version does too, since a second one cannot be taken for the first; any other write that was sent
+// and not answered ends as Unknown, and so does one that expects no record, unless such records stay (else it
+// may find none a second time, behind its own and an erasing). What was refused was not written, and goes on.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -26,23 +27,24 @@
 class Client {
 public:
     struct Settings {
-        std::size_t shards = 256;   ///< as in the map
-        Duration patience{300};     ///< for an answer, before a read or a write that expects a version is sent again
-        Duration back_off{20};      ///< after a refusal; twice as long each time, to `back_off_most`
+        std::size_t shards = 256;  ///< as in the map
+        Duration patience{
+            300};  ///< for an answer, before a read or a write that expects a version is sent again
+        Duration back_off{20};  ///< after a refusal; twice as long each time, to `back_off_most`
         Duration back_off_most{400};
-        Duration linger{0.2};       ///< that an ask waits for others to the same holder
-        std::size_t batch = 64;     ///< ... or until there are so many
-        std::size_t open = 10'000;  ///< asks at a time; more are refused
-        std::uint64_t instance = 0; ///< drawn at each start of a process
+        Duration linger{0.2};        ///< that an ask waits for others to the same holder
+        std::size_t batch = 64;      ///< ... or until there are so many
+        std::size_t open = 10'000;   ///< asks at a time; more are refused
+        std::uint64_t instance = 0;  ///< drawn at each start of a process
     };
 
     // ---- What happens
     struct Ask {
         std::uint64_t id = 0;  ///< chosen by whoever asks, comes back in Done, once
         bool writes = false;
-        Write write;           ///< to read: kind and key
+        Write write;  ///< to read: kind and key
         TimePoint deadline{};
-        bool stays = false;    ///< nobody erases such a record: what expects none may be sent again
+        bool stays = false;  ///< nobody erases such a record: what expects none may be sent again
     };
     struct Received {
         std::string_view body;
--- a/src/fleet/shards/error.cpp
+++ b/src/fleet/shards/error.cpp
@@ -6,7 +6,8 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"shards.changed", "another wrote the record first", true, "nothing: it is read again and tried again"},
+        {"shards.changed", "another wrote the record first", true,
+         "nothing: it is read again and tried again"},
         {"shards.partner-full", "the partner's part of the memory is used up", true,
          "raise [shards] partner_octets, or have the partner's records end sooner"},
         {"shards.full", "the shard's memory is used up", true, "raise [shards] octets, or add holders"},
@@ -22,7 +23,8 @@
         {"shards.busy", "too many writes wait for the second holder", true,
          "see whether the second holder and the way to it keep up"},
         {"shards.lost", "both holders were lost, and what they held is not known", true,
-         "orders that were under way must be looked up at the servers; it ends by itself when the window has passed"},
+         "orders that were under way must be looked up at the servers; it ends by itself when the window has "
+         "passed"},
         {"shards.unavailable", "no holder answered in time, and nothing was written", true,
          "see which holders live, and whether keepers answer"},
         {"shards.unknown", "no holder said in time whether it was written", false,
--- a/src/fleet/shards/holder.cpp
+++ b/src/fleet/shards/holder.cpp
@@ -71,7 +71,9 @@
 Holder::Holder(const Settings& settings, Table& table)
     : set_(settings), table_(table), parts_(table.shards()), out_(std::make_unique<Outbox>()) {}
 Holder::~Holder() = default;
-bool Holder::mine(std::uint32_t n) const { return n < parts_.size() && n % set_.parts == set_.part; }
+bool Holder::mine(std::uint32_t n) const {
+    return n < parts_.size() && n % set_.parts == set_.part;
+}
 
 void Holder::handle(TimePoint now, const Event& event, Actions& actions) {
     std::visit(
@@ -152,8 +154,9 @@
     const Entry& entry = part.entry;
     if (part.role != Role::First) {
         if (part.origin != entry.origin || !part.whole) {
-            // Its contents begin here. Versions are above all that were given in any view before. A part of a copy is no
-            // contents: the keepers name nobody first who has no more, and if they did, it would be told as a loss.
+            // Its contents begin here. Versions are above all that were given in any view before. A part of a
+            // copy is no contents: the keepers name nobody first who has no more, and if they did, it would
+            // be told as a loss.
             bool lost = entry.lost || (part.role == Role::Copy && part.origin == entry.origin);
             drop(n, part);
             table_.clear(n, entry.origin << 32);
@@ -166,14 +169,17 @@
         part.from = part.stream = part.upto = 0;
     }
     std::erase_if(part.targets, [&](const Target& t) {
-        return !(t.who == entry.second && t.since == entry.second_since) && !(t.who == entry.filling && t.since == entry.filling_since);
+        return !(t.who == entry.second && t.since == entry.second_since) &&
+               !(t.who == entry.filling && t.since == entry.filling_since);
     });
     auto there = [&](SessionId who) {
-        return std::any_of(part.targets.begin(), part.targets.end(), [who](const Target& t) { return t.who == who; });
+        return std::any_of(part.targets.begin(), part.targets.end(),
+                           [who](const Target& t) { return t.who == who; });
     };
     // A second without a stream is the first of the view before, which had all when it yielded.
     if (entry.second != 0 && !there(entry.second)) begin(n, part, entry.second, entry.second_since, true);
-    if (entry.filling != 0 && !there(entry.filling)) begin(n, part, entry.filling, entry.filling_since, false);
+    if (entry.filling != 0 && !there(entry.filling))
+        begin(n, part, entry.filling, entry.filling_since, false);
 }
 
 void Holder::step_down(Part& part) {
@@ -228,7 +234,8 @@
         if (part.from != c.from() || part.stream != c.stream()) {
             bool begins = number == 1 && c.steps_size() > 0 && c.steps(0).what() == wire::Step::BEGIN;
             bool kept = part.whole && part.origin == c.origin();
-            if (!begins || (part.from == c.from() && c.stream() < part.stream) || (c.keeps() && !kept)) continue;
+            if (!begins || (part.from == c.from() && c.stream() < part.stream) || (c.keeps() && !kept))
+                continue;
             if (!c.keeps()) {
                 drop(c.shard(), part);
                 table_.clear(c.shard(), c.version());
@@ -263,9 +270,11 @@
         out_->news |= part.seen > part.entry.view;
         if (c.older() || part.role != Role::First) continue;
         for (Target& target : part.targets) {
-            if (target.who != c.from() || target.stream != c.stream() || c.upto() <= target.acked || c.upto() > target.last())
+            if (target.who != c.from() || target.stream != c.stream() || c.upto() <= target.acked ||
+                c.upto() > target.last())
                 continue;
-            target.steps.erase(target.steps.begin(), target.steps.begin() + std::ptrdiff_t(c.upto() - target.acked));
+            target.steps.erase(target.steps.begin(),
+                               target.steps.begin() + std::ptrdiff_t(c.upto() - target.acked));
             target.acked = c.upto();
             target.sent = std::max(target.sent, target.acked);
             target.resend = now + set_.resend;
@@ -277,7 +286,8 @@
 
 // ---- Asks
 
-void Holder::answer(const Asked& asked, std::optional<Error> error, const Record* record, std::uint64_t version) {
+void Holder::answer(const Asked& asked, std::optional<Error> error, const Record* record,
+                    std::uint64_t version) {
     wire::Answer& a = *out_->peers[asked.from].add_answers();
     a.set_id(asked.ask.id());
     a.set_shard(asked.ask.shard());
@@ -298,7 +308,8 @@
     ++counts_.asks;
     const wire::Ask& a = asked.ask;
     Record record;
-    if (!mine(a.shard()) || !from_wire(a.record(), record) || table_.shard_of(record.kind, record.key) != a.shard())
+    if (!mine(a.shard()) || !from_wire(a.record(), record) ||
+        table_.shard_of(record.kind, record.key) != a.shard())
         return answer(asked, Error::Malformed);
     if (!serving(now)) return answer(asked, Error::Over);
     Part& part = parts_[a.shard()];
@@ -324,8 +335,8 @@
     Write write;
     if (!from_wire(a.record(), write.record)) return answer(asked, Error::Malformed);
     Record found;
-    bool unknown = now < part.unknown_until &&
-                   (!a.writes() || a.has_expect()) && !table_.find(write.record.kind, write.record.key, now, found);
+    bool unknown = now < part.unknown_until && (!a.writes() || a.has_expect()) &&
+                   !table_.find(write.record.kind, write.record.key, now, found);
     if (unknown) return answer(asked, Error::Lost);
     if (!a.writes()) {
         bool there = table_.find(write.record.kind, write.record.key, now, found);
@@ -406,7 +417,8 @@
     target.page = table_.for_shard(n, set_.page, *target.page, now, records);
     ++counts_.pages;
     for (const Record& record : records) {
-        if (part.busy.contains(Key(record.kind, record.key))) continue;  // its write is in the stream, and newer
+        if (part.busy.contains(Key(record.kind, record.key)))
+            continue;  // its write is in the stream, and newer
         wire::Step step;
         step.set_what(wire::Step::PAGE);
         to_wire(record, *step.mutable_record());
--- a/src/fleet/shards/order.h
+++ b/src/fleet/shards/order.h
@@ -1,6 +1,6 @@
-// Locks that have numbers. A thread holds one, or two taken in the order of their numbers; anything else could wait for ever,
-// so it ends the process, at the first wrong order and not at the first time that two threads meet in it. The check is a
-// few instructions on what the thread alone sees, so it is always on.
+// Locks that have numbers. A thread holds one, or two taken in the order of their numbers; anything else
+// could wait for ever, so it ends the process, at the first wrong order and not at the first time that two
+// threads meet in it. The check is a few instructions on what the thread alone sees, so it is always on.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,8 @@
 
     void lock() {
         Held& held = held_;
-        if (held.count == 2 || (held.count == 1 && held.numbers[0] >= number_)) broken(held.numbers[held.count - 1]);
+        if (held.count == 2 || (held.count == 1 && held.numbers[0] >= number_))
+            broken(held.numbers[held.count - 1]);
         mutex_.lock();
         held.numbers[held.count++] = number_;
     }
@@ -38,7 +39,8 @@
         int count;
     };
     [[noreturn]] void broken(std::uint32_t held) const {
-        std::fprintf(stderr, "shards: lock %u is taken while %u is held: wrong order\n", unsigned(number_), unsigned(held));
+        std::fprintf(stderr, "shards: lock %u is taken while %u is held: wrong order\n", unsigned(number_),
+                     unsigned(held));
         std::abort();
     }
 
--- a/src/fleet/shards/sessions.cpp
+++ b/src/fleet/shards/sessions.cpp
@@ -27,7 +27,8 @@
 
 std::optional<Basket> basket_of(const Record& record) {
     wire::Basket in;
-    if (record.kind != kBasketKind || record.schema != kSessionSchema || !in.ParseFromString(record.payload)) return {};
+    if (record.kind != kBasketKind || record.schema != kSessionSchema || !in.ParseFromString(record.payload))
+        return {};
     return Basket{in.tenant(), in.client(), in.cell(), in.server(), in.since()};
 }
 std::optional<Order> order_of(const Record& record) {
@@ -62,16 +63,16 @@
     return w;
 }
 
-Write begin_order(std::string_view tenant, std::string_view client, std::string_view request, const Order& order, Duration life,
-            const Record* over) {
+Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
+                  const Order& order, Duration life, const Record* over) {
     Write w = of(kOrderKind, tenant, order_key(tenant, client, request), life);
     w.expect = over ? over->version : 0;
     w.record.payload = encode(order);
     return w;
 }
 
-Write end_order(std::string_view tenant, std::string_view client, std::string_view request, const Order& order, Duration life,
-          std::uint64_t version) {
+Write end_order(std::string_view tenant, std::string_view client, std::string_view request,
+                const Order& order, Duration life, std::uint64_t version) {
     Write w = of(kOrderKind, tenant, order_key(tenant, client, request), life);
     w.expect = version;
     w.record.payload = encode(order);
--- a/src/fleet/shards/sessions.h
+++ b/src/fleet/shards/sessions.h
@@ -1,9 +1,10 @@
-// Sessions in our trade, as records: which rack (cell) and server a client's basket is bound to, and which of its orders may not be
-// repeated and are under way. A client that comes to another node, or after its node died, keeps its rack, and no order is
-// sent twice.
+// Sessions in our trade, as records: which rack (cell) and server a client's basket is bound to, and which of
+// its orders may not be repeated and are under way. A client that comes to another node, or after its node
+// died, keeps its rack, and no order is sent twice.
 //
-// Pure functions: what to ask of a shard's holder, and what its answer means. A basket is one record; an order is one of its own,
-// which ends by itself, so that one write decides who sends it. Whoever is not told Go does not send.
+// Pure functions: what to ask of a shard's holder, and what its answer means. A basket is one record; an
+// order is one of its own, which ends by itself, so that one write decides who sends it. Whoever is not told
+// Go does not send.
 #pragma once
 
 #include <cstdint>
@@ -39,16 +40,16 @@
 std::string order_key(std::string_view tenant, std::string_view client, std::string_view request);
 
 Write find_basket(std::string_view tenant, std::string_view client);
-/// `over`: the binding that it takes the place of, as it was read. Changed means that another node has bound it meanwhile: that
-/// binding, which comes with the answer, is the one to use.
+/// `over`: the binding that it takes the place of, as it was read. Changed means that another node has bound
+/// it meanwhile: that binding, which comes with the answer, is the one to use.
 Write bind_basket(const Basket& basket, const Record* over, Duration life);
 
 /// `over`: one that never ran, as `begun` gave it.
-Write begin_order(std::string_view tenant, std::string_view client, std::string_view request, const Order& order, Duration life,
-            const Record* over = nullptr);
+Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
+                  const Order& order, Duration life, const Record* over = nullptr);
 /// How it ended, by who was told Go, at the version that Go came with.
-Write end_order(std::string_view tenant, std::string_view client, std::string_view request, const Order& order, Duration life,
-          std::uint64_t version);
+Write end_order(std::string_view tenant, std::string_view client, std::string_view request,
+                const Order& order, Duration life, std::uint64_t version);
 
 struct Begun {
     enum class Verdict : std::uint8_t {
@@ -63,7 +64,8 @@
     std::uint64_t version = 0;
     Order order;
 };
-/// `lives`: whether the node of this session does, as far as is known; a wrong word changes between UnderWay and Unknown alone.
+/// `lives`: whether the node of this session does, as far as is known; a wrong word changes between UnderWay
+/// and Unknown alone.
 template <class Lives>
 Begun begun(const Client::Done& done, Lives&& lives) {
     Begun b;
@@ -74,9 +76,9 @@
         std::optional<Order> order = order_of(*done.record);
         b.version = done.record->version;
         if (order) b.order = *order;
-        b.verdict = !order                                  ? Begun::Verdict::Unknown
-                    : order->state == Order::State::Done     ? Begun::Verdict::Done
-                    : order->state == Order::State::NeverRan ? Begun::Verdict::Again
+        b.verdict = !order                                                    ? Begun::Verdict::Unknown
+                    : order->state == Order::State::Done                      ? Begun::Verdict::Done
+                    : order->state == Order::State::NeverRan                  ? Begun::Verdict::Again
                     : order->state == Order::State::Begun && lives(order->by) ? Begun::Verdict::UnderWay
                                                                               : Begun::Verdict::Unknown;
     } else if (*done.error == Error::Lost) {
--- a/src/fleet/shards/side.cpp
+++ b/src/fleet/shards/side.cpp
@@ -104,7 +104,9 @@
 }
 
 void Side::start() {
-    auto ended = [](const std::exception& error) { log_line(LogLevel::Error, "shards: %s: this process takes no further part", error.what()); };
+    auto ended = [](const std::exception& error) {
+        log_line(LogLevel::Error, "shards: %s: this process takes no further part", error.what());
+    };
     for (auto& worker : workers_) {
         Worker* w = worker.get();
         w->post([w] { w->handle(Holder::Woken{}); });
@@ -114,11 +116,12 @@
 }
 
 void Side::ask(bool writes, Write write, Duration within, Done done, bool stays) {
-    boost::asio::post(io_, [this, writes, write = std::move(write), within, done = std::move(done), stays]() mutable {
-        std::uint64_t id = next_++;
-        done_.emplace(id, std::move(done));
-        handle(Client::Ask{id, writes, std::move(write), scheduler_.now() + within, stays});
-    });
+    boost::asio::post(
+        io_, [this, writes, write = std::move(write), within, done = std::move(done), stays]() mutable {
+            std::uint64_t id = next_++;
+            done_.emplace(id, std::move(done));
+            handle(Client::Ask{id, writes, std::move(write), scheduler_.now() + within, stays});
+        });
 }
 
 void Side::leave() {
@@ -129,7 +132,9 @@
     if (const auto* held = std::get_if<keeper::Held>(&what)) {
         session_ = held->session, until_ = held->until;
         for (auto& worker : workers_)
-            worker->post([w = worker.get(), s = session_, until = until_] { w->handle(Holder::Renewed{s, until, {}}); });
+            worker->post([w = worker.get(), s = session_, until = until_] {
+                w->handle(Holder::Renewed{s, until, {}});
+            });
     } else if (const auto* lost = std::get_if<keeper::Lost>(&what)) {
         if (lost->session == session_) session_ = 0;
         for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(Holder::SessionOver{}); });
@@ -141,7 +146,9 @@
 void Side::news(const std::string& map) {
     if (session_ != 0)
         for (auto& worker : workers_)
-            worker->post([w = worker.get(), s = session_, until = until_, map] { w->handle(Holder::Renewed{s, until, map}); });
+            worker->post([w = worker.get(), s = session_, until = until_, map] {
+                w->handle(Holder::Renewed{s, until, map});
+            });
     handle(Client::News{map});
     map_number_.store(client_.map().number, std::memory_order_relaxed);
     std::set<std::string> addresses;
@@ -152,7 +159,8 @@
     for (const std::string& address : dialled_)
         if (!addresses.contains(address)) mesh_.drop(address);
     dialled_ = std::move(addresses);
-    free_ = std::all_of(workers_.begin(), workers_.end(), [](const auto& w) { return w->free.load(std::memory_order_relaxed); });
+    free_ = std::all_of(workers_.begin(), workers_.end(),
+                        [](const auto& w) { return w->free.load(std::memory_order_relaxed); });
 }
 
 void Side::ask_news() {
@@ -196,7 +204,9 @@
     for (wire::Copied& c : *message.mutable_copied()) parts[c.shard() % parts.size()].add_copied()->Swap(&c);
     for (std::size_t i = 0; i < parts.size(); ++i) {
         if (parts[i].ByteSizeLong() == 0) continue;
-        workers_[i]->post([w = workers_[i].get(), from, part = parts[i].SerializeAsString()] { w->handle(Holder::Received{from, part}); });
+        workers_[i]->post([w = workers_[i].get(), from, part = parts[i].SerializeAsString()] {
+            w->handle(Holder::Received{from, part});
+        });
     }
 }
 
--- a/src/fleet/shards/side.h
+++ b/src/fleet/shards/side.h
@@ -1,6 +1,6 @@
-// A process's part in the shards, on threads of its own: one for its connections and for what it asks, and workers that share the
-// shards it holds among them. Any thread asks, and none waits: what became of it is told on the side's own thread. The shell of
-// Holder and Client; it decides nothing.
+// A process's part in the shards, on threads of its own: one for its connections and for what it asks, and
+// workers that share the shards it holds among them. Any thread asks, and none waits: what became of it is
+// told on the side's own thread. The shell of Holder and Client; it decides nothing.
 #pragma once
 
 #include <atomic>
--- a/src/fleet/shards/table.cpp
+++ b/src/fleet/shards/table.cpp
@@ -13,19 +13,25 @@
 namespace ochrehub::shards {
 namespace {
 
-std::uint64_t hash(std::uint16_t kind, std::string_view key) { return XXH64(key.data(), key.size(), kind); }
+std::uint64_t hash(std::uint16_t kind, std::string_view key) {
+    return XXH64(key.data(), key.size(), kind);
+}
 
 constexpr std::uint32_t kNoSlot = ~0u;
 constexpr std::size_t kSweep = 16;  // records that a write which does not fit looks for the end of
 
 }  // namespace
 
-std::uint64_t partner(std::string_view name) { return XXH64(name.data(), name.size(), 0); }
-std::size_t shard_of(std::uint16_t kind, std::string_view key, std::size_t shards) { return hash(kind, key) & (shards - 1); }
+std::uint64_t partner(std::string_view name) {
+    return XXH64(name.data(), name.size(), 0);
+}
+std::size_t shard_of(std::uint16_t kind, std::string_view key, std::size_t shards) {
+    return hash(kind, key) & (shards - 1);
+}
 
-// Records stand in slots, where they stay. The index is open addressing with linear probing, 8 octets an entry; nothing in it is
-// marked as deleted, so that it never needs cleaning. Deadlines are a heap of slots; a record whose end is put off stays where
-// it is in the heap until it comes to the top.
+// Records stand in slots, where they stay. The index is open addressing with linear probing, 8 octets an
+// entry; nothing in it is marked as deleted, so that it never needs cleaning. Deadlines are a heap of slots;
+// a record whose end is put off stays where it is in the heap until it comes to the top.
 struct alignas(64) Table::Shard {
     struct Slot {
         std::uint64_t hash = 0, partner = 0, version = 0, request = 0;
@@ -132,7 +138,8 @@
             down(slots[last].heap);
         }
         slot.used = false;
-        if (slot.payload.capacity() > 1024) std::string().swap(slot.payload);  // small ones keep their memory for the next
+        if (slot.payload.capacity() > 1024)
+            std::string().swap(slot.payload);  // small ones keep their memory for the next
         slot.next_free = free;
         free = n;
         --count;
@@ -216,7 +223,8 @@
     return true;
 }
 
-Outcome Table::prepare_in(Shard& shard, std::uint64_t h, const Write& write, TimePoint now, Prepared& prepared) {
+Outcome Table::prepare_in(Shard& shard, std::uint64_t h, const Write& write, TimePoint now,
+                          Prepared& prepared) {
     Outcome outcome;
     std::uint32_t n = shard.find(h, write.record.kind, write.record.key);
     bool there = n != kNoSlot && shard.slots[n].ends > now;
@@ -233,7 +241,8 @@
         auto refused = [&]() -> std::optional<Error> {
             std::size_t old = n == kNoSlot ? 0 : shard.slots[n].octets();
             std::size_t old_own = old > 0 && shard.slots[n].partner == write.record.partner ? old : 0;
-            if (shard.of(write.record.partner) - old_own + size > set_.partner_octets / set_.shards) return Error::PartnerFull;
+            if (shard.of(write.record.partner) - old_own + size > set_.partner_octets / set_.shards)
+                return Error::PartnerFull;
             if (shard.octets - old + size > set_.octets / set_.shards) return Error::Full;
             prepared.octets = size > old_own ? size - old_own : 0;
             return {};
--- a/src/fleet/shards/table.h
+++ b/src/fleet/shards/table.h
@@ -1,11 +1,12 @@
-// Keyed records in shards, `Shard = {mutex, records, deadlines}`, for several threads at once. A shard is picked by the key's
-// hash. One shard's lock is taken at a time, or two in the order of their numbers; nothing is called back under one, and nothing
-// waits under one.
+// Keyed records in shards, `Shard = {mutex, records, deadlines}`, for several threads at once. A shard is
+// picked by the key's hash. One shard's lock is taken at a time, or two in the order of their numbers;
+// nothing is called back under one, and nothing waits under one.
 //
-// A record is octets that the table does not read, with a kind, the number of their schema, and a version that rises for
-// ever within its shard: whoever read version v may write only if it still is v. Records end by themselves. Memory is bounded
-// shard by shard, in all and for each partner, so that bounds are the same at both holders of a shard and no count is
-// shared by all threads. What does not fit is refused; nothing is forgotten before its end.
+// A record is octets that the table does not read, with a kind, the number of their schema, and a version
+// that rises for ever within its shard: whoever read version v may write only if it still is v. Records end
+// by themselves. Memory is bounded shard by shard, in all and for each partner, so that bounds are the same
+// at both holders of a shard and no count is shared by all threads. What does not fit is refused; nothing is
+// forgotten before its end.
 #pragma once
 
 #include <cstddef>
@@ -22,12 +23,12 @@
 namespace ochrehub::shards {
 
 struct Settings {
-    std::size_t shards = 256;                ///< a power of two
-    std::size_t octets = 256 << 20;          ///< of all shards: each has its equal part
-    std::size_t partner_octets = 32 << 20;   ///< ... and each partner has at most this much of them
-    std::size_t key = 256;                   ///< octets of one
-    std::size_t payload = 16 << 10;          ///< octets of one
-    Duration life{86'400'000};               ///< the longest that a record lives behind its last write
+    std::size_t shards = 256;               ///< a power of two
+    std::size_t octets = 256 << 20;         ///< of all shards: each has its equal part
+    std::size_t partner_octets = 32 << 20;  ///< ... and each partner has at most this much of them
+    std::size_t key = 256;                  ///< octets of one
+    std::size_t payload = 16 << 10;         ///< octets of one
+    Duration life{86'400'000};              ///< the longest that a record lives behind its last write
 };
 /// What a record costs beyond the octets of its key and content.
 inline constexpr std::size_t kRecordOctets = 160;
@@ -48,14 +49,15 @@
 };
 
 struct Write {
-    Record record;                         ///< version is not read
-    std::optional<std::uint64_t> expect;   ///< the version that must be there; zero: no record. Nothing: whatever is there
+    Record record;  ///< version is not read
+    std::optional<std::uint64_t>
+        expect;  ///< the version that must be there; zero: no record. Nothing: whatever is there
     bool erase = false;
 };
 struct Outcome {
     std::optional<Error> error;
-    std::uint64_t version = 0;       ///< of what was written; erased: that of the erasing
-    std::optional<Record> current;   ///< Changed: what is there
+    std::uint64_t version = 0;      ///< of what was written; erased: that of the erasing
+    std::optional<Record> current;  ///< Changed: what is there
 };
 /// A write that was found possible and has its version and memory, and is not done yet.
 struct Prepared {
@@ -72,7 +74,9 @@
 
     const Settings& settings() const { return set_; }
     std::size_t shards() const { return set_.shards; }
-    std::size_t shard_of(std::uint16_t kind, std::string_view key) const { return shards::shard_of(kind, key, set_.shards); }
+    std::size_t shard_of(std::uint16_t kind, std::string_view key) const {
+        return shards::shard_of(kind, key, set_.shards);
+    }
 
     /// False: none, or its end has come. `record` keeps its memory from call to call.
     bool find(std::uint16_t kind, std::string_view key, TimePoint now, Record& record) const;
@@ -80,8 +84,8 @@
     /// Both or neither; two keys that are not the same.
     std::optional<Error> write_two(const Write& a, const Write& b, TimePoint now);
 
-    // A holder's way: the version and the memory first, the record once the second holder has it. Between the two nobody else may
-    // write the key.
+    // A holder's way: the version and the memory first, the record once the second holder has it. Between the
+    // two nobody else may write the key.
     Outcome prepare(const Write& write, TimePoint now, Prepared& prepared);
     void commit(Prepared&& prepared, TimePoint now);
     void abandon(const Prepared& prepared);
@@ -90,8 +94,9 @@
     void copy(const Record& record, TimePoint now);
     void erase_copy(std::uint16_t kind, std::string_view key, std::uint64_t version);
 
-    /// At most `limit` records from place `from` on, appended; returns the place to go on from, nothing at the end. What is
-    /// there from a scan's beginning to its end is seen once; what comes and goes meanwhile may be.
+    /// At most `limit` records from place `from` on, appended; returns the place to go on from, nothing at
+    /// the end. What is there from a scan's beginning to its end is seen once; what comes and goes meanwhile
+    /// may be.
     std::optional<std::size_t> for_shard(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
                                          std::vector<Record>& records) const;
     /// Ends at most `limit` records whose time has come.
@@ -107,7 +112,8 @@
 private:
     struct Shard;
     std::optional<Error> too_long(const Write& write) const;
-    Outcome prepare_in(Shard& shard, std::uint64_t hash, const Write& write, TimePoint now, Prepared& prepared);
+    Outcome prepare_in(Shard& shard, std::uint64_t hash, const Write& write, TimePoint now,
+                       Prepared& prepared);
 
     Settings set_;
     std::unique_ptr<Shard[]> shards_;
--- a/src/fleet/shards/views.cpp
+++ b/src/fleet/shards/views.cpp
@@ -29,7 +29,8 @@
         if (e.shard() != read.entries.size()) return false;
         read.entries.push_back(from_wire(e));
     }
-    for (const wire::Holder& h : in.holders()) read.holders[h.session()] = {h.name(), h.zone(), h.address(), h.leaving()};
+    for (const wire::Holder& h : in.holders())
+        read.holders[h.session()] = {h.name(), h.zone(), h.address(), h.leaving()};
     map = std::move(read);
     return true;
 }
@@ -49,10 +50,13 @@
 }
 bool decode(std::string_view octets, ViewMap& map) {
     wire::Map in;
-    return in.ParseFromArray(octets.data(), int(octets.size())) && in.entries_size() > 0 && from_wire_map(in, map);
+    return in.ParseFromArray(octets.data(), int(octets.size())) && in.entries_size() > 0 &&
+           from_wire_map(in, map);
 }
 
-Views::Views(const Settings& settings) : set_(settings) { map_.entries.resize(set_.shards); }
+Views::Views(const Settings& settings) : set_(settings) {
+    map_.entries.resize(set_.shards);
+}
 
 std::string Views::offer(std::string_view address) {
     wire::Command c;
@@ -79,7 +83,8 @@
 
 std::string Views::apply(const keeper::Command& command) {
     wire::Command c;
-    if (!c.ParseFromArray(command.body.data(), int(command.body.size()))) return reply(map_.number, Error::Malformed);
+    if (!c.ParseFromArray(command.body.data(), int(command.body.size())))
+        return reply(map_.number, Error::Malformed);
     std::optional<Error> error;
     switch (c.what_case()) {
         case wire::Command::kOffer: {
@@ -171,16 +176,18 @@
     std::map<SessionId, Load> loads;
     for (const auto& [session, place] : map_.holders) loads[session];
     for (const Entry& entry : map_.entries) {
-        // As it will be when what is under way is over: else each plan would be made again until the first is carried out.
-        if (entry.first) ++loads[entry.first].roles, ++loads[entry.yields ? entry.second : entry.first].firsts;
+        // As it will be when what is under way is over: else each plan would be made again until the first is
+        // carried out.
+        if (entry.first)
+            ++loads[entry.first].roles, ++loads[entry.yields ? entry.second : entry.first].firsts;
         if (entry.second && !entry.filling) ++loads[entry.second].roles;
         if (entry.filling) ++loads[entry.filling].roles;
     }
     return loads;
 }
 
-// One that stays before one that leaves, one in another zone than the first before one in the same, the one with the fewest
-// shards. One that leaves is better than no second holder at all.
+// One that stays before one that leaves, one in another zone than the first before one in the same, the one
+// with the fewest shards. One that leaves is better than no second holder at all.
 SessionId Views::choose(const std::map<SessionId, Load>& loads, const Entry& entry, From from) const {
     SessionId best = 0;
     std::tuple<bool, bool, std::size_t> best_rank;
@@ -308,8 +315,8 @@
 bool Views::restore(std::uint32_t of, std::string_view bytes) {
     wire::Snapshot in;
     ViewMap map;
-    if (of != schema() || !in.ParseFromArray(bytes.data(), int(bytes.size())) || !from_wire_map(in.map(), map) ||
-        map.entries.size() != set_.shards)
+    if (of != schema() || !in.ParseFromArray(bytes.data(), int(bytes.size())) ||
+        !from_wire_map(in.map(), map) || map.entries.size() != set_.shards)
         return false;
     for (const Entry& entry : map.entries)
         for (SessionId who : {entry.first, entry.second, entry.filling})
--- a/src/fleet/shards/views.h
+++ b/src/fleet/shards/views.h
@@ -1,10 +1,11 @@
-// Which process holds which shard: a numbered map that the keepers agree on. Each shard has a first holder, which answers, and a
-// second, which has every write before it is answered; where it has none, one is being filled. Processes only propose: they
-// offer themselves, say that they leave, that one is filled, that they have stopped answering. The map follows from that and
-// from which sessions live.
+// Which process holds which shard: a numbered map that the keepers agree on. Each shard has a first holder,
+// which answers, and a second, which has every write before it is answered; where it has none, one is being
+// filled. Processes only propose: they offer themselves, say that they leave, that one is filled, that they
+// have stopped answering. The map follows from that and from which sessions live.
 //
-// A change moves as few shards as it can, and few at a time: what lacks a second holder first, then what stands in one zone twice,
-// what those who leave hold, and last what makes holders equal. A first holder that lives is never replaced without its own word.
+// A change moves as few shards as it can, and few at a time: what lacks a second holder first, then what
+// stands in one zone twice, what those who leave hold, and last what makes holders equal. A first holder that
+// lives is never replaced without its own word.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +27,8 @@
     bool lost = false;
     SessionId first = 0, second = 0, filling = 0;
     bool yields = false;
-    /// The views in which these two were given the shard: a holder that was taken out and put in again, which a first that slept
-    /// over the view between cannot see otherwise, has nothing of before.
+    /// The views in which these two were given the shard: a holder that was taken out and put in again, which
+    /// a first that slept over the view between cannot see otherwise, has nothing of before.
     std::uint64_t second_since = 0, filling_since = 0;
     friend bool operator==(const Entry&, const Entry&) = default;
 };
--- a/src/fleet/shards/wire.cpp
+++ b/src/fleet/shards/wire.cpp
@@ -40,7 +40,8 @@
     out.set_filling_since(entry.filling_since);
 }
 Entry from_wire(const wire::Entry& in) {
-    return {in.view(), in.origin(), in.lost(), in.first(), in.second(), in.filling(), in.yields(), in.second_since(), in.filling_since()};
+    return {in.view(),    in.origin(), in.lost(),         in.first(),        in.second(),
+            in.filling(), in.yields(), in.second_since(), in.filling_since()};
 }
 
 }  // namespace ochrehub::shards
--- a/src/fleet/store/log.cpp
+++ b/src/fleet/store/log.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::size_t kHead = 12, kFixed = 33;  // length and checksum; a payload without its data
 constexpr std::string_view kLog = "log-", kSnapshot = "snapshot-", kFresh = "fresh", kLostMark = "lost";
-// A file's first octets: this, the cluster's fingerprint and a checksum of both, 16 digits each. All versions have it so: a
-// title that is torn is not to be taken for another version's.
+// A file's first octets: this, the cluster's fingerprint and a checksum of both, 16 digits each. All versions
+// have it so: a title that is torn is not to be taken for another version's.
 constexpr std::string_view kFormat = "ochrehub-store 1 ";
 constexpr std::size_t kTitle = kFormat.size() + 34;
 
@@ -24,7 +24,8 @@
 }
 std::uint64_t get(std::string_view bytes, std::size_t at, int octets) {
     std::uint64_t value = 0;
-    for (int i = 0; i < octets; ++i) value = value << 8 | static_cast<unsigned char>(bytes[at + std::size_t(i)]);
+    for (int i = 0; i < octets; ++i)
+        value = value << 8 | static_cast<unsigned char>(bytes[at + std::size_t(i)]);
     return value;
 }
 std::string digits(std::uint64_t value) {
@@ -41,7 +42,8 @@
     if (bytes.size() < kTitle || bytes.starts_with(title(cluster))) return "";
     std::string_view text = bytes.substr(0, kTitle - 17);
     if (bytes.substr(kTitle - 17, 16) != digits(XXH64(text.data(), text.size(), 0))) return "";
-    return bytes.starts_with(kFormat) ? ": is another cluster's" : ": is of a version that this program does not read";
+    return bytes.starts_with(kFormat) ? ": is another cluster's"
+                                      : ": is of a version that this program does not read";
 }
 std::optional<std::uint64_t> number_of(const std::string& name, std::string_view prefix) {
     if (!name.starts_with(prefix) || name.size() != prefix.size() + 16) return std::nullopt;
@@ -57,7 +59,8 @@
 
 Log::Log(Files& files, const Settings& settings) : files_(files), set_(settings) {
     if (Error why = files_.lock())
-        throw StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock" : "LOCK: " + worded(why));
+        throw StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock"
+                                            : "LOCK: " + worded(why));
     Look look;
     read(look);
     found_ = look.lost ? Found::Lost : look.torn ? Found::Torn : look.any ? Found::Whole : Found::Empty;
@@ -74,15 +77,19 @@
     Look look;
     Log log(files, settings, look);
     char line[200];
-    std::snprintf(line, sizeof line, "entries %llu to %llu, term %llu: %s\n", static_cast<unsigned long long>(log.first()),
-                  static_cast<unsigned long long>(log.last()), static_cast<unsigned long long>(log.vote_.term),
-                  look.lost ? "LOST: something that was promised is gone" : look.torn ? "sound but for a tail that nobody was promised" : "sound");
+    std::snprintf(line, sizeof line, "entries %llu to %llu, term %llu: %s\n",
+                  static_cast<unsigned long long>(log.first()), static_cast<unsigned long long>(log.last()),
+                  static_cast<unsigned long long>(log.vote_.term),
+                  look.lost   ? "LOST: something that was promised is gone"
+                  : look.torn ? "sound but for a tail that nobody was promised"
+                              : "sound");
     return look.report + line;
 }
 
 // ---- Reading
 
-std::optional<Log::Record> Log::parse(std::string_view bytes, std::size_t at, std::uint64_t cluster, std::size_t most, std::size_t& size) {
+std::optional<Log::Record> Log::parse(std::string_view bytes, std::size_t at, std::uint64_t cluster,
+                                      std::size_t most, std::size_t& size) {
     if (at > bytes.size() || bytes.size() - at < kHead + kFixed) return std::nullopt;
     std::size_t length = std::size_t(get(bytes, at, 4));
     if (length < kFixed || length > most + kFixed || length > bytes.size() - at - kHead) return std::nullopt;
@@ -122,7 +129,8 @@
     const std::string fresh(kFresh);
     Error gone = files_.remove(fresh);
     if (gone != 0 && gone != ENOENT && !must(gone)) return;
-    // Those behind it go first: it is what shows, should this not come to its end, that they are not to be believed.
+    // Those behind it go first: it is what shows, should this not come to its end, that they are not to be
+    // believed.
     for (const std::string& name : look.behind) {
         if (!must(files_.rename(name, "aside-" + name))) return;
         std::erase_if(segments_, [&](const auto& one) { return one.first == name; });
@@ -181,7 +189,8 @@
     } else {
         at = 0;
     }
-    // Whatever is behind the clean prefix is not believed, but may tell that what is missing had been promised.
+    // Whatever is behind the clean prefix is not believed, but may tell that what is missing had been
+    // promised.
     bool lost = promised(std::string_view(bytes).substr(at));
     (lost ? look.lost : look.torn) = true;
     if (over) {
@@ -227,7 +236,8 @@
 }
 
 void Log::put(Kind kind, std::uint64_t index, std::uint64_t term, std::string_view data) {
-    if (data.size() > set_.record_most) throw std::length_error("a record of " + std::to_string(data.size()) + " octets");
+    if (data.size() > set_.record_most)
+        throw std::length_error("a record of " + std::to_string(data.size()) + " octets");
     std::string payload;
     payload.reserve(kFixed + data.size());
     payload += char(kind);
@@ -278,7 +288,9 @@
     if (gone != 0 && gone != ENOENT && !must(gone)) return false;
     std::erase_if(segments_, [this](const auto& one) { return one.first == segment_; });
     put(Kind::Vote, 0, vote_.term, vote_.who);
-    if (!must(files_.append(segment_, pending_)) || !must(files_.sync(segment_)) || !must(files_.sync_names())) return false;
+    if (!must(files_.append(segment_, pending_)) || !must(files_.sync(segment_)) ||
+        !must(files_.sync_names()))
+        return false;
     segment_size_ = pending_.size();
     segments_.emplace_back(segment_, 0);
     pending_ = std::move(held);
@@ -288,7 +300,8 @@
 
 bool Log::save(Snapshot snapshot) {
     // Entries of another history than the snapshot's are not its continuation.
-    if (snapshot.index >= first_ && snapshot.index <= last() && entry(snapshot.index).term != snapshot.term) cut(snapshot.index + 1);
+    if (snapshot.index >= first_ && snapshot.index <= last() && entry(snapshot.index).term != snapshot.term)
+        cut(snapshot.index + 1);
     if (!sync()) return false;
     std::string payload, bytes = title(set_.cluster);
     payload += char(Kind::Entry);
@@ -305,7 +318,9 @@
     if (gone != 0 && gone != ENOENT && !must(gone)) return false;
     if (!must(files_.append(fresh, bytes)) || !must(files_.sync(fresh)) || !must(files_.rename(fresh, name)))
         return false;
-    std::string old = snapshot_ && snapshot_->index != snapshot.index ? std::string(kSnapshot) + digits(snapshot_->index) : "";
+    std::string old = snapshot_ && snapshot_->index != snapshot.index
+                          ? std::string(kSnapshot) + digits(snapshot_->index)
+                          : "";
     while (!entries_.empty() && first_ <= snapshot.index) entries_.pop_front(), ++first_;
     first_ = snapshot.index + 1;
     snapshot_ = std::move(snapshot);
@@ -321,7 +336,8 @@
 
 bool Log::lose() {
     found_ = Found::Lost;
-    return must(files_.append(std::string(kLostMark), "x")) && must(files_.sync(std::string(kLostMark))) && must(files_.sync_names());
+    return must(files_.append(std::string(kLostMark), "x")) && must(files_.sync(std::string(kLostMark))) &&
+           must(files_.sync_names());
 }
 
 bool Log::caught_up() {
--- a/src/fleet/store/log.h
+++ b/src/fleet/store/log.h
@@ -1,11 +1,11 @@
-// What a keeper has written down: entries, its vote, snapshots. Records with checksums in segments; what is appended counts
-// once `sync` has said so, all of it at once (group commit). A sync that failed is fatal: nothing goes on as though it
-// were written. Not for two threads; calls block as long as the disk does.
+// What a keeper has written down: entries, its vote, snapshots. Records with checksums in segments; what is
+// appended counts once `sync` has said so, all of it at once (group commit). A sync that failed is fatal:
+// nothing goes on as though it were written. Not for two threads; calls block as long as the disk does.
 //
-// A record: length 4, checksum 8 (xxHash64, seeded by the cluster), then its payload: kind 1, number 8, synced 8, index 8, term
-// 8, data. Numbers rise by one over all segments. `synced` is the last number that was known to be on the disk when the record
-// was written: that is what tells a tail that a crash tore, which nobody was promised, from a record that was promised
-// and is gone.
+// A record: length 4, checksum 8 (xxHash64, seeded by the cluster), then its payload: kind 1, number 8,
+// synced 8, index 8, term 8, data. Numbers rise by one over all segments. `synced` is the last number that
+// was known to be on the disk when the record was written: that is what tells a tail that a crash tore, which
+// nobody was promised, from a record that was promised and is gone.
 #pragma once
 
 #include <cstddef>
@@ -47,8 +47,8 @@
 enum class Found {
     Empty,  ///< nothing was ever written here
     Whole,
-    Torn,   ///< its tail was: nothing that was promised is missing
-    Lost,   ///< something that was promised is gone. Stays so, over restarts, until `caught_up`
+    Torn,  ///< its tail was: nothing that was promised is missing
+    Lost,  ///< something that was promised is gone. Stays so, over restarts, until `caught_up`
 };
 
 class Log {
@@ -58,17 +58,21 @@
         std::size_t segment = 8 << 20, record_most = 4 << 20;  ///< octets
     };
 
-    /// Locks the folder and reads it. Throws StoreError: locked, another cluster's, of another version, unreadable.
+    /// Locks the folder and reads it. Throws StoreError: locked, another cluster's, of another version,
+    /// unreadable.
     Log(Files& files, const Settings& settings);
 
     Found found() const { return found_; }
     /// It has all again that it may have promised, by another's word.
     bool caught_up();
-    /// Whoever has it knows that something was promised which is not here: Lost from now on, until `caught_up`.
+    /// Whoever has it knows that something was promised which is not here: Lost from now on, until
+    /// `caught_up`.
     bool lose();
 
     // What is there, appended things included, synced or not.
-    std::uint64_t first() const { return first_; }  ///< index of the first entry; above `last` where there is none
+    std::uint64_t first() const {
+        return first_;
+    }  ///< index of the first entry; above `last` where there is none
     std::uint64_t last() const { return first_ + entries_.size() - 1; }
     const Entry& entry(std::uint64_t index) const { return entries_.at(index - first_); }
     std::uint64_t term(std::uint64_t index) const;  ///< also of the snapshot's last; 0: not known
@@ -76,12 +80,13 @@
     const std::optional<Snapshot>& snapshot() const { return snapshot_; }
 
     // To be made good by the next sync.
-    void append(Entry entry);              ///< at last() + 1
-    void cut(std::uint64_t from);          ///< entries from this index on are gone
+    void append(Entry entry);      ///< at last() + 1
+    void cut(std::uint64_t from);  ///< entries from this index on are gone
     void vote(Vote vote);
     /// All before is on the disk. False: it is not, and nothing ever will be: `broken`.
     bool sync();
-    /// Takes the place of the entries up to its index; of all where it goes beyond them. On the disk when it returns true.
+    /// Takes the place of the entries up to its index; of all where it goes beyond them. On the disk when it
+    /// returns true.
     bool save(Snapshot snapshot);
 
     bool broken() const { return why_ != 0; }
@@ -100,12 +105,13 @@
     struct Look {  ///< what a reading came to
         std::string report;
         bool torn = false, lost = false, any = false;
-        std::string damaged, prefix;        ///< the first segment that is not whole, and what of it is
-        std::vector<std::string> behind;    ///< segments that are not believed since
+        std::string damaged, prefix;      ///< the first segment that is not whole, and what of it is
+        std::vector<std::string> behind;  ///< segments that are not believed since
     };
 
     Log(Files& files, const Settings& settings, Look& look);
-    static std::optional<Record> parse(std::string_view bytes, std::size_t at, std::uint64_t cluster, std::size_t most, std::size_t& size);
+    static std::optional<Record> parse(std::string_view bytes, std::size_t at, std::uint64_t cluster,
+                                       std::size_t most, std::size_t& size);
     void read(Look& look);
     void read_segment(const std::string& name, bool first, Look& look);
     void set_aside(const Look& look);
@@ -128,7 +134,8 @@
     std::optional<Snapshot> snapshot_;
     std::string segment_, pending_;
     std::size_t segment_size_ = 0;
-    std::deque<std::pair<std::string, std::uint64_t>> segments_;  // names, and the highest index that each may hold
+    std::deque<std::pair<std::string, std::uint64_t>>
+        segments_;  // names, and the highest index that each may hold
     int why_ = 0;
 };
 
--- a/src/fleet/store/posix_files.cpp
+++ b/src/fleet/store/posix_files.cpp
@@ -16,7 +16,8 @@
 }  // namespace
 
 PosixFiles::PosixFiles(std::string folder) : folder_(std::move(folder)) {
-    if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) throw std::system_error(errno, std::generic_category(), folder_);
+    if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
+        throw std::system_error(errno, std::generic_category(), folder_);
     names_ = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (names_ < 0) throw std::system_error(errno, std::generic_category(), folder_);
 }
--- a/src/http/body_stream.h
+++ b/src/http/body_stream.h
@@ -1,5 +1,5 @@
-// What is still to come of a body: filled by whoever reads it, emptied by whoever passes it on, one buffer between them
-// at most. Who is faster waits for the other.
+// What is still to come of a body: filled by whoever reads it, emptied by whoever passes it on, one buffer
+// between them at most. Who is faster waits for the other.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +15,8 @@
 
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
 public:
-    /// What is waited for is told from the loop, never from inside a call, and once for each time it is asked for.
+    /// What is waited for is told from the loop, never from inside a call, and once for each time it is asked
+    /// for.
     using Wake = std::function<void()>;
 
     BodyStream(boost::asio::io_context& io, BufferPool& pool) : io_(io), pool_(pool) {}
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -19,11 +19,13 @@
 
 constexpr std::chrono::seconds kWriteMost{10};  // for the next piece of an answer
 constexpr std::chrono::seconds kLingerMost{1};
-constexpr std::chrono::seconds kUploadLingerMost{10};  // a long body goes on coming while its client hears of the answer
+constexpr std::chrono::seconds kUploadLingerMost{
+    10};  // a long body goes on coming while its client hears of the answer
 constexpr std::chrono::milliseconds kPieceMost{2500};  // between two pieces of a long body
-constexpr std::chrono::milliseconds kUnreadMost{500};  // a client that takes nothing for so long, while the node stops
-constexpr std::chrono::milliseconds kFirstMost{100};   // a new connection's request may still be on its way
-constexpr double kSlowest = 32;                        // bytes a millisecond of a short one, once its head is there
+constexpr std::chrono::milliseconds kUnreadMost{
+    500};  // a client that takes nothing for so long, while the node stops
+constexpr std::chrono::milliseconds kFirstMost{100};  // a new connection's request may still be on its way
+constexpr double kSlowest = 32;  // bytes a millisecond of a short one, once its head is there
 std::string retry_after(Duration back) {
     if (back.count() <= 0) return {};
     std::array<char, 48> text;
@@ -35,7 +37,8 @@
 
 }  // namespace
 
-ClientSession::ClientSession(asio::ip::tcp::socket socket, Front& front, bool overloaded, std::uint64_t number)
+ClientSession::ClientSession(asio::ip::tcp::socket socket, Front& front, bool overloaded,
+                             std::uint64_t number)
     : socket_(std::move(socket)), front_(front), overloaded_(overloaded), number_(number) {}
 
 void ClientSession::start(Front::Table::Place place) {
@@ -74,8 +77,8 @@
     return state_ == State::Waiting;
 }
 
-// A client that has given up has closed, with its request unread before its close. To carry that out and find the
-// close behind it would cost as much as one that somebody waits for, and at such times there are many.
+// A client that has given up has closed, with its request unread before its close. To carry that out and find
+// the close behind it would cost as much as one that somebody waits for, and at such times there are many.
 bool ClientSession::still_there(Duration age) {
     Look seen;
     if (age >= LagMeter::kOld) seen = look(socket_, age);
@@ -89,7 +92,8 @@
     for (int reads = 0; reads < kReadsAtOnce; ++reads) {
         if (!unread_ && front_.pool().scarce()) {  // many requests half sent must not cost more than there is
             close_after_ = true;
-            if (!begun_) heard_ = Steady::now();  // nothing of it has been read: the figures time it from here
+            if (!begun_)
+                heard_ = Steady::now();  // nothing of it has been read: the figures time it from here
             return reject_unread(503, retry_after(front_.admission().turn_away(front_.engine().now(), {})));
         }
         if (!unread_) unread_ = front_.pool().take();
@@ -98,8 +102,8 @@
         if (got.error || !still_there(got.age)) return end();
         if (!begun_) {
             begun_ = true;
-            // Only the first byte sets the time, and of the first request not even that: whoever sends byte by
-            // byte, or says nothing for long, must not hold a connection for as long as it likes.
+            // Only the first byte sets the time, and of the first request not even that: whoever sends byte
+            // by byte, or says nothing for long, must not hold a connection for as long as it likes.
             if (!first_) since_ = Steady::now();
             stand(first_ ? Standing::Starting : Standing::Busy);
         }
@@ -148,8 +152,8 @@
     return false;
 }
 
-// A body that no buffer holds goes to a server as it comes. Its request is decided on now; its time runs from its last
-// byte.
+// A body that no buffer holds goes to a server as it comes. Its request is decided on now; its time runs from
+// its last byte.
 void ClientSession::begin_upload() {
     upload_ = std::make_shared<BodyStream>(front_.io(), front_.pool());
     upload_full_ = false;
@@ -239,8 +243,8 @@
     reading.call.request.uploading = bool(upload_);
     if (!upload_) figured_ = front_.figures().came(class_, tenant_, heard_);
     entered_ = front_.engine().now();
-    knock_ = {reading.call.request.class_index, reading.call.request.tenant, reading.call.request.client_repeat,
-              number_};
+    knock_ = {reading.call.request.class_index, reading.call.request.tenant,
+              reading.call.request.client_repeat, number_};
     if (overloaded_) return refuse(front_.admission().turn_away(entered_, knock_));
     if (reading.status != 200) {
         close_after_ = true;
@@ -281,8 +285,9 @@
     return true;
 }
 
-// A full buffer is not read on, and so no end shows behind it. And what has been written may lie in this side's system:
-// megabytes, of which a client that reads slowly takes some for longer than it may stand still.
+// A full buffer is not read on, and so no end shows behind it. And what has been written may lie in this
+// side's system: megabytes, of which a client that reads slowly takes some for longer than it may stand
+// still.
 void ClientSession::look_after() {
     if (state_ == State::Writing || state_ == State::Lingering) {
         int left = unacknowledged(socket_.native_handle());
@@ -307,22 +312,22 @@
 // A client that closes its connection has gone away. What it sends on before that is kept, so that its close
 // shows behind it; one that fills the buffer is read no further till it is answered, and only looked after.
 void ClientSession::watch_client() {
-    socket_.async_wait(
-        asio::ip::tcp::socket::wait_read, [self = shared_from_this(), watch = ++watch_](error_code error) {
-            if (self->state_ != State::Waiting || watch != self->watch_) return;
-            Buffer& unread = self->unread_;
-            if (!unread) unread = self->front_.pool().take();
-            if (unread.room() == 0) return;
-            Received got;
-            if (!error) got = receive(self->socket_, unread.free_space(), unread.room());
-            if (!error) error = got.error;
-            unread.grow(got.bytes);
-            self->heard_ = Steady::now();
-            if (got.bytes > 0) self->came_ = self->front_.engine().now() - got.age;
-            if (error && error != asio::error::would_block) return self->end();
-            if (unread.view().empty()) unread.release();
-            self->watch_client();
-        });
+    socket_.async_wait(asio::ip::tcp::socket::wait_read,
+                       [self = shared_from_this(), watch = ++watch_](error_code error) {
+                           if (self->state_ != State::Waiting || watch != self->watch_) return;
+                           Buffer& unread = self->unread_;
+                           if (!unread) unread = self->front_.pool().take();
+                           if (unread.room() == 0) return;
+                           Received got;
+                           if (!error) got = receive(self->socket_, unread.free_space(), unread.room());
+                           if (!error) error = got.error;
+                           unread.grow(got.bytes);
+                           self->heard_ = Steady::now();
+                           if (got.bytes > 0) self->came_ = self->front_.engine().now() - got.age;
+                           if (error && error != asio::error::would_block) return self->end();
+                           if (unread.view().empty()) unread.release();
+                           self->watch_client();
+                       });
 }
 
 /// The request goes on for nobody, its client's connection or not.
@@ -333,8 +338,8 @@
     front_.admission().leave(now, knock_, false, now - entered_);
 }
 
-/// The answer in hand ends the connection. A node that stops ends each behind its answer; what it has read of a next
-/// request would be lost with it, so that has its turn first, as long as there is time.
+/// The answer in hand ends the connection. A node that stops ends each behind its answer; what it has read of
+/// a next request would be lost with it, so that has its turn first, as long as there is time.
 bool ClientSession::last() const {
     return close_after_ || (front_.draining() && (front_.ending() || unread_.view().empty()));
 }
@@ -345,7 +350,8 @@
     socket_.cancel(ignored);  // the watch
     if (!trace_.empty()) front_.release(trace_);
     TimePoint now = front_.engine().now();
-    front_.admission().leave(now, knock_, reply.verdict == Verdict::Served, now - entered_, reply.server_took);
+    front_.admission().leave(now, knock_, reply.verdict == Verdict::Served, now - entered_,
+                             reply.server_took);
     if (reply.verdict == Verdict::Refused) return refuse(front_.admission().refuse(now, knock_));
     if (reply.verdict == Verdict::Failed) return reject(reply.timed_out ? 504 : 502);
     pass_on(std::static_pointer_cast<const HttpMessage>(std::move(reply.message)));
@@ -396,7 +402,8 @@
     reject(status, extra);
 }
 
-void ClientSession::respond(int status, std::string head, std::shared_ptr<const HttpMessage> body, bool chunked) {
+void ClientSession::respond(int status, std::string head, std::shared_ptr<const HttpMessage> body,
+                            bool chunked) {
     status_ = status;
     if (upload_) {  // answered before all of it was there: what still comes is read and means nothing
         figured_ = front_.figures().came(class_, tenant_, heard_);
@@ -450,7 +457,8 @@
     return true;
 }
 
-// While nothing is there to write, only this shows that the client has gone. What it sends on is left for later.
+// While nothing is there to write, only this shows that the client has gone. What it sends on is left for
+// later.
 void ClientSession::watch_reader() {
     socket_.async_wait(asio::ip::tcp::socket::wait_error,
                        [self = shared_from_this(), watch = ++watch_](error_code error) {
@@ -562,8 +570,8 @@
     linger();
 }
 
-/// True if its request is still not whole when all that lies there has been read: the clock by which its time ends runs
-/// on while the node stands still.
+/// True if its request is still not whole when all that lies there has been read: the clock by which its time
+/// ends runs on while the node stands still.
 bool ClientSession::half_sent() {
     if (state_ != State::Reading || !begun_) return false;
     Steady::time_point since = since_;
--- a/src/http/client_session.h
+++ b/src/http/client_session.h
@@ -18,7 +18,8 @@
 public:
     using Steady = std::chrono::steady_clock;
 
-    /// `overloaded`: there is no room for this connection; its one request is told so. `number`: no other has it.
+    /// `overloaded`: there is no room for this connection; its one request is told so. `number`: no other has
+    /// it.
     ClientSession(boost::asio::ip::tcp::socket socket, Front& front, bool overloaded, std::uint64_t number);
 
     void start(Front::Table::Place place);
@@ -26,8 +27,8 @@
     /// Also where its end lies behind bytes that nobody has read. It closes then, once its caller is through.
     bool gone() override;
 
-    /// Nothing is lost if it is closed now: nothing is unread, and it stands between requests, its first request is not
-    /// yet whole, or it only waits for the client's close.
+    /// Nothing is lost if it is closed now: nothing is unread, and it stands between requests, its first
+    /// request is not yet whole, or it only waits for the client's close.
     bool spare();
     /// Makes way. Half a request is answered that there is no room.
     void close();
@@ -99,9 +100,10 @@
     bool head_only_ = false;  // it asked for a head alone
     bool http_1_0_ = false;
     bool long_linger_ = false;  // the body of the request is still coming, and means nothing any more
-    std::shared_ptr<BodyStream> upload_;  // of a body that goes on to a server as it comes, till all of it is there
-    bool upload_full_ = false;            // the server takes it more slowly than it comes
-    std::uint64_t body_read_ = 0;         // bytes since a request began
+    std::shared_ptr<BodyStream>
+        upload_;                   // of a body that goes on to a server as it comes, till all of it is there
+    bool upload_full_ = false;     // the server takes it more slowly than it comes
+    std::uint64_t body_read_ = 0;  // bytes since a request began
     Duration patience_{};
     int class_ = kNone, tenant_ = kNone;
     std::uint64_t number_;
@@ -115,9 +117,9 @@
     Steady::time_point heard_{};  // when bytes were last read
     TimePoint came_{};            // ... and when they had come
     Outgoing outgoing_;
-    MinimumRate taken_;  // by its client, of its answers
-    MinimumRate sent_;   // by its client, of an upload
-    bool blocked_ = false;  // an answer, by what lies unacknowledged before it
+    MinimumRate taken_;        // by its client, of its answers
+    MinimumRate sent_;         // by its client, of an upload
+    bool blocked_ = false;     // an answer, by what lies unacknowledged before it
     std::uint64_t watch_ = 0;  // a wait of an earlier watch does nothing
 };
 
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -1,10 +1,11 @@
 #include "http/connection.h"
 
+#include <sys/socket.h>
+
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
-#include <sys/socket.h>
 #include <utility>
 
 #include "http/receive.h"
@@ -17,10 +18,13 @@
 namespace {
 
 constexpr int kInterimMost = 16;
-constexpr std::chrono::milliseconds kHoldMost{50};  // a long answer, or one of unknown length, before it is passed on
-// For a further byte of one that has been passed on in part, behind its time, where whoever takes it was the slow one.
+constexpr std::chrono::milliseconds kHoldMost{
+    50};  // a long answer, or one of unknown length, before it is passed on
+// For a further byte of one that has been passed on in part, behind its time, where whoever takes it was the
+// slow one.
 constexpr Connection::Steady::duration kHeldUp = std::chrono::milliseconds(300);
-constexpr std::chrono::milliseconds kStreamMost{15000};  // no further byte of one that has been passed on in part
+constexpr std::chrono::milliseconds kStreamMost{
+    15000};  // no further byte of one that has been passed on in part
 constexpr std::chrono::milliseconds kDryRest{20};
 
 /// A kernel that cannot stamp leaves open when bytes came: then they came when they are read.
@@ -49,7 +53,8 @@
 }
 
 void Connection::exchange(std::string head, std::shared_ptr<const HttpMessage> request, Done done) {
-    exchange([head = std::move(head)] { return std::optional(head); }, std::move(request), std::move(done), nullptr);
+    exchange([head = std::move(head)] { return std::optional(head); }, std::move(request), std::move(done),
+             nullptr);
 }
 
 void Connection::exchange(Head head, std::shared_ptr<const HttpMessage> request, Done done,
@@ -103,7 +108,8 @@
 // Guards against a time-out that is told in the same turn as what it waited for: it is queued already.
 void Connection::arm(Steady::duration after, std::function<void()> then) {
     timer_.expires_after(after);
-    timer_.async_wait([self = shared_from_this(), turn = turn_, armed = ++armed_, then = std::move(then)](error_code stopped) {
+    timer_.async_wait([self = shared_from_this(), turn = turn_, armed = ++armed_,
+                       then = std::move(then)](error_code stopped) {
         if (!stopped && turn == self->turn_ && armed == self->armed_) then();
     });
 }
@@ -138,7 +144,8 @@
                        });
 }
 
-// A server may take its time to read, and a client to send: what may be written at the beginning may not at the end.
+// A server may take its time to read, and a client to send: what may be written at the beginning may not at
+// the end.
 void Connection::write_on() {
     if (more_ && !more_()) return finish(End::NotSent);
     write();
@@ -192,7 +199,8 @@
         if (!error && !heard_ && came_too_soon(received.age)) return finish(End::Garbage);
         bool ends_it = ends_whole_ || (parser_->is_header_done() && parser_->message_says_close());
         // A reset that a write has been told of is read as an end: it is none.
-        if (error == asio::error::eof && ends_it && !cut_ && parser_->is_header_done() && parser_->need_eof()) {
+        if (error == asio::error::eof && ends_it && !cut_ && parser_->is_header_done() &&
+            parser_->need_eof()) {
             error_code cut;
             parser_->put_eof(cut);
             if (stream_) return end_stream(!cut, false);
@@ -237,8 +245,8 @@
         if (bad == boost::beast::http::error::need_more) return true;
         if (full && !may_stream_) return ends(End::TooLarge);
         if (bad && !full) return ends(End::Garbage);
-        // An answer that ends where the connection does cannot be told from one that broke off, unless its head says
-        // that it will. What is no 200 says all in its head.
+        // An answer that ends where the connection does cannot be told from one that broke off, unless its
+        // head says that it will. What is no 200 says all in its head.
         if (parser_->is_header_done() && parser_->need_eof() && !ends_whole_ && !stream_ &&
             !parser_->message_says_close())
             return ends(parser_->message().status == 200 ? End::Garbage : End::Answered);
@@ -253,8 +261,8 @@
             }
             int status = parser_->message().status;
             if (status < 100 || status >= 200) return ends(End::Answered, reusable);
-            // An interim answer: the real one follows. Nobody asked for another protocol, nor for interim answers
-            // without end.
+            // An interim answer: the real one follows. Nobody asked for another protocol, nor for interim
+            // answers without end.
             if (status == 101 || ++interims_ > kInterimMost) return ends(End::Garbage);
             disarm();
             early_ = !written_;
@@ -286,8 +294,8 @@
     return unasked_;
 }
 
-/// A whole answer on a connection whose last one may have a second copy. One that never ran by its word, ahead of the
-/// request's last byte, is true whichever it is: the rest is not written any more.
+/// A whole answer on a connection whose last one may have a second copy. One that never ran by its word,
+/// ahead of the request's last byte, is true whichever it is: the rest is not written any more.
 bool Connection::may_be_other() {
     if (!doubted_) return false;
     return unasked_ || (early_ && (written_ || parser_->message().status < 500));
@@ -296,8 +304,8 @@
 // Not before something of the body is there: till then another server can still be asked.
 bool Connection::stream_due() const {
     if (!may_stream_ || stream_ || !parser_->is_header_done() || !parser_->body_begun()) return false;
-    return parser_->full() || ((parser_->long_body() || !parser_->length_known()) &&
-                               Steady::now() - began_at_ > kHoldMost);
+    return parser_->full() ||
+           ((parser_->long_body() || !parser_->length_known()) && Steady::now() - began_at_ > kHoldMost);
 }
 
 void Connection::begin_stream() {
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -25,43 +25,48 @@
         End end = End::Broken;
         std::shared_ptr<HttpMessage> answer;  ///< of an Answered; the head of one TooLarge
         bool reusable = false;
-        bool unasked = false;  ///< the server has said what nobody asked for, ahead of the answer or behind it
-        Duration took{};       ///< from the request's first byte to the answer's; of an Answered
-        bool streams = false;  ///< of an Answered: its rest is still coming, and when_streamed() tells of the end
+        bool unasked =
+            false;        ///< the server has said what nobody asked for, ahead of the answer or behind it
+        Duration took{};  ///< from the request's first byte to the answer's; of an Answered
+        bool streams =
+            false;  ///< of an Answered: its rest is still coming, and when_streamed() tells of the end
     };
     /// The rest of an answer has come whole, or will not.
     using Streamed = std::function<void(const std::shared_ptr<Connection>&, bool reusable)>;
     /// Is handed the connection too, so that it need not hold it: that would keep both alive for good.
     using Done = std::function<void(const std::shared_ptr<Connection>&, Result)>;
 
-    /// `answer_most`: from an answer's first byte on, how long nothing more of it may come; zero: without a limit.
-    /// `ends_whole`: an answer
-    /// that says of its end that it is the connection's is whole then. It cannot be told from one that broke
-    /// off.
+    /// `answer_most`: from an answer's first byte on, how long nothing more of it may come; zero: without a
+    /// limit. `ends_whole`: an answer that says of its end that it is the connection's is whole then. It
+    /// cannot be told from one that broke off.
     Connection(boost::asio::io_context& io, BufferPool& pool, const Endpoint& to, Duration connect_timeout,
                std::chrono::milliseconds answer_most = std::chrono::milliseconds(300),
                bool ends_whole = false);
 
     /// Asked for the request's head once the connection is up. Nothing: it is not to be sent any more.
     using Head = std::function<std::optional<std::string>()>;
-    /// Connects if it has to, writes, reads the answer. `request` may be null: a head alone. `on_written` hears that the
-    /// request was written whole. `done` is never called before this returns, and not after close().
-    void exchange(Head head, std::shared_ptr<const HttpMessage> request, Done done, std::function<void()> on_written);
+    /// Connects if it has to, writes, reads the answer. `request` may be null: a head alone. `on_written`
+    /// hears that the request was written whole. `done` is never called before this returns, and not after
+    /// close().
+    void exchange(Head head, std::shared_ptr<const HttpMessage> request, Done done,
+                  std::function<void()> on_written);
     void exchange(std::string head, std::shared_ptr<const HttpMessage> request, Done done);
-    /// Of the next exchange: a second copy of the answer before may still be on its way. What comes sooner than
-    /// `soonest` behind the request's first byte, or ahead of its last, or brings more than an answer, is taken for none.
+    /// Of the next exchange: a second copy of the answer before may still be on its way. What comes sooner
+    /// than `soonest` behind the request's first byte, or ahead of its last, or brings more than an answer,
+    /// is taken for none.
     void doubt(Duration soonest) {
         doubted_ = true;
         soonest_ = soonest;
     }
-    /// Answers to the next exchange may be longer than a buffer, `body_most` bytes or, where that is zero, any: one
-    /// that a buffer does not hold is told once it has begun. Else such a one is TooLarge.
+    /// Answers to the next exchange may be longer than a buffer, `body_most` bytes or, where that is zero,
+    /// any: one that a buffer does not hold is told once it has begun. Else such a one is TooLarge.
     void let_stream(std::uint64_t body_most) {
         may_stream_ = true;
         body_most_ = body_most;
     }
-    /// Of the next exchange's answer, in place of what the connection was made with. Once it has been passed on in part it ends
-    /// at `stream_by`, if there is one, whole or not: but one that whoever reads it has held up may go on, each byte in time.
+    /// Of the next exchange's answer, in place of what the connection was made with. Once it has been passed
+    /// on in part it ends at `stream_by`, if there is one, whole or not: but one that whoever reads it has
+    /// held up may go on, each byte in time.
     void limit_answer(Steady::duration most, std::optional<Steady::time_point> stream_by) {
         answer_most_ = most;
         stream_by_ = stream_by;
@@ -76,8 +81,8 @@
 
     /// Waits for the far side's close while idle; `lost` hears of it.
     void rest(std::function<void()> lost);
-    /// Asked before each further write of the next exchange's request, once a first one has left something to write: false
-    /// ends it there, its last byte unwritten.
+    /// Asked before each further write of the next exchange's request, once a first one has left something to
+    /// write: false ends it there, its last byte unwritten.
     void ask_before_more(std::function<bool()> more) { more_ = std::move(more); }
     /// Looks whether the far side has closed it, or said what nobody asked for.
     bool seen_closed();
@@ -138,14 +143,14 @@
     std::uint64_t body_most_ = 0, whole_most_ = 0;
     std::shared_ptr<BodyStream> stream_;  // the rest of an answer that has been told
     TimePoint opened_at_{};
-    Steady::time_point began_at_{};       // when the answer's first byte came
-    Steady::time_point asked_at_{};       // just before the request's first byte was written
+    Steady::time_point began_at_{};        // when the answer's first byte came
+    Steady::time_point asked_at_{};        // just before the request's first byte was written
     Steady::time_point answered_at_ = {};  // long ago
     Duration soonest_{}, took_{};
     bool doubted_ = false, unasked_ = false, heard_ = false, early_ = false, spoke_ = false;
-    bool writing_ = false;                // the request, or waiting for more of it
-    bool cut_ = false;                    // a write has failed
-    bool watched_ = false;                // for an answer, while the request is still being written
+    bool writing_ = false;  // the request, or waiting for more of it
+    bool cut_ = false;      // a write has failed
+    bool watched_ = false;  // for an answer, while the request is still being written
     bool written_ = false;
     std::optional<MessageParser<false>> parser_;
     Buffer unread_;
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -26,19 +26,20 @@
 constexpr std::chrono::milliseconds kSweep{100};
 constexpr int kAcceptsAtOnce = 16;  // then others have their turn
 constexpr int kGoneAtOnce = 256;    // ... those included that are closed at once
-// While the queue stands: those that have a connection cost half as much as a new one, and most new ones are dead by
-// then. So they have a fifth of the loop, by what was read of the others since, or closing what has gone would be all
-// that it does.
+// While the queue stands: those that have a connection cost half as much as a new one, and most new ones are
+// dead by then. So they have a fifth of the loop, by what was read of the others since, or closing what has
+// gone would be all that it does.
 constexpr int kReadsAnAccept = 32, kReadsAGone = 4;
-// ... and no more may wait in the kernel than are accepted before they are old. To turn a connection away there costs
-// the loop nothing.
+// ... and no more may wait in the kernel than are accepted before they are old. To turn a connection away
+// there costs the loop nothing.
 constexpr int kBacklogBehind = 16;
 
 }  // namespace
 
 Front::Front(asio::io_context& io, BufferPool& pool, Engine& engine, figures::Figures& figures,
              const Settings& settings, Names names, const asio::ip::tcp::endpoint& listen,
-             std::optional<int> inherited, DescriptorBudget budget, std::uint64_t seed, const HttpProfile& profile)
+             std::optional<int> inherited, DescriptorBudget budget, std::uint64_t seed,
+             const HttpProfile& profile)
     : io_(io),
       pool_(pool),
       engine_(engine),
@@ -74,7 +75,8 @@
     draining_ = true;
     if (!shared_) return;
     error_code ignored;
-    if (std::exchange(stood_, false)) listen(acceptor_.native_handle(), asio::socket_base::max_listen_connections);
+    if (std::exchange(stood_, false))
+        listen(acceptor_.native_handle(), asio::socket_base::max_listen_connections);
     acceptor_.close(ignored);  // never shut down: it is the other process's too
 }
 
@@ -129,12 +131,14 @@
     if (full_) accept();
 }
 
-// The kernel hands connections out in their order only. Behind a stall those come first whose clients have given up
-// and are to ask again: nothing is spent on them but their close, or those behind them would grow old as well.
+// The kernel hands connections out in their order only. Behind a stall those come first whose clients have
+// given up and are to ask again: nothing is spent on them but their close, or those behind them would grow
+// old as well.
 error_code Front::accept_some() {
     bool stands = lag_.stands();
     if (stands != std::exchange(stood_, stands))
-        listen(acceptor_.native_handle(), stands ? kBacklogBehind : asio::socket_base::max_listen_connections);
+        listen(acceptor_.native_handle(),
+               stands ? kBacklogBehind : asio::socket_base::max_listen_connections);
     int read = std::exchange(read_, 0);
     int live_most = stands ? std::min(kAcceptsAtOnce, 1 + read / kReadsAnAccept) : kAcceptsAtOnce;
     int all_most = stands ? std::min(kGoneAtOnce, 1 + read / kReadsAGone) : kGoneAtOnce;
@@ -213,9 +217,8 @@
     auto percent = [](double part) { return std::lround(100 * part); };
     LogLevel level = change.to > LoadState::State::Busy     ? LogLevel::Warn
                      : change.from > LoadState::State::Busy ? LogLevel::Info
-                                                          : LogLevel::Debug;  // busy is no news
-    log(level,
-        std::string("weather: ") + LoadState::name(change.to),
+                                                            : LogLevel::Debug;  // busy is no news
+    log(level, std::string("weather: ") + LoadState::name(change.to),
         {{"from", LoadState::name(change.from)},
          {"tries_per_s", std::lround(why.tries)},
          {"usual_first_per_s", std::lround(why.usual_first)},
@@ -244,8 +247,9 @@
         const auto& some = sessions_.standing(standing);
         return std::all_of(some.begin(), some.end(), spare);
     };
-    return !awaited() && sessions_.standing(Standing::Starting).empty() && sessions_.standing(Standing::Busy).empty() &&
-           all_spare(Standing::Silent) && all_spare(Standing::Once) && all_spare(Standing::Idle);
+    return !awaited() && sessions_.standing(Standing::Starting).empty() &&
+           sessions_.standing(Standing::Busy).empty() && all_spare(Standing::Silent) &&
+           all_spare(Standing::Once) && all_spare(Standing::Idle);
 }
 
 }  // namespace ochrehub::http
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -35,16 +35,17 @@
     /// boost::system::system_error where it cannot.
     Front(boost::asio::io_context& io, BufferPool& pool, Engine& engine, figures::Figures& figures,
           const Settings& settings, Names names, const boost::asio::ip::tcp::endpoint& listen,
-          std::optional<int> inherited, DescriptorBudget budget, std::uint64_t seed, const HttpProfile& profile = {});
+          std::optional<int> inherited, DescriptorBudget budget, std::uint64_t seed,
+          const HttpProfile& profile = {});
 
     /// Connections are accepted from now on.
     void open();
-    /// From now on each answer closes its connection. New ones are still taken, but from a listener that others hold
-    /// too: whatever waits there is theirs.
+    /// From now on each answer closes its connection. New ones are still taken, but from a listener that
+    /// others hold too: whatever waits there is theirs.
     void drain();
     bool draining() const { return draining_; }
-    /// Ends connections that rest; called again and again, it ends each as it comes to rest. From the first call on no
-    /// request that has been read behind another keeps its connection.
+    /// Ends connections that rest; called again and again, it ends each as it comes to rest. From the first
+    /// call on no request that has been read behind another keeps its connection.
     void end_resting();
     /// Answers what is only half there: its time is over.
     void end_half_sent();
@@ -126,7 +127,7 @@
     bool shared_;        // the listener, with other processes
     bool open_ = false;  // has begun to accept
     bool accepting_ = false;
-    bool full_ = false;  // accepts again once one can make way
+    bool full_ = false;   // accepts again once one can make way
     int read_ = 0;        // requests since connections were last accepted
     bool stood_ = false;  // the queue, when the listener was last told
     bool draining_ = false, ending_ = false;
--- a/src/http/http_profile.cpp
+++ b/src/http/http_profile.cpp
@@ -10,7 +10,7 @@
 constexpr double kHour = 3600000;  // ms
 
 config::Setting<HttpProfile> time(config::Described described, std::chrono::milliseconds HttpProfile::*into,
-                             double least) {
+                                  double least) {
     return config::number<HttpProfile, double>(
         described, least, kHour, config::kMilliseconds, [into](HttpProfile& profile, double ms) {
             profile.*into = std::chrono::milliseconds(std::chrono::milliseconds::rep(ms));
@@ -30,39 +30,40 @@
 }
 
 config::Table<HttpProfile> settings() {
-    return {config::word({.name = "trace_id",
-                          .fallback = "made",
-                          .help = "a request without `X-Trace-Id`: one is `made`, or it is `required` (400)"},
-                         &HttpProfile::makes_trace_ids, {{"made", true}, {"required", false}}),
-            config::word(
-                {.name = "pass",
-                 .fallback = "all",
-                 .help = "servers' answers that reach clients: `all`, those `below_500`, or `200` alone; "
-                         "others are errors, for which another server is tried"},
-                &HttpProfile::pass,
-                {{"all", HttpProfile::Pass::All},
-                 {"below_500", HttpProfile::Pass::Below500},
-                 {"200", HttpProfile::Pass::Only200}}),
-            config::number<HttpProfile, double>(
-                {.name = "answer_ms",
-                 .fallback = "0",
-                 .help = "longest time without a further byte of an answer that has begun; 0: the request's own "
-                         "time"},
-                0, kHour, config::kMilliseconds,
-                [](HttpProfile& profile, double ms) {
-                    profile.answer_most = std::chrono::milliseconds(std::chrono::milliseconds::rep(ms));
-                    profile.answer_by_request = false;
-                }),
-            config::number({.name = "body_mb", .fallback = "0", .help = "longest body either way; 0: any"},
-                           &HttpProfile::body_mb, 0, 1000000),
-            time({.name = "client_idle_ms",
-                  .fallback = "30000",
-                  .help = "a client's connection without a request is closed after this"},
-                 &HttpProfile::client_idle, 100),
-            time({.name = "request_ms",
-                  .fallback = "10000",
-                  .help = "a request that is not whole this long after its first byte is answered 408"},
-                 &HttpProfile::request_most, 100)};
+    return {
+        config::word({.name = "trace_id",
+                      .fallback = "made",
+                      .help = "a request without `X-Trace-Id`: one is `made`, or it is `required` (400)"},
+                     &HttpProfile::makes_trace_ids, {{"made", true}, {"required", false}}),
+        config::word(
+            {.name = "pass",
+             .fallback = "all",
+             .help = "servers' answers that reach clients: `all`, those `below_500`, or `200` alone; "
+                     "others are errors, for which another server is tried"},
+            &HttpProfile::pass,
+            {{"all", HttpProfile::Pass::All},
+             {"below_500", HttpProfile::Pass::Below500},
+             {"200", HttpProfile::Pass::Only200}}),
+        config::number<HttpProfile, double>(
+            {.name = "answer_ms",
+             .fallback = "0",
+             .help = "longest time without a further byte of an answer that has begun; 0: the request's own "
+                     "time"},
+            0, kHour, config::kMilliseconds,
+            [](HttpProfile& profile, double ms) {
+                profile.answer_most = std::chrono::milliseconds(std::chrono::milliseconds::rep(ms));
+                profile.answer_by_request = false;
+            }),
+        config::number({.name = "body_mb", .fallback = "0", .help = "longest body either way; 0: any"},
+                       &HttpProfile::body_mb, 0, 1000000),
+        time({.name = "client_idle_ms",
+              .fallback = "30000",
+              .help = "a client's connection without a request is closed after this"},
+             &HttpProfile::client_idle, 100),
+        time({.name = "request_ms",
+              .fallback = "10000",
+              .help = "a request that is not whole this long after its first byte is answered 408"},
+             &HttpProfile::request_most, 100)};
 }
 
 config::Table<Route> route_settings() {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -31,8 +31,8 @@
     int status = 0;              ///< of an answer
     Headers headers;
     Buffer body;
-    /// A body of known length up to kShortBody, in place of a buffer: most are short, a request that waits keeps its
-    /// own, and 64 KiB for each would use up the memory long before the descriptors.
+    /// A body of known length up to kShortBody, in place of a buffer: most are short, a request that waits
+    /// keeps its own, and 64 KiB for each would use up the memory long before the descriptors.
     std::string short_body;
     /// What follows of a body that is longer than that; null: nothing does. Read once only.
     std::shared_ptr<BodyReader> rest;
@@ -54,8 +54,8 @@
     std::string_view body_view() const { return body ? body.view() : std::string_view(short_body); }
 };
 
-/// True where the head leaves no doubt where the message ends. Beast's parser takes a repeated or listed length,
-/// and codings other than `chunked`, which others read differently: one message could hide another.
+/// True where the head leaves no doubt where the message ends. Beast's parser takes a repeated or listed
+/// length, and codings other than `chunked`, which others read differently: one message could hide another.
 bool plain_framing(const HttpMessage& message);
 
 /// Fills an HttpMessage from bytes as they come.
@@ -154,7 +154,8 @@
     std::shared_ptr<HttpMessage> message_;
     std::shared_ptr<BodyStream> stream_;
     std::optional<std::uint64_t> length_;
-    bool held_whole_ = false, is_short_ = false, headed_ = false, begun_ = false, full_ = false, says_close_ = false;
+    bool held_whole_ = false, is_short_ = false, headed_ = false, begun_ = false, full_ = false,
+         says_close_ = false;
 };
 
 /// The path of a request's target: without the host of a whole URL, and without the query.
--- a/src/http/minimum_rate.h
+++ b/src/http/minimum_rate.h
@@ -6,8 +6,9 @@
 
 namespace ochrehub::http {
 
-/// 240 bytes a second over any 10 s, the least that Kestrel, the server of ASP.NET, allows by default in either
-/// direction (MinRequestBodyDataRate, MinResponseDataRate): far below any network, far above a byte now and then.
+/// 240 bytes a second over any 10 s, the least that Kestrel, the server of ASP.NET, allows by default in
+/// either direction (MinRequestBodyDataRate, MinResponseDataRate): far below any network, far above a byte
+/// now and then.
 class MinimumRate {
 public:
     using Steady = std::chrono::steady_clock;
--- a/src/http/outgoing.h
+++ b/src/http/outgoing.h
@@ -1,5 +1,6 @@
-// A message on its way out, and the pieces of a body that follow it. Written by hand, not by a composed operation:
-// whether the last byte has left must be known at every moment, since it decides if a request may have run.
+// A message on its way out, and the pieces of a body that follow it. Written by hand, not by a composed
+// operation: whether the last byte has left must be known at every moment, since it decides if a request may
+// have run.
 #pragma once
 
 #include <array>
@@ -20,8 +21,8 @@
 public:
     enum class State { Whole, Blocked, Failed };
 
-    /// A head and as much of the body as the message holds. `message` may be null: a head alone. `chunked`: what
-    /// follows of a body goes in chunks, this part of it too.
+    /// A head and as much of the body as the message holds. `message` may be null: a head alone. `chunked`:
+    /// what follows of a body goes in chunks, this part of it too.
     void set(std::string head, std::shared_ptr<const HttpMessage> message, bool chunked = false) {
         message_ = std::move(message);
         rest_ = message_ && message_->rest ? &message_->rest->stream() : nullptr;
@@ -35,8 +36,8 @@
         message_.reset();
     }
 
-    /// Writes what the socket, which must not block, takes. Blocked: to be called again once it takes more. Whole: so
-    /// far; what follows is next()'s.
+    /// Writes what the socket, which must not block, takes. Blocked: to be called again once it takes more.
+    /// Whole: so far; what follows is next()'s.
     State write_to(boost::asio::ip::tcp::socket& socket) {
         namespace asio = boost::asio;
         std::size_t all = head_.size() + body_.size() + tail_.size();
@@ -61,8 +62,8 @@
     std::int64_t written() const { return written_; }
 
     enum class Next { Over, Piece, Wait, Broken };
-    /// Behind a Whole. Over: that was all. Piece: there is more to write. Wait: more is still to come. Broken: it never
-    /// will.
+    /// Behind a Whole. Over: that was all. Piece: there is more to write. Wait: more is still to come.
+    /// Broken: it never will.
     Next next() {
         if (!rest_) return Next::Over;
         rest_->drop(std::exchange(piece_, 0));
--- a/src/http/receive.cpp
+++ b/src/http/receive.cpp
@@ -1,8 +1,8 @@
 #include "http/receive.h"
 
+#include <linux/sockios.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
-#include <linux/sockios.h>
 #include <poll.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -24,8 +24,8 @@
 
 /// By the kernel's own state of it, unread bytes or not. Where that is not told, nothing is known.
 bool closed_by_peer(const tcp_info& info) {
-    return info.tcpi_state == TCP_CLOSE_WAIT || info.tcpi_state == TCP_CLOSE || info.tcpi_state == TCP_LAST_ACK ||
-           info.tcpi_state == TCP_CLOSING;
+    return info.tcpi_state == TCP_CLOSE_WAIT || info.tcpi_state == TCP_CLOSE ||
+           info.tcpi_state == TCP_LAST_ACK || info.tcpi_state == TCP_CLOSING;
 }
 
 }  // namespace
@@ -42,7 +42,8 @@
     do accepted = accept4(acceptor.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     while (accepted < 0 && (errno == EINTR || errno == ECONNABORTED));
     if (accepted < 0)
-        error = errno == EAGAIN ? asio::error::would_block : error_code(errno, boost::system::system_category());
+        error =
+            errno == EAGAIN ? asio::error::would_block : error_code(errno, boost::system::system_category());
     return accepted;
 }
 
@@ -75,8 +76,8 @@
     while (got < 0 && errno == EINTR);
     Received received;
     if (got < 0)
-        received.error = errno == EAGAIN ? asio::error::would_block
-                                         : error_code(errno, boost::system::system_category());
+        received.error =
+            errno == EAGAIN ? asio::error::would_block : error_code(errno, boost::system::system_category());
     else if (got == 0)
         received.error = asio::error::eof;
     if (got <= 0) return received;
--- a/src/http/receive.h
+++ b/src/http/receive.h
@@ -8,17 +8,17 @@
 
 namespace ochrehub::http {
 
-/// Sets on a listener, before it listens, what its connections then have from it: bytes are stamped as they come, also
-/// those of connections that nobody has accepted yet.
+/// Sets on a listener, before it listens, what its connections then have from it: bytes are stamped as they
+/// come, also those of connections that nobody has accepted yet.
 void hand_down(boost::asio::ip::tcp::acceptor& acceptor);
 /// The next connection; would_block where there is none.
 int accept_one(boost::asio::ip::tcp::acceptor& acceptor, boost::system::error_code& error);
-/// Its far side has closed or reset it, also where bytes before that are still unread. Never waits; false where the
-/// kernel does not say.
+/// Its far side has closed or reset it, also where bytes before that are still unread. Never waits; false
+/// where the kernel does not say.
 bool gone(int socket);
 
-/// How many bytes written to it, its end counted as one, the far side's system does not have yet; none where the kernel
-/// does not say.
+/// How many bytes written to it, its end counted as one, the far side's system does not have yet; none where
+/// the kernel does not say.
 int unacknowledged(int socket);
 
 struct Received {
@@ -28,7 +28,8 @@
 };
 Received receive(boost::asio::ip::tcp::socket& socket, char* into, std::size_t room);
 
-/// What bytes that are old by their stamp are to be judged by: the stamp is of the clock on the wall, which is set.
+/// What bytes that are old by their stamp are to be judged by: the stamp is of the clock on the wall, which
+/// is set.
 struct Look {
     bool gone = false;  ///< the far side has closed
     Duration age{0};    ///< since bytes last came, at most
--- a/src/http/server_pool.cpp
+++ b/src/http/server_pool.cpp
@@ -16,11 +16,12 @@
 namespace {
 
 constexpr std::chrono::milliseconds kSweep{250};
-// Behind a request's time, an answer of which a part has been passed on: its end must be there within half a second.
+// Behind a request's time, an answer of which a part has been passed on: its end must be there within half a
+// second.
 constexpr std::chrono::milliseconds kStreamOver{400};
 
-/// How long a connection may rest that servers close behind `conn_idle`: the way there and a loop that is behind lie between
-/// the look and the request.
+/// How long a connection may rest that servers close behind `conn_idle`: the way there and a loop that is
+/// behind lie between the look and the request.
 Duration idle_most(Duration conn_idle) {
     return std::max(0.5 * conn_idle, std::min(0.85 * conn_idle, conn_idle - std::chrono::milliseconds(150)));
 }
@@ -30,7 +31,8 @@
 }
 
 /// When the time of a request that was given at `began` began to run; none: its body is still to come.
-std::optional<Connection::Steady::time_point> time_of(const HttpMessage& request, Connection::Steady::time_point began) {
+std::optional<Connection::Steady::time_point> time_of(const HttpMessage& request,
+                                                      Connection::Steady::time_point began) {
     if (!request.rest) return began;
     auto ended = request.rest->stream().ended_at();
     return ended ? std::optional(std::max(began, *ended)) : std::nullopt;
@@ -100,7 +102,8 @@
             server.answers = 0;
         }
         // Guards against connections of its earlier process: its machine may have vanished without a word.
-        if (entry.last_start && entry.last_start != server.last_start) close_idle_before(server, *entry.last_start);
+        if (entry.last_start && entry.last_start != server.last_start)
+            close_idle_before(server, *entry.last_start);
         server.last_start = entry.last_start;
         server.address = address;
         server.key = entry.key != 0 ? entry.key : entry.server;
@@ -184,9 +187,10 @@
     attempts_[id] = connection;
     if (!connection) return end_later(id, Outcome::ConnectFailed);
     auto began = Connection::Steady::now();
-    // Guards rule 3: a drain may be told while the connection is still coming up, its client leave, or its time pass.
-    // The time of one whose body is still to come begins with its end.
-    auto head = [this, id, to, at = connection->to(), request, began, patience]() -> std::optional<std::string> {
+    // Guards rule 3: a drain may be told while the connection is still coming up, its client leave, or its
+    // time pass. The time of one whose body is still to come begins with its end.
+    auto head = [this, id, to, at = connection->to(), request, began,
+                 patience]() -> std::optional<std::string> {
         if (!may_send(to, at) || !events_.wanted(id)) return std::nullopt;
         auto from = time_of(*request, began);
         if (!from) return request_head(*request, patience);
--- a/src/http/server_pool.h
+++ b/src/http/server_pool.h
@@ -17,19 +17,20 @@
 
 namespace ochrehub::http {
 
-/// When a connection is used again. A second copy that comes some milliseconds behind an answer would be taken for the
-/// next request's.
+/// When a connection is used again. A second copy that comes some milliseconds behind an answer would be
+/// taken for the next request's.
 struct Reuse {
-    /// Sooner behind an answer only where a new connection would cost too much, and then what it says is doubted. Some
-    /// times what holds up a write of a busy server's: a turn of its scheduler, a retransmission between machines.
+    /// Sooner behind an answer only where a new connection would cost too much, and then what it says is
+    /// doubted. Some times what holds up a write of a busy server's: a turn of its scheduler, a
+    /// retransmission between machines.
     std::chrono::milliseconds rest{30};
     /// Too much: more than one further handshake for so many requests, of which so many are put by.
     double spare_part = 1.0 / 256, spare_most = 8;
-    /// Once a server has said what nobody asked for, no connection is used sooner for so long, whatever that costs. A
-    /// node of many seldom sees such a server, so it remembers long.
+    /// Once a server has said what nobody asked for, no connection is used sooner for so long, whatever that
+    /// costs. A node of many seldom sees such a server, so it remembers long.
     std::chrono::minutes wary{5};
-    /// A doubted answer is too soon in less than this part of the shortest time that so many others have taken. Where
-    /// that is less than `soonest_least` it says nothing: so much is the loop's own.
+    /// A doubted answer is too soon in less than this part of the shortest time that so many others have
+    /// taken. Where that is less than `soonest_least` it says nothing: so much is the loop's own.
     double soonest_part = 0.5;
     int soonest_of = 32;
     Duration soonest_least{1};
@@ -57,7 +58,7 @@
     using ConnectionPtr = std::shared_ptr<Connection>;
     struct Server {
         std::optional<Connection::Endpoint> address;
-        bool sendable = false;            // listed, and neither draining nor gone
+        bool sendable = false;  // listed, and neither draining nor gone
         std::optional<TimePoint> last_start;
         std::uint64_t key = 0;            // what operators' words about it go by
         std::vector<ConnectionPtr> idle;  // the most recently used one last
@@ -106,7 +107,7 @@
     Reuse reuse_;
     double spare_ = 0;  // handshakes for connections that need not rest
     Connection::Steady::time_point wary_until_{};
-    std::unordered_set<std::uint64_t> out_;  // keys of servers out by hand
+    std::unordered_set<std::uint64_t> out_;         // keys of servers out by hand
     std::unordered_map<ServerId, Server> servers_;  // those that may be sent to; what has left is forgotten
     std::unordered_map<AttemptId, ConnectionPtr, IdHash, IdSame> attempts_;
     boost::asio::steady_timer sweep_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -87,9 +87,12 @@
     bool json = false, watch = false;
     CLI::App* fleet = app.add_subcommand("fleet", "What the nodes of a fleet know of each other");
     fleet->require_subcommand(1);
-    fleet->footer("It has no settings. The file's [fleet] joins a node to a fleet: `ochrehub settings fleet`.");
+    fleet->footer(
+        "It has no settings. The file's [fleet] joins a node to a fleet: `ochrehub settings fleet`.");
     CLI::App* members = fleet->add_subcommand("members", "The members, as one node sees them");
-    members->add_option("--control", control, "the second address of that node")->required()->type_name("ADDR");
+    members->add_option("--control", control, "the second address of that node")
+        ->required()
+        ->type_name("ADDR");
     members->add_flag("--json", json, "as the node has it, in JSON");
     members->add_flag("--watch", watch, "again each second, until it is stopped");
     members->footer("It has no settings but these. Exit status: 0 done, 1 the node could not be asked.");
@@ -99,8 +102,10 @@
     std::string folder, cluster = "ochrehub";
     CLI::App* keeper = app.add_subcommand("keeper", "Serve as one of three or five keepers until SIGTERM");
     keeper->add_option("--config", config, "its file: [keeper], [[member]] for each")->type_name("FILE");
-    CLI::Option* anew = keeper->add_flag("--new", begins.anew, "first start, with its cluster; its number never ran");
-    CLI::Option* join = keeper->add_flag("--join", begins.join, "first start, of one more; its number never ran");
+    CLI::Option* anew =
+        keeper->add_flag("--new", begins.anew, "first start, with its cluster; its number never ran");
+    CLI::Option* join =
+        keeper->add_flag("--join", begins.join, "first start, of one more; its number never ran");
     CLI::Option* lost = keeper->add_flag("--lost", begins.lost, "its number ran, and its folder is gone");
     anew->excludes(join)->excludes(lost), join->excludes(lost);
     keeper->footer(
@@ -109,7 +114,8 @@
     CLI::App* look = keeper->add_subcommand("verify", "Go through a keeper's folder without changing it");
     look->add_option("DIR", folder, "the folder")->required()->type_name("");
     look->add_option("--cluster", cluster, "the cluster's name; default: ochrehub")->type_name("NAME");
-    look->footer("It has no settings but these. Exit status: 0 sound, 1 a promise is lost, 2 cannot be read.");
+    look->footer(
+        "It has no settings but these. Exit status: 0 sound, 1 a promise is lost, 2 cannot be read.");
     look->callback([&] { status = app::verify_keeper(folder, cluster); });
     keeper->callback([&] {
         if (look->parsed()) return;
@@ -121,9 +127,11 @@
     int number = 0;
     std::string address;
     auto asked = [&](CLI::App* command) {
-        command->add_option("--config", at.config, "a keeper's file: all its members are asked")->type_name("FILE");
+        command->add_option("--config", at.config, "a keeper's file: all its members are asked")
+            ->type_name("FILE");
         command->add_option("--ask", at.ask, "or one keeper's address")->type_name("ADDR");
-        command->add_option("--cluster", at.cluster, "with --ask: the cluster's name; default: ochrehub")->type_name("NAME");
+        command->add_option("--cluster", at.cluster, "with --ask: the cluster's name; default: ochrehub")
+            ->type_name("NAME");
         command->add_option("--key-file", at.key_file, "with --ask: the fleet's keys")->type_name("FILE");
     };
     CLI::App* keepers = fleet->add_subcommand("keepers", "Which keeper leads, the members, the sessions");
@@ -137,7 +145,10 @@
     auto changes = [&](const char* name, const char* what) {
         CLI::App* one = change->add_subcommand(name, what);
         asked(one);
-        one->add_option("--number", number, "the keeper's")->required()->type_name("N")->check(CLI::Range(1, 65535));
+        one->add_option("--number", number, "the keeper's")
+            ->required()
+            ->type_name("N")
+            ->check(CLI::Range(1, 65535));
         one->footer("It has no settings but these. Exit status: 0 done, 1 refused or not done in time.");
         return one;
     };
@@ -145,33 +156,44 @@
     add->add_option("--address", address, "where it is reached")->required()->type_name("ADDR");
     add->callback([&] { status = app::fleet_keeper_add(at, number, address); });
     changes("remove", "One less")->callback([&] { status = app::fleet_keeper_remove(at, number); });
-    changes("lead", "Have this one lead from now on")->callback([&] { status = app::fleet_keeper_lead(at, number); });
+    changes("lead", "Have this one lead from now on")->callback([&] {
+        status = app::fleet_keeper_lead(at, number);
+    });
 
     std::string kind;
     int to = 0, shards = 256, refusals = 1000;
     double groups = 0;
     bool narrows = false;
-    CLI::App* migrate = fleet->add_subcommand("migrate", "Change the schema of shared records while all serve");
+    CLI::App* migrate =
+        fleet->add_subcommand("migrate", "Change the schema of shared records while all serve");
     migrate->require_subcommand(1);
     migrate->footer("It has no settings. docs/upgrades.md shows an upgrade step by step.");
     auto migrates = [&](const char* name, const char* what) {
         CLI::App* one = migrate->add_subcommand(name, what);
         asked(one);
-        one->footer("It has no settings but these. Exit status: 0 done, 1 refused, or none that leads was found.");
+        one->footer(
+            "It has no settings but these. Exit status: 0 done, 1 refused, or none that leads was found.");
         return one;
     };
     auto where_to = [&](CLI::App* one) {
-        one->add_option("KIND", kind, "sessions, rates, rules, fences or snapshots")->required()->type_name("");
-        one->add_option("--to", to, "the schema's number; default: the level and one")->type_name("N")->check(CLI::Range(1, 1000));
+        one->add_option("KIND", kind, "sessions, rates, rules, fences or snapshots")
+            ->required()
+            ->type_name("");
+        one->add_option("--to", to, "the schema's number; default: the level and one")
+            ->type_name("N")
+            ->check(CLI::Range(1, 1000));
     };
     CLI::App* plan = migrates("plan", "Who can and who cannot, and what it would take; changes nothing");
     where_to(plan);
-    plan->add_option("--groups", groups, "how many there are, for the time that it would take")->type_name("N");
+    plan->add_option("--groups", groups, "how many there are, for the time that it would take")
+        ->type_name("N");
     plan->add_flag("--json", json, "in JSON");
     plan->callback([&] { status = app::migrate_plan(at, kind, to, groups, json); });
     CLI::App* start = migrates("start", "Begin one; it waits behind the switch until `narrow`");
     where_to(start);
-    start->add_option("--shards", shards, "that the records are in; default: 256")->type_name("N")->check(CLI::Range(1, 4096));
+    start->add_option("--shards", shards, "that the records are in; default: 256")
+        ->type_name("N")
+        ->check(CLI::Range(1, 4096));
     start->add_option("--refusals", refusals, "more refused writes stop it; default: 1000")->type_name("N");
     start->add_flag("--narrow", narrows, "do not wait: drop the old form behind the switch");
     start->callback([&] { status = app::migrate_start(at, kind, to, shards, refusals, narrows); });
@@ -180,11 +202,18 @@
     shows->add_flag("--watch", watch, "again each second, until it is over or stopped");
     shows->callback([&] { status = app::migrate_status(at, json, watch); });
     migrates("pause", "Hold it where it is")->callback([&] { status = app::migrate_steer(at, "pause"); });
-    migrates("go-on", "Go on behind a pause or a stop")->callback([&] { status = app::migrate_steer(at, "go-on"); });
-    migrates("back", "Take it back; nothing is lost that was written since")->callback([&] { status = app::migrate_steer(at, "back"); });
-    migrates("narrow", "Drop the old form behind the switch: no way back from there")->callback([&] { status = app::migrate_steer(at, "narrow"); });
+    migrates("go-on", "Go on behind a pause or a stop")->callback([&] {
+        status = app::migrate_steer(at, "go-on");
+    });
+    migrates("back", "Take it back; nothing is lost that was written since")->callback([&] {
+        status = app::migrate_steer(at, "back");
+    });
+    migrates("narrow", "Drop the old form behind the switch: no way back from there")->callback([&] {
+        status = app::migrate_steer(at, "narrow");
+    });
     app::RulesAsk rules_ask;
-    CLI::App* rules = fleet->add_subcommand("rules", "Documents that the nodes agree on: see and change them");
+    CLI::App* rules =
+        fleet->add_subcommand("rules", "Documents that the nodes agree on: see and change them");
     rules->require_subcommand(1);
     rules->footer("It has no settings. docs/rules.md shows a change and its way back, step by step.");
     auto rules_command = [&](const char* name, const char* what, bool needs_document) {
@@ -201,17 +230,28 @@
         return one;
     };
     rules_command("show", "What is in force and under way, and each node's word", false);
-    CLI::App* propose = rules_command("propose", "A new version, from a file; waits for what becomes of it", true);
+    CLI::App* propose =
+        rules_command("propose", "A new version, from a file; waits for what becomes of it", true);
     propose->add_option("FILE", rules_ask.file, "its content, an entry a line")->required()->type_name("");
-    propose->add_option("--mode", rules_ask.mode, "strict, or quick")->check(CLI::IsMember({"strict", "quick"}))->type_name("MODE");
-    propose->add_option("--without-permit", rules_ask.choice, "what cut off nodes do")->check(CLI::IsMember({"keep", "caution", "refuse"}))->type_name("CHOICE");
-    propose->add_option("--base", rules_ask.base, "the version it was made on; default: the one in force")->type_name("N");
-    propose->add_option("--within", rules_ask.within_s, "seconds for all nodes to take it; default: 30")->type_name("S")->check(CLI::Range(1, 600));
+    propose->add_option("--mode", rules_ask.mode, "strict, or quick")
+        ->check(CLI::IsMember({"strict", "quick"}))
+        ->type_name("MODE");
+    propose->add_option("--without-permit", rules_ask.choice, "what cut off nodes do")
+        ->check(CLI::IsMember({"keep", "caution", "refuse"}))
+        ->type_name("CHOICE");
+    propose->add_option("--base", rules_ask.base, "the version it was made on; default: the one in force")
+        ->type_name("N");
+    propose->add_option("--within", rules_ask.within_s, "seconds for all nodes to take it; default: 30")
+        ->type_name("S")
+        ->check(CLI::Range(1, 600));
     propose->add_option("--zone", rules_ask.zone, "a canary: in this zone alone")->type_name("ZONE");
     propose->add_option("--node", rules_ask.node, "a canary: at this node alone")->type_name("NODE");
-    propose->add_option("--for", rules_ask.for_s, "seconds until a canary ends; default: 60")->type_name("S")->check(CLI::Range(1, 86400));
+    propose->add_option("--for", rules_ask.for_s, "seconds until a canary ends; default: 60")
+        ->type_name("S")
+        ->check(CLI::Range(1, 86400));
     propose->add_flag("--some-may-refuse", rules_ask.some_may_refuse, "one node's no does not stop it");
-    CLI::App* diff = rules_command("diff", "What would change: against what is proposed, a file or a version", true);
+    CLI::App* diff =
+        rules_command("diff", "What would change: against what is proposed, a file or a version", true);
     diff->add_option("FILE", rules_ask.file, "a content")->type_name("");
     diff->add_option("--version", rules_ask.to, "an older version")->type_name("N");
     rules_command("history", "The last versions, and those that were stopped", true);
@@ -228,7 +268,8 @@
         asked(one);
         CLI::Option* whose = one->add_option("PARTNER", partner, "its name")->type_name("");
         if (of_one) whose->required();
-        one->footer("It has no settings but these. Exit status: 0 done, 1 refused or none that leads was found.");
+        one->footer(
+            "It has no settings but these. Exit status: 0 done, 1 refused or none that leads was found.");
         return one;
     };
     CLI::App* show = quotas("show", "Budgets, whose the lender is, what is lent to whom", false);
@@ -241,14 +282,19 @@
     set->callback([&] { status = app::fleet_quota_set(at, budgets); });
     CLI::App* freeze = quotas("freeze", "Let nothing of a partner's in from now on", true);
     freeze->add_flag("--off", off, "let it go on");
-    freeze->callback([&] { status = app::fleet_quota_order(at, off ? app::QuotaOrder::Thaw : app::QuotaOrder::Freeze, partner, {}, 0); });
+    freeze->callback([&] {
+        status =
+            app::fleet_quota_order(at, off ? app::QuotaOrder::Thaw : app::QuotaOrder::Freeze, partner, {}, 0);
+    });
     CLI::App* recall = quotas("recall", "Have what is lent and unspent given back", true);
     recall->add_option("--from", child, "of this site or node alone")->type_name("NAME");
-    recall->callback([&] { status = app::fleet_quota_order(at, app::QuotaOrder::Recall, partner, child, 0); });
+    recall->callback(
+        [&] { status = app::fleet_quota_order(at, app::QuotaOrder::Recall, partner, child, 0); });
     CLI::App* lend = quotas("lend", "Lend so much, once it is there, before others' turn", true);
     lend->add_option("--to", child, "this site or node")->required()->type_name("NAME");
     lend->add_option("--amount", amount, "requests")->required()->type_name("N");
-    lend->callback([&] { status = app::fleet_quota_order(at, app::QuotaOrder::Lend, partner, child, amount); });
+    lend->callback(
+        [&] { status = app::fleet_quota_order(at, app::QuotaOrder::Lend, partner, child, amount); });
 
     // Behind them all: commands take it over from here where they have none yet.
     app.footer(
@@ -263,7 +309,8 @@
         std::fputs(kUsage, stderr);
         std::fprintf(stderr,
                      "or: ochrehub node --config FILE.toml | check FILE [FILE] | settings [SECTION] | "
-                     "fleet members --control ADDR | keeper --config FILE.toml | fleet keepers --config FILE | --help | --version\n%s\n",
+                     "fleet members --control ADDR | keeper --config FILE.toml | fleet keepers --config FILE "
+                     "| --help | --version\n%s\n",
                      error.what());
         return 2;
     }
--- a/src/rewrite/rewrites.h
+++ b/src/rewrite/rewrites.h
@@ -33,7 +33,8 @@
     bool on = false;
     bool forwarded = true;  ///< append `Forwarded: for=`
     std::vector<Rule> rules;
-    /// Where what counts may end by itself: whoever applies these goes by what this gives at that moment, nothing included.
+    /// Where what counts may end by itself: whoever applies these goes by what this gives at that moment,
+    /// nothing included.
     std::function<std::shared_ptr<const Rewrites>()> now = nullptr;
 
     /// What concerns the client's connection alone goes, its address comes in, then the rules count in their
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -47,9 +47,9 @@
 constexpr double kColdMargin = 0.75;     // part of a cold server's budget that is used: handshakes, chance
 constexpr double kColdSenders = 1.3;     // room for lists that differ for a while, and with them the shares
 constexpr double kColdReserve = 0.4, kColdConnect = 1.5;  // less roots of sends; sends of one that connects
-constexpr double kColdDrawn = 8;  // as many who drew a server leave none to nobody
-constexpr Duration kRateOver{5000};      // time over which rates are told
-constexpr Duration kServedFade{60000};   // how long the most that this gateway got served is believed
+constexpr double kColdDrawn = 8;                          // as many who drew a server leave none to nobody
+constexpr Duration kRateOver{5000};                       // time over which rates are told
+constexpr Duration kServedFade{60000};  // how long the most that this gateway got served is believed
 constexpr double kPaceGain = 0.15, kFleetPaceGain = 0.06;  // weight of one answer: in one's, in all's
 constexpr double kFloorMax = 0.4;       // a class's floor is believed up to this part of its aim
 constexpr double kFloorOver = 1.4;      // ... or so many times the least that it was, if that is more
@@ -153,7 +153,7 @@
 
 struct ClassState {
     double floor_ms = 0, seen_ms = 0, warm_ms = 0;  // of answers that did not wait: believed, seen, when warm
-    Fading least;                      // the least of the latter; rises by itself
+    Fading least;                                   // the least of the latter; rises by itself
     int answers = 0;
 };
 
@@ -946,7 +946,9 @@
         conclude(r);
     }
 
-    void on(const StreamStarted& e) { if (Request* r = find(e.request)) r->streaming = true; }
+    void on(const StreamStarted& e) {
+        if (Request* r = find(e.request)) r->streaming = true;
+    }
     void on(const ClientGone& e) { find(e.request) ? conclude(*find(e.request)) : void(); }
 
     void conclude(Request& r) {  // it is over, one way or another: call off what is still out
--- a/src/sessions/session_table.h
+++ b/src/sessions/session_table.h
@@ -1,5 +1,5 @@
-// The clients' connections of one front, kept by what they would lose: which one makes way where descriptors run
-// short. Knows neither sockets nor a protocol.
+// The clients' connections of one front, kept by what they would lose: which one makes way where descriptors
+// run short. Knows neither sockets nor a protocol.
 #pragma once
 
 #include <array>
@@ -12,8 +12,8 @@
 
 namespace ochrehub {
 
-/// What stands first here makes way first, and among equals what has stood for longest: those that never sent a
-/// request go before a good client's idle connection.
+/// What stands first here makes way first, and among equals what has stood for longest: those that never sent
+/// a request go before a good client's idle connection.
 enum class Standing : std::size_t { Leaving, Silent, Starting, Once, Idle, Busy, kStandings };
 
 /// `Session` is a pointer of any kind to something with
@@ -63,8 +63,8 @@
     /// True where the next connection can only be told that there is no room.
     bool over() { return held() >= budget_.clients && !make_room(); }
 
-    // A crowd that says nothing must not push out a connection that has only just come, its request on its way:
-    // before that one an idle connection goes, whose client opens another when it needs it.
+    // A crowd that says nothing must not push out a connection that has only just come, its request on its
+    // way: before that one an idle connection goes, whose client opens another when it needs it.
     bool make_room() {
         return close_one(Standing::Leaving, true) || close_one(Standing::Silent, false) ||
                close_one(Standing::Starting, false) || close_one(Standing::Once, true) ||
@@ -81,7 +81,8 @@
 
 private:
     static constexpr std::chrono::milliseconds kFresh{100};  // a connection's request may still be on its way
-    static constexpr int kLooks = 8;  // each costs a call: a crowd is not searched from end to end at every accept
+    static constexpr int kLooks =
+        8;  // each costs a call: a crowd is not searched from end to end at every accept
 
     Sessions& of(Standing standing) { return sessions_[std::size_t(standing)]; }
 
@@ -99,8 +100,8 @@
         return false;
     }
 
-    // Clients may hold a third of the descriptors. Those that asked once and keep their connection would use it
-    // up, and nobody else could ask.
+    // Clients may hold a third of the descriptors. Those that asked once and keep their connection would use
+    // it up, and nobody else could ask.
     void keep_to_share() {
         auto asked = [this] {
             return of(Standing::Once).size() + of(Standing::Idle).size() + of(Standing::Busy).size();
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -11,13 +11,14 @@
 
 }  // namespace
 
-// Rendezvous hashing with bounded loads: the gateways in turn take those they like best of what has room. Room is the
-// even part, rounded down, until that is used up everywhere, and then one more.
+// Rendezvous hashing with bounded loads: the gateways in turn take those they like best of what has room.
+// Room is the even part, rounded down, until that is used up everywhere, and then one more.
 Subset share_out(const std::vector<std::uint64_t>& keys, int gateways, int me, std::size_t width) {
     Subset out;
     std::size_t n = keys.size();
     width = std::min(width, n);
-    if (width == 0 || me < 0 || me >= gateways || double(gateways) * double(width) * double(n) > kWorkMost) return out;
+    if (width == 0 || me < 0 || me >= gateways || double(gateways) * double(width) * double(n) > kWorkMost)
+        return out;
     std::size_t even = std::size_t(gateways) * width / n, taken = 0;
     out.users.assign(n, 0);
     out.mine.assign(n, 0);
@@ -32,8 +33,11 @@
             std::size_t best = n;
             for (std::size_t i = 0; i < n; ++i) {
                 if (chosen[i]) continue;
-                // One with room before one without, of those without the least used, of equals the one liked best.
-                int over = best == n ? 0 : std::max(out.users[i] - room + 1, 0) - std::max(out.users[best] - room + 1, 0);
+                // One with room before one without, of those without the least used, of equals the one liked
+                // best.
+                int over = best == n ? 0
+                                     : std::max(out.users[i] - room + 1, 0) -
+                                           std::max(out.users[best] - room + 1, 0);
                 if (best == n || over < 0 || (over == 0 && likes[i] > likes[best])) best = i;
             }
             chosen[best] = 1;
--- a/src/takeover/inherited.h
+++ b/src/takeover/inherited.h
@@ -5,8 +5,8 @@
 
 namespace ochrehub::takeover {
 
-/// The descriptor that `text` names (GW_FD). Throws std::runtime_error, worded for the operator, where it is no number
-/// or no TCP socket that listens.
+/// The descriptor that `text` names (GW_FD). Throws std::runtime_error, worded for the operator, where it is
+/// no number or no TCP socket that listens.
 int inherited_listener(const std::string& text);
 
 }  // namespace ochrehub::takeover
--- a/src/takeover/instance_lock.cpp
+++ b/src/takeover/instance_lock.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-// Locks of open file descriptions: asking whether one is held takes none, so two that ask do not meet each other.
+// Locks of open file descriptions: asking whether one is held takes none, so two that ask do not meet each
+// other.
 InstanceLock::InstanceLock(const std::string& folder, const std::string& prefix) {
     for (int i = 0; i < 2; ++i) {
         std::string path = folder + "/" + prefix + (i == 0 ? ".a" : ".b");
--- a/src/takeover/instance_lock.h
+++ b/src/takeover/instance_lock.h
@@ -1,5 +1,5 @@
-// Which processes of one node there are now: each holds a lock on one of two files, and sees whether the other is
-// held. The kernel lets go of it however a process ends.
+// Which processes of one node there are now: each holds a lock on one of two files, and sees whether the
+// other is held. The kernel lets go of it however a process ends.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 class InstanceLock {
 public:
-    /// In `folder`, under names that begin with `prefix`. Where nothing can be locked there the process is alone.
+    /// In `folder`, under names that begin with `prefix`. Where nothing can be locked there the process is
+    /// alone.
     InstanceLock(const std::string& folder, const std::string& prefix);
     ~InstanceLock();
     InstanceLock(const InstanceLock&) = delete;
--- a/src/takeover/manual_overrides.cpp
+++ b/src/takeover/manual_overrides.cpp
@@ -12,8 +12,8 @@
 constexpr std::string_view kVersion = "ochrehub hands 1";
 
 bool plain(char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_' ||
-           c == '.';
+    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
+           c == '_' || c == '.';
 }
 
 std::string encoded(std::string_view text) {
@@ -91,7 +91,11 @@
     for (const auto& [id, since] : overrides.out)
         text.append("out ").append(encoded(id)).append(time(since)).append("\n");
     for (const auto& [id, interval] : overrides.back)
-        text.append("back ").append(encoded(id)).append(time(interval.from)).append(time(interval.till)).append("\n");
+        text.append("back ")
+            .append(encoded(id))
+            .append(time(interval.from))
+            .append(time(interval.till))
+            .append("\n");
     return text + "check " + check_of(text) + "\n";
 }
 
--- a/src/takeover/manual_overrides.h
+++ b/src/takeover/manual_overrides.h
@@ -16,7 +16,7 @@
         bool operator==(const Interval&) const = default;
     };
     std::map<std::string, TimePoint> out;  ///< ids of servers that are out, and since when
-    std::map<std::string, Interval> back;     ///< from when till when those were out that are no more
+    std::map<std::string, Interval> back;  ///< from when till when those were out that are no more
 
     /// False: nothing changes.
     bool take_out(const std::string& id, TimePoint now);
--- a/src/takeover/store.cpp
+++ b/src/takeover/store.cpp
@@ -7,9 +7,9 @@
 
 #include <cerrno>
 #include <chrono>
-#include <ctime>
 #include <cstdio>
 #include <cstring>
+#include <ctime>
 #include <fstream>
 #include <iterator>
 #include <utility>
@@ -56,7 +56,8 @@
 bool Store::changed_on_disk() {
     struct stat now {};
     if (stat(path_.c_str(), &now) != 0) return false;
-    return now.st_ino != inode_ || now.st_mtim.tv_sec != stamp_.tv_sec || now.st_mtim.tv_nsec != stamp_.tv_nsec;
+    return now.st_ino != inode_ || now.st_mtim.tv_sec != stamp_.tv_sec ||
+           now.st_mtim.tv_nsec != stamp_.tv_nsec;
 }
 
 void Store::load(bool fresh_only) {
--- a/src/takeover/store.h
+++ b/src/takeover/store.h
@@ -1,5 +1,5 @@
-// The file through which what operators said passes from one process of a node to the next, and between two that
-// live at once.
+// The file through which what operators said passes from one process of a node to the next, and between two
+// that live at once.
 #pragma once
 
 #include <sys/types.h>
@@ -13,8 +13,8 @@
 
 class Store {
 public:
-    /// `folder` may be empty: then nothing is kept. A file whose process has been gone for long is not used. What is
-    /// wrong with the file is logged once.
+    /// `folder` may be empty: then nothing is kept. A file whose process has been gone for long is not used.
+    /// What is wrong with the file is logged once.
     Store(const std::string& folder, const std::string& prefix, std::string node, Duration cold_time);
 
     /// Reads what another process has written meanwhile; true where it differs from what was known.
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -22,8 +22,8 @@
     return {{5, 3, 8, 3}, {}, {}, room, Duration{most_advice}, 7, true};
 }
 
-/// Lets one in and out again, so that admission control knows that so many a second are served, each in its class's
-/// time.
+/// Lets one in and out again, so that admission control knows that so many a second are served, each in its
+/// class's time.
 void serve(AdmissionController& admission, double from, double to, double per_s) {
     const std::vector<double> took = {50, 60, 200, 200};
     int cls = 0;
@@ -69,14 +69,15 @@
     EXPECT_EQ(retry_after.booked(at(10000)), 0u);
 }
 
-// Requests that waited held all connections that clients may have; whoever came then was told by admission control
-// that there is no room, its connection closed, and asked again on another: 4,000 of them in 30 s where 450
-// are needed.
+// Requests that waited held all connections that clients may have; whoever came then was told by admission
+// control that there is no room, its connection closed, and asked again on another: 4,000 of them in 30 s
+// where 450 are needed.
 TEST(AdmissionController, WhatIsOpenEndsBelowWhatClientsMayHold) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
     int entered = 0, refused = 0;
-    for (int i = 0; i < 1000; ++i) (admission.arrive(at(5000 + i * 0.1), {i % 4, kNone, false}) ? refused : entered) += 1;
+    for (int i = 0; i < 1000; ++i)
+        (admission.arrive(at(5000 + i * 0.1), {i % 4, kNone, false}) ? refused : entered) += 1;
     EXPECT_EQ(entered, 90);
     EXPECT_EQ(refused, 910);
     EXPECT_EQ(admission.open(), 90u);
@@ -89,7 +90,8 @@
     std::map<int, std::size_t> shut;
     for (int i = 0; i < 1000; ++i)
         for (int kind : {4, 3, 1, 2, 0})
-            if (admission.arrive(at(5000), {kind % 4, kNone, kind == 4}) && !shut.contains(kind)) shut[kind] = admission.open();
+            if (admission.arrive(at(5000), {kind % 4, kNone, kind == 4}) && !shut.contains(kind))
+                shut[kind] = admission.open();
     // Worth for the time: 0.1, 0.05, 0.04, 0.015.
     EXPECT_EQ(shut[4], 50u);
     EXPECT_EQ(shut[3], 70u);
@@ -127,16 +129,18 @@
     EXPECT_GE(open_at(1e6), 21) << "never nothing, whatever is forgotten";
 }
 
-// What a server takes for each stands open by itself. Where 400 ms were less than that, most were refused for no need, the
-// rate fell with what was let in, and the room with it.
+// What a server takes for each stands open by itself. Where 400 ms were less than that, most were refused for
+// no need, the rate fell with what was let in, and the room with it.
 TEST(AdmissionController, LongUsualTimesNeedRoomForWhatStandsThereByItself) {
     for (double took : {50.0, 200.0, 300.0, 400.0, 900.0, 2500.0}) {
-        AdmissionController admission({{5, 3, 8, 3}, std::vector<Duration>(4, Duration{10'000}), {}, 100'000, Duration{1200}, 7, true});
+        AdmissionController admission(
+            {{5, 3, 8, 3}, std::vector<Duration>(4, Duration{10'000}), {}, 100'000, Duration{1200}, 7, true});
         std::multimap<double, int> open;
         int asked = 0, refused = 0, cls = 0;
         for (double t = 0; t < 60'000; t += 5, cls = (cls + 1) % 4) {
             while (!open.empty() && open.begin()->first <= t) {
-                admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took}, Duration{took});
+                admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
+                                Duration{took});
                 open.erase(open.begin());
             }
             admission.look(at(t));
@@ -150,14 +154,16 @@
 
 // ... and servers that slow down for a while get no more than before.
 TEST(AdmissionController, ASlowSpellIsNotTakenForWhatAnswersTakeUsually) {
-    AdmissionController admission({{5, 3, 8, 3}, std::vector<Duration>(4, Duration{2000}), {}, 100'000, Duration{1200}, 7, true});
+    AdmissionController admission(
+        {{5, 3, 8, 3}, std::vector<Duration>(4, Duration{2000}), {}, 100'000, Duration{1200}, 7, true});
     std::multimap<double, int> open;
     std::size_t most = 0;
     int cls = 0;
     for (double t = 0; t < 40'000; t += 2, cls = (cls + 1) % 4) {  // 500 a second
         double took = t < 10'000 ? 60 : 1200;
         while (!open.empty() && open.begin()->first <= t) {
-            admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took}, Duration{took});
+            admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
+                            Duration{took});
             open.erase(open.begin());
         }
         admission.look(at(t));
@@ -171,7 +177,8 @@
 TEST(AdmissionController, ABurstBehindAStartEnters) {
     AdmissionController admission(settings(300));
     int entered = 0;
-    for (int i = 0; i < 200; ++i) entered += !admission.arrive(at(i / 4.0), {i % 4, kNone, false}).has_value();
+    for (int i = 0; i < 200; ++i)
+        entered += !admission.arrive(at(i / 4.0), {i % 4, kNone, false}).has_value();
     EXPECT_EQ(entered, 200);
     for (int i = 0; i < 100; ++i) admission.leave(at(100 + i), {i % 4}, true, Duration{90});
     // Once it has watched for a while it holds to what it has seen served.
@@ -201,7 +208,8 @@
             serve(admission, t - 1000, t, 100);
             double back = admission.refuse(at(t), {cls}).count();
             least = std::min(least, back), most = std::max(most, back);
-            EXPECT_TRUE(admission.arrive(at(t + back), {cls, kNone, true}) == std::nullopt) << "it has a seat";
+            EXPECT_TRUE(admission.arrive(at(t + back), {cls, kNone, true}) == std::nullopt)
+                << "it has a seat";
             admission.leave(at(t + back + 20), {cls}, true, Duration{20});
         }
         EXPECT_NEAR(least, span[std::size_t(cls)].first, 40) << cls;
@@ -252,7 +260,8 @@
     fill(admission, 5000, 1);
     auto back = admission.arrive(at(5000), {3, 1, false, 77});
     ASSERT_TRUE(back);
-    EXPECT_TRUE(admission.arrive(at(5000 + back->count()), {3, 1, false, 78})) << "a first try of the same tenant";
+    EXPECT_TRUE(admission.arrive(at(5000 + back->count()), {3, 1, false, 78}))
+        << "a first try of the same tenant";
     EXPECT_FALSE(admission.arrive(at(5000 + back->count()), {3, 1, true, 77}));
 }
 
@@ -266,7 +275,8 @@
         for (int i = 0; i < 25; ++i) admission.leave(at(5001), {0}, false, Duration{1});  // 65 open
         // The other is told later, and comes when the first one is due.
         double later = due;
-        while (later < due + 200) later = due - 50 + admission.refuse(at(due - 50), {3, kNone, false, 2}).count();
+        while (later < due + 200)
+            later = due - 50 + admission.refuse(at(due - 50), {3, kNone, false, 2}).count();
         EXPECT_EQ(admission.arrive(at(due), {3, kNone, true, known ? 2ul : 0ul}).has_value(), known);
         EXPECT_EQ(admission.arrive(at(due + 1), {3, kNone, true, known ? 1ul : 0ul}).has_value(), !known);
     }
@@ -275,7 +285,8 @@
 TEST(AdmissionController, WhoComesOutOfTurnAgainAndAgainIsRefusedFirstAndNobodyElse) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
-    for (int i = 0; i < 40; ++i) ASSERT_FALSE(admission.arrive(at(5000), {0}));  // below what repeats may have
+    for (int i = 0; i < 40; ++i)
+        ASSERT_FALSE(admission.arrive(at(5000), {0}));  // below what repeats may have
     admission.refuse(at(5000), {3, 0, false, 1});
     EXPECT_FALSE(admission.arrive(at(5001), {3, 0, true, 1})) << "once";
     admission.refuse(at(5002), {3, 0, false, 1});
@@ -301,7 +312,8 @@
     EXPECT_EQ(heed.comes(at(1500), 5), Heed::Comes::Unknown) << "too late";
 }
 
-// A million clients, each told and some of them deaf: what admission control holds is what it held before they came.
+// A million clients, each told and some of them deaf: what admission control holds is what it held before
+// they came.
 TEST(AdmissionController, AMillionClientsCostItNoMemory) {
     AdmissionController admission = shared_admission(300);
     serve(admission, 0, 3000, 300);
@@ -313,7 +325,8 @@
         admission.connection_opened(at(now));
         AdmissionController::Knock knock{int(who % 4), int(who % 4) - 1, who % 3 == 0, who};
         refused += admission.arrive(at(now), knock).has_value();
-        if (admission.open() > 200) admission.leave(at(now), {knock.cls, int(who % 3)}, who % 2 == 0, Duration{60}, Duration{40});
+        if (admission.open() > 200)
+            admission.leave(at(now), {knock.cls, int(who % 3)}, who % 2 == 0, Duration{60}, Duration{40});
         if (who % 64 == 0) admission.look(at(now));
     }
     EXPECT_GT(refused, 300000u);
--- a/tests/bodies_run.cpp
+++ b/tests/bodies_run.cpp
@@ -1,5 +1,5 @@
-// Long bodies, many at a time both ways, and a crowd that says nothing or half a request: what the node holds, and how
-// long the second address takes. bodies_run PROGRAM CONFIG TRANSFERS MB CROWD
+// Long bodies, many at a time both ways, and a crowd that says nothing or half a request: what the node
+// holds, and how long the second address takes. bodies_run PROGRAM CONFIG TRANSFERS MB CROWD
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -81,7 +81,8 @@
         do {
             auto began = std::chrono::steady_clock::now();
             assert(node.call("GET /ops/readiness").starts_with("HTTP/1.1 200"));
-            ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count());
+            ms.push_back(
+                std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count());
             usleep(5000);
         } while (!over);
     });
@@ -89,8 +90,8 @@
     over = true;
     caller.join();
     std::sort(ms.begin(), ms.end());
-    std::printf("%s: most memory %.1f of %.0f MB; second address %zu calls, median %.2f ms, worst %.2f ms\n", name,
-                node.peak_mb(), kMemoryMb, ms.size(), ms[ms.size() / 2], ms.back());
+    std::printf("%s: most memory %.1f of %.0f MB; second address %zu calls, median %.2f ms, worst %.2f ms\n",
+                name, node.peak_mb(), kMemoryMb, ms.size(), ms[ms.size() / 2], ms.back());
     if (kPlain) assert(node.peak_mb() < kMemoryMb / 2);
 }
 
@@ -108,7 +109,8 @@
                            {"\"memory_mb\":192", "\"memory_mb\":48"},
                            {"\"sockets\":1024", "\"sockets\":512"}});
     std::thread([&server] {
-        for (int fd; (fd = accept4(server.fd, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;) std::thread(serve, fd).detach();
+        for (int fd; (fd = accept4(server.fd, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;)
+            std::thread(serve, fd).detach();
     }).detach();
     Node node;
     node.start(given[1], -1);
--- a/tests/connection_timers.cpp
+++ b/tests/connection_timers.cpp
@@ -1,5 +1,5 @@
-// A connection whose time runs out in the very turn of the loop in which what it waits for comes: both are there before the
-// loop looks, which the test makes sure of by turning it only then.
+// A connection whose time runs out in the very turn of the loop in which what it waits for comes: both are
+// there before the loop looks, which the test makes sure of by turning it only then.
 #include <poll.h>
 
 #include <boost/asio/buffer.hpp>
@@ -24,7 +24,8 @@
 using ochrehub::http::Connection;
 
 struct Server {
-    explicit Server(asio::io_context& io) : acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), peer(io) {}
+    explicit Server(asio::io_context& io)
+        : acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), peer(io) {}
     void accept() { acceptor.accept(peer); }  // blocks: the connection is up when it returns
     std::string read_head() {
         std::string head;
@@ -53,7 +54,8 @@
     while (Connection::Steady::now() < due) poll(nullptr, 0, 1);
 }
 
-// It was told as never sent, though the request had been written whole, and so went out once more to somebody else.
+// It was told as never sent, though the request had been written whole, and so went out once more to somebody
+// else.
 void connection_up_as_its_time_runs_out() {
     asio::io_context io;
     asio::io_context servers;
@@ -101,7 +103,7 @@
     auto first = Connection::Steady::now();
     asio::write(server.peer, asio::buffer(std::string("o")));
     until(first + std::chrono::milliseconds(40));
-    io.poll();  // a further byte and the end of the time for one are there in one turn
+    io.poll();                // a further byte and the end of the time for one are there in one turn
     if (exchange.ends > 0) {  // its time was over, and it was told so once; the answer is none
         assert(exchange.ends == 1 && exchange.result.end == Connection::End::Garbage);
         return;
--- a/tests/datagram_fuzz.cpp
+++ b/tests/datagram_fuzz.cpp
@@ -1,5 +1,6 @@
-// Octets by coverage into the decoder and, where they are a datagram, into a member (libFuzzer, Clang). Whatever comes: nothing
-// is read beyond its end, what is read is written back the same, and the member stays within its bounds.
+// Octets by coverage into the decoder and, where they are a datagram, into a member (libFuzzer, Clang).
+// Whatever comes: nothing is read beyond its end, what is read is written back the same, and the member stays
+// within its bounds.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -55,7 +56,8 @@
         actions.clear();
         member.handle(at(100 + 250 * i), membership::Woken{}, actions);
         for (const membership::Action& action : actions)
-            if (const auto* send = std::get_if<Send>(&action)) must(encode(send->datagram, Keys()).size() <= kMostOctets);
+            if (const auto* send = std::get_if<Send>(&action))
+                must(encode(send->datagram, Keys()).size() <= kMostOctets);
     }
     must(member.size() <= kTable && member.here() <= member.size());
     must(member.incarnation() <= (1u << 31) + 64);  // one that was made up is not refuted
@@ -63,7 +65,8 @@
 
 }  // namespace
 
-extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most, unsigned int) {
+extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
+                                               unsigned int) {
     if (size > 1) return LLVMFuzzerMutate(data, size, most);
     std::string sound = encode(some(), Keys());  // to begin with
     if (sound.size() > most) return LLVMFuzzerMutate(data, size, most);
@@ -80,7 +83,8 @@
     Datagram again;
     std::string written = encode(datagram, Keys());
     must(decode(written, Keys(), again) == membership::Fault::None && encode(again, Keys()) == written);
-    must(again.updates.size() == datagram.updates.size() && again.from == datagram.from && again.about == datagram.about);
+    must(again.updates.size() == datagram.updates.size() && again.from == datagram.from &&
+         again.about == datagram.about);
     into_a_member(datagram);
     return 0;
 }
--- a/tests/drawn_settings_test.cpp
+++ b/tests/drawn_settings_test.cpp
@@ -445,14 +445,16 @@
             set.granularity = Duration{1}, set.max_attempts = 3;
             set.price_probe = price, set.price_connection = 0.05;
             ClassSettings unsafe;
-            unsafe.aim = Duration{800}, unsafe.give_up = Duration{1200}, unsafe.gain = 1, unsafe.late_worth = 0.5;
+            unsafe.aim = Duration{800}, unsafe.give_up = Duration{1200}, unsafe.gain = 1,
+            unsafe.late_worth = 0.5;
             unsafe.effect = Effect::SingleShot;
             set.classes = {unsafe};
             d.set = set;
             DrawnDay day(d);
             day.run();
             for (const std::string& what : day.breaks) ADD_FAILURE() << price << ", " << load << ": " << what;
-            EXPECT_GT(day.by_class[0].served, 0.85 * day.by_class[0].asked) << price << ", " << load << " of " << day.by_class[0].asked;
+            EXPECT_GT(day.by_class[0].served, 0.85 * day.by_class[0].asked)
+                << price << ", " << load << " of " << day.by_class[0].asked;
         }
 }
 
--- a/tests/endings_bodies.cpp
+++ b/tests/endings_bodies.cpp
@@ -23,7 +23,8 @@
     int fd = world.connect();
     std::string id = std::to_string(next_id++);
     put(fd, "POST /buy?hold&id=" + id + " HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + id +
-                "\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + std::string(0x20000, 'p') + "\r\n4000000\r\n");
+                "\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + std::string(0x20000, 'p') +
+                "\r\n4000000\r\n");
     std::string behind, head = read_head(fd, behind);
     assert(head.starts_with("HTTP/1.1 413") && head.find("Connection: close") != std::string::npos);
     assert(next_byte(fd) == 0);
@@ -31,13 +32,15 @@
     row("long_upload", "answered 413, ended in order");
 }
 
-/// A client of HTTP/1.0 knows no interim answers: its body is waited for, and nothing is said before its answer.
+/// A client of HTTP/1.0 knows no interim answers: its body is waited for, and nothing is said before its
+/// answer.
 void expects_by_1_0(World& world, const Node&) {
     for (const char* version : {"1.0", "1.1"}) {
         int fd = world.connect();
         Far far(fd);
-        put(fd, "POST /buy?id=" + std::to_string(next_id) + " HTTP/" + version + "\r\nHost: n\r\nX-Trace-Id: " +
-                    std::to_string(next_id) + "\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
+        put(fd, "POST /buy?id=" + std::to_string(next_id) + " HTTP/" + version +
+                    "\r\nHost: n\r\nX-Trace-Id: " + std::to_string(next_id) +
+                    "\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
         ++next_id;
         far.until_read();
         world.settle();  // whatever it says to that it has said
@@ -66,14 +69,15 @@
 
 // ---- Lingering
 
-/// More of them than the loop hears of at a time: the clock's word comes before that of the last. What is whole, or goes
-/// on, when the node looks is no half request.
+/// More of them than the loop hears of at a time: the clock's word comes before that of the last. What is
+/// whole, or goes on, when the node looks is no half request.
 void head_whole_at_its_time(World& world, const Node& node) {
     const std::string head = "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n", piece(100000, 'p');
     std::vector<int> open;
     long held = 0;
     Steady::time_point began;
-    for (bool ready = false; !ready;) {  // a machine that is too busy takes their time away before the node is halted
+    for (bool ready = false;
+         !ready;) {  // a machine that is too busy takes their time away before the node is halted
         for (int fd : open) close(fd);
         open.clear();
         began = Steady::now();
@@ -106,7 +110,8 @@
     assert(served == 201);
 }
 
-/// A request that crosses the end of a connection that stood idle for too long goes nowhere, and resets nothing.
+/// A request that crosses the end of a connection that stood idle for too long goes nowhere, and resets
+/// nothing.
 void idle_ends_in_order(World& world, const Node&) {
     int fd = world.connect();
     assert(ask(fd, get(next_id++)).starts_with("HTTP/1.1 200"));
@@ -152,7 +157,8 @@
     row("sends_on_before_it_reads", "its answer came whole after 1.5 s");
 }
 
-/// It takes its answer slowly: this side's system hides that, which takes more only once a third of its megabytes is free.
+/// It takes its answer slowly: this side's system hides that, which takes more only once a third of its
+/// megabytes is free.
 void reads_slowly(World& world, const Node&) {
     int fd = world.connect();
     put(fd, get(next_id++, "long"));
@@ -186,7 +192,8 @@
         (void)send(fd, "x", 1, MSG_NOSIGNAL);
         got = read(fd, bytes.data(), std::min(bytes.size(), length - had));
     }
-    std::printf("%-28s %zu of %zu bytes in %.0f ms\n", "reads_slowly_to_the_end", had, length, ms_since(began));
+    std::printf("%-28s %zu of %zu bytes in %.0f ms\n", "reads_slowly_to_the_end", had, length,
+                ms_since(began));
     assert(had == length && next_byte(fd) == 0);
     close(fd);
 }
@@ -279,7 +286,8 @@
     for (int i = 0; i < 5; ++i) {
         int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), small = 2048;
         setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-        assert(connect(fd, reinterpret_cast<const sockaddr*>(&world.clients.at), sizeof world.clients.at) == 0);
+        assert(connect(fd, reinterpret_cast<const sockaddr*>(&world.clients.at), sizeof world.clients.at) ==
+               0);
         far.emplace_back(fd);
         deaf.push_back(fd);
         // More answers than the two systems hold, till the node has stood still for a while.
--- a/tests/endings_clients_run.cpp
+++ b/tests/endings_clients_run.cpp
@@ -1,6 +1,7 @@
-// What meets the instant in which something ends on the clients' side: clients that leave before their request is sent
-// on, and a node that stops under connections that rest. The order of events is the peers' own: the node is halted
-// while they lay bytes and ends side by side, and gates hold the servers' answers. endings_clients_run PROGRAM CONFIG
+// What meets the instant in which something ends on the clients' side: clients that leave before their
+// request is sent on, and a node that stops under connections that rest. The order of events is the peers'
+// own: the node is halted while they lay bytes and ends side by side, and gates hold the servers' answers.
+// endings_clients_run PROGRAM CONFIG
 #include "endings_run.h"
 
 using namespace ochrehub::run;
--- a/tests/endings_leaving.cpp
+++ b/tests/endings_leaving.cpp
@@ -116,7 +116,8 @@
     row("end_behind_half_a_request", "3 of 3 not begun");
 }
 
-/// A client's end told to nobody: it leaves right behind its request, with the loop idle or kept busy by others.
+/// A client's end told to nobody: it leaves right behind its request, with the loop idle or kept busy by
+/// others.
 void latest_begin(World& world, const Node& node, bool busy) {
     std::atomic<bool> over{false};
     std::vector<std::thread> others;
@@ -148,8 +149,10 @@
         ++begun;
         latest = std::max(latest, std::chrono::duration<double, std::milli>(began - at).count());
     }
-    std::printf("latest begin of an attempt after FIN, RST, cancel, loop %s: %.2f ms beside %.0f ms (%d of 150 begun)\n",
-                busy ? "busy" : "idle", latest, kGoneMost, begun);
+    std::printf(
+        "latest begin of an attempt after FIN, RST, cancel, loop %s: %.2f ms beside %.0f ms (%d of 150 "
+        "begun)\n",
+        busy ? "busy" : "idle", latest, kGoneMost, begun);
     assert(latest < kGoneMost);
 }
 
@@ -179,7 +182,8 @@
     Far(watch).until_unread();
     for (auto& [id, fd] : leavers) {
         Far far(fd);
-        if (id % 2 == 0) put(fd, std::string(100000, 'x'));  // more than is read before the answer: its end does not show
+        if (id % 2 == 0)
+            put(fd, std::string(100000, 'x'));  // more than is read before the answer: its end does not show
         leave(fd, Leave::Fin);
         far.until_ended();
     }
@@ -217,8 +221,8 @@
         put(fd, piece);
         int server = accept4(slow.fd, nullptr, nullptr, SOCK_CLOEXEC);
         Far client(fd), far(server);
-        // Till the node leaves something unread for a while: all before it is full. Not till this side's system is
-        // full as well, as the end could not get through then.
+        // Till the node leaves something unread for a while: all before it is full. Not till this side's
+        // system is full as well, as the end could not get through then.
         for (Steady::time_point read = Steady::now(); ms_since(read) < 200; usleep(500)) {
             if (client.unread() > 0) continue;
             put(fd, piece);
@@ -254,14 +258,17 @@
     std::vector<int> open;
     for (Leave how : kLeaves) {
         int filler = connected(slow.at), fd = world.connect();
-        put(fd, "GET /look?leaves HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + std::to_string(next_id++) + "\r\n\r\n");
-        until_asked_for(slow.at);  // its figures tell of the request before its system has asked for the connection
+        put(fd,
+            "GET /look?leaves HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + std::to_string(next_id++) + "\r\n\r\n");
+        until_asked_for(
+            slow.at);  // its figures tell of the request before its system has asked for the connection
         Far far(fd);
         halt(node);
         leave(fd, how);
         far.until_ended();
         close(accept4(slow.fd, nullptr, nullptr, SOCK_CLOEXEC));
-        int server = accept4(slow.fd, nullptr, nullptr, SOCK_CLOEXEC);  // the node's system asks again, halted or not
+        int server =
+            accept4(slow.fd, nullptr, nullptr, SOCK_CLOEXEC);  // the node's system asks again, halted or not
         go_on(node);
         world.until_idle(node);
         pollfd said{server, POLLIN, 0};
@@ -270,8 +277,9 @@
         // Whether it was kept or not, the next one to speak is one that stays.
         int stays = world.connect();
         std::thread others([&] {
-            assert(ask(stays, "GET /look?stays HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " + std::to_string(next_id++) +
-                                  "\r\n\r\n").starts_with("HTTP/1.1 200"));
+            assert(ask(stays, "GET /look?stays HTTP/1.1\r\nHost: n\r\nX-Trace-Id: " +
+                                  std::to_string(next_id++) + "\r\n\r\n")
+                       .starts_with("HTTP/1.1 200"));
         });
         pollfd first[2] = {{server, POLLIN, 0}, {slow.fd, POLLIN, 0}};
         std::string heard, head;
@@ -301,15 +309,16 @@
 }  // namespace
 
 std::vector<Part> leaving() {
-    return {{{"end_behind_a_request", end_behind_a_request, {}},
-             {"end_behind_a_pipelined", end_behind_a_pipelined, {}},
-             {"end_behind_a_full_buffer", end_behind_a_full_buffer, {}},
-             {"end_before_a_retry", end_before_a_retry, {}},
-             {"end_behind_half_a_request", end_behind_half_a_request, {}},
-             {"latest_begin_idle", [](World& w, const Node& n) { latest_begin(w, n, false); }, {}},
-             {"latest_begin_busy", [](World& w, const Node& n) { latest_begin(w, n, true); }, {}}},
-            {{"end_while_connecting", {}, end_while_connecting}},
-            {{"end_in_the_queue", {}, end_in_the_queue}, {"end_of_a_stuck_upload", {}, end_of_a_stuck_upload}}};
+    return {
+        {{"end_behind_a_request", end_behind_a_request, {}},
+         {"end_behind_a_pipelined", end_behind_a_pipelined, {}},
+         {"end_behind_a_full_buffer", end_behind_a_full_buffer, {}},
+         {"end_before_a_retry", end_before_a_retry, {}},
+         {"end_behind_half_a_request", end_behind_half_a_request, {}},
+         {"latest_begin_idle", [](World& w, const Node& n) { latest_begin(w, n, false); }, {}},
+         {"latest_begin_busy", [](World& w, const Node& n) { latest_begin(w, n, true); }, {}}},
+        {{"end_while_connecting", {}, end_while_connecting}},
+        {{"end_in_the_queue", {}, end_in_the_queue}, {"end_of_a_stuck_upload", {}, end_of_a_stuck_upload}}};
 }
 
 }  // namespace ochrehub::run
