--- a/lab/bench/decision_bench.cpp
+++ b/lab/bench/decision_bench.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <variant>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace {
 
--- a/lab/channel/relay.h
+++ b/lab/channel/relay.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
--- a/lab/cold/module.h
+++ b/lab/cold/module.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <memory>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
--- a/lab/agreement/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -1,10 +1,10 @@
-#include "lab/agreement/fleet.h"
+#include "lab/config_distribution/fleet.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <algorithm>
 
-#include "fleet/agreement/holder_file.h"
+#include "fleet/config_distribution/holder_file.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -21,7 +21,7 @@
 }
 /// What a saboteur asks for instead.
 std::string shortened(const std::string& body, Saboteur saboteur) {
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     if (saboteur != Saboteur::ShortLease || !ask.ParseFromString(body) || !ask.has_open()) return body;
     ask.mutable_open()->set_lease_ms(ask.open().lease_ms() / 2);
     return ask.SerializeAsString();
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-std::string local_check(const agreement::Content& content, const std::string& zone) {
-    std::string text = agreement::text(content);
+std::string local_check(const config_distribution::Content& content, const std::string& zone) {
+    std::string text = config_distribution::text(content);
     if (text.find("bad-all") != text.npos) return "bad for all";
     if (zone == "b" && text.find("bad-b") != text.npos) return "bad in b";
     return {};
@@ -49,46 +49,47 @@
     raft::Settings settings;
     settings.self = raft::KeeperId(self_ + 1);
     raft_ = std::make_unique<raft::Raft>(settings, disk_, seed_ * 1000 + ++starts_);
-    keeper::ReplicaSettings replica;
+    coordinator::ReplicaSettings replica;
     replica.self = settings.self;
     replica.snapshot_entries = 150;
-    replica_ = std::make_unique<keeper::Replica>(
+    replica_ = std::make_unique<coordinator::Replica>(
         replica, machines(saboteur_),
         [this](TimePoint now, const raft::Event& event, raft::Actions& actions) {
             raft_->handle(now, event, actions);
         },
         disk_);
     last_ = net_.own(self_);
-    handle(last_, keeper::Woken{});
+    handle(last_, coordinator::Woken{});
 }
 
 void KeeperProcess::woken(TimePoint own) {
-    if (replica_) handle(std::max(own, asked_), keeper::Woken{});
+    if (replica_) handle(std::max(own, asked_), coordinator::Woken{});
 }
 
 void KeeperProcess::received(TimePoint own, std::size_t from, const std::string& message) {
     if (!replica_) return;
-    if (message[0] == 'a') return handle(own, keeper::Asked{from, message.substr(1)});
+    if (message[0] == 'a') return handle(own, coordinator::Asked{from, message.substr(1)});
     if (auto decoded = raft::decode(std::string_view(message).substr(1)))
-        handle(own, keeper::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
+        handle(own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
 }
 
-void KeeperProcess::handle(TimePoint own, keeper::ReplicaEvent event) {
+void KeeperProcess::handle(TimePoint own, coordinator::ReplicaEvent event) {
     last_ = std::max(own, last_);
-    for (std::deque<keeper::ReplicaEvent> events{std::move(event)}; !events.empty(); events.pop_front()) {
-        keeper::ReplicaActions actions;
+    for (std::deque<coordinator::ReplicaEvent> events{std::move(event)}; !events.empty();
+         events.pop_front()) {
+        coordinator::ReplicaActions actions;
         replica_->handle(last_, events.front(), actions);
-        for (keeper::ReplicaAction& action : actions) {
+        for (coordinator::ReplicaAction& action : actions) {
             if (auto* send = std::get_if<raft::Send>(&action)) {
                 net_.send(self_, send->to - 1, tagged('r', raft::encode(send->message)));
             } else if (auto* to_write = std::get_if<raft::Write>(&action)) {
                 write(*to_write);
-                events.emplace_back(keeper::Written{to_write->number});
-            } else if (auto* answer = std::get_if<keeper::Answer>(&action)) {
+                events.emplace_back(coordinator::Written{to_write->number});
+            } else if (auto* answer = std::get_if<coordinator::Answer>(&action)) {
                 net_.send(self_, answer->who, tagged('w', answer->body));
             } else if (auto* wake = std::get_if<raft::WakeAt>(&action)) {
                 net_.wake_at(self_, asked_ = wake->at);
-            } else if (auto* stop = std::get_if<keeper::Stop>(&action)) {
+            } else if (auto* stop = std::get_if<coordinator::Stop>(&action)) {
                 stopped_ = stop->about;
             }
         }
@@ -107,21 +108,22 @@
     disk_.snapshot = w.snapshot;
 }
 
-const agreement::Agreement* KeeperProcess::machine() const {
-    return replica_ ? dynamic_cast<const agreement::Agreement*>(replica_->state().machine("rules")) : nullptr;
+const config_distribution::Agreement* KeeperProcess::machine() const {
+    return replica_ ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().machine("rules"))
+                    : nullptr;
 }
 
 // ---- What has a session
 
 void SessionProcess::begin() {
-    keeper::SessionSettings settings;
+    coordinator::SessionSettings settings;
     for (std::size_t i = 0; i < set_.keepers; ++i) settings.keepers.push_back(address(i));
     settings.name = set_.name, settings.zone = set_.zone, settings.lease = set_.lease;
     settings.instance = set_.self * 1'000'000 + ++starts_;
     settings.seed = set_.seed + starts_;
-    session_ = std::make_unique<keeper::Session>(settings);
+    session_ = std::make_unique<coordinator::Session>(settings);
     session_wake_ = TimePoint::max();
-    session(keeper::SessionWoken{});
+    session(coordinator::SessionWoken{});
     wake();
 }
 
@@ -133,7 +135,7 @@
     if (!session_) return;
     last_ = std::max({last_, now, asked_});
     before();
-    if (session_wake_ <= last_) session_wake_ = TimePoint::max(), session(keeper::SessionWoken{});
+    if (session_wake_ <= last_) session_wake_ = TimePoint::max(), session(coordinator::SessionWoken{});
     look(last_);
     before();
     wake();
@@ -143,7 +145,7 @@
     if (!session_ || message[0] != 'w') return;
     last_ = std::max(last_, now);
     before();
-    session(keeper::Heard{address(from), message.substr(1)});
+    session(coordinator::Heard{address(from), message.substr(1)});
     look(last_);
     before();
     wake();
@@ -154,24 +156,24 @@
     if (at != TimePoint::max()) net_.wake_at(set_.self, asked_ = at);
 }
 
-void SessionProcess::session(const keeper::SessionEvent& event) {
-    keeper::SessionActions actions;
+void SessionProcess::session(const coordinator::SessionEvent& event) {
+    coordinator::SessionActions actions;
     session_->handle(own(), event, actions);
-    std::optional<keeper::Held> had;
+    std::optional<coordinator::Held> had;
     std::string news;
-    for (keeper::SessionAction& action : actions) {
-        if (auto* say = std::get_if<keeper::Say>(&action))
+    for (coordinator::SessionAction& action : actions) {
+        if (auto* say = std::get_if<coordinator::Say>(&action))
             net_.send(set_.self, std::stoul(say->to.substr(1)),
                       tagged('a', shortened(say->body, set_.saboteur)));
-        else if (auto* is = std::get_if<keeper::Held>(&action))
+        else if (auto* is = std::get_if<coordinator::Held>(&action))
             had = *is;
-        else if (auto* told = std::get_if<keeper::News>(&action))
+        else if (auto* told = std::get_if<coordinator::News>(&action))
             news = told->kind == "rules" ? told->bytes : news;
-        else if (std::holds_alternative<keeper::Lost>(action))
+        else if (std::holds_alternative<coordinator::Lost>(action))
             lost();
-        else if (auto* answer = std::get_if<keeper::Answered>(&action))
+        else if (auto* answer = std::get_if<coordinator::Answered>(&action))
             answered(*answer);
-        else if (auto* at = std::get_if<keeper::SessionWakeAt>(&action))
+        else if (auto* at = std::get_if<coordinator::SessionWakeAt>(&action))
             session_wake_ = at->at;
     }
     if (had) held(*had, news);
@@ -181,20 +183,20 @@
 
 void NodeProcess::start() {
     last_ = net_.own(set_.self);
-    std::vector<agreement::Document> kept;
-    if (auto read = agreement::read_file(file_);
-        auto* all = std::get_if<std::vector<agreement::Document>>(&read))
+    std::vector<config_distribution::Document> kept;
+    if (auto read = config_distribution::read_file(file_);
+        auto* all = std::get_if<std::vector<config_distribution::Document>>(&read))
         kept = std::move(*all);
-    agreement::Actions actions;
-    holder_.emplace(agreement::HolderSettings{}, kept, last_, actions);
+    config_distribution::Actions actions;
+    holder_.emplace(config_distribution::HolderSettings{}, kept, last_, actions);
     carry_out(last_, actions);
     if (set_.saboteur == Saboteur::ActsFromDisk)
         for (const auto& d : kept) {
-            agreement::Acted acted{agreement::How::Version, d.version,
-                                   std::make_shared<agreement::Content>(d.content)};
+            config_distribution::Acted acted{config_distribution::How::Version, d.version,
+                                             std::make_shared<config_distribution::Content>(d.content)};
             acted_[d.name] = {acted, acted, {}};
             std::erase_if(loop_, [&](const auto& posted) {
-                return std::holds_alternative<agreement::Apply>(posted.second);
+                return std::holds_alternative<config_distribution::Apply>(posted.second);
             });
         }
     decide_at_ = last_;
@@ -228,19 +230,20 @@
     while (!loop_.empty() && loop_.front().first <= now) {
         auto posted = std::move(loop_.front().second);
         loop_.pop_front();
-        if (auto* apply = std::get_if<agreement::Apply>(&posted)) {
-            bool between = apply->permit.now.how == agreement::How::Between;
+        if (auto* apply = std::get_if<config_distribution::Apply>(&posted)) {
+            bool between = apply->permit.now.how == config_distribution::How::Between;
             if (set_.saboteur != Saboteur::GivesBackAtOnce || !between)
                 acted_[apply->document] = apply->permit;
-            hold(agreement::Switched{apply->serial});
+            hold(config_distribution::Switched{apply->serial});
         } else {
-            for (auto& [name, permit] : acted_) permit.until = std::get<agreement::Extend>(posted).until;
+            for (auto& [name, permit] : acted_)
+                permit.until = std::get<config_distribution::Extend>(posted).until;
         }
     }
-    if (holder_wake_ <= now) holder_wake_ = TimePoint::max(), hold(agreement::Woken{});
+    if (holder_wake_ <= now) holder_wake_ = TimePoint::max(), hold(config_distribution::Woken{});
 }
 
-void NodeProcess::held(const keeper::Held& held, const std::string& news) {
+void NodeProcess::held(const coordinator::Held& held, const std::string& news) {
     TimePoint until = held.until;
     if (set_.saboteur == Saboteur::CountsFromAnswer) until = own() + set_.lease;
     if (set_.saboteur == Saboteur::HoldsTooLong) until += set_.lease * 0.1;
@@ -256,7 +259,7 @@
             told = news.substr(0, head(news)) + old_news_.substr(head(old_news_));
         old_news_ = news;
     }
-    hold(agreement::Renewed{held.session, until, told});
+    hold(config_distribution::Renewed{held.session, until, told});
 }
 
 void NodeProcess::lost() {
@@ -265,70 +268,70 @@
         for (auto& [name, permit] : acted_) permit.until += set_.lease;
         return;
     }
-    hold(agreement::Lost{});
+    hold(config_distribution::Lost{});
 }
 
-void NodeProcess::hold(const agreement::Event& event) {
+void NodeProcess::hold(const config_distribution::Event& event) {
     if (!holder_) return;
     TimePoint now = own();
-    agreement::Actions actions;
+    config_distribution::Actions actions;
     holder_->handle(now, event, actions);
     carry_out(now, actions);
 }
 
-void NodeProcess::carry_out(TimePoint now, agreement::Actions& actions) {
+void NodeProcess::carry_out(TimePoint now, config_distribution::Actions& actions) {
     auto post = [&](auto what) {
         TimePoint at = now + kLoop * (double(random_()) * 0x1p-32);
         if (set_.saboteur == Saboteur::ExtendsFirst) at += Duration{double(random_() % 4000)};
         if (!loop_.empty()) at = std::max(at, loop_.back().first);
         loop_.emplace_back(at, std::move(what));
     };
-    for (agreement::Action& action : actions) {
-        if (auto* apply = std::get_if<agreement::Apply>(&action)) {
+    for (config_distribution::Action& action : actions) {
+        if (auto* apply = std::get_if<config_distribution::Apply>(&action)) {
             post(std::move(*apply));
-        } else if (auto* extend = std::get_if<agreement::Extend>(&action)) {
+        } else if (auto* extend = std::get_if<config_distribution::Extend>(&action)) {
             if (set_.saboteur != Saboteur::ExtendsFirst) post(*extend);
             for (auto& [name, permit] : acted_)
                 if (set_.saboteur == Saboteur::ExtendsFirst) permit.until = extend->until;
-        } else if (auto* check = std::get_if<agreement::Check>(&action)) {
-            const agreement::Document& d = check->document;
+        } else if (auto* check = std::get_if<config_distribution::Check>(&action)) {
+            const config_distribution::Document& d = check->document;
             std::string bad = local_check(d.content, set_.zone);
             if (!bad.empty()) judge_.refused(d.name, d.version);
             if (d.scope) judge_.canary(d.name, d.version, d.scope->length * 1.011);
-            hold(agreement::Verdict{d.name, d.version, bad.empty(), bad});
-        } else if (auto* say = std::get_if<agreement::Say>(&action)) {
-            if (session_) session(keeper::Submit{++calls_, "rules", say->command});
-        } else if (auto* write = std::get_if<agreement::Write>(&action)) {
+            hold(config_distribution::Verdict{d.name, d.version, bad.empty(), bad});
+        } else if (auto* say = std::get_if<config_distribution::Say>(&action)) {
+            if (session_) session(coordinator::Submit{++calls_, "rules", say->command});
+        } else if (auto* write = std::get_if<config_distribution::Write>(&action)) {
             file_ = write->octets;
-        } else if (auto* wake_at = std::get_if<agreement::WakeAt>(&action)) {
+        } else if (auto* wake_at = std::get_if<config_distribution::WakeAt>(&action)) {
             holder_wake_ = wake_at->at;
         }
     }
 }
 
-std::vector<agreement::Holder::Status> NodeProcess::status() {
-    return holder_ ? holder_->status(own()) : std::vector<agreement::Holder::Status>{};
+std::vector<config_distribution::Holder::Status> NodeProcess::status() {
+    return holder_ ? holder_->status(own()) : std::vector<config_distribution::Holder::Status>{};
 }
 
 // ---- Operators
 
 void OperatorProcess::look_up(const std::string& document, Answer then) {
     waiting_[++calls_] = std::move(then);
-    session(keeper::Question{calls_, "rules", agreement::question(document)});
+    session(coordinator::Question{calls_, "rules", config_distribution::question(document)});
     wake();
 }
 void OperatorProcess::ask(const std::string& command, Answer then) {
     waiting_[++calls_] = std::move(then);
-    session(keeper::Submit{calls_, "rules", command});
+    session(coordinator::Submit{calls_, "rules", command});
     wake();
 }
-void OperatorProcess::answered(const keeper::Answered& is) {
+void OperatorProcess::answered(const coordinator::Answered& is) {
     auto found = waiting_.find(is.call);
     if (found == waiting_.end()) return;
     Answer then = std::move(found->second);
     waiting_.erase(found);
-    if (is.error != keeper::Error::None) return;
-    if (auto answer = agreement::read_answer(is.result)) then(*answer);
+    if (is.error != coordinator::Error::None) return;
+    if (auto answer = config_distribution::read_answer(is.result)) then(*answer);
 }
 
 }  // namespace ochrehub::lab
--- a/lab/agreement/fleet.h
+++ b/lab/config_distribution/fleet.h
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/agreement/holder.h"
-#include "fleet/agreement/machine.h"
-#include "fleet/keeper/replica.h"
-#include "fleet/keeper/session.h"
+#include "fleet/config_distribution/holder.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/coordinator/replica.h"
+#include "fleet/coordinator/session.h"
 #include "fleet/raft/raft.h"
-#include "lab/agreement/judge.h"
-#include "lab/agreement/world.h"
+#include "lab/config_distribution/judge.h"
+#include "lab/config_distribution/world.h"
 #include "lab/swarm/net.h"
 
 namespace ochrehub::lab {
@@ -25,10 +25,10 @@
     Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
 
 /// Agreement, or one that errs.
-keeper::MakeMachines machines(Saboteur saboteur);
+coordinator::MakeMachines machines(Saboteur saboteur);
 
 /// Whatever is bad about a content, for a node of this zone. Empty: it takes it.
-std::string local_check(const agreement::Content& content, const std::string& zone);
+std::string local_check(const config_distribution::Content& content, const std::string& zone);
 
 class KeeperProcess {
 public:
@@ -37,12 +37,12 @@
     void crash() { replica_.reset(), raft_.reset(); }
     void woken(TimePoint own);
     void received(TimePoint own, std::size_t from, const std::string& message);
-    const agreement::Agreement* machine() const;
+    const config_distribution::Agreement* machine() const;
     bool leads() const { return replica_ && replica_->role() == raft::Role::Leader; }
     const std::string& stopped() const { return stopped_; }
 
 private:
-    void handle(TimePoint own, keeper::ReplicaEvent event);
+    void handle(TimePoint own, coordinator::ReplicaEvent event);
     void write(const raft::Write& write);
 
     Wire& net_;
@@ -51,7 +51,7 @@
     std::uint64_t seed_, starts_ = 0;
     raft::Disk disk_;
     std::unique_ptr<raft::Raft> raft_;
-    std::unique_ptr<keeper::Replica> replica_;
+    std::unique_ptr<coordinator::Replica> replica_;
     TimePoint last_{}, asked_{};
     std::string stopped_;
 };
@@ -77,18 +77,18 @@
     void begin();
     void end() { session_.reset(); }
     TimePoint own();
-    void session(const keeper::SessionEvent& event);
+    void session(const coordinator::SessionEvent& event);
     void wake();
     virtual void before() {}  ///< whatever comes, it may decide something first
     virtual void look(TimePoint) {}
-    virtual void held(const keeper::Held&, const std::string& /*news*/) {}
+    virtual void held(const coordinator::Held&, const std::string& /*news*/) {}
     virtual void lost() {}
-    virtual void answered(const keeper::Answered&) {}
+    virtual void answered(const coordinator::Answered&) {}
     virtual TimePoint wanted() const { return TimePoint::max(); }
 
     Wire& net_;
     ProcessSettings set_;
-    std::unique_ptr<keeper::Session> session_;
+    std::unique_ptr<coordinator::Session> session_;
     std::uint64_t starts_ = 0;
     TimePoint session_wake_ = TimePoint::max(), last_{}, asked_{};
 };
@@ -102,25 +102,25 @@
     void lose_file() { file_.clear(); }
     /// What it decides by now, told to the judge.
     void decide();
-    std::vector<agreement::Holder::Status> status();
+    std::vector<config_distribution::Holder::Status> status();
 
 protected:
     void before() override { decide(); }
     void look(TimePoint own) override;
-    void held(const keeper::Held& held, const std::string& news) override;
+    void held(const coordinator::Held& held, const std::string& news) override;
     void lost() override;
     TimePoint wanted() const override;
 
 private:
-    void hold(const agreement::Event& event);
-    void carry_out(TimePoint own, agreement::Actions& actions);
+    void hold(const config_distribution::Event& event);
+    void carry_out(TimePoint own, config_distribution::Actions& actions);
 
     Judge& judge_;
     boost::random::taus88 random_;
-    std::optional<agreement::Holder> holder_;
+    std::optional<config_distribution::Holder> holder_;
     std::string file_, old_news_;
-    std::map<std::string, agreement::Permit> acted_;
-    std::deque<std::pair<TimePoint, std::variant<agreement::Apply, agreement::Extend>>>
+    std::map<std::string, config_distribution::Permit> acted_;
+    std::deque<std::pair<TimePoint, std::variant<config_distribution::Apply, config_distribution::Extend>>>
         loop_;  ///< posted, and not done yet
     TimePoint holder_wake_ = TimePoint::max(), decide_at_{};
     std::uint64_t calls_ = 0;
@@ -128,7 +128,7 @@
 
 class OperatorProcess : public SessionProcess {
 public:
-    using Answer = std::function<void(const agreement::Answer&)>;
+    using Answer = std::function<void(const config_distribution::Answer&)>;
     using SessionProcess::SessionProcess;
     void start() { begin(); }
     /// Neither is told of if it cannot be asked.
@@ -136,7 +136,7 @@
     void ask(const std::string& command, Answer then);
 
 protected:
-    void answered(const keeper::Answered& answered) override;
+    void answered(const coordinator::Answered& answered) override;
 
 private:
     std::map<std::uint64_t, Answer> waiting_;
--- a/lab/agreement/judge.cpp
+++ b/lab/config_distribution/judge.cpp
@@ -1,11 +1,11 @@
-#include "lab/agreement/judge.h"
+#include "lab/config_distribution/judge.h"
 
 #include <algorithm>
 
 namespace ochrehub::lab {
 
-using agreement::Acted;
-using agreement::How;
+using config_distribution::Acted;
+using config_distribution::How;
 
 void Judge::acts(std::size_t node, const std::string& name, const Acted& acted, TimePoint now) {
     ++decisions_;
@@ -14,8 +14,8 @@
     Document& d = documents_[name];
     auto known = known_.find(acted.content.get());
     if (known == known_.end()) {
-        std::string key = agreement::encode(*acted.content);
-        const auto* servers = std::get_if<agreement::Servers>(acted.content.get());
+        std::string key = config_distribution::encode(*acted.content);
+        const auto* servers = std::get_if<config_distribution::Servers>(acted.content.get());
         key += servers && servers->partial ? "p" : "w";
         auto [id, fresh] = d.ids.emplace(key, d.contents.size());
         if (fresh) d.contents.push_back(*acted.content);
--- a/lab/agreement/judge.h
+++ b/lab/config_distribution/judge.h
@@ -11,17 +11,20 @@
 #include <string>
 #include <vector>
 
-#include "fleet/agreement/holder.h"
+#include "fleet/config_distribution/holder.h"
 
 namespace ochrehub::lab {
 
 class Judge {
 public:
-    using Contradict = std::function<bool(const agreement::Content&, const agreement::Content&)>;
+    using Contradict =
+        std::function<bool(const config_distribution::Content&, const config_distribution::Content&)>;
     /// `contradict`: another one proves that this judge needs it.
-    explicit Judge(Contradict contradict = agreement::contradict) : contradict_(std::move(contradict)) {}
+    explicit Judge(Contradict contradict = config_distribution::contradict)
+        : contradict_(std::move(contradict)) {}
 
-    void acts(std::size_t node, const std::string& document, const agreement::Acted& acted, TimePoint now);
+    void acts(std::size_t node, const std::string& document, const config_distribution::Acted& acted,
+              TimePoint now);
     /// Its process is gone: it acts on nothing.
     void gone(std::size_t node);
     /// A version that is tried out in a part of the fleet for so long.
@@ -36,7 +39,7 @@
         std::string document;
         std::size_t a = 0, b = 0;  ///< nodes
         std::uint64_t version_a = 0, version_b = 0;
-        agreement::How how_a{}, how_b{};
+        config_distribution::How how_a{}, how_b{};
         TimePoint from{};
         Duration length{};
         Duration allowed_more{};  ///< by a canary's length
@@ -46,7 +49,7 @@
     std::vector<Clash> clashes() const;
     std::uint64_t decisions() const { return decisions_; }
     /// By How.
-    const std::map<agreement::How, std::uint64_t>& by_how() const { return by_how_; }
+    const std::map<config_distribution::How, std::uint64_t>& by_how() const { return by_how_; }
     /// Versions that were acted on by anybody as such.
     const std::set<std::pair<std::string, std::uint64_t>>& versions() const { return versions_; }
     const std::set<std::pair<std::string, std::uint64_t>>& refused() const { return refused_; }
@@ -55,13 +58,13 @@
     struct Spell {
         std::size_t node = 0, content = 0;
         std::uint64_t version = 0;
-        agreement::How how{};
+        config_distribution::How how{};
         TimePoint from{}, to{};
         bool over = false;
     };
     struct Document {
         std::map<std::string, std::size_t> ids;
-        std::vector<agreement::Content> contents;
+        std::vector<config_distribution::Content> contents;
         std::vector<Spell> spells;
         std::map<std::size_t, std::size_t> last;  ///< by node
     };
@@ -69,10 +72,11 @@
     Contradict contradict_;
     std::map<std::string, Document> documents_;
     std::map<std::pair<std::string, std::uint64_t>, Duration> canaries_;
-    std::map<const agreement::Content*, std::pair<std::shared_ptr<const agreement::Content>, std::size_t>>
+    std::map<const config_distribution::Content*,
+             std::pair<std::shared_ptr<const config_distribution::Content>, std::size_t>>
         known_;
     std::uint64_t decisions_ = 0;
-    std::map<agreement::How, std::uint64_t> by_how_;
+    std::map<config_distribution::How, std::uint64_t> by_how_;
     std::set<std::pair<std::string, std::uint64_t>> versions_, refused_;
 };
 
--- a/lab/agreement/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <thread>
 
-#include "lab/agreement/world.h"
+#include "lab/config_distribution/world.h"
 
 namespace {
 
@@ -33,7 +33,7 @@
 struct Sum {
     std::uint64_t days = 0, broken = 0, proposed = 0, in_force = 0, decisions = 0;
     Duration longest{};
-    std::map<agreement::How, std::uint64_t> by_how;
+    std::map<config_distribution::How, std::uint64_t> by_how;
     std::map<std::string, int> stopped;
 };
 
@@ -67,13 +67,14 @@
     std::map<std::string, int> stopped;
     for (auto& [fault, s] : sums) {
         double all = double(s.decisions);
-        double without = double(s.by_how[agreement::How::Keep] + s.by_how[agreement::How::Caution] +
-                                s.by_how[agreement::How::Refuse]);
+        double without =
+            double(s.by_how[config_distribution::How::Keep] + s.by_how[config_distribution::How::Caution] +
+                   s.by_how[config_distribution::How::Refuse]);
         std::printf("| %s | %llu | %llu | %llu | %llu | %.0f | %.0f | %.4f | %.4f |\n",
                     std::string(name(fault)).c_str(), (unsigned long long)s.days,
                     (unsigned long long)s.broken, (unsigned long long)s.proposed,
                     (unsigned long long)s.in_force, s.longest.count(), stated.count(),
-                    double(s.by_how[agreement::How::Version]) / all, without / all);
+                    double(s.by_how[config_distribution::How::Version]) / all, without / all);
         for (const auto& [code, n] : s.stopped) stopped[code] += n;
     }
     for (const auto& [code, n] : stopped) std::printf("%s: %d\n", code.c_str(), n);
--- a/lab/agreement/saboteurs.cpp
+++ b/lab/config_distribution/saboteurs.cpp
@@ -1,20 +1,20 @@
 // Machines that err on purpose, each in one way.
-#include <agreement.pb.h>
+#include <config_distribution.pb.h>
 
 #include <set>
 
-#include "lab/agreement/fleet.h"
+#include "lab/config_distribution/fleet.h"
 
 namespace ochrehub::lab {
 namespace {
 
-namespace wire = agreement::wire;
+namespace wire = config_distribution::wire;
 
-class Erring : public agreement::Agreement {
+class Erring : public config_distribution::Agreement {
 public:
     explicit Erring(Saboteur saboteur) : saboteur_(saboteur) {}
 
-    std::string apply(const keeper::Command& command) override {
+    std::string apply(const coordinator::Command& command) override {
         wire::Command in;
         if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
             return Agreement::apply(command);
@@ -25,12 +25,12 @@
         if (saboteur_ == Saboteur::NoDraining || saboteur_ == Saboteur::MajorityGivesBack)
             for (const auto& [name, state] : drained()) {
                 if (saboteur_ == Saboteur::MajorityGivesBack && state.waits * 2 > state.all) continue;
-                for (keeper::SessionId id : sessions_)
-                    Agreement::apply({id, agreement::gave_back(name, state.version)});
+                for (coordinator::SessionId id : sessions_)
+                    Agreement::apply({id, config_distribution::gave_back(name, state.version)});
             }
         return answer;
     }
-    void session_over(keeper::SessionId session) override {
+    void session_over(coordinator::SessionId session) override {
         sessions_.erase(session);
         Agreement::session_over(session);
     }
@@ -50,9 +50,9 @@
     };
     std::map<std::string, Drained> drained() const {
         std::map<std::string, Drained> out;
-        auto all = agreement::read_answer(read(agreement::question("")));
+        auto all = config_distribution::read_answer(read(config_distribution::question("")));
         for (const auto& d : all->documents) {
-            if (d.phase != agreement::Phase::Draining) continue;
+            if (d.phase != config_distribution::Phase::Draining) continue;
             Drained& one = out[d.name];
             one.version = d.next->version, one.all = d.nodes.size();
             for (const auto& node : d.nodes) one.waits += node.holds_up;
@@ -60,20 +60,20 @@
         return out;
     }
     Saboteur saboteur_;
-    std::set<keeper::SessionId> sessions_;
+    std::set<coordinator::SessionId> sessions_;
 };
 
 }  // namespace
 
-keeper::MakeMachines machines(Saboteur saboteur) {
+coordinator::MakeMachines machines(Saboteur saboteur) {
     bool errs = saboteur == Saboteur::NoDraining || saboteur == Saboteur::MajorityGivesBack ||
                 saboteur == Saboteur::NoIsYes;
     return [=] {
-        keeper::Machines out;
+        coordinator::Machines out;
         if (errs)
             out.push_back(std::make_unique<Erring>(saboteur));
         else
-            out.push_back(std::make_unique<agreement::Agreement>());
+            out.push_back(std::make_unique<config_distribution::Agreement>());
         return out;
     };
 }
--- a/lab/agreement/world.cpp
+++ b/lab/config_distribution/world.cpp
@@ -1,20 +1,20 @@
-#include "lab/agreement/world.h"
+#include "lab/config_distribution/world.h"
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 #include <sstream>
 
-#include "fleet/agreement/stated.h"
-#include "lab/agreement/fleet.h"
+#include "fleet/config_distribution/stated.h"
+#include "lab/config_distribution/fleet.h"
 
 namespace ochrehub::lab {
 namespace {
 
-using agreement::Choice;
-using agreement::Content;
-using agreement::How;
-using agreement::Mode;
+using config_distribution::Choice;
+using config_distribution::Content;
+using config_distribution::How;
+using config_distribution::Mode;
 
 constexpr Duration kEach{4000};       // between two changes
 constexpr Duration kSettles{40'000};  // behind the last fault
@@ -46,7 +46,7 @@
 /// Another content for a document: most contradict the one before.
 Content drawn(Draws& draws, const std::string& name, const std::string& bad) {
     if (name == "rates") {
-        agreement::Limits c{900'000, {}};
+        config_distribution::Limits c{900'000, {}};
         std::uint64_t left = 900'000 - 4 * 50'000;
         for (const char* who : {"a", "b", "c", "d"}) {
             std::uint64_t more = *who == 'd' ? left : draws.below(left + 1);
@@ -57,38 +57,43 @@
         return c;
     }
     if (name == "classes") {
-        agreement::Classes c;
+        config_distribution::Classes c;
         for (const char* who : {"order", "page", "price"})
-            c.classes.push_back(draws.chance(0.5) ? agreement::ClassRule{who, agreement::Repeat::May, 2}
-                                                  : agreement::ClassRule{who, agreement::Repeat::MayNot, 1});
-        if (!bad.empty()) c.classes.push_back({bad, agreement::Repeat::MayNot, 1});
+            c.classes.push_back(
+                draws.chance(0.5)
+                    ? config_distribution::ClassRule{who, config_distribution::Repeat::May, 2}
+                    : config_distribution::ClassRule{who, config_distribution::Repeat::MayNot, 1});
+        if (!bad.empty()) c.classes.push_back({bad, config_distribution::Repeat::MayNot, 1});
         return c;
     }
     if (name == "headers") {
-        agreement::Headers c;
+        config_distribution::Headers c;
         for (const char* who : {"x-cell", "x-trust"})
-            c.rules.push_back({agreement::Act::Set, who, std::to_string(draws.below(3))});
-        if (draws.chance(0.3)) c.rules.push_back({agreement::Act::Remove, "x-cell", ""});
-        if (!bad.empty()) c.rules.push_back({agreement::Act::Set, bad, "1"});
+            c.rules.push_back({config_distribution::Act::Set, who, std::to_string(draws.below(3))});
+        if (draws.chance(0.3)) c.rules.push_back({config_distribution::Act::Remove, "x-cell", ""});
+        if (!bad.empty()) c.rules.push_back({config_distribution::Act::Set, bad, "1"});
         return c;
     }
     if (name == "partners") {
-        agreement::Partners c;
+        config_distribution::Partners c;
         for (const char* who : {"dealer", "market", "shop"})
             c.partners.push_back({who,
-                                  draws.chance(0.6) ? agreement::Standing::Open : agreement::Standing::Shut,
+                                  draws.chance(0.6) ? config_distribution::Standing::Open
+                                                    : config_distribution::Standing::Shut,
                                   {std::string("key-") + who}});
-        if (!bad.empty()) c.partners.push_back({bad, agreement::Standing::Open, {}});
+        if (!bad.empty()) c.partners.push_back({bad, config_distribution::Standing::Open, {}});
         return c;
     }
-    agreement::Servers c;
-    c.source = name == "hand" ? agreement::Source::Hand : agreement::Source::Discovery;
+    config_distribution::Servers c;
+    c.source = name == "hand" ? config_distribution::Source::Hand : config_distribution::Source::Discovery;
     if (name == "list") c.revision = 1 + draws.below(1'000'000);
     for (std::size_t i = 0; i < 8; ++i)
         if (draws.chance(0.7))
             c.servers.push_back(
-                {numbered("s", i), draws.chance(0.7) ? agreement::Use::In : agreement::Use::Out, {}});
-    if (!bad.empty()) c.servers.push_back({bad, agreement::Use::In, {}});
+                {numbered("s", i),
+                 draws.chance(0.7) ? config_distribution::Use::In : config_distribution::Use::Out,
+                 {}});
+    if (!bad.empty()) c.servers.push_back({bad, config_distribution::Use::In, {}});
     return c;
 }
 
@@ -292,41 +297,42 @@
     /// One operator looks at a document, and proposes something of it.
     void change(OperatorProcess& by, const Kind& kind, const std::string& who) {
         std::uint64_t token = ++tokens;
-        by.look_up(kind.name, [this, &by, &kind, who, token](const agreement::Answer& seen) {
-            const agreement::DocumentStatus* status =
+        by.look_up(kind.name, [this, &by, &kind, who, token](const config_distribution::Answer& seen) {
+            const config_distribution::DocumentStatus* status =
                 seen.documents.empty() ? nullptr : &seen.documents.front();
             bool first = !status || !status->in_force;
             std::string spoilt = draws.chance(0.06) ? (draws.chance(0.5) ? "bad-all" : "bad-b") : "";
-            agreement::Document d{kind.name,
-                                  0,
-                                  drawn(draws, kind.name, first ? "" : spoilt),
-                                  kind.mode,
-                                  kind.choice,
-                                  who,
-                                  1'700'000'000 + draws.below(1000),
-                                  {},
-                                  0};
-            agreement::Proposal p{d, first ? 0 : status->in_force->version, token, true,
-                                  Duration{2000 + 20'000 * draws.uniform()}};
+            config_distribution::Document d{kind.name,
+                                            0,
+                                            drawn(draws, kind.name, first ? "" : spoilt),
+                                            kind.mode,
+                                            kind.choice,
+                                            who,
+                                            1'700'000'000 + draws.below(1000),
+                                            {},
+                                            0};
+            config_distribution::Proposal p{d, first ? 0 : status->in_force->version, token, true,
+                                            Duration{2000 + 20'000 * draws.uniform()}};
             bool spoils = !first && !spoilt.empty();
             std::string command;
             if (!first && !spoils && !status->before.empty() && draws.chance(0.15)) {
-                command = agreement::back(kind.name, status->before.back().version, p);
+                command = config_distribution::back(kind.name, status->before.back().version, p);
             } else {
                 if (!first && !spoils && kind.mode == Mode::Quick && draws.chance(0.15))
-                    p.document.scope = agreement::Scope{draws.chance(0.5) ? "a" : "", "",
-                                                        Duration{1000 + 8000 * draws.uniform()}};
+                    p.document.scope = config_distribution::Scope{draws.chance(0.5) ? "a" : "", "",
+                                                                  Duration{1000 + 8000 * draws.uniform()}};
                 if (p.document.scope && p.document.scope->zone.empty())
                     p.document.scope->node = numbered("n", draws.below(set.nodes));
-                command = agreement::propose(p);
+                command = config_distribution::propose(p);
             }
             ++day.proposed;
-            by.ask(command, [this](const agreement::Answer& answer) {
-                if (answer.failure) ++day.stopped[std::string(agreement::row(answer.failure->error).code)];
+            by.ask(command, [this](const config_distribution::Answer& answer) {
+                if (answer.failure)
+                    ++day.stopped[std::string(config_distribution::row(answer.failure->error).code)];
             });
         });
     }
-    const agreement::Agreement* machine() const {
+    const config_distribution::Agreement* machine() const {
         for (const auto& k : keepers)
             if (k->leads()) return k->machine();
         return nullptr;
@@ -337,16 +343,17 @@
     }
     /// Behind the faults everybody acts on the newest version of each document.
     void settled() {
-        const agreement::Agreement* m = machine();
+        const config_distribution::Agreement* m = machine();
         if (!m) return day.broken.push_back("nobody leads the keepers"), void();
-        auto seen = agreement::read_answer(m->read(agreement::question("")));
+        auto seen = config_distribution::read_answer(m->read(config_distribution::question("")));
         for (const auto& d : seen->documents) {
-            if (d.phase == agreement::Phase::Staging || d.phase == agreement::Phase::Draining)
+            if (d.phase == config_distribution::Phase::Staging ||
+                d.phase == config_distribution::Phase::Draining)
                 day.broken.push_back(d.name + ": hangs");
             for (const auto& ended : d.ended)
-                ++day.stopped[std::string(agreement::row(ended.why.error).code)];
+                ++day.stopped[std::string(config_distribution::row(ended.why.error).code)];
             if (!d.in_force) continue;
-            Content content = agreement::read_answer(m->read(agreement::question(d.name)))
+            Content content = config_distribution::read_answer(m->read(config_distribution::question(d.name)))
                                   ->documents.at(0)
                                   .in_force->content;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -355,17 +362,17 @@
                 if (!local_check(content, std::string(1, char('a' + i % 3))).empty()) continue;
                 for (const auto& s : nodes[i]->status())
                     if (s.document == d.name && (s.how != How::Version || s.acted != d.in_force->version) &&
-                        d.phase == agreement::Phase::None)
+                        d.phase == config_distribution::Phase::None)
                         day.broken.push_back(d.name + ": a node acts on " + std::to_string(s.acted) + " (" +
-                                             std::string(agreement::name(s.how)) + "), in force is " +
-                                             std::to_string(d.in_force->version));
+                                             std::string(config_distribution::name(s.how)) +
+                                             "), in force is " + std::to_string(d.in_force->version));
             }
         }
     }
     void judged(bool promises_quick = true) {
         day.events = net.happened(), day.decisions = judge.decisions(), day.by_how = judge.by_how();
         day.in_force = int(judge.versions().size());
-        day.stated = agreement::stated_time(agreement::timing(set.lease), Mode::Quick);
+        day.stated = config_distribution::stated_time(config_distribution::timing(set.lease), Mode::Quick);
         for (const Judge::Clash& c : judge.clashes()) {
             auto kind = std::find_if(kinds().begin(), kinds().end(),
                                      [&](const Kind& k) { return k.name == c.document; });
@@ -376,8 +383,8 @@
             std::ostringstream line;
             line << c.document << (strict ? " (strict)" : " (quick)") << ": for " << c.length.count()
                  << " ms from " << c.from.time_since_epoch().count() << " on node " << c.a << " acted on "
-                 << c.version_a << " (" << agreement::name(c.how_a) << "), node " << c.b << " on "
-                 << c.version_b << " (" << agreement::name(c.how_b) << ")";
+                 << c.version_a << " (" << config_distribution::name(c.how_a) << "), node " << c.b << " on "
+                 << c.version_b << " (" << config_distribution::name(c.how_b) << ")";
             if (day.broken.size() < 20) day.broken.push_back(line.str());
         }
         for (const auto& version : judge.versions())
@@ -545,10 +552,10 @@
     Draws other{std::mt19937_64(seed + 1)};
     w.net.run_to(TimePoint{Duration{5000}});
     auto propose = [&](std::uint64_t base) {
-        agreement::Document d{kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.choice, "ann", 0,
-                              {},        0};
-        w.operators[0]->ask(agreement::propose({d, base, ++w.tokens, true, Duration{20'000}}),
-                            [](const agreement::Answer&) {});
+        config_distribution::Document d{
+            kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.choice, "ann", 0, {}, 0};
+        w.operators[0]->ask(config_distribution::propose({d, base, ++w.tokens, true, Duration{20'000}}),
+                            [](const config_distribution::Answer&) {});
     };
     propose(0);
     w.net.run_to(TimePoint{Duration{10'000}});
--- a/lab/keeper/judge.cpp
+++ b/lab/coordinator/judge.cpp
@@ -1,11 +1,11 @@
-#include "lab/keeper/judge.h"
+#include "lab/coordinator/judge.h"
 
 #include <algorithm>
 #include <sstream>
 
 namespace ochrehub::lab {
 
-std::string ListMachine::apply(const keeper::Command& command) {
+std::string ListMachine::apply(const coordinator::Command& command) {
     std::string body(command.body);
     if (body.starts_with("hold ")) {
         if (command.session == 0) return "0";
@@ -32,12 +32,12 @@
     return std::to_string(list_.size()) + " " + (list_.empty() ? "" : list_.back());
 }
 
-void ListMachine::session_over(keeper::SessionId session) {
+void ListMachine::session_over(coordinator::SessionId session) {
     judge_->session_over(session);
     holds_.erase(session);
 }
 
-void ListMachine::armed(std::vector<keeper::Armed>& armed) const {
+void ListMachine::armed(std::vector<coordinator::Armed>& armed) const {
     for (const auto& [session, hold] : holds_)
         armed.push_back({session, hold.revision, Duration{hold.length}});
 }
@@ -62,7 +62,7 @@
     std::size_t many = 0;
     in >> revision_ >> many;
     for (std::size_t i = 0; i < many; ++i) {
-        keeper::SessionId session = 0;
+        coordinator::SessionId session = 0;
         Hold hold;
         in >> session >> hold.revision >> hold.length;
         holds_[session] = hold;
@@ -85,7 +85,7 @@
         if (belief.process == process) belief.given_up = true;
 }
 
-void KeeperJudge::session_over(keeper::SessionId session) {
+void KeeperJudge::session_over(coordinator::SessionId session) {
     ++ended;
     auto found = sessions_.find(session);
     if (found == sessions_.end() || found->second.given_up) return;
--- a/lab/keeper/judge.h
+++ b/lab/coordinator/judge.h
@@ -7,24 +7,24 @@
 #include <string>
 #include <vector>
 
-#include "fleet/keeper/machine.h"
-#include "ochrehub/rules.h"
+#include "fleet/coordinator/machine.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
 /// A list that commands append to; a read tells how long it is and what its last is. `hold MS` arms a time
 /// for the session.
-class ListMachine : public keeper::Machine {
+class ListMachine : public coordinator::Machine {
 public:
     explicit ListMachine(class KeeperJudge* judge, std::size_t at) : judge_(judge), at_(at) {}
     std::string_view kind() const override { return "list"; }
     std::uint32_t schema() const override { return 1; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     std::string read(std::string_view) const override;
-    void session_began(keeper::SessionId, std::string_view, std::string_view) override {}
-    void session_over(keeper::SessionId session) override;
-    std::string news(keeper::SessionId) const override { return {}; }
-    void armed(std::vector<keeper::Armed>& armed) const override;
+    void session_began(coordinator::SessionId, std::string_view, std::string_view) override {}
+    void session_over(coordinator::SessionId session) override;
+    std::string news(coordinator::SessionId) const override { return {}; }
+    void armed(std::vector<coordinator::Armed>& armed) const override;
     std::string over(std::uint64_t key, std::uint64_t revision) const override;
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -37,7 +37,7 @@
     KeeperJudge* judge_;
     std::size_t at_;
     std::vector<std::string> list_;
-    std::map<keeper::SessionId, Hold> holds_;
+    std::map<coordinator::SessionId, Hold> holds_;
     std::uint64_t revision_ = 0;
 };
 
@@ -61,18 +61,18 @@
     };
 
     // What processes believe.
-    void held(keeper::SessionId session, std::size_t process, TimePoint until) {
+    void held(coordinator::SessionId session, std::size_t process, TimePoint until) {
         auto& b = sessions_[session];
         b.process = process, b.until = std::max(b.until, until);
     }
-    void gave_up(keeper::SessionId session) { sessions_[session].given_up = true; }
+    void gave_up(coordinator::SessionId session) { sessions_[session].given_up = true; }
     void held_time(std::uint64_t revision, std::size_t process, TimePoint until) {
         times_[revision] = {until, process, false};
     }
     void gave_up_time(std::uint64_t revision) { times_[revision].given_up = true; }
     void crashed(std::size_t process);
     // What machines carry out.
-    void session_over(keeper::SessionId session);
+    void session_over(coordinator::SessionId session);
     void time_over(std::uint64_t revision);
     void appended(std::size_t keeper, std::uint64_t place, const std::string& tag);
     /// The state of a keeper as of an index.
@@ -90,7 +90,7 @@
 
 private:
     std::vector<std::string> wrong_;
-    std::map<keeper::SessionId, Belief> sessions_;
+    std::map<coordinator::SessionId, Belief> sessions_;
     std::map<std::uint64_t, Belief> times_;
     std::vector<std::string> list_;                  // the longest that any keeper has
     std::map<std::uint64_t, std::uint64_t> states_;  // by index
--- a/lab/keeper/measure.cpp
+++ b/lab/coordinator/measure.cpp
@@ -16,8 +16,8 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/duty/machine.h"
-#include "lab/keeper/rig.h"
+#include "fleet/leadership/machine.h"
+#include "lab/coordinator/rig.h"
 
 using namespace ochrehub;
 using namespace ochrehub::lab;
@@ -44,7 +44,7 @@
 
 /// Always so many commands on their way: duties of its own, wanted and given back in turn.
 struct Load {
-    keeper::SessionSide side;
+    coordinator::SessionSide side;
     std::string name;
     std::atomic<std::uint64_t> grants{0}, commands{0}, errors{0}, sessions{0};
     std::atomic<bool> ends{false};
@@ -54,16 +54,17 @@
 
     Load(const std::vector<std::string>& keepers, const std::string& called)
         : side(settings(keepers, called), Clock()), name(called) {
-        side.listen([this](const keeper::SessionSide::Told& told) {
-            if (const auto* held = std::get_if<keeper::Held>(&told); held && held->session != session) {
+        side.listen([this](const coordinator::SessionSide::Told& told) {
+            if (const auto* held = std::get_if<coordinator::Held>(&told); held && held->session != session) {
                 session = held->session, ++sessions;
                 for (std::size_t i = 0; i < 16; ++i) go(i, true);
             }
         });
         side.start();
     }
-    static keeper::SideSettings settings(const std::vector<std::string>& keepers, const std::string& called) {
-        keeper::SideSettings set;
+    static coordinator::SideSettings settings(const std::vector<std::string>& keepers,
+                                              const std::string& called) {
+        coordinator::SideSettings set;
         set.session.keepers = keepers, set.session.name = called, set.cluster = "rig";
         return set;
     }
@@ -71,9 +72,9 @@
         if (ends) return;
         std::string duty_name = name;
         duty_name.append(".").append(std::to_string(i));
-        side.submit("duty", want ? duty::want(duty_name) : duty::unwant(duty_name),
-                    [this, i, want](keeper::Error error, std::string) {
-                        if (error != keeper::Error::None) {
+        side.submit("duty", want ? leadership::want(duty_name) : leadership::unwant(duty_name),
+                    [this, i, want](coordinator::Error error, std::string) {
+                        if (error != coordinator::Error::None) {
                             ++errors;  // a session anew begins anew
                             return;
                         }
@@ -91,7 +92,7 @@
         longest = std::max(longest, since(last));
         return std::exchange(longest, 0.0);
     }
-    keeper::SessionId session = 0;
+    coordinator::SessionId session = 0;
 };
 
 }  // namespace
--- a/lab/keeper/rig.cpp
+++ b/lab/coordinator/rig.cpp
@@ -1,8 +1,8 @@
-#include "lab/keeper/rig.h"
+#include "lab/coordinator/rig.h"
 
 #include <arpa/inet.h>
+#include <coordinator.pb.h>
 #include <fcntl.h>
-#include <keeper.pb.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -15,7 +15,7 @@
 #include <stdexcept>
 #include <thread>
 
-#include "fleet/keeper/asking.h"
+#include "fleet/coordinator/asking.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -37,15 +37,15 @@
     return text.append(":").append(std::to_string(ntohs(at.sin_port)));
 }
 
-std::vector<std::pair<std::size_t, keeper::wire::StatusIs>> statuses(
+std::vector<std::pair<std::size_t, coordinator::wire::StatusIs>> statuses(
     const std::vector<std::string>& addresses, Duration patience) {
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     ask.set_call(1);
     ask.mutable_status();
-    auto answers = keeper::ask_each({"rig", {}, patience}, addresses, ask.SerializeAsString());
-    std::vector<std::pair<std::size_t, keeper::wire::StatusIs>> all;
+    auto answers = coordinator::ask_each({"rig", {}, patience}, addresses, ask.SerializeAsString());
+    std::vector<std::pair<std::size_t, coordinator::wire::StatusIs>> all;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
-        keeper::wire::Answer answer;
+        coordinator::wire::Answer answer;
         if (auto found = answers.find(addresses[i]);
             found != answers.end() && answer.ParseFromString(found->second))
             all.emplace_back(i, answer.status());
--- a/lab/keeper/rig.h
+++ b/lab/coordinator/rig.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/keeper/session_side.h"
+#include "fleet/coordinator/session_side.h"
 #include "lab/channel/relay.h"
 
 namespace ochrehub::lab {
--- a/lab/keeper/seeds.cpp
+++ b/lab/coordinator/seeds.cpp
@@ -10,7 +10,7 @@
 #include <thread>
 #include <vector>
 
-#include "lab/keeper/world.h"
+#include "lab/coordinator/world.h"
 
 using namespace ochrehub::lab;
 
--- a/lab/keeper/world.cpp
+++ b/lab/coordinator/world.cpp
@@ -1,6 +1,6 @@
-#include "lab/keeper/world.h"
+#include "lab/coordinator/world.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <algorithm>
 #include <array>
@@ -9,16 +9,16 @@
 #include <memory>
 #include <optional>
 
-#include "fleet/keeper/replica.h"
-#include "fleet/keeper/session.h"
-#include "lab/keeper/judge.h"
+#include "fleet/coordinator/replica.h"
+#include "fleet/coordinator/session.h"
+#include "lab/coordinator/judge.h"
 #include "lab/swarm/net.h"
 
 namespace ochrehub::lab {
 namespace {
 
-using namespace keeper;
-namespace wire = keeper::wire;
+using namespace coordinator;
+namespace wire = coordinator::wire;
 using Saboteur = KeeperSaboteur;
 
 constexpr Duration kElection{400}, kHeartbeat{60};
@@ -166,7 +166,7 @@
                 agree(at, now, event, actions);
             },
             k.disk.durable);
-        to_keeper(at, net_.own(at), keeper::Woken{});
+        to_keeper(at, net_.own(at), coordinator::Woken{});
     }
 
     /// Raft, and whoever errs on purpose between it and the replica.
@@ -385,7 +385,7 @@
             k.disk.pending.pop_front();
         }
         if (written && !is(Saboteur::WrittenTooSoon)) to_keeper(at, own, Written{*written});
-        if (k.replica && own >= k.wake) k.wake = TimePoint::max(), to_keeper(at, own, keeper::Woken{});
+        if (k.replica && own >= k.wake) k.wake = TimePoint::max(), to_keeper(at, own, coordinator::Woken{});
         if (k.replica) wake_keeper(at);
     }
 
--- a/lab/keeper/world.h
+++ b/lab/coordinator/world.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
--- a/lab/fleet/links.h
+++ b/lab/fleet/links.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "lab/fleet/day.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab::fleet {
 
--- a/lab/duty/keepers.cpp
+++ b/lab/leadership/keepers.cpp
@@ -1,8 +1,8 @@
-#include "lab/duty/keepers.h"
+#include "lab/leadership/keepers.h"
 
 #include <utility>
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 void Keepers::started(std::size_t self, TimePoint own) {
     each_[self] = {};
@@ -25,17 +25,17 @@
     me.term = ++term_;
     me.heard = own;
     me.ends.clear(), me.armed.clear();
-    for (keeper::SessionId session : sessions_) me.ends[session] = own + set_.lease * set_.given_on;
+    for (coordinator::SessionId session : sessions_) me.ends[session] = own + set_.lease * set_.given_on;
 }
 
 void Keepers::count_armed(std::size_t self, TimePoint own) {
     Each& me = each_[self];
-    std::vector<keeper::Armed> armed;
+    std::vector<coordinator::Armed> armed;
     for (auto& machine : machines_) {
         armed.clear();
         machine->armed(armed);
         std::set<std::uint64_t> there;
-        for (const keeper::Armed& one : armed) {
+        for (const coordinator::Armed& one : armed) {
             there.insert(one.key);
             auto [it, fresh] = me.armed.try_emplace({std::string(machine->kind()), one.key});
             if (fresh || it->second.revision != one.revision) it->second = {one.revision, own + one.length};
@@ -47,7 +47,7 @@
     auto all = me.armed;
     for (const auto& [key, count] : all)
         if (count.end <= own) {
-            keeper::Machine& its = machine(key.first);
+            coordinator::Machine& its = machine(key.first);
             its.apply({0, its.over(key.second, count.revision)});
             me.armed.erase(key);
         }
@@ -98,7 +98,7 @@
     if (!majority(self)) return;
     if (message.kind == Message::Kind::Renew) {
         answer.kind = Message::Kind::Renewed;
-        keeper::SessionId session = message.session;
+        coordinator::SessionId session = message.session;
         auto end = me.ends.find(session);
         if (session == 0) {
             sessions_.insert(session = ++last_);
@@ -123,17 +123,17 @@
     net_->send(self, from, answer);
 }
 
-void Keepers::add_news(keeper::SessionId session, Message& answer) const {
+void Keepers::add_news(coordinator::SessionId session, Message& answer) const {
     for (const auto& machine : machines_) answer.news.emplace_back(machine->kind(), machine->news(session));
 }
 
-keeper::Machine& Keepers::machine(std::string_view kind) {
+coordinator::Machine& Keepers::machine(std::string_view kind) {
     for (auto& machine : machines_)
         if (machine->kind() == kind) return *machine;
     return *machines_.front();
 }
 
-const keeper::Machine* Keepers::look(std::string_view kind) const {
+const coordinator::Machine* Keepers::look(std::string_view kind) const {
     for (const auto& machine : machines_)
         if (machine->kind() == kind) return machine.get();
     return nullptr;
@@ -143,4 +143,4 @@
     answers_.push_back(machine(kind).apply({0, body}));
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/keepers.h
+++ b/lab/leadership/keepers.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "fleet/duty/machine.h"
-#include "fleet/keeper/machine.h"
-#include "lab/duty/message.h"
+#include "fleet/coordinator/machine.h"
+#include "fleet/leadership/machine.h"
+#include "lab/leadership/message.h"
 #include "lab/swarm/net.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 struct KeeperSettings {
     std::size_t keepers = 3;
@@ -41,7 +41,7 @@
     /// Who leads; none: not now.
     virtual std::optional<std::size_t> leads() const = 0;
     /// The machine as whoever is furthest has it.
-    virtual const keeper::Machine* look(std::string_view kind) const = 0;
+    virtual const coordinator::Machine* look(std::string_view kind) const = 0;
     /// As an operator does. What it is answered comes at once, or behind what the network still has to do
     /// (`answers`).
     virtual void operate(std::string_view kind, std::string_view body) = 0;
@@ -50,7 +50,7 @@
 
 class Keepers : public House {
 public:
-    using Machines = std::vector<std::unique_ptr<keeper::Machine>>;
+    using Machines = std::vector<std::unique_ptr<coordinator::Machine>>;
     Keepers(const KeeperSettings& settings, Machines machines)
         : set_(settings), machines_(std::move(machines)), each_(settings.keepers) {}
     void attach(Network& net) override { net_ = &net; }
@@ -61,14 +61,14 @@
     std::optional<std::size_t> leads() const override {
         return leader_ < set_.keepers ? std::optional(leader_) : std::nullopt;
     }
-    const keeper::Machine* look(std::string_view kind) const override;
+    const coordinator::Machine* look(std::string_view kind) const override;
     void operate(std::string_view kind, std::string_view body) override;
     std::vector<std::string>& answers() override { return answers_; }
     std::uint64_t sessions_ended() const { return ended_; }
 
 private:
     struct Each {
-        std::map<keeper::SessionId, TimePoint> ends;  // by its own clock, while it leads
+        std::map<coordinator::SessionId, TimePoint> ends;  // by its own clock, while it leads
         struct Count {
             std::uint64_t revision = 0;
             TimePoint end{};
@@ -80,19 +80,19 @@
     bool majority(std::size_t self) const;
     void take_over(std::size_t self, TimePoint own);
     void count_armed(std::size_t self, TimePoint own);
-    keeper::Machine& machine(std::string_view kind);
-    void add_news(keeper::SessionId session, Message& answer) const;
+    coordinator::Machine& machine(std::string_view kind);
+    void add_news(coordinator::SessionId session, Message& answer) const;
 
     KeeperSettings set_;
     Machines machines_;
     std::vector<Each> each_;
     Network* net_ = nullptr;
-    std::set<keeper::SessionId> sessions_;
-    keeper::SessionId last_ = 0;
+    std::set<coordinator::SessionId> sessions_;
+    coordinator::SessionId last_ = 0;
     std::size_t leader_ = 0;  // the first one, at the very start
     std::uint64_t ended_ = 0, term_ = 0;
     bool begun_ = false;
     std::vector<std::string> answers_;
 };
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/list_world.cpp
+++ b/lab/leadership/list_world.cpp
@@ -1,16 +1,16 @@
-#include "lab/duty/list_world.h"
+#include "lab/leadership/list_world.h"
 
 #include <list.pb.h>
 
 #include <algorithm>
 
-#include "fleet/duty/machine.h"
-#include "lab/duty/replicas.h"
+#include "fleet/leadership/machine.h"
+#include "lab/leadership/replicas.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
-namespace core = ochrehub::duty;
-namespace list = ochrehub::duty::list;
+namespace core = ochrehub::leadership;
+namespace list = ochrehub::leadership::list;
 
 std::string_view name(ListSaboteur saboteur) {
     constexpr std::string_view kNames[kListSaboteurs] = {"none",
@@ -168,11 +168,11 @@
         follower.emplace(follow, now);
         if (!restarted) view = world.discovery_->servers;
         SessionHooks hooks{
-            [this](TimePoint t, keeper::SessionId id, TimePoint until) {
+            [this](TimePoint t, coordinator::SessionId id, TimePoint until) {
                 duty(t, core::SessionHeld{id, until});
             },
             [this](TimePoint t) { duty(t, core::SessionLost{}); },
-            [this](TimePoint t, keeper::SessionId id, const std::string& kind, const std::string& news) {
+            [this](TimePoint t, coordinator::SessionId id, const std::string& kind, const std::string& news) {
                 if (kind == "duty") duty(t, core::Heard{id, news});
                 if (kind == "list")
                     follow_(t, list::Heard{client->asked(),
@@ -606,4 +606,4 @@
     return trial;
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/list_world.h
+++ b/lab/leadership/list_world.h
@@ -6,13 +6,13 @@
 #include <memory>
 #include <vector>
 
-#include "fleet/duty/list_follower.h"
-#include "fleet/duty/list_owner.h"
-#include "fleet/duty/owner.h"
-#include "lab/duty/keepers.h"
-#include "lab/duty/process.h"
+#include "fleet/leadership/list_follower.h"
+#include "fleet/leadership/list_owner.h"
+#include "fleet/leadership/owner.h"
+#include "lab/leadership/keepers.h"
+#include "lab/leadership/process.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 /// What errs on purpose, and what shows it.
 enum class ListSaboteur {
@@ -114,4 +114,4 @@
 std::string_view name(Hit hit);
 ListTrial list_shown_by(ListSaboteur what_for, ListSaboteur in_it);
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/main.cpp
+++ b/lab/leadership/main.cpp
@@ -4,11 +4,11 @@
 #include <cstdlib>
 #include <string>
 
-#include "lab/duty/list_world.h"
-#include "lab/duty/trial.h"
+#include "lab/leadership/list_world.h"
+#include "lab/leadership/trial.h"
 
 using namespace ochrehub;
-using namespace ochrehub::lab::duty;
+using namespace ochrehub::lab::leadership;
 
 namespace {
 
--- a/lab/duty/message.h
+++ b/lab/leadership/message.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fence/fence.h"
-#include "fleet/keeper/machine.h"
+#include "fleet/coordinator/machine.h"
+#include "fleet/fencing/fence.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 struct Message {
     enum class Kind {
@@ -29,13 +29,13 @@
         Answered  // among real keepers, and with their sessions
     } kind{};
     std::uint64_t call = 0;
-    keeper::SessionId session = 0;
+    coordinator::SessionId session = 0;
     std::string what, body;  // which machine; its command, answer; a duty's name
     std::vector<std::pair<std::string, std::string>> news;
     std::uint64_t epoch = 0, step = 0, item = 0;
-    fence::Verdict verdict{};
+    fencing::Verdict verdict{};
     std::uint64_t index = 0;
     double wait = 0;
 };
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/process.h
+++ b/lab/leadership/process.h
@@ -5,10 +5,10 @@
 #include <functional>
 #include <map>
 
-#include "fleet/keeper/session.h"
-#include "lab/duty/keepers.h"
+#include "fleet/coordinator/session.h"
+#include "lab/leadership/keepers.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 /// By the process's own clock. Each is an event of its own, so that a fault can come between any two.
 class Timers {
@@ -37,9 +37,10 @@
 };
 
 struct SessionHooks {
-    std::function<void(TimePoint own, keeper::SessionId, TimePoint until)> held;
+    std::function<void(TimePoint own, coordinator::SessionId, TimePoint until)> held;
     std::function<void(TimePoint own)> lost;
-    std::function<void(TimePoint own, keeper::SessionId, const std::string& kind, const std::string& news)>
+    std::function<void(TimePoint own, coordinator::SessionId, const std::string& kind,
+                       const std::string& news)>
         news;
     std::function<void(TimePoint own, const std::string& kind, std::uint64_t number,
                        const std::string& answer)>
@@ -51,8 +52,8 @@
 public:
     virtual ~Member() = default;
     virtual void begin(TimePoint own) = 0;
-    virtual void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what,
-                     const std::string& body) = 0;
+    virtual void say(TimePoint own, std::uint64_t number, coordinator::SessionId session,
+                     const std::string& what, const std::string& body) = 0;
     /// True: it was the session's.
     virtual bool received(std::size_t from, TimePoint own, const Message& m) = 0;
     /// The machine's `read`; the answer comes as Kind::List.
@@ -73,7 +74,7 @@
           hooks_(std::move(hooks)) {}
 
     void begin(TimePoint own) override { renew(own); }
-    void say(TimePoint, std::uint64_t number, keeper::SessionId session, const std::string& what,
+    void say(TimePoint, std::uint64_t number, coordinator::SessionId session, const std::string& what,
              const std::string& body) override {
         Message m;
         m.kind = Message::Kind::Do;
@@ -149,13 +150,13 @@
     Timers& timers_;
     std::size_t self_, keeper_;
     Hooks hooks_;
-    keeper::SessionId session_ = 0;
+    coordinator::SessionId session_ = 0;
     std::uint64_t calls_ = 0;
     TimePoint asked_at_{};
     std::map<std::uint64_t, TimePoint> asked_;
 };
 
-/// keeper::Session as shipped.
+/// coordinator::Session as shipped.
 class RealMember : public Member {
 public:
     RealMember(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
@@ -166,7 +167,7 @@
           lease_(settings.lease),
           hooks_(std::move(hooks)),
           session_([&] {
-              keeper::SessionSettings set;
+              coordinator::SessionSettings set;
               for (std::size_t i = 0; i < settings.keepers; ++i) set.keepers.push_back(address(i));
               set.name = address(self), set.instance = instance, set.seed = instance;
               set.lease = settings.lease, set.patience = settings.patience;
@@ -175,54 +176,54 @@
     /// As the real keepers name themselves.
     static std::string address(std::size_t keeper) { return std::to_string(keeper + 1).insert(0, 1, 'k'); }
 
-    void begin(TimePoint own) override { handle(own, keeper::SessionWoken{}); }
-    void say(TimePoint own, std::uint64_t number, keeper::SessionId session, const std::string& what,
+    void begin(TimePoint own) override { handle(own, coordinator::SessionWoken{}); }
+    void say(TimePoint own, std::uint64_t number, coordinator::SessionId session, const std::string& what,
              const std::string& body) override {
         if (session != session_.id()) return;
         calls_[++call_] = {what, number};
-        handle(own, keeper::Submit{call_, what, body});
+        handle(own, coordinator::Submit{call_, what, body});
     }
     void read(TimePoint own, const std::string& what) override {
         calls_[++call_] = {what, 0};
-        handle(own, keeper::Question{call_, what, ""});
+        handle(own, coordinator::Question{call_, what, ""});
     }
     bool received(std::size_t from, TimePoint own, const Message& m) override {
         if (m.kind != Message::Kind::Answered) return false;
-        handle(own, keeper::Heard{address(from), m.body});
+        handle(own, coordinator::Heard{address(from), m.body});
         return true;
     }
     TimePoint asked() const override { return asked_; }
     std::function<void(TimePoint own, const std::string& whole)> whole = nullptr;
 
 private:
-    void handle(TimePoint own, const keeper::SessionEvent& event) {
-        keeper::SessionActions actions;
+    void handle(TimePoint own, const coordinator::SessionEvent& event) {
+        coordinator::SessionActions actions;
         session_.handle(own, event, actions);
-        for (keeper::SessionAction& action : actions) {
-            if (auto* say = std::get_if<keeper::Say>(&action)) {
+        for (coordinator::SessionAction& action : actions) {
+            if (auto* say = std::get_if<coordinator::Say>(&action)) {
                 Message m;
                 m.kind = Message::Kind::Asked;
                 m.body = say->body;
                 net_.send(self_, std::stoul(say->to.substr(1)) - 1, m);
-            } else if (const auto* held = std::get_if<keeper::Held>(&action)) {
+            } else if (const auto* held = std::get_if<coordinator::Held>(&action)) {
                 asked_ = held->until - lease_ * 0.99 + Duration{50};
                 hooks_.held(own, held->session, held->until);
-            } else if (std::get_if<keeper::Lost>(&action)) {
+            } else if (std::get_if<coordinator::Lost>(&action)) {
                 hooks_.lost(own);
-            } else if (const auto* news = std::get_if<keeper::News>(&action)) {
+            } else if (const auto* news = std::get_if<coordinator::News>(&action)) {
                 hooks_.news(own, session_.id(), news->kind, news->bytes);
-            } else if (const auto* answered = std::get_if<keeper::Answered>(&action)) {
+            } else if (const auto* answered = std::get_if<coordinator::Answered>(&action)) {
                 auto found = calls_.extract(answered->call);
-                if (found.empty() || answered->error != keeper::Error::None) continue;
+                if (found.empty() || answered->error != coordinator::Error::None) continue;
                 if (found.mapped().second == 0)
                     whole(own, answered->result);
                 else
                     hooks_.answered(own, found.mapped().first, found.mapped().second, answered->result);
-            } else if (const auto* wake = std::get_if<keeper::SessionWakeAt>(&action)) {
+            } else if (const auto* wake = std::get_if<coordinator::SessionWakeAt>(&action)) {
                 const std::uint64_t number = ++wakes_;
                 if (wake->at != TimePoint::max())
                     timers_.at(std::max(wake->at, own + Duration{1e-6}), [this, number](TimePoint t) {
-                        if (number == wakes_) handle(t, keeper::SessionWoken{});
+                        if (number == wakes_) handle(t, coordinator::SessionWoken{});
                     });
             }
         }
@@ -233,10 +234,10 @@
     std::size_t self_;
     Duration lease_;
     SessionHooks hooks_;
-    keeper::Session session_;
+    coordinator::Session session_;
     TimePoint asked_{};
     std::uint64_t call_ = 0, wakes_ = 0;
     std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> calls_;
 };
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/record.cpp
+++ b/lab/leadership/record.cpp
@@ -1,10 +1,10 @@
-#include "lab/duty/record.h"
+#include "lab/leadership/record.h"
 
 #include <algorithm>
 #include <map>
 #include <tuple>
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 std::vector<std::string> judge(const Records& records, const JudgeSettings& settings) {
     std::vector<std::string> wrong;
@@ -39,4 +39,4 @@
     return wrong;
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/record.h
+++ b/lab/leadership/record.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 struct EffectSeen {
     TimePoint at{};  ///< the world's clock
@@ -41,4 +41,4 @@
 /// One line for each thing that is wrong; empty: nothing is.
 std::vector<std::string> judge(const Records& records, const JudgeSettings& settings);
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/replicas.cpp
+++ b/lab/leadership/replicas.cpp
@@ -1,12 +1,12 @@
-#include "lab/duty/replicas.h"
+#include "lab/leadership/replicas.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <algorithm>
 
 #include "fleet/raft/message.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 namespace {
 
@@ -21,18 +21,18 @@
             me.disk.members.push_back({raft::KeeperId(i + 1), true, std::to_string(i + 1).insert(0, 1, 'k')});
     raft::Settings settings;
     settings.self = raft::KeeperId(self + 1);
-    keeper::ReplicaSettings replica;
+    coordinator::ReplicaSettings replica;
     replica.self = settings.self;
     replica.snapshot_entries = 60;
     me.raft = std::make_unique<raft::Raft>(settings, me.disk, seed_ * 1000 + self * 100 + ++me.lives);
-    me.replica = std::make_unique<keeper::Replica>(
+    me.replica = std::make_unique<coordinator::Replica>(
         replica, machines_,
         [this, self](TimePoint now, const raft::Event& event, raft::Actions& actions) {
             each_[self].raft->handle(now, event, actions);
         },
         me.disk);
     me.wake = TimePoint::max();
-    handle(self, own, keeper::Woken{});
+    handle(self, own, coordinator::Woken{});
 }
 
 void Replicas::take(raft::Disk& d, const raft::Write& write) {
@@ -62,11 +62,11 @@
     me.replica.reset(), me.raft.reset();
 }
 
-void Replicas::handle(std::size_t self, TimePoint own, const keeper::ReplicaEvent& event) {
+void Replicas::handle(std::size_t self, TimePoint own, const coordinator::ReplicaEvent& event) {
     Each& me = each_[self];
-    keeper::ReplicaActions actions;
+    coordinator::ReplicaActions actions;
     me.replica->handle(own, event, actions);
-    for (keeper::ReplicaAction& action : actions) {
+    for (coordinator::ReplicaAction& action : actions) {
         if (auto* send = std::get_if<raft::Send>(&action)) {
             Message m;
             m.kind = Message::Kind::Raft;
@@ -76,9 +76,9 @@
             TimePoint done = own + Duration{0.1 + 2 * net_->uniform()};
             if (!me.pending.empty()) done = std::max(done, me.pending.back().done);
             me.pending.push_back({done, std::move(*write)});
-        } else if (auto* answer = std::get_if<keeper::Answer>(&action)) {
+        } else if (auto* answer = std::get_if<coordinator::Answer>(&action)) {
             if (answer->who == kOperator) {
-                keeper::wire::Answer said;
+                coordinator::wire::Answer said;
                 if (said.ParseFromString(answer->body) && said.error() == 0)
                     answers_.push_back(said.result());
                 continue;
@@ -109,10 +109,10 @@
         written = me.pending.front().write.number;
         me.pending.pop_front();
     }
-    if (written) handle(self, own, keeper::Written{*written});
+    if (written) handle(self, own, coordinator::Written{*written});
     if (own >= me.wake) {
         me.wake = TimePoint::max();
-        handle(self, own, keeper::Woken{});
+        handle(self, own, coordinator::Woken{});
     }
     arm(self);
 }
@@ -120,9 +120,9 @@
 void Replicas::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
     if (message.kind == Message::Kind::Raft) {
         auto read = raft::decode(message.body);
-        if (read) handle(self, own, keeper::FromKeeper{raft::KeeperId(from + 1), std::move(*read)});
+        if (read) handle(self, own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*read)});
     } else {
-        handle(self, own, keeper::Asked{from + 1, message.body});
+        handle(self, own, coordinator::Asked{from + 1, message.body});
     }
 }
 
@@ -132,8 +132,8 @@
     return std::nullopt;
 }
 
-const keeper::Machine* Replicas::look(std::string_view kind) const {
-    const keeper::Replica* furthest = nullptr;
+const coordinator::Machine* Replicas::look(std::string_view kind) const {
+    const coordinator::Replica* furthest = nullptr;
     for (const Each& one : each_)
         if (one.replica && (!furthest || one.replica->applied() > furthest->applied()))
             furthest = one.replica.get();
@@ -143,11 +143,11 @@
 void Replicas::operate(std::string_view kind, std::string_view body) {
     auto leader = leads();
     if (!leader) return;  // operators ask again; here it is let be
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     ask.set_call(++calls_);
     ask.mutable_do_()->set_kind(std::string(kind));
     ask.mutable_do_()->set_body(std::string(body));
-    handle(*leader, net_->own(*leader), keeper::Asked{kOperator, ask.SerializeAsString()});
+    handle(*leader, net_->own(*leader), coordinator::Asked{kOperator, ask.SerializeAsString()});
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/replicas.h
+++ b/lab/leadership/replicas.h
@@ -4,14 +4,14 @@
 
 #include <deque>
 
-#include "fleet/keeper/replica.h"
-#include "lab/duty/keepers.h"
+#include "fleet/coordinator/replica.h"
+#include "lab/leadership/keepers.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 class Replicas : public House {
 public:
-    Replicas(std::size_t keepers, std::uint64_t seed, keeper::MakeMachines machines)
+    Replicas(std::size_t keepers, std::uint64_t seed, coordinator::MakeMachines machines)
         : seed_(seed), machines_(std::move(machines)), each_(keepers) {}
 
     void attach(Network& net) override { net_ = &net; }
@@ -20,7 +20,7 @@
     void woken(std::size_t self, TimePoint own) override;
     void received(std::size_t self, std::size_t from, TimePoint own, const Message& message) override;
     std::optional<std::size_t> leads() const override;
-    const keeper::Machine* look(std::string_view kind) const override;
+    const coordinator::Machine* look(std::string_view kind) const override;
     void operate(std::string_view kind, std::string_view body) override;
     std::vector<std::string>& answers() override { return answers_; }
 
@@ -33,20 +33,20 @@
         };
         std::deque<Pending> pending;
         std::unique_ptr<raft::Raft> raft;
-        std::unique_ptr<keeper::Replica> replica;
+        std::unique_ptr<coordinator::Replica> replica;
         TimePoint wake = TimePoint::max();
         std::uint64_t lives = 0;
     };
-    void handle(std::size_t self, TimePoint own, const keeper::ReplicaEvent& event);
+    void handle(std::size_t self, TimePoint own, const coordinator::ReplicaEvent& event);
     void arm(std::size_t self);
     static void take(raft::Disk& disk, const raft::Write& write);
 
     std::uint64_t seed_;
-    keeper::MakeMachines machines_;
+    coordinator::MakeMachines machines_;
     std::vector<Each> each_;
     Network* net_ = nullptr;
     std::vector<std::string> answers_;
     std::uint64_t calls_ = 0;
 };
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/trial.cpp
+++ b/lab/leadership/trial.cpp
@@ -1,10 +1,10 @@
-#include "lab/duty/trial.h"
+#include "lab/leadership/trial.h"
 
 #include <algorithm>
 #include <map>
 #include <random>
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 namespace {
 
@@ -125,7 +125,7 @@
         auto who = world.working();
         if (!who) continue;
         if (change == Change::Move) {
-            world.keepers().operate("duty", ochrehub::duty::move_away("duty0"));
+            world.keepers().operate("duty", ochrehub::leadership::move_away("duty0"));
         } else {
             Blow blow = change == Change::Kill   ? Blow::Kill
                         : change == Change::Stop ? Blow::Stop
@@ -224,4 +224,4 @@
     return trial;
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/trial.h
+++ b/lab/leadership/trial.h
@@ -2,9 +2,9 @@
 // without an owner, and the saboteurs, each with the fault that shows it.
 #pragma once
 
-#include "lab/duty/world.h"
+#include "lab/leadership/world.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 struct Trial {
     std::uint64_t runs = 0, events = 0, effects = 0, refused = 0,
@@ -37,4 +37,4 @@
 Trial shown_by(Saboteur what_for, Saboteur in_it);
 std::string_view fault_for(Saboteur saboteur);
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/world.cpp
+++ b/lab/leadership/world.cpp
@@ -1,19 +1,19 @@
-#include "lab/duty/world.h"
+#include "lab/leadership/world.h"
 
 #include <algorithm>
 
-#include "lab/duty/replicas.h"
+#include "lab/leadership/replicas.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
-using fence::Verdict;
-using ochrehub::duty::Epoch;
-using ochrehub::duty::Owner;
-using ochrehub::duty::OwnerAction;
-using ochrehub::duty::OwnerActions;
-using ochrehub::duty::OwnerEvent;
-using ochrehub::duty::OwnerSettings;
-namespace core = ochrehub::duty;
+using fencing::Verdict;
+using ochrehub::leadership::Epoch;
+using ochrehub::leadership::Owner;
+using ochrehub::leadership::OwnerAction;
+using ochrehub::leadership::OwnerActions;
+using ochrehub::leadership::OwnerEvent;
+using ochrehub::leadership::OwnerSettings;
+namespace core = ochrehub::leadership;
 
 std::string_view name(Saboteur saboteur) {
     constexpr std::string_view kNames[kSaboteurs] = {"none",
@@ -38,7 +38,7 @@
 /// A machine that names the next owner before the old one is at rest.
 class Hasty : public core::Duties {
 public:
-    std::string apply(const keeper::Command& command) override {
+    std::string apply(const coordinator::Command& command) override {
         std::string answer = Duties::apply(command);
         if (command.session == 0)
             for (auto [duty, state] : std::map(duties().begin(), duties().end()))
@@ -81,7 +81,7 @@
 
     World& world;
     std::size_t self;
-    fence::Fence fence{{}};
+    fencing::Fence fence{{}};
     std::vector<std::string> disk;
     Timers timers;
     std::map<std::pair<std::string, std::uint64_t>, Message> doing;
@@ -97,7 +97,7 @@
         for (const auto& [key, message] : doing)
             if (!landed.contains({key.first, message.item})) unknown.insert({key.first, message.item});
         doing.clear();
-        fence = fence::Fence({});
+        fence = fencing::Fence({});
         for (const std::string& one : disk) fence.replay(one);
     }
     void answer(std::size_t to, Message m, Verdict verdict) {
@@ -108,25 +108,25 @@
     void received(std::size_t from, TimePoint own, const Message& m) {
         const Saboteur saboteur = world.set_.saboteur;
         if (m.kind == Message::Kind::Look) {
-            fence::Answer a = fence.look(m.what, m.epoch, m.step);
+            fencing::Answer a = fence.look(m.what, m.epoch, m.step);
             saw(m, a.verdict);
             write();
             return answer(from, m, a.verdict);
         }
         if (m.kind == Message::Kind::Retire) {
-            fence::Answer a = fence.retire(m.what, m.epoch);
+            fencing::Answer a = fence.retire(m.what, m.epoch);
             if (saboteur == Saboteur::ForgetsRetired) {
                 std::vector<std::string> left;
                 for (std::string& one : fence.snapshot())
                     if (one.substr(10, std::size_t(one[9])) != m.what) left.push_back(std::move(one));
                 disk = left;
-                fence = fence::Fence({});
+                fence = fencing::Fence({});
                 for (const std::string& one : disk) fence.replay(one);
             }
             write();
             return answer(from, m, a.verdict);
         }
-        fence::Answer a = fence.begin(m.what, m.epoch, m.step);
+        fencing::Answer a = fence.begin(m.what, m.epoch, m.step);
         saw(m, a.verdict);
         auto newer = newest.find(m.what);
         if (newer != newest.end() && newer->second.first > m.epoch)
@@ -191,11 +191,11 @@
         session.patience = world.set_.patience;
         session.from_the_answer = saboteur() == Saboteur::LeaseFromAnswer;
         SessionHooks hooks{
-            [this](TimePoint t, keeper::SessionId id, TimePoint until) {
+            [this](TimePoint t, coordinator::SessionId id, TimePoint until) {
                 handle(t, core::SessionHeld{id, until});
             },
             [this](TimePoint t) { handle(t, core::SessionLost{}); },
-            [this](TimePoint t, keeper::SessionId id, const std::string&, const std::string& news) {
+            [this](TimePoint t, coordinator::SessionId id, const std::string&, const std::string& news) {
                 handle(t, core::Heard{id, news});
             },
             [this](TimePoint t, const std::string&, std::uint64_t number, const std::string& answer) {
@@ -555,4 +555,4 @@
     return std::nullopt;
 }
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/duty/world.h
+++ b/lab/leadership/world.h
@@ -1,18 +1,19 @@
 // Owners, receivers and keepers in virtual time: duties are jobs of so many items, each an effect at a
-// receiver. Owners are duty::Owner as shipped, receivers have fence::Fence as shipped and a disk; faults come
-// from a script, an event's number or a seed. The verdict is made from the receivers' records alone.
+// receiver. Owners are leadership::Owner as shipped, receivers have fencing::Fence as shipped and a disk;
+// faults come from a script, an event's number or a seed. The verdict is made from the receivers' records
+// alone.
 #pragma once
 
 #include <memory>
 #include <optional>
 #include <set>
 
-#include "fleet/duty/owner.h"
-#include "lab/duty/keepers.h"
-#include "lab/duty/process.h"
-#include "lab/duty/record.h"
+#include "fleet/leadership/owner.h"
+#include "lab/leadership/keepers.h"
+#include "lab/leadership/process.h"
+#include "lab/leadership/record.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 
 /// What errs on purpose: each must be found, by the fault named beside it.
 enum class Saboteur {
@@ -115,4 +116,4 @@
     bool moved_ = false;
 };
 
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/model/alarms.h
+++ b/lab/model/alarms.h
@@ -7,7 +7,7 @@
 #include <limits>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
--- a/lab/record/record.h
+++ b/lab/record/record.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <variant>
 
-#include "ochrehub/rules.h"  // Duration and TimePoint alone
+#include "ochrehub/balancer.h"  // Duration and TimePoint alone
 
 namespace ochrehub::lab {
 
--- a/lab/migration/disk.h
+++ b/lab/schema_migration/disk.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <utility>
 
-#include "fleet/migration/records.h"
+#include "fleet/schema_migration/records.h"
 
 namespace ochrehub::lab::migrating {
 
@@ -33,7 +33,7 @@
     int file_;
 };
 
-class FileRecords : public migration::Records {
+class FileRecords : public schema_migration::Records {
 public:
     explicit FileRecords(const std::string& path, bool writes = true) {
         std::ifstream in(path, std::ios::binary);
@@ -80,7 +80,7 @@
         std::uint32_t head[4] = {kind, shard, std::uint32_t(group.size()), std::uint32_t(octets.size())};
         return std::string(reinterpret_cast<const char*>(head), 16).append(group).append(octets);
     }
-    migration::MemoryRecords memory_;
+    schema_migration::MemoryRecords memory_;
     std::unique_ptr<Appender> file_;
     bool any_ = false;
 };
--- a/lab/migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -17,17 +17,17 @@
 
 #include "base/asio_scheduler.h"
 #include "fleet/channel/mesh.h"
-#include "fleet/keeper/session_side.h"
-#include "fleet/migration/machine.h"
-#include "fleet/migration/owner.h"
-#include "fleet/migration/receiver.h"
-#include "lab/migration/disk.h"
-#include "lab/migration/nodes.h"
+#include "fleet/coordinator/session_side.h"
+#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/owner.h"
+#include "fleet/schema_migration/receiver.h"
+#include "lab/schema_migration/disk.h"
+#include "lab/schema_migration/nodes.h"
 
 namespace ochrehub::lab::migrating {
 namespace {
 
-namespace m = ochrehub::migration;
+namespace m = ochrehub::schema_migration;
 namespace wire = m::wire;
 constexpr Kind kKind = Kind::Sessions;
 constexpr Duration kPatience{2000}, kOp{20};
@@ -63,12 +63,12 @@
         at << mesh_->at();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
-        keeper::SideSettings side;
+        coordinator::SideSettings side;
         side.session.keepers = std::move(keepers), side.session.name = "member-" + std::to_string(index),
         side.session.zone = "lab";
         side.session.lease = Duration{3000}, side.cluster = "migration";
-        session_ = std::make_unique<keeper::SessionSide>(side, clock_);
-        session_->listen([this](const keeper::SessionSide::Told& told) {
+        session_ = std::make_unique<coordinator::SessionSide>(side, clock_);
+        session_->listen([this](const coordinator::SessionSide::Told& told) {
             boost::asio::post(io_, [this, told] { hear(told); });
         });
         session_->start();
@@ -146,8 +146,8 @@
     }
 
     // ---- Keepers
-    void hear(const keeper::SessionSide::Told& told) {
-        if (const auto* held = std::get_if<keeper::Held>(&told)) {
+    void hear(const coordinator::SessionSide::Told& told) {
+        if (const auto* held = std::get_if<coordinator::Held>(&told)) {
             until_ = held->until;
             if (held->session == session_id_) return;
             session_id_ = held->session, said_ = false;
@@ -157,7 +157,7 @@
                 to.set_least(range.least), to.set_most(range.most);
             }
             submit(says);
-        } else if (const auto* news = std::get_if<keeper::News>(&told)) {
+        } else if (const auto* news = std::get_if<coordinator::News>(&told)) {
             wire::News is;
             if (news->kind == "migration" && is.ParseFromString(news->bytes)) learn(is);
         } else {
@@ -167,10 +167,10 @@
     }
     void submit(const wire::Command& command) {
         session_->submit("migration", command.SerializeAsString(),
-                         [this](keeper::Error error, const std::string& result) {
+                         [this](coordinator::Error error, const std::string& result) {
                              boost::asio::post(io_, [this, error, result] {
                                  wire::Answer answer;
-                                 if (error == keeper::Error::None && answer.ParseFromString(result))
+                                 if (error == coordinator::Error::None && answer.ParseFromString(result))
                                      learn(answer.news());
                              });
                          });
@@ -277,9 +277,9 @@
     m::Owner owner_;
     boost::random::taus88 random_;
     std::unique_ptr<channel::Mesh> mesh_;
-    std::unique_ptr<keeper::SessionSide> session_;
+    std::unique_ptr<coordinator::SessionSide> session_;
     std::map<std::size_t, std::string> addresses_;
-    keeper::SessionId session_id_ = 0;
+    coordinator::SessionId session_id_ = 0;
     TimePoint until_{}, op_ends_{};
     bool said_ = false, busy_ = false, writing_ = false;
     std::uint32_t refused_ = 0;
--- a/lab/migration/million.cpp
+++ b/lab/schema_migration/million.cpp
@@ -1,4 +1,4 @@
-#include "lab/migration/million.h"
+#include "lab/schema_migration/million.h"
 
 #include <algorithm>
 #include <chrono>
@@ -8,13 +8,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/migration/receiver.h"
-#include "lab/migration/nodes.h"
+#include "fleet/schema_migration/receiver.h"
+#include "lab/schema_migration/nodes.h"
 
 namespace ochrehub::lab::migrating {
 namespace {
 
-namespace m = ochrehub::migration;
+namespace m = ochrehub::schema_migration;
 using m::Stage;
 
 double wall_ms() {
--- a/lab/migration/nodes.cpp
+++ b/lab/schema_migration/nodes.cpp
@@ -1,4 +1,4 @@
-#include "lab/migration/nodes.h"
+#include "lab/schema_migration/nodes.h"
 
 #include <algorithm>
 #include <utility>
--- a/lab/migration/runs.cpp
+++ b/lab/schema_migration/runs.cpp
@@ -8,11 +8,11 @@
 #include <cstdlib>
 #include <string>
 
-#include "lab/migration/million.h"
-#include "lab/migration/world.h"
+#include "lab/schema_migration/million.h"
+#include "lab/schema_migration/world.h"
 
 using namespace ochrehub::lab::migrating;
-namespace m = ochrehub::migration;
+namespace m = ochrehub::schema_migration;
 
 namespace {
 
--- a/lab/migration/sweep.cpp
+++ b/lab/schema_migration/sweep.cpp
@@ -3,7 +3,7 @@
 #include <mutex>
 #include <thread>
 
-#include "lab/migration/world.h"
+#include "lab/schema_migration/world.h"
 
 namespace ochrehub::lab::migrating {
 
--- a/lab/migration/world.cpp
+++ b/lab/schema_migration/world.cpp
@@ -1,11 +1,11 @@
-#include "lab/migration/world.h"
+#include "lab/schema_migration/world.h"
 
 #include <algorithm>
 #include <deque>
 #include <map>
 #include <utility>
 
-#include "lab/migration/nodes.h"
+#include "lab/schema_migration/nodes.h"
 #include "lab/swarm/net.h"
 
 namespace ochrehub::lab::migrating {
--- a/lab/migration/world.h
+++ b/lab/schema_migration/world.h
@@ -12,13 +12,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/migration/machine.h"
-#include "fleet/migration/owner.h"
-#include "fleet/migration/receiver.h"
+#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/owner.h"
+#include "fleet/schema_migration/receiver.h"
 
 namespace ochrehub::lab::migrating {
 
-namespace m = ochrehub::migration;
+namespace m = ochrehub::schema_migration;
 using schema::Kind;
 using schema::Number;
 
--- a/lab/tests/agreement_test.cpp
+++ b/lab/tests/config_distribution_test.cpp
@@ -3,7 +3,7 @@
 // with copied settings, which contradicts itself.
 #include <gtest/gtest.h>
 
-#include "lab/agreement/world.h"
+#include "lab/config_distribution/world.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -75,7 +75,9 @@
 
 TEST(Agreement, TheJudgeNeedsToKnowWhatContradicts) {
     WorldSettings set = sabotaged(Saboteur::NoDraining, Fault::None, 1);
-    set.contradict = [](const agreement::Content&, const agreement::Content&) { return false; };
+    set.contradict = [](const config_distribution::Content&, const config_distribution::Content&) {
+        return false;
+    };
     EXPECT_TRUE(play(set).broken.empty());
 }
 
--- a/lab/tests/keepers_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -8,8 +8,8 @@
 #include <filesystem>
 #include <mutex>
 
-#include "fleet/duty/machine.h"
-#include "lab/keeper/rig.h"
+#include "fleet/leadership/machine.h"
+#include "lab/coordinator/rig.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -20,23 +20,23 @@
     std::mutex mutex;
     std::condition_variable told;
     std::vector<std::uint64_t> epochs;  // in the order of answers
-    std::vector<keeper::Error> errors;
+    std::vector<coordinator::Error> errors;
     std::size_t asked = 0;
-    keeper::SessionId first = 0;
+    coordinator::SessionId first = 0;
     std::uint64_t sessions = 0;
-    keeper::SessionSide side;
+    coordinator::SessionSide side;
 
     explicit Client(const std::vector<std::string>& keepers) : side(settings(keepers), Clock()) {
-        side.listen([this](const keeper::SessionSide::Told& what) {
+        side.listen([this](const coordinator::SessionSide::Told& what) {
             std::lock_guard lock(mutex);
-            if (const auto* held = std::get_if<keeper::Held>(&what); held && held->session != first)
+            if (const auto* held = std::get_if<coordinator::Held>(&what); held && held->session != first)
                 first = held->session, ++sessions;
             told.notify_all();
         });
         side.start();
     }
-    static keeper::SideSettings settings(const std::vector<std::string>& keepers) {
-        keeper::SideSettings set;
+    static coordinator::SideSettings settings(const std::vector<std::string>& keepers) {
+        coordinator::SideSettings set;
         set.session.keepers = keepers, set.session.name = "client", set.cluster = "rig";
         set.session.lease = Duration{30'000};  // so that a machine that is busy ends nothing
         set.session.patience = Duration{500};
@@ -50,10 +50,10 @@
         for (std::size_t i = 0; i < many; ++i) {
             std::string name("d");
             name += std::to_string(++asked);
-            side.submit("duty", duty::want(name), [this](keeper::Error error, std::string bytes) {
+            side.submit("duty", leadership::want(name), [this](coordinator::Error error, std::string bytes) {
                 std::lock_guard lock(mutex);
-                auto answer = duty::read_answer(bytes);
-                if (error != keeper::Error::None || !answer || answer->error)
+                auto answer = leadership::read_answer(bytes);
+                if (error != coordinator::Error::None || !answer || answer->error)
                     errors.push_back(error);
                 else
                     epochs.push_back(answer->epoch);
--- a/lab/tests/keeper_test.cpp
+++ b/lab/tests/coordinator_test.cpp
@@ -1,7 +1,7 @@
 // Keepers and sessions in virtual time, under all faults, and whether the judge finds what it should.
 #include <gtest/gtest.h>
 
-#include "lab/keeper/world.h"
+#include "lab/coordinator/world.h"
 
 namespace ochrehub::lab {
 namespace {
--- a/lab/tests/duty_list_test.cpp
+++ b/lab/tests/leadership_list_test.cpp
@@ -2,9 +2,9 @@
 // sent requests, by the records of discovery and the servers.
 #include <gtest/gtest.h>
 
-#include "lab/duty/list_world.h"
+#include "lab/leadership/list_world.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 namespace {
 
 TimePoint at(double ms) {
@@ -72,4 +72,4 @@
 INSTANTIATE_TEST_SUITE_P(Each, ListSaboteurs, testing::Range<std::size_t>(1, kListSaboteurs));
 
 }  // namespace
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/tests/duty_test.cpp
+++ b/lab/tests/leadership_test.cpp
@@ -2,9 +2,9 @@
 // judge, on what errs on purpose.
 #include <gtest/gtest.h>
 
-#include "lab/duty/trial.h"
+#include "lab/leadership/trial.h"
 
-namespace ochrehub::lab::duty {
+namespace ochrehub::lab::leadership {
 namespace {
 
 void sound(const Trial& trial, std::uint64_t runs) {
@@ -79,4 +79,4 @@
 INSTANTIATE_TEST_SUITE_P(Each, Saboteurs, testing::Range<std::size_t>(1, kSaboteurs));
 
 }  // namespace
-}  // namespace ochrehub::lab::duty
+}  // namespace ochrehub::lab::leadership
--- a/lab/tests/migration_processes_test.cpp
+++ b/lab/tests/schema_migration_processes_test.cpp
@@ -5,7 +5,7 @@
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
-#include <migration.pb.h>
+#include <schema_migration.pb.h>
 #include <signal.h>
 #include <spawn.h>
 #include <sys/socket.h>
@@ -22,8 +22,8 @@
 #include <thread>
 #include <vector>
 
-#include "lab/migration/disk.h"
-#include "lab/migration/nodes.h"
+#include "lab/schema_migration/disk.h"
+#include "lab/schema_migration/nodes.h"
 
 extern char** environ;
 
@@ -196,10 +196,10 @@
         for (std::size_t i = 0; i < kHolders; ++i) {
             FileRecords disk(folder_ + "/disk." + std::to_string(i), false);
             for (std::uint32_t shard = std::uint32_t(i); shard < kShards; shard += std::uint32_t(kHolders)) {
-                migration::Records::Page page;
+                schema_migration::Records::Page page;
                 disk.scan(shard, {}, ~std::size_t(0), page);
                 for (const auto& [name, held] : page) {
-                    migration::wire::Stored stored;
+                    schema_migration::wire::Stored stored;
                     Group group;
                     if (!stored.ParseFromString(held.octets) || stored.forms_size() != 1 ||
                         stored.forms(0).schema() != level) {
--- a/lab/tests/migration_test.cpp
+++ b/lab/tests/schema_migration_test.cpp
@@ -1,15 +1,15 @@
 // Migrations in virtual time: none of the promises breaks whatever crashes, stops, is lost or comes late, and
 // each of those who do it wrong is seen. The long runs are lab_migration_runs'.
 #include <gtest/gtest.h>
-#include <migration.pb.h>
 #include <records.pb.h>
+#include <schema_migration.pb.h>
 
 #include <functional>
 #include <stdexcept>
 #include <utility>
 
-#include "lab/migration/nodes.h"
-#include "lab/migration/world.h"
+#include "lab/schema_migration/nodes.h"
+#include "lab/schema_migration/world.h"
 
 namespace ochrehub::lab::migrating {
 namespace {
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "admission/load_state.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/admission/load_state.h
+++ b/src/admission/load_state.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/app/ask_keepers.h
+++ b/src/app/ask_keepers.h
@@ -1,7 +1,7 @@
 // One ask to the keeper that leads, from a command that waits.
 #pragma once
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <optional>
 
@@ -10,6 +10,6 @@
 namespace ochrehub::app {
 
 /// Nothing: none that leads was found in time. Throws ConfigError.
-std::optional<keeper::wire::Answer> ask_leader(const KeepersAt& at, const keeper::wire::Ask& ask);
+std::optional<coordinator::wire::Answer> ask_leader(const KeepersAt& at, const coordinator::wire::Ask& ask);
 
 }  // namespace ochrehub::app
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -4,7 +4,7 @@
 #include "app/commands.h"
 #include "app/keeper_config.h"
 #include "app/plan.h"
-#include "fleet/agreement/stated.h"
+#include "fleet/config_distribution/stated.h"
 
 namespace ochrehub::app {
 namespace {
@@ -36,7 +36,9 @@
         std::printf(
             "stated time: strict 0 ms, quick %.0f ms; a canary of a quick document may contradict the others "
             "for its own length more\n",
-            agreement::stated_time(agreement::timing(keepers.lease), agreement::Mode::Quick).count());
+            config_distribution::stated_time(config_distribution::timing(keepers.lease),
+                                             config_distribution::Mode::Quick)
+                .count());
     return faults.empty() ? 0 : 1;
 }
 
--- a/src/app/keeper_config.cpp
+++ b/src/app/keeper_config.cpp
@@ -166,8 +166,8 @@
     return told;
 }
 
-keeper::ProcessSettings process_settings(const KeeperTold& told, keeper::Begin begin) {
-    keeper::ProcessSettings set;
+coordinator::ProcessSettings process_settings(const KeeperTold& told, coordinator::Begin begin) {
+    coordinator::ProcessSettings set;
     const Keeper& from = told.keeper;
     set.raft.self = set.replica.self = raft::KeeperId(from.number);
     set.raft.heartbeat = from.heartbeat, set.raft.election = from.election;
--- a/src/app/keeper_config.h
+++ b/src/app/keeper_config.h
@@ -7,8 +7,8 @@
 
 #include "base/log.h"
 #include "config/toml_file.h"
-#include "fleet/keeper/process.h"
-#include "ochrehub/rules.h"
+#include "fleet/coordinator/process.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::app {
 
@@ -37,6 +37,6 @@
 KeeperTold read_keeper_file(config::TomlFile& file);
 /// Throws ConfigError.
 KeeperTold read_keeper_file(const std::string& path);
-keeper::ProcessSettings process_settings(const KeeperTold& told, keeper::Begin begin);
+coordinator::ProcessSettings process_settings(const KeeperTold& told, coordinator::Begin begin);
 
 }  // namespace ochrehub::app
--- a/src/app/keepers.cpp
+++ b/src/app/keepers.cpp
@@ -1,5 +1,5 @@
 // The commands that ask keepers.
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <boost/json.hpp>
 #include <chrono>
@@ -14,21 +14,21 @@
 #include "app/keeper_config.h"
 #include "app/node_config.h"
 #include "base/address.h"
-#include "fleet/keeper/asking.h"
-#include "fleet/keeper/error.h"
+#include "fleet/coordinator/asking.h"
+#include "fleet/coordinator/error.h"
 #include "fleet/membership/settings.h"
 
 namespace ochrehub::app {
 namespace {
 
 namespace json = boost::json;
-namespace wire = keeper::wire;
+namespace wire = coordinator::wire;
 
 constexpr int kLooks = 150;  // a tenth of a second each
 constexpr std::chrono::milliseconds kLook{100};
 
 struct Asked {
-    keeper::AskSettings settings;
+    coordinator::AskSettings settings;
     std::vector<std::string> addresses;
 };
 
@@ -37,7 +37,8 @@
     if (at.config.empty() == at.ask.empty())
         throw ConfigError("--config FILE or --ask ADDR: one of them says whom to ask");
     if (!at.config.empty()) {
-        keeper::ProcessSettings set = process_settings(read_keeper_file(at.config), keeper::Begin::Again);
+        coordinator::ProcessSettings set =
+            process_settings(read_keeper_file(at.config), coordinator::Begin::Again);
         asked.settings.cluster = set.cluster, asked.settings.keys = set.keys;
         for (const raft::Member& member : set.members) asked.addresses.push_back(member.address);
         return asked;
@@ -64,7 +65,7 @@
     ask.set_call(1);
     ask.mutable_status();
     std::vector<Told> all;
-    auto answers = keeper::ask_each(asked.settings, asked.addresses, ask.SerializeAsString());
+    auto answers = coordinator::ask_each(asked.settings, asked.addresses, ask.SerializeAsString());
     for (const std::string& address : asked.addresses) {
         wire::Answer answer;
         if (auto found = answers.find(address);
@@ -112,10 +113,10 @@
     for (int i = 0; i < kLooks / 10; ++i) {
         std::vector<Told> all = statuses(asked);
         if (const Told* found = leader(all)) {
-            auto answers = keeper::ask_each(asked.settings, {found->address}, ask.SerializeAsString());
+            auto answers = coordinator::ask_each(asked.settings, {found->address}, ask.SerializeAsString());
             wire::Answer answer;
             if (!answers.empty() && answer.ParseFromString(answers.begin()->second) &&
-                keeper::Error(answer.error()) != keeper::Error::NotLeader)
+                coordinator::Error(answer.error()) != coordinator::Error::NotLeader)
                 return answer;
         } else {
             // One that is asked by its address alone knows others.
@@ -130,8 +131,8 @@
     return std::nullopt;
 }
 
-int refused(keeper::Error error, const std::string& about) {
-    std::fprintf(stderr, "%s\n", fleet::sentence(keeper::row(error), about).c_str());
+int refused(coordinator::Error error, const std::string& about) {
+    std::fprintf(stderr, "%s\n", fleet::sentence(coordinator::row(error), about).c_str());
     return 1;
 }
 
@@ -140,8 +141,8 @@
 int change(const KeepersAt& at, const wire::Ask& ask, const std::string& about, Done done) {
     Asked asked = whom(at);
     auto answer = ask_leader(asked, ask);
-    if (!answer) return refused(keeper::Error::Unreachable, about);
-    if (answer->error() != 0) return refused(keeper::Error(answer->error()), about);
+    if (!answer) return refused(coordinator::Error::Unreachable, about);
+    if (answer->error() != 0) return refused(coordinator::Error(answer->error()), about);
     for (int i = 0; i < kLooks; ++i) {
         std::vector<Told> all = statuses(asked);
         if (const Told* found = leader(all); found && done(found->status)) {
@@ -150,7 +151,7 @@
         }
         std::this_thread::sleep_for(kLook);
     }
-    return refused(keeper::Error::Unreachable,
+    return refused(coordinator::Error::Unreachable,
                    about + " has begun, and is not done yet: `ochrehub fleet keepers` shows when it is");
 }
 
--- a/src/app/machines.h
+++ b/src/app/machines.h
@@ -1,10 +1,10 @@
 // The machines that the keepers of this release hold: a line for each room that has one.
 #pragma once
 
-#include "fleet/keeper/state.h"
+#include "fleet/coordinator/state.h"
 
 namespace ochrehub::app {
 
-keeper::Machines machines();
+coordinator::Machines machines();
 
 }  // namespace ochrehub::app
--- a/src/app/migrate.cpp
+++ b/src/app/migrate.cpp
@@ -1,6 +1,6 @@
 // The commands of migrations: they ask the keepers' machine, and show what it says.
-#include <keeper.pb.h>
-#include <migration.pb.h>
+#include <coordinator.pb.h>
+#include <schema_migration.pb.h>
 
 #include <boost/json.hpp>
 #include <chrono>
@@ -12,55 +12,56 @@
 #include "app/ask_keepers.h"
 #include "app/commands.h"
 #include "app/node_config.h"
-#include "fleet/keeper/error.h"
-#include "fleet/migration/machine.h"
-#include "fleet/migration/owner.h"
+#include "fleet/coordinator/error.h"
+#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/owner.h"
 
 namespace ochrehub::app {
 namespace {
 
 namespace json = boost::json;
-namespace wire = migration::wire;
-using migration::Stage;
+namespace wire = schema_migration::wire;
+using schema_migration::Stage;
 
-int say(keeper::Error error, const std::string& about) {
-    std::fprintf(stderr, "%s\n", fleet::sentence(keeper::row(error), about).c_str());
+int say(coordinator::Error error, const std::string& about) {
+    std::fprintf(stderr, "%s\n", fleet::sentence(coordinator::row(error), about).c_str());
     return 1;
 }
 int say(std::uint32_t error, const std::string& about) {
-    std::fprintf(stderr, "%s\n", fleet::sentence(migration::row(migration::from_wire(error)), about).c_str());
+    std::fprintf(stderr, "%s\n",
+                 fleet::sentence(schema_migration::row(schema_migration::from_wire(error)), about).c_str());
     return 1;
 }
 
-std::optional<keeper::wire::Answer> leader_says(const KeepersAt& at, keeper::wire::Ask ask) {
+std::optional<coordinator::wire::Answer> leader_says(const KeepersAt& at, coordinator::wire::Ask ask) {
     auto answer = ask_leader(at, ask);
     if (!answer || answer->error() != 0) {
-        say(answer ? keeper::Error(answer->error()) : keeper::Error::Unreachable, "migration");
+        say(answer ? coordinator::Error(answer->error()) : coordinator::Error::Unreachable, "migration");
         return std::nullopt;
     }
     return answer;
 }
 std::optional<wire::Machine> look(const KeepersAt& at) {
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     ask.mutable_look()->set_kind("migration");
     auto answer = leader_says(at, std::move(ask));
     wire::Machine machine;
     if (!answer) return std::nullopt;
     if (!machine.ParseFromString(answer->result()) || machine.levels_size() != int(schema::kKinds)) {
-        say(migration::on_wire(migration::Error::Malformed), "the keepers' answer");
+        say(schema_migration::on_wire(schema_migration::Error::Malformed), "the keepers' answer");
         return std::nullopt;
     }
     return machine;
 }
 int command(const KeepersAt& at, const wire::Command& command, const std::string& about) {
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     ask.mutable_do_()->set_kind("migration");
     ask.mutable_do_()->set_body(command.SerializeAsString());
     auto asked = leader_says(at, std::move(ask));
     if (!asked) return 1;
     wire::Answer answer;
     if (!answer.ParseFromString(asked->result()))
-        return say(migration::on_wire(migration::Error::Malformed), "the keepers' answer");
+        return say(schema_migration::on_wire(schema_migration::Error::Malformed), "the keepers' answer");
     if (answer.error()) return say(answer.error(), answer.about().empty() ? about : answer.about());
     std::printf("done: %s\n", about.c_str());
     return 0;
@@ -98,9 +99,9 @@
                              {"said", one.said()},
                              {"reads", std::move(reads)}};
         session["refused"] =
-            one.refused()
-                ? json::value(json::string(migration::row(migration::from_wire(one.refused())).code))
-                : json::value();
+            one.refused() ? json::value(json::string(
+                                schema_migration::row(schema_migration::from_wire(one.refused())).code))
+                          : json::value();
         sessions.push_back(std::move(session));
     }
     all["levels"] = std::move(levels), all["sessions"] = std::move(sessions);
@@ -115,14 +116,15 @@
         {"kind", kind_name(now.kind())},
         {"from", now.from()},
         {"to", now.to()},
-        {"stage", migration::name(Stage(now.stage()))},
+        {"stage", schema_migration::name(Stage(now.stage()))},
         {"shards", now.shards()},
         {"done", done(now)},
         {"owner", now.owner()},
         {"epoch", now.epoch()},
         {"paused", now.paused()},
         {"stopped", now.stopped()
-                        ? json::value(json::string(migration::row(migration::from_wire(now.stopped())).code))
+                        ? json::value(json::string(
+                              schema_migration::row(schema_migration::from_wire(now.stopped())).code))
                         : json::value()},
         {"about", now.about()},
         {"groups", counts.groups()},
@@ -146,7 +148,7 @@
     }
     std::printf("\nmigration %llu: %s %u to %u: %s, %u of %u shards, owner %llu of epoch %llu%s\n",
                 (unsigned long long)now.id(), kind_name(now.kind()).c_str(), now.from(), now.to(),
-                std::string(migration::name(Stage(now.stage()))).c_str(), done(now), now.shards(),
+                std::string(schema_migration::name(Stage(now.stage()))).c_str(), done(now), now.shards(),
                 (unsigned long long)now.owner(), (unsigned long long)now.epoch(),
                 now.paused() ? ", paused" : "");
     if (now.counts().groups())
@@ -158,12 +160,14 @@
     if (now.stopped())
         std::printf(
             "  stopped: %s\n",
-            fleet::sentence(migration::row(migration::from_wire(now.stopped())), now.about()).c_str());
+            fleet::sentence(schema_migration::row(schema_migration::from_wire(now.stopped())), now.about())
+                .c_str());
     for (const wire::Session& one : machine.sessions())
         if (one.refused())
-            std::printf(
-                "  refused: %s\n",
-                fleet::sentence(migration::row(migration::from_wire(one.refused())), one.about()).c_str());
+            std::printf("  refused: %s\n",
+                        fleet::sentence(schema_migration::row(schema_migration::from_wire(one.refused())),
+                                        one.about())
+                            .c_str());
 }
 
 }  // namespace
@@ -174,7 +178,7 @@
     if (!machine) return 1;
     schema::Number level = machine->levels(int(kind)), next = to ? schema::Number(to) : level + 1;
     bool possible = (next == level + 1 || next + 1 == level) && next <= schema::last(kind) &&
-                    migration::ended(Stage(machine->migration().stage()));
+                    schema_migration::ended(Stage(machine->migration().stage()));
     json::array can, cannot;
     for (const wire::Session& one : machine->sessions()) {
         schema::Range reads;
@@ -186,7 +190,7 @@
         possible = possible && fits;
     }
     // Converted, compared, dropped: three passes at the owner's pace.
-    double seconds = groups * 3 / migration::OwnerSettings().per_s;
+    double seconds = groups * 3 / schema_migration::OwnerSettings().per_s;
     if (as_json_text) {
         json::object plan{{"kind", text},         {"level", level},        {"to", next},
                           {"possible", possible}, {"can", std::move(can)}, {"cannot", std::move(cannot)}};
@@ -197,7 +201,7 @@
     std::printf("%s: the fleet writes %u, would write %u\n%zu processes can, %zu cannot\n", text.c_str(),
                 level, next, can.size(), cannot.size());
     for (const json::value& one : cannot)
-        std::printf("  %s\n", fleet::sentence(migration::row(migration::Error::OldProcess),
+        std::printf("  %s\n", fleet::sentence(schema_migration::row(schema_migration::Error::OldProcess),
                                               std::string(one.as_string()))
                                   .c_str());
     if (groups > 0)
@@ -242,7 +246,7 @@
             print(*machine);
         std::fflush(stdout);
         const wire::Status& now = machine->migration();
-        if (!watch || migration::ended(Stage(now.stage())) || now.stopped()) return 0;
+        if (!watch || schema_migration::ended(Stage(now.stage())) || now.stopped()) return 0;
         std::this_thread::sleep_for(std::chrono::seconds(1));
     }
 }
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -230,7 +230,7 @@
     asio::io_context io{1};
     const std::size_t reserved = (config.control ? admin::AdminServer::kDescriptors : 0) +
                                  (plan.fleet.on ? membership::Side::kDescriptors : 0) +
-                                 (plan.keepers.on ? agreement::Side::kDescriptors : 0);
+                                 (plan.keepers.on ? config_distribution::Side::kDescriptors : 0);
     DescriptorBudget budget = DescriptorBudget::of(config.sockets, reserved);
     Clock clock;
     AsioScheduler scheduler(io, clock);
--- a/src/app/node_config.h
+++ b/src/app/node_config.h
@@ -10,7 +10,7 @@
 
 #include "discovery/server_list.h"
 #include "engine/decode.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::app {
 
--- a/src/app/quota_command.cpp
+++ b/src/app/quota_command.cpp
@@ -9,7 +9,7 @@
 #include "app/commands.h"
 #include "app/node_config.h"
 #include "config/toml_file.h"
-#include "fleet/keeper/error.h"
+#include "fleet/coordinator/error.h"
 #include "fleet/quota/machine.h"
 
 namespace ochrehub::app {
@@ -125,11 +125,13 @@
 
 /// What the machine answered. Nothing: told already why not.
 std::optional<quota::MachineReply> ask_machine(const KeepersAt& at, std::string body) {
-    keeper::wire::Ask ask;
+    coordinator::wire::Ask ask;
     ask.mutable_do_()->set_kind("quota"), ask.mutable_do_()->set_body(std::move(body));
     auto answer = ask_leader(at, ask);
     if (!answer || answer->error() != 0) {
-        refused(keeper::row(answer ? keeper::Error(answer->error()) : keeper::Error::Unreachable), "quota");
+        refused(
+            coordinator::row(answer ? coordinator::Error(answer->error()) : coordinator::Error::Unreachable),
+            "quota");
         return std::nullopt;
     }
     auto reply = quota::decode_reply(answer->result());
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -13,12 +13,12 @@
 namespace asio = boost::asio;
 
 /// As the operators' file has them. Empty where one is none: `why`.
-std::vector<rewrite::Rule> read_rules(const agreement::Headers& headers, std::string& why) {
+std::vector<rewrite::Rule> read_rules(const config_distribution::Headers& headers, std::string& why) {
     std::vector<rewrite::Rule> out;
-    for (const agreement::HeaderRule& r : headers.rules) {
-        if (r.act != agreement::Act::Add)
+    for (const config_distribution::HeaderRule& r : headers.rules) {
+        if (r.act != config_distribution::Act::Add)
             out.push_back({true, rewrite::Rule::Verb::Drop, r.name, {}, "*", "*"});
-        if (r.act != agreement::Act::Remove)
+        if (r.act != config_distribution::Act::Remove)
             out.push_back({true, rewrite::Rule::Verb::Add, r.name, r.value, "*", "*"});
         rewrite::Rule read;
         std::string bad = rewrite::read_rule("in drop " + r.name, nullptr, read);
@@ -27,14 +27,14 @@
     return out;
 }
 
-std::string check(const agreement::Document& document) {
+std::string check(const config_distribution::Document& document) {
     std::string why;
-    if (const auto* headers = std::get_if<agreement::Headers>(&document.content)) {
+    if (const auto* headers = std::get_if<config_distribution::Headers>(&document.content)) {
         read_rules(*headers, why);
         return why;
     }
-    const auto* servers = std::get_if<agreement::Servers>(&document.content);
-    if (servers && servers->source == agreement::Source::Hand) return {};
+    const auto* servers = std::get_if<config_distribution::Servers>(&document.content);
+    if (servers && servers->source == config_distribution::Source::Hand) return {};
     return "nothing in this release of the node acts on it";
 }
 
@@ -80,22 +80,23 @@
     : io_(io),
       clock_(clock),
       node_(std::move(node)),
-      acting_(
-          [this](const std::string& document, const agreement::Acted& acted) { changed(document, acted); }),
+      acting_([this](const std::string& document, const config_distribution::Acted& acted) {
+          changed(document, acted);
+      }),
       ends_(io) {
-    keeper::SideSettings set;
+    coordinator::SideSettings set;
     set.session.keepers = told.ask, set.session.name = name, set.session.zone = zone,
     set.session.lease = told.lease;
     set.session.release = 1, set.session.schema_least = set.session.schema_most = 1;
     set.cluster = told.cluster, set.keys = told.keys;
     session_.emplace(std::move(set), clock);
     side_.emplace(*session_, clock, told.folder, acting_,
-                  agreement::Side::Calls{check, [this](std::function<void()> what) {
-                                             asio::post(io_, [this, what = std::move(what)] {
-                                                 what();
-                                                 arm();
-                                             });
-                                         }});
+                  config_distribution::Side::Calls{check, [this](std::function<void()> what) {
+                                                       asio::post(io_, [this, what = std::move(what)] {
+                                                           what();
+                                                           arm();
+                                                       });
+                                                   }});
 }
 
 Rules::~Rules() {
@@ -121,22 +122,22 @@
     });
 }
 
-void Rules::changed(const std::string& document, const agreement::Acted& acted) {
-    std::string detail =
-        document + " " + std::to_string(acted.version) + " " + std::string(agreement::name(acted.how));
+void Rules::changed(const std::string& document, const config_distribution::Acted& acted) {
+    std::string detail = document + " " + std::to_string(acted.version) + " " +
+                         std::string(config_distribution::name(acted.how));
     log(LogLevel::Info, "rules:",
         {{"document", document},
          {"version", std::to_string(acted.version)},
-         {"acts", std::string(agreement::name(acted.how))}});
+         {"acts", std::string(config_distribution::name(acted.how))}});
     node_.record(detail);
     if (!acted.content) return;
     std::string why;
-    if (const auto* headers = std::get_if<agreement::Headers>(acted.content.get())) {
+    if (const auto* headers = std::get_if<config_distribution::Headers>(acted.content.get())) {
         header_rules_[document] = read_rules(*headers, why);
         join_rewrites();
     }
-    if (const auto* hand = std::get_if<agreement::Servers>(acted.content.get());
-        hand && hand->source == agreement::Source::Hand) {
+    if (const auto* hand = std::get_if<config_distribution::Servers>(acted.content.get());
+        hand && hand->source == config_distribution::Source::Hand) {
         hands_[document] = *hand;
         servers();
     }
@@ -148,9 +149,10 @@
     bool all_last = false;
     for (const auto& [document, hand] : hands_) {
         all_last |= hand.partial;
-        for (const agreement::Server& s : hand.servers) {
-            if (s.use == agreement::Use::Out || s.use == agreement::Use::Rest) out.insert(s.name);
-            if (s.use == agreement::Use::Last) last.insert(s.name);
+        for (const config_distribution::Server& s : hand.servers) {
+            if (s.use == config_distribution::Use::Out || s.use == config_distribution::Use::Rest)
+                out.insert(s.name);
+            if (s.use == config_distribution::Use::Last) last.insert(s.name);
         }
     }
     bool others = !all_last && std::any_of(listed_.begin(), listed_.end(), [&](const std::string& id) {
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -16,9 +16,9 @@
 #include "base/clock.h"
 #include "config/table.h"
 #include "engine/types.h"
-#include "fleet/agreement/side.h"
-#include "fleet/keeper/session_side.h"
-#include "ochrehub/rules.h"
+#include "fleet/config_distribution/side.h"
+#include "fleet/coordinator/session_side.h"
+#include "ochrehub/balancer.h"
 #include "rewrite/rewrites.h"
 
 namespace ochrehub::app {
@@ -60,7 +60,7 @@
     std::string figures() const { return side_->figures(); }
 
 private:
-    void changed(const std::string& document, const agreement::Acted& acted);
+    void changed(const std::string& document, const config_distribution::Acted& acted);
     void servers();
     void join_rewrites();
     void arm();
@@ -68,17 +68,17 @@
     boost::asio::io_context& io_;
     Clock clock_;
     Node node_;
-    agreement::Acting acting_;
+    config_distribution::Acting acting_;
     boost::asio::steady_timer ends_;
     TimePoint armed_ = TimePoint::max();
     std::set<std::string> listed_;
-    std::map<std::string, agreement::Servers> hands_;  // by document
+    std::map<std::string, config_distribution::Servers> hands_;  // by document
     std::set<std::uint64_t> desk_out_, rules_out_;
     std::map<std::string, std::vector<rewrite::Rule>> header_rules_;  // by document
     rewrite::Rewrites own_;
     std::shared_ptr<const rewrite::Rewrites> joined_;
-    std::optional<agreement::Side> side_;
-    std::optional<keeper::SessionSide> session_;
+    std::optional<config_distribution::Side> side_;
+    std::optional<coordinator::SessionSide> session_;
 };
 
 }  // namespace ochrehub::app
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -13,14 +13,14 @@
 #include "app/commands.h"
 #include "app/node_config.h"
 #include "audit/journal.h"
-#include "fleet/agreement/machine.h"
-#include "fleet/keeper/error.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/coordinator/error.h"
 
 namespace ochrehub::app {
 namespace {
 
 namespace json = boost::json;
-using namespace agreement;
+using namespace config_distribution;
 
 /// What could not be done, for people or as JSON.
 struct Refused {
@@ -28,22 +28,23 @@
     std::string about;
 };
 
-agreement::Answer asked(const KeepersAt& at, const keeper::wire::Ask& ask) {
+config_distribution::Answer asked(const KeepersAt& at, const coordinator::wire::Ask& ask) {
     auto answer = ask_leader(at, ask);
-    if (!answer) throw Refused{keeper::row(keeper::Error::Unreachable), "keepers"};
-    if (answer->error() != 0) throw Refused{keeper::row(keeper::Error(answer->error())), "rules"};
+    if (!answer) throw Refused{coordinator::row(coordinator::Error::Unreachable), "keepers"};
+    if (answer->error() != 0) throw Refused{coordinator::row(coordinator::Error(answer->error())), "rules"};
     auto read = read_answer(answer->result());
-    if (!read) throw Refused{agreement::row(agreement::Error::Malformed), "the keepers' answer"};
-    if (read->failure) throw Refused{agreement::row(read->failure->error), read->failure->about};
+    if (!read)
+        throw Refused{config_distribution::row(config_distribution::Error::Malformed), "the keepers' answer"};
+    if (read->failure) throw Refused{config_distribution::row(read->failure->error), read->failure->about};
     return *read;
 }
-agreement::Answer look(const KeepersAt& at, const std::string& name) {
-    keeper::wire::Ask ask;
+config_distribution::Answer look(const KeepersAt& at, const std::string& name) {
+    coordinator::wire::Ask ask;
     ask.mutable_look()->set_kind("rules"), ask.mutable_look()->set_body(question(name));
     return asked(at, ask);
 }
-agreement::Answer command(const KeepersAt& at, std::string body) {
-    keeper::wire::Ask ask;
+config_distribution::Answer command(const KeepersAt& at, std::string body) {
+    coordinator::wire::Ask ask;
     ask.mutable_do_()->set_kind("rules"), ask.mutable_do_()->set_body(std::move(body));
     return asked(at, ask);
 }
@@ -56,16 +57,16 @@
     std::strftime(text, sizeof text, "%Y-%m-%d %H:%M:%S", &utc);
     return text;
 }
-const char* name_of(agreement::Phase phase) {
+const char* name_of(config_distribution::Phase phase) {
     constexpr const char* kNames[] = {"", "staging", "draining", "canary"};
     return kNames[std::size_t(phase)];
 }
 
 json::object as_json(const Document& d, bool content) {
     json::object out{{"version", d.version},
-                     {"kind", std::string(agreement::name(kind(d.content)))},
-                     {"mode", std::string(agreement::name(d.mode))},
-                     {"without_permit", std::string(agreement::name(d.choice))},
+                     {"kind", std::string(config_distribution::name(kind(d.content)))},
+                     {"mode", std::string(config_distribution::name(d.mode))},
+                     {"without_permit", std::string(config_distribution::name(d.choice))},
                      {"proposer", d.proposer},
                      {"when", when(d.when)}};
     if (!content) out.erase("kind");
@@ -78,7 +79,7 @@
     for (const Document& b : d.before) before.push_back(as_json(b, content));
     for (const Ended& e : d.ended)
         ended.push_back(json::object{{"version", e.version},
-                                     {"code", std::string(agreement::row(e.why.error).code)},
+                                     {"code", std::string(config_distribution::row(e.why.error).code)},
                                      {"about", e.why.about},
                                      {"proposer", e.proposer}});
     for (const NodeStatus& n : d.nodes)
@@ -102,20 +103,21 @@
 
 void line(const char* what, const Document& d) {
     std::printf("%-9s %6llu  %-6s  %-7s  %s by %s%s\n", what, static_cast<unsigned long long>(d.version),
-                std::string(agreement::name(d.mode)).c_str(), std::string(agreement::name(d.choice)).c_str(),
-                when(d.when).c_str(), d.proposer.c_str(),
-                d.of != 0 ? (", back to " + std::to_string(d.of)).c_str() : "");
+                std::string(config_distribution::name(d.mode)).c_str(),
+                std::string(config_distribution::name(d.choice)).c_str(), when(d.when).c_str(),
+                d.proposer.c_str(), d.of != 0 ? (", back to " + std::to_string(d.of)).c_str() : "");
 }
 
-const DocumentStatus& one(const agreement::Answer& answer, const std::string& name) {
-    if (answer.documents.empty()) throw Refused{agreement::row(agreement::Error::Unknown), name};
+const DocumentStatus& one(const config_distribution::Answer& answer, const std::string& name) {
+    if (answer.documents.empty())
+        throw Refused{config_distribution::row(config_distribution::Error::Unknown), name};
     return answer.documents.front();
 }
 
 /// Until it is in force, tried out or stopped.
 int follow(const RulesAsk& ask, std::uint64_t version) {
     for (;;) {
-        agreement::Answer answer = look(ask.at, ask.document);
+        config_distribution::Answer answer = look(ask.at, ask.document);
         const DocumentStatus& d = one(answer, ask.document);
         auto tell = [&](const char* how) {
             if (ask.json)
@@ -129,10 +131,10 @@
             return 0;
         };
         if (d.in_force && d.in_force->version >= version) return tell("in force");
-        if (d.next && d.next->version == version && d.phase == agreement::Phase::Canary)
+        if (d.next && d.next->version == version && d.phase == config_distribution::Phase::Canary)
             return tell("tried out");
         for (const Ended& e : d.ended)
-            if (e.version == version) throw Refused{agreement::row(e.why.error), e.why.about};
+            if (e.version == version) throw Refused{config_distribution::row(e.why.error), e.why.about};
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
 }
@@ -151,7 +153,7 @@
     std::random_device device;
     p.token = std::uint64_t(device()) << 32 | device();
     if (!ask.zone.empty() || !ask.node.empty())
-        p.document.scope = agreement::Scope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
+        p.document.scope = config_distribution::Scope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
     return p;
 }
 
@@ -161,13 +163,13 @@
     std::string octets{std::istreambuf_iterator<char>(in), {}};
     auto read = read_text(octets);
     if (const auto* bad = std::get_if<Failure>(&read))
-        throw Refused{agreement::row(bad->error), path + ": " + bad->about};
+        throw Refused{config_distribution::row(bad->error), path + ": " + bad->about};
     return std::get<Content>(std::move(read));
 }
 
 int carried_out(const RulesAsk& ask, const std::string& what) {
     if (what == "show") {
-        agreement::Answer answer = look(ask.at, ask.document);
+        config_distribution::Answer answer = look(ask.at, ask.document);
         if (ask.json) {
             json::array all;
             for (const DocumentStatus& d : answer.documents) all.push_back(as_json(d, !ask.document.empty()));
@@ -192,7 +194,7 @@
     if (what == "propose") {
         Proposal p = begun(ask);
         p.document.content = read_content(ask.file);
-        agreement::Answer seen = look(ask.at, "");
+        config_distribution::Answer seen = look(ask.at, "");
         for (const DocumentStatus& d : seen.documents)
             if (d.name == ask.document && d.in_force) {
                 p.base = ask.base != 0 ? ask.base : d.in_force->version;
@@ -201,7 +203,7 @@
             }
         return follow(ask, command(ask.at, propose(p)).version);
     }
-    agreement::Answer answer = look(ask.at, ask.document);
+    config_distribution::Answer answer = look(ask.at, ask.document);
     const DocumentStatus& d = one(answer, ask.document);
     if (what == "history") {
         if (ask.json) return std::printf("%s\n", json::serialize(as_json(d, true)).c_str()), 0;
@@ -219,11 +221,12 @@
             if (d.next && d.next->version == number) return *d.next;
             for (const Document& b : d.before)
                 if (b.version == number) return b;
-            throw Refused{agreement::row(agreement::Error::NoVersion),
+            throw Refused{config_distribution::row(config_distribution::Error::NoVersion),
                           ask.document + " " + std::to_string(number)};
         };
         if (!d.in_force)
-            throw Refused{agreement::row(agreement::Error::Unknown), ask.document + ": nothing is in force"};
+            throw Refused{config_distribution::row(config_distribution::Error::Unknown),
+                          ask.document + ": nothing is in force"};
         Content b = !ask.file.empty()       ? read_content(ask.file)
                     : d.next && ask.to == 0 ? d.next->content
                                             : d.in_force->content;
--- a/src/rules.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,5 +1,5 @@
-// ochrehub: every decision of the balancer. Its interface is include/ochrehub/rules.h.
-#include "ochrehub/rules.h"
+// ochrehub: every decision of the balancer. Its interface is include/ochrehub/balancer.h.
+#include "ochrehub/balancer.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/base/lag_meter.h
+++ b/src/base/lag_meter.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/base/scheduler.h
+++ b/src/base/scheduler.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "base/task.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::discovery {
 
--- a/src/engine/decode.h
+++ b/src/engine/decode.h
@@ -7,7 +7,7 @@
 
 #include "config/pairs.h"
 #include "engine/names.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/engine/names.h
+++ b/src/engine/names.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/engine/settings.h
+++ b/src/engine/settings.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "config/table.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -20,7 +20,7 @@
 
 #include "fleet/error/error.h"
 #include "fleet/keys/keys.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::channel {
 
--- a/src/fleet/agreement/document.cpp
+++ b/src/fleet/config_distribution/document.cpp
@@ -1,11 +1,11 @@
-#include "fleet/agreement/document.h"
+#include "fleet/config_distribution/document.h"
 
 #include <algorithm>
 #include <iterator>
 #include <map>
 #include <set>
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 template <class... F>
@@ -403,4 +403,4 @@
     return content;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/document.h
+++ b/src/fleet/config_distribution/document.h
@@ -12,10 +12,10 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/agreement/error.h"
-#include "ochrehub/rules.h"
+#include "fleet/config_distribution/error.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 inline constexpr std::size_t kContentMost =
     256 << 10;  ///< octets of a content; with room for it in one message of a channel
@@ -186,4 +186,4 @@
 /// Lines of `b` that are not in `a` behind `+ `, the reverse behind `- `. Empty: the same.
 std::string diff(const Content& a, const Content& b);
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/error.cpp
+++ b/src/fleet/config_distribution/error.cpp
@@ -1,8 +1,8 @@
-#include "fleet/agreement/error.h"
+#include "fleet/config_distribution/error.h"
 
 #include <iterator>
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[] = {
@@ -51,4 +51,4 @@
     return kRows[std::size_t(error)];
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/error.h
+++ b/src/fleet/config_distribution/error.h
@@ -5,7 +5,7 @@
 
 #include "fleet/error/error.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 enum class Error : std::uint8_t {
     UnknownKind,
@@ -38,4 +38,4 @@
 const fleet::ErrorRow& row(Error error);
 using Failure = fleet::Failure<Error>;
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/holder.cpp
+++ b/src/fleet/config_distribution/holder.cpp
@@ -1,13 +1,13 @@
-#include "fleet/agreement/holder.h"
+#include "fleet/config_distribution/holder.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/agreement/holder_file.h"
-#include "fleet/agreement/machine.h"
-#include "fleet/agreement/wire.h"
+#include "fleet/config_distribution/holder_file.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/wire.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 std::shared_ptr<const Content> shared(Content content) {
@@ -289,4 +289,4 @@
     return out;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/holder.h
+++ b/src/fleet/config_distribution/holder.h
@@ -19,10 +19,10 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/agreement/document.h"
-#include "fleet/keeper/machine.h"
+#include "fleet/config_distribution/document.h"
+#include "fleet/coordinator/machine.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 namespace wire {
 class DocumentNews;
@@ -62,7 +62,7 @@
 /// The session's lease was renewed, or the first of a new session. `news`: what this machine had to tell with
 /// that same answer; empty: nothing.
 struct Renewed {
-    keeper::SessionId session = 0;
+    coordinator::SessionId session = 0;
     TimePoint until{};
     std::string news;
 };
@@ -160,12 +160,12 @@
     HolderSettings set_;
     TimePoint patient_until_;
     bool patient_ = true;
-    keeper::SessionId session_ = 0;
+    coordinator::SessionId session_ = 0;
     TimePoint until_{};
     std::uint64_t revision_ = 0;
-    keeper::SessionId least_ = 1;  ///< sessions before this one are over
+    coordinator::SessionId least_ = 1;  ///< sessions before this one are over
     std::uint64_t serial_ = 0, refused_news_ = 0, lapses_ = 0;
     std::map<std::string, Held> documents_;
 };
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/holder_file.cpp
+++ b/src/fleet/config_distribution/holder_file.cpp
@@ -1,12 +1,12 @@
-#include "fleet/agreement/holder_file.h"
+#include "fleet/config_distribution/holder_file.h"
 
 #include <algorithm>
 #include <cerrno>
 
-#include "fleet/agreement/machine.h"
-#include "fleet/agreement/wire.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/wire.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 constexpr std::string_view kHead = "ochrehub rules 1\n";
 }
@@ -65,4 +65,4 @@
     return read;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/holder_file.h
+++ b/src/fleet/config_distribution/holder_file.h
@@ -6,10 +6,10 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/agreement/document.h"
+#include "fleet/config_distribution/document.h"
 #include "fleet/store/files.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 /// `ochrehub rules 1`, a line's end, the digest of what follows, the documents.
 std::string file_octets(const std::vector<Document>& documents);
@@ -20,4 +20,4 @@
 /// No file: no documents.
 std::variant<std::vector<Document>, Failure> load(store::Files& files, const std::string& name);
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/machine.cpp
+++ b/src/fleet/config_distribution/machine.cpp
@@ -1,11 +1,11 @@
-#include "fleet/agreement/machine.h"
+#include "fleet/config_distribution/machine.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/agreement/wire.h"
+#include "fleet/config_distribution/wire.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 Answer failed(Error error, std::string about) {
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-std::string Agreement::apply(const keeper::Command& command) {
+std::string Agreement::apply(const coordinator::Command& command) {
     wire::Command in;
     Answer answer;
     if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
@@ -64,7 +64,7 @@
     return out.SerializeAsString();
 }
 
-Answer Agreement::take(const wire::Command& command, keeper::SessionId session) {
+Answer Agreement::take(const wire::Command& command, coordinator::SessionId session) {
     using What = wire::Command::WhatCase;
     // Of a session that is over nothing counts: what it says of itself now is about a time in which others
     // hold its permits.
@@ -160,7 +160,7 @@
 // ---- Proposals
 
 Answer Agreement::take(const wire::Propose& c) {
-    auto document = agreement::read(c.document());
+    auto document = config_distribution::read(c.document());
     if (c.document().content().size() > kContentMost)
         return failed(Error::TooLong, c.document().name().substr(0, kNameMost));
     if (!document || c.stage_ms() > std::uint64_t(kStageMost.count()) ||
@@ -189,7 +189,9 @@
     const Document& d = p.document;
     if (auto bad = checked(d.content)) return Failure{bad->error, d.name + ": " + bad->about};
     if (!allowed(d.content, d.mode))
-        return Failure{Error::Mode, d.name + ": " + std::string(agreement::name(agreement::kind(d.content)))};
+        return Failure{
+            Error::Mode,
+            d.name + ": " + std::string(config_distribution::name(config_distribution::kind(d.content)))};
     if (!state && documents_.size() >= kDocumentsMost) return Failure{Error::Full, d.name};
     if (octets() + encode(d.content).size() > kOctetsMost) return Failure{Error::Full, d.name};
     const Document* stands = state && state->in_force ? &*state->in_force : nullptr;
@@ -204,7 +206,8 @@
         return Failure{Error::Canary, d.name};
     if (!stands) return {};
     if (stands->mode != d.mode)
-        return Failure{Error::ModeChanged, d.name + ": " + std::string(agreement::name(stands->mode))};
+        return Failure{Error::ModeChanged,
+                       d.name + ": " + std::string(config_distribution::name(stands->mode))};
     if (auto bad = follows(stands->content, d.content))
         return Failure{bad->error, d.name + ": " + bad->about};
     if (stands->content == d.content && stands->choice == d.choice)
@@ -320,13 +323,13 @@
 
 // ---- Sessions and times
 
-void Agreement::session_began(keeper::SessionId session, std::string_view name, std::string_view zone) {
+void Agreement::session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) {
     ++revision_;
     sessions_[session] = {std::string(name.substr(0, kNameMost)), std::string(zone.substr(0, kNameMost)),
                           false};
 }
 
-void Agreement::session_over(keeper::SessionId session) {
+void Agreement::session_over(coordinator::SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto& [name, state] : documents_) {
@@ -337,7 +340,7 @@
     }
 }
 
-void Agreement::armed(std::vector<keeper::Armed>& armed) const {
+void Agreement::armed(std::vector<coordinator::Armed>& armed) const {
     for (const auto& [name, state] : documents_)
         if (state.phase != Phase::None)
             armed.push_back({state.key, state.armed_revision,
@@ -351,7 +354,7 @@
     return out.SerializeAsString();
 }
 
-std::string Agreement::news(keeper::SessionId id) const {
+std::string Agreement::news(coordinator::SessionId id) const {
     auto session = sessions_.find(id);
     if (session == sessions_.end() || !session->second.attends) return {};
     wire::News out;
@@ -362,7 +365,8 @@
         to.set_name(name);
         auto put = [&, &all = state.has](const Document& document, wire::Document& into) {
             auto has = all.find(id);
-            agreement::write(document, has == all.end() || !has->second.contains(document.version), into);
+            config_distribution::write(document, has == all.end() || !has->second.contains(document.version),
+                                       into);
             if (into.content().size() > room) into.clear_content();
             room -= into.content().size();
         };
@@ -407,4 +411,4 @@
     return out;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/machine.h
+++ b/src/fleet/config_distribution/machine.h
@@ -1,6 +1,6 @@
 // What the keepers agree on about documents: which version is in force, which is on its way, who has said
-// what of it and who may still act on an older one. A machine of theirs (fleet/keeper/machine.h), so it knows
-// no time.
+// what of it and who may still act on an older one. A machine of theirs (fleet/coordinator/machine.h), so it
+// knows no time.
 //
 // A proposal is made on a version in force; another that was made on the same one is told that it came
 // second. It is staged: each live session has its octets and says yes or no. A `quick` one is in force then.
@@ -23,10 +23,10 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/agreement/document.h"
-#include "fleet/keeper/machine.h"
+#include "fleet/config_distribution/document.h"
+#include "fleet/coordinator/machine.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 namespace wire {
 class Back;
@@ -92,16 +92,16 @@
 };
 std::optional<Answer> read_answer(std::string_view octets);
 
-class Agreement : public keeper::Machine {
+class Agreement : public coordinator::Machine {
 public:
     std::string_view kind() const override { return "rules"; }
     std::uint32_t schema() const override { return 1; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     std::string read(std::string_view question) const override;
-    void session_began(keeper::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(keeper::SessionId session) override;
-    std::string news(keeper::SessionId session) const override;
-    void armed(std::vector<keeper::Armed>& armed) const override;
+    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
+    void session_over(coordinator::SessionId session) override;
+    std::string news(coordinator::SessionId session) const override;
+    void armed(std::vector<coordinator::Armed>& armed) const override;
     std::string over(std::uint64_t key, std::uint64_t revision) const override;
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -128,15 +128,15 @@
         bool any_no_stops = true;
         Duration stage{};
         std::uint64_t armed_revision = 0;
-        std::map<keeper::SessionId, Said> said;
-        std::set<keeper::SessionId> to_give;
-        std::map<keeper::SessionId, std::set<std::uint64_t>> has;
+        std::map<coordinator::SessionId, Said> said;
+        std::set<coordinator::SessionId> to_give;
+        std::map<coordinator::SessionId, std::set<std::uint64_t>> has;
         std::deque<Ended> ended;
         std::deque<std::pair<std::uint64_t, std::uint64_t>> tokens;  ///< and their versions
     };
     using States = std::map<std::string, State, std::less<>>;
 
-    Answer take(const wire::Command& command, keeper::SessionId session);
+    Answer take(const wire::Command& command, coordinator::SessionId session);
     Answer take(const wire::Propose& propose);
     Answer take(const wire::Back& back);
     Answer stage(Proposal&& proposal);
@@ -154,7 +154,7 @@
 
     std::uint64_t revision_ = 0, last_key_ = 0;
     States documents_;
-    std::map<keeper::SessionId, Session> sessions_;
+    std::map<coordinator::SessionId, Session> sessions_;
 };
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/machine_state.cpp
+++ b/src/fleet/config_distribution/machine_state.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "fleet/agreement/machine.h"
-#include "fleet/agreement/wire.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/wire.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 // ---- Commands
 
@@ -95,16 +95,16 @@
 void Agreement::write(const std::string& name, const State& s, wire::DocumentState& to) const {
     to.set_name(name), to.set_key(s.key), to.set_last_version(s.last_version),
         to.set_phase(std::uint32_t(s.phase));
-    if (s.in_force) agreement::write(*s.in_force, true, *to.mutable_in_force());
-    for (const Document& d : s.before) agreement::write(d, true, *to.add_before());
-    if (s.phase != Phase::None) agreement::write(s.next, true, *to.mutable_next());
+    if (s.in_force) config_distribution::write(*s.in_force, true, *to.mutable_in_force());
+    for (const Document& d : s.before) config_distribution::write(d, true, *to.add_before());
+    if (s.phase != Phase::None) config_distribution::write(s.next, true, *to.mutable_next());
     to.set_no_stops_none(!s.any_no_stops), to.set_stage_ms(std::uint64_t(s.stage.count())),
         to.set_armed_revision(s.armed_revision);
     for (const auto& [id, said] : s.said) {
         auto& one = *to.add_said();
         one.set_session(id), one.set_word(std::uint32_t(said.word)), one.set_reason(said.reason);
     }
-    for (keeper::SessionId id : s.to_give) to.add_to_give(id);
+    for (coordinator::SessionId id : s.to_give) to.add_to_give(id);
     for (const auto& [id, versions] : s.has) {
         auto& one = *to.add_has();
         one.set_session(id);
@@ -125,14 +125,14 @@
     s.key = from.key(), s.last_version = from.last_version(), s.phase = Phase(from.phase());
     if (from.phase() > std::uint32_t(Phase::Canary) || from.has_next() != (s.phase != Phase::None))
         return false;
-    if (from.has_in_force() && !(s.in_force = agreement::read(from.in_force()))) return false;
+    if (from.has_in_force() && !(s.in_force = config_distribution::read(from.in_force()))) return false;
     for (const auto& b : from.before()) {
-        auto document = agreement::read(b);
+        auto document = config_distribution::read(b);
         if (!document) return false;
         s.before.push_back(std::move(*document));
     }
     if (from.has_next()) {
-        auto next = agreement::read(from.next());
+        auto next = config_distribution::read(from.next());
         if (!next || (s.phase == Phase::Canary) > next->scope.has_value()) return false;
         s.next = std::move(*next);
     }
@@ -177,4 +177,4 @@
     return true;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/side.cpp
+++ b/src/fleet/config_distribution/side.cpp
@@ -1,4 +1,4 @@
-#include "fleet/agreement/side.h"
+#include "fleet/config_distribution/side.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -8,10 +8,10 @@
 
 #include "base/log.h"
 #include "base/side_thread.h"
-#include "fleet/agreement/holder_file.h"
+#include "fleet/config_distribution/holder_file.h"
 #include "fleet/store/posix_files.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 namespace asio = boost::asio;
@@ -50,7 +50,7 @@
         if (!one.ended) next_ = std::min({next_, one.permit.until, one.permit.most});
 }
 
-Side::Side(keeper::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls)
+Side::Side(coordinator::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls)
     : session_(session),
       clock_(clock),
       acting_(acting),
@@ -74,7 +74,7 @@
     Actions actions;
     holder_.emplace(HolderSettings{}, std::move(kept), clock_.now(), actions);
     asio::post(io_, [this, actions = std::move(actions)]() mutable { carry_out(std::move(actions)); });
-    session_.listen([this](const keeper::SessionSide::Told& what) { told(what); });
+    session_.listen([this](const coordinator::SessionSide::Told& what) { told(what); });
     thread_ = side_thread(io_, [](const std::exception& bad) {
         log(LogLevel::Error, "rules:", {{"fault", bad.what()}});
     });
@@ -87,12 +87,12 @@
 
 /// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
 /// next one.
-void Side::told(const keeper::SessionSide::Told& what) {
-    if (const auto* held = std::get_if<keeper::Held>(&what)) {
+void Side::told(const coordinator::SessionSide::Told& what) {
+    if (const auto* held = std::get_if<coordinator::Held>(&what)) {
         if (!held_ || held_->session != held->session || !had_news_) renewed(*held, {});
         held_ = *held;
         had_news_ = false;
-    } else if (const auto* news = std::get_if<keeper::News>(&what)) {
+    } else if (const auto* news = std::get_if<coordinator::News>(&what)) {
         if (news->kind != "rules" || !held_) return;
         had_news_ = true;
         renewed(*held_, news->bytes);
@@ -102,7 +102,7 @@
     }
 }
 
-void Side::renewed(const keeper::Held& held, std::string news) {
+void Side::renewed(const coordinator::Held& held, std::string news) {
     asio::post(io_, [this, held, news = std::move(news)] {
         handle(Renewed{held.session, held.until, news});
     });
@@ -128,7 +128,7 @@
             });
         } else if (auto* say = std::get_if<Say>(&action)) {
             session_.submit("rules", std::move(say->command),
-                            [](keeper::Error, const std::string&) {});  // the news say what came of it
+                            [](coordinator::Error, const std::string&) {});  // the news say what came of it
         } else if (auto* write = std::get_if<Write>(&action)) {
             auto bad = files_ ? save(*files_, kFile, write->octets) : std::nullopt;
             if (bad && !std::exchange(complained_, true)) complain(*bad);
@@ -175,4 +175,4 @@
     return shown_;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/stated.cpp
+++ b/src/fleet/config_distribution/stated.cpp
@@ -1,8 +1,8 @@
-#include "fleet/agreement/stated.h"
+#include "fleet/config_distribution/stated.h"
 
 #include <cmath>
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 Timing timing(Duration lease, std::optional<Duration> stated) {
     return {lease, lease / 100 + Duration{50}, 0.01, stated};
@@ -24,4 +24,4 @@
     return {};
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/stated.h
+++ b/src/fleet/config_distribution/stated.h
@@ -4,9 +4,9 @@
 
 #include <optional>
 
-#include "fleet/agreement/document.h"
+#include "fleet/config_distribution/document.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 struct Timing {
     Duration lease{3000};
@@ -25,4 +25,4 @@
 /// A stated time that these cannot hold, or a margin that does not cover the clocks.
 std::optional<Failure> checked(const Timing& timing);
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/text.cpp
+++ b/src/fleet/config_distribution/text.cpp
@@ -2,9 +2,9 @@
 #include <charconv>
 #include <map>
 
-#include "fleet/agreement/document.h"
+#include "fleet/config_distribution/document.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 constexpr std::string_view kActs[] = {"set", "add", "remove"}, kStandings[] = {"held", "open", "shut"},
@@ -248,4 +248,4 @@
     return out;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/wire.cpp
+++ b/src/fleet/config_distribution/wire.cpp
@@ -1,9 +1,9 @@
-#include "fleet/agreement/wire.h"
+#include "fleet/config_distribution/wire.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 void put(const Limits& c, wire::Content& out) {
@@ -155,4 +155,4 @@
     return out;
 }
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/agreement/wire.h
+++ b/src/fleet/config_distribution/wire.h
@@ -1,13 +1,13 @@
 // Documents as they are kept and sent (proto/agreement.proto). For this room and its tests alone.
 #pragma once
 
-#include <agreement.pb.h>
+#include <config_distribution.pb.h>
 
 #include <optional>
 
-#include "fleet/agreement/document.h"
+#include "fleet/config_distribution/document.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 
 /// With or without its content; its digest always.
 void write(const Document& document, bool content, wire::Document& into);
@@ -16,4 +16,4 @@
 std::optional<Document> read(const wire::Document& from, bool empty_content = false);
 std::string digest_octets(const Content& content);
 
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/src/fleet/keeper/asking.cpp
+++ b/src/fleet/coordinator/asking.cpp
@@ -1,4 +1,4 @@
-#include "fleet/keeper/asking.h"
+#include "fleet/coordinator/asking.h"
 
 #include <boost/asio/io_context.hpp>
 #include <random>
@@ -6,7 +6,7 @@
 #include "base/asio_scheduler.h"
 #include "fleet/channel/mesh.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 std::map<std::string, std::string> ask_each(const AskSettings& settings,
                                             const std::vector<std::string>& addresses,
@@ -48,4 +48,4 @@
     return answers;
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/asking.h
+++ b/src/fleet/coordinator/asking.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 struct AskSettings {
     std::string cluster;
@@ -21,4 +21,4 @@
                                             const std::vector<std::string>& addresses,
                                             const std::string& ask);
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/error.cpp
+++ b/src/fleet/coordinator/error.cpp
@@ -1,8 +1,8 @@
-#include "fleet/keeper/error.h"
+#include "fleet/coordinator/error.h"
 
 #include <array>
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 const fleet::ErrorRow& row(Error error) {
     static const std::array<fleet::ErrorRow, 19> rows{{
@@ -49,4 +49,4 @@
     return rows[at < rows.size() ? at : std::size_t(Error::Malformed)];
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/error.h
+++ b/src/fleet/coordinator/error.h
@@ -5,7 +5,7 @@
 
 #include "fleet/error/error.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 /// The numbers are in messages and in what is kept: never another's.
 enum class Error : std::uint8_t {
@@ -32,4 +32,4 @@
 };
 const fleet::ErrorRow& row(Error error);
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/machine.h
+++ b/src/fleet/coordinator/machine.h
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 using SessionId = std::uint64_t;  ///< rises for ever, over all restarts; never given twice. Zero: none
 using Epoch = std::uint64_t;
@@ -61,4 +61,4 @@
     virtual bool restore(std::uint32_t schema, std::string_view bytes) = 0;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/process.cpp
+++ b/src/fleet/coordinator/process.cpp
@@ -1,4 +1,4 @@
-#include "fleet/keeper/process.h"
+#include "fleet/coordinator/process.h"
 
 #include <boost/asio/post.hpp>
 #include <cstring>
@@ -8,7 +8,7 @@
 #include "base/log.h"
 #include "fleet/store/posix_files.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 std::uint64_t draw() {
@@ -166,4 +166,4 @@
     if (stopped) stopped(error, about);
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/process.h
+++ b/src/fleet/coordinator/process.h
@@ -12,11 +12,11 @@
 
 #include "base/scheduler.h"
 #include "fleet/channel/mesh.h"
-#include "fleet/keeper/replica.h"
-#include "fleet/keeper/storing.h"
+#include "fleet/coordinator/replica.h"
+#include "fleet/coordinator/storing.h"
 #include "fleet/raft/raft.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 struct ProcessSettings {
     raft::Settings raft;  ///< its `self` is this keeper's number
@@ -69,4 +69,4 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -1,11 +1,11 @@
-#include "fleet/keeper/replica.h"
+#include "fleet/coordinator/replica.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 constexpr Duration kLate{250};   // woken so much behind its time, the process stood still: nobody could renew
@@ -445,4 +445,4 @@
     if (at != TimePoint::max()) out_->push_back(raft::WakeAt{at});
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -20,10 +20,10 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/keeper/state.h"
+#include "fleet/coordinator/state.h"
 #include "fleet/raft/raft.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 namespace wire {
 class Answer;
@@ -196,4 +196,4 @@
     std::uint64_t commands_ = 0, ended_ = 0, snapshots_ = 0;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/session.cpp
+++ b/src/fleet/coordinator/session.cpp
@@ -1,11 +1,11 @@
-#include "fleet/keeper/session.h"
+#include "fleet/coordinator/session.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 constexpr double kMarginPart =
@@ -286,4 +286,4 @@
     if (at != TimePoint::max()) out_->push_back(SessionWakeAt{at});
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/session.h
+++ b/src/fleet/coordinator/session.h
@@ -15,11 +15,11 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/keeper/error.h"
-#include "fleet/keeper/machine.h"
-#include "ochrehub/rules.h"
+#include "fleet/coordinator/error.h"
+#include "fleet/coordinator/machine.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 namespace wire {
 class Answer;
@@ -151,4 +151,4 @@
     std::uint64_t renewals_ = 0, lost_ = 0;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/session_side.cpp
+++ b/src/fleet/coordinator/session_side.cpp
@@ -1,4 +1,4 @@
-#include "fleet/keeper/session_side.h"
+#include "fleet/coordinator/session_side.h"
 
 #include <boost/asio/post.hpp>
 #include <random>
@@ -7,7 +7,7 @@
 #include "base/log.h"
 #include "base/side_thread.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 constexpr std::size_t kUnsent =
@@ -185,4 +185,4 @@
     }
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/session_side.h
+++ b/src/fleet/coordinator/session_side.h
@@ -17,9 +17,9 @@
 #include "base/asio_scheduler.h"
 #include "base/clock.h"
 #include "fleet/channel/mesh.h"
-#include "fleet/keeper/session.h"
+#include "fleet/coordinator/session.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 struct SideSettings {
     SessionSettings session;        ///< its instance and seed are drawn where they are zero
@@ -84,4 +84,4 @@
     std::thread thread_;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/state.cpp
+++ b/src/fleet/coordinator/state.cpp
@@ -1,8 +1,8 @@
-#include "fleet/keeper/state.h"
+#include "fleet/coordinator/state.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 constexpr std::uint32_t kVersion = 1;  // of the snapshot's own form
@@ -176,4 +176,4 @@
     return true;
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/state.h
+++ b/src/fleet/coordinator/state.h
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/keeper/error.h"
-#include "fleet/keeper/machine.h"
+#include "fleet/coordinator/error.h"
+#include "fleet/coordinator/machine.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 using Machines =
     std::vector<std::unique_ptr<Machine>>;  ///< each kind once, in the same order at every keeper
@@ -90,4 +90,4 @@
     std::map<SessionId, One> sessions_;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/storing.cpp
+++ b/src/fleet/coordinator/storing.cpp
@@ -1,6 +1,6 @@
-#include "fleet/keeper/storing.h"
+#include "fleet/coordinator/storing.h"
 
-#include <keeper.pb.h>
+#include <coordinator.pb.h>
 #include <pthread.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 #include "fleet/keys/keys.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 const std::string kFirst = "first", kFirstFresh = "first.fresh";
@@ -166,4 +166,4 @@
     return !write.caught_up || log.caught_up();
 }
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/keeper/storing.h
+++ b/src/fleet/coordinator/storing.h
@@ -14,11 +14,11 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/keeper/error.h"
+#include "fleet/coordinator/error.h"
 #include "fleet/raft/raft.h"
 #include "fleet/store/log.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 
 /// How a keeper begins.
 enum class Begin {
@@ -82,4 +82,4 @@
     std::thread thread_;
 };
 
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/src/fleet/fence/fence.cpp
+++ b/src/fleet/fencing/fence.cpp
@@ -1,8 +1,8 @@
-#include "fleet/fence/fence.h"
+#include "fleet/fencing/fence.h"
 
 #include <algorithm>
 
-namespace ochrehub::fence {
+namespace ochrehub::fencing {
 
 std::string_view name(Verdict verdict) {
     constexpr std::string_view kNames[] = {"do",   "done",    "doing",     "never",  "stale",  "settled",
@@ -218,4 +218,4 @@
     return all;
 }
 
-}  // namespace ochrehub::fence
+}  // namespace ochrehub::fencing
--- a/src/fleet/fence/fence.h
+++ b/src/fleet/fencing/fence.h
@@ -25,7 +25,7 @@
 #include <utility>
 #include <vector>
 
-namespace ochrehub::fence {
+namespace ochrehub::fencing {
 
 struct Settings {
     std::size_t duties = 10'000;
@@ -139,4 +139,4 @@
     std::vector<std::string> changes_;
 };
 
-}  // namespace ochrehub::fence
+}  // namespace ochrehub::fencing
--- a/src/fleet/duty/error.cpp
+++ b/src/fleet/leadership/error.cpp
@@ -1,6 +1,6 @@
-#include "fleet/duty/error.h"
+#include "fleet/leadership/error.h"
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
@@ -22,4 +22,4 @@
     return kRows[std::size_t(error)];
 }
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/duty/error.h
+++ b/src/fleet/leadership/error.h
@@ -2,7 +2,7 @@
 
 #include "fleet/error/error.h"
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
 enum class Error {
     Malformed,  ///< a command that cannot be read, or says nothing
@@ -19,4 +19,4 @@
 inline constexpr std::size_t kErrors = 10;
 const fleet::ErrorRow& row(Error error);
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/duty/list.cpp
+++ b/src/fleet/leadership/list.cpp
@@ -1,10 +1,10 @@
-#include "fleet/duty/list.h"
+#include "fleet/leadership/list.h"
 
 #include <list.pb.h>
 
 #include "ochrehub/hash.h"
 
-namespace ochrehub::duty::list {
+namespace ochrehub::leadership::list {
 
 namespace wire = ochrehub::list::wire;
 
@@ -104,7 +104,7 @@
     return read(in);
 }
 
-std::string Machine::apply(const keeper::Command& command) {
+std::string Machine::apply(const coordinator::Command& command) {
     wire::Command in;
     std::optional<Error> error;
     if (!parse(in, command.body) || (!in.has_open() && !in.has_report())) {
@@ -173,7 +173,7 @@
     return out.SerializeAsString();
 }
 
-std::string Machine::news(keeper::SessionId) const {
+std::string Machine::news(coordinator::SessionId) const {
     wire::News out;
     out.set_version(version_), out.set_digest(digest_), out.set_round(round_), out.set_confirmed(confirmed_);
     std::size_t octets = 0, first = kept_.size();
@@ -214,4 +214,4 @@
     return true;
 }
 
-}  // namespace ochrehub::duty::list
+}  // namespace ochrehub::leadership::list
--- a/src/fleet/duty/list.h
+++ b/src/fleet/leadership/list.h
@@ -15,12 +15,12 @@
 #include <string>
 #include <vector>
 
+#include "fleet/coordinator/machine.h"
 #include "fleet/error/error.h"
-#include "fleet/keeper/machine.h"
 
-namespace ochrehub::duty::list {
+namespace ochrehub::leadership::list {
 
-using keeper::Epoch;
+using coordinator::Epoch;
 
 inline constexpr std::uint32_t kSchema = 1;
 inline constexpr std::string_view kDuty = "list";
@@ -81,18 +81,18 @@
 };
 std::optional<Whole> read_whole(std::string_view bytes);
 
-class Machine : public keeper::Machine {
+class Machine : public coordinator::Machine {
 public:
     explicit Machine(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "list"; }
     std::uint32_t schema() const override { return kSchema; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     std::string read(std::string_view question) const override;  ///< the whole list, whatever is asked
-    void session_began(keeper::SessionId, std::string_view, std::string_view) override {}
-    void session_over(keeper::SessionId) override {}
-    std::string news(keeper::SessionId session) const override;
-    void armed(std::vector<keeper::Armed>&) const override {}
+    void session_began(coordinator::SessionId, std::string_view, std::string_view) override {}
+    void session_over(coordinator::SessionId) override {}
+    std::string news(coordinator::SessionId session) const override;
+    void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -115,4 +115,4 @@
     std::deque<Kept> kept_;
 };
 
-}  // namespace ochrehub::duty::list
+}  // namespace ochrehub::leadership::list
--- a/src/fleet/duty/list_follower.h
+++ b/src/fleet/leadership/list_follower.h
@@ -11,9 +11,9 @@
 
 #include <variant>
 
-#include "fleet/duty/list.h"
+#include "fleet/leadership/list.h"
 
-namespace ochrehub::duty::list {
+namespace ochrehub::leadership::list {
 
 struct FollowerSettings {
     Duration silence{6000};
@@ -78,4 +78,4 @@
         rounds_;  // when a renewal was asked for that told this round as open
 };
 
-}  // namespace ochrehub::duty::list
+}  // namespace ochrehub::leadership::list
--- a/src/fleet/duty/list_owner.h
+++ b/src/fleet/leadership/list_owner.h
@@ -6,9 +6,9 @@
 
 #include <variant>
 
-#include "fleet/duty/list.h"
+#include "fleet/leadership/list.h"
 
-namespace ochrehub::duty::list {
+namespace ochrehub::leadership::list {
 
 struct OwnerSettings {
     Duration wait{2000};  ///< what a watch asks for: so often nodes hear that the list still stands
@@ -20,10 +20,10 @@
 };
 
 // ---- What happens
-struct Began {  ///< duty::Begin
+struct Began {  ///< leadership::Begin
     Epoch epoch = 0;
 };
-struct Halted {};  ///< duty::Stop
+struct Halted {};  ///< leadership::Stop
 struct Told {      ///< discovery's answer to Watch of this number
     std::uint64_t call = 0;
     Listing listing;
@@ -54,8 +54,8 @@
     std::uint64_t number = 0;
     std::string command;
 };
-struct GiveBack {};  ///< duty::HandBack: discovery is not to be reached from here, or another has it
-struct AtRest {};    ///< duty::Stopped
+struct GiveBack {};  ///< leadership::HandBack: discovery is not to be reached from here, or another has it
+struct AtRest {};    ///< leadership::Stopped
 struct OwnerWakeAt {
     TimePoint at{};
 };
@@ -86,4 +86,4 @@
     TimePoint due_{}, heard_{};  ///< of what is out; when discovery last answered
 };
 
-}  // namespace ochrehub::duty::list
+}  // namespace ochrehub::leadership::list
--- a/src/fleet/duty/machine.cpp
+++ b/src/fleet/leadership/machine.cpp
@@ -1,11 +1,11 @@
-#include "fleet/duty/machine.h"
+#include "fleet/leadership/machine.h"
 
-#include <duty.pb.h>
+#include <leadership.pb.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
 namespace {
 
@@ -82,7 +82,7 @@
 
 // ---- Commands
 
-std::string Duties::apply(const keeper::Command& command) {
+std::string Duties::apply(const coordinator::Command& command) {
     Answer answer = decide(command);
     wire::Answer out;
     out.set_error(answer.error ? 1 + std::uint32_t(*answer.error) : 0);
@@ -98,7 +98,7 @@
     });
 }
 
-Answer Duties::decide(const keeper::Command& command) {
+Answer Duties::decide(const coordinator::Command& command) {
     wire::Command in;
     if (command.body.size() > 4096 || !parse(in, command.body)) return {Error::Malformed, {}, 0};
     if (command.session != 0 && !sessions_.contains(command.session)) return {Error::Session, {}, 0};
@@ -368,4 +368,4 @@
     return true;
 }
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/duty/machine.h
+++ b/src/fleet/leadership/machine.h
@@ -1,7 +1,7 @@
 // The keepers' machine of duties: for each piece of work one owner at a time, a session, under an epoch.
 // Epochs of all duties come from one counter that never goes back, so that a duty which vanished and came
 // again is granted under a higher one than ever before, and a receiver may forget single duties behind a
-// bound (fence::Fence::retire).
+// bound (fencing::Fence::retire).
 //
 // Two kinds: a standing duty has a name and is there while somebody wants it; a job is opened, is named by a
 // number that is never given twice, ends once (`end_job`: from then on nothing of it is done, its owner only
@@ -19,13 +19,13 @@
 #include <optional>
 #include <set>
 
-#include "fleet/duty/error.h"
-#include "fleet/keeper/machine.h"
+#include "fleet/coordinator/machine.h"
+#include "fleet/leadership/error.h"
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
-using keeper::Epoch;
-using keeper::SessionId;
+using coordinator::Epoch;
+using coordinator::SessionId;
 
 inline constexpr std::uint32_t kSchema = 1;
 inline constexpr std::uint32_t kWeightMost = 100;
@@ -66,18 +66,18 @@
 };
 std::optional<News> read_news(std::string_view bytes);
 
-class Duties : public keeper::Machine {
+class Duties : public coordinator::Machine {
 public:
     explicit Duties(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "duty"; }
     std::uint32_t schema() const override { return kSchema; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     void session_began(SessionId session, std::string_view name, std::string_view zone) override;
     void session_over(SessionId session) override;
     /// Never empty: that nothing is owned is news too.
     std::string news(SessionId session) const override;
-    void armed(std::vector<keeper::Armed>&) const override {}
+    void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -101,7 +101,7 @@
         std::uint64_t token = 0;  ///< of its last Open, and the job's name
         std::string opened;
     };
-    Answer decide(const keeper::Command& command);
+    Answer decide(const coordinator::Command& command);
     Answer decide_want(SessionId session, std::string_view name, std::uint32_t weight);
     Answer decide_open(SessionId session, std::string_view kind, std::uint64_t token);
     void grant(std::string_view name, Duty& duty);
@@ -122,4 +122,4 @@
     Table duties_;
 };
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/duty/owner.cpp
+++ b/src/fleet/leadership/owner.cpp
@@ -1,9 +1,9 @@
-#include "fleet/duty/owner.h"
+#include "fleet/leadership/owner.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
 namespace {
 
@@ -186,7 +186,7 @@
         it->second.give_up = session_ != 0;
         stop(it, Why::Unwanted, actions);
     } else if (session_ != 0) {
-        say(now, {duty::unwant(own), own, Waiting::Kind::Unwant, 0, {}}, actions);
+        say(now, {leadership::unwant(own), own, Waiting::Kind::Unwant, 0, {}}, actions);
     }
 }
 
@@ -194,7 +194,7 @@
     if (!lease(now)) return;
     for (auto& [duty, mine] : wishes_)
         if (!std::exchange(mine.told, true))
-            say(now, {duty::want(duty, mine.weight), duty, Waiting::Kind::Want, 0, {}}, actions);
+            say(now, {leadership::want(duty, mine.weight), duty, Waiting::Kind::Want, 0, {}}, actions);
 }
 
 void Owner::say(TimePoint now, Waiting waiting, OwnerActions& actions) {
@@ -235,4 +235,4 @@
     actions.push_back(Left{});
 }
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/duty/owner.h
+++ b/src/fleet/leadership/owner.h
@@ -15,9 +15,9 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/duty/machine.h"
+#include "fleet/leadership/machine.h"
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 
 struct OwnerSettings {
     Duration margin{80};  ///< before the session's end: a hundredth of the lease and 50 ms; zero where the
@@ -166,4 +166,4 @@
     std::map<std::string, Epoch, std::less<>> given_up_;  ///< under this session: late news of these is none
 };
 
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -18,7 +18,7 @@
 
 #include "fleet/membership/datagram.h"
 #include "fleet/membership/member.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::membership {
 
--- a/src/fleet/membership/settings.h
+++ b/src/fleet/membership/settings.h
@@ -7,7 +7,7 @@
 
 #include "config/table.h"
 #include "fleet/membership/datagram.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::membership {
 
--- a/src/fleet/membership/share.h
+++ b/src/fleet/membership/share.h
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::membership {
 
--- a/src/fleet/quota/budget.h
+++ b/src/fleet/quota/budget.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "fleet/error/error.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::quota {
 
--- a/src/fleet/quota/machine.cpp
+++ b/src/fleet/quota/machine.cpp
@@ -145,7 +145,7 @@
 Quotas::Quotas(std::vector<std::string> sites, const Timing& timing)
     : sites_(std::move(sites)), timing_(timing) {}
 
-std::string Quotas::apply(const keeper::Command& command) {
+std::string Quotas::apply(const coordinator::Command& command) {
     wire::Command from;
     wire::Reply reply;
     auto answer = [&](std::optional<Error> error = std::nullopt, std::string about = {}) {
@@ -226,15 +226,15 @@
     return reply.SerializeAsString();
 }
 
-void Quotas::session_began(keeper::SessionId session, std::string_view name, std::string_view) {
+void Quotas::session_began(coordinator::SessionId session, std::string_view name, std::string_view) {
     sessions_[session] = name;
 }
-void Quotas::session_over(keeper::SessionId session) {
+void Quotas::session_over(coordinator::SessionId session) {
     sessions_.erase(session);
     if (owner_ == session) owner_ = 0;
 }
 
-std::string Quotas::news(keeper::SessionId session) const {
+std::string Quotas::news(coordinator::SessionId session) const {
     wire::News news;
     news.set_epoch(epoch_), news.set_version(version_), news.set_orders(orders_);
     news.set_owner(session != 0 && session == owner_);
--- a/src/fleet/quota/machine.h
+++ b/src/fleet/quota/machine.h
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/keeper/machine.h"
+#include "fleet/coordinator/machine.h"
 #include "fleet/quota/lender.h"
 
 namespace ochrehub::quota {
@@ -35,7 +35,7 @@
 /// All that a machine holds.
 struct State {
     std::uint64_t epoch = 0, version = 0, orders = 0;
-    keeper::SessionId owner = 0;
+    coordinator::SessionId owner = 0;
     std::string owner_name;
     std::vector<Budget> budgets;
     std::vector<Book> books;
@@ -57,20 +57,20 @@
 };
 std::optional<MachineNews> decode_news(std::string_view octets);
 
-class Quotas : public keeper::Machine {
+class Quotas : public coordinator::Machine {
 public:
     /// `sites`: what floors may name, none: any; `timing`: what budgets are checked against.
     explicit Quotas(std::vector<std::string> sites = {}, const Timing& timing = {});
 
     std::string_view kind() const override { return "quota"; }
     std::uint32_t schema() const override { return 1; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     /// To command_get.
     std::string read(std::string_view question) const override;
-    void session_began(keeper::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(keeper::SessionId session) override;
-    std::string news(keeper::SessionId session) const override;
-    void armed(std::vector<keeper::Armed>&) const override {}
+    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
+    void session_over(coordinator::SessionId session) override;
+    std::string news(coordinator::SessionId session) const override;
+    void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -84,8 +84,8 @@
     std::vector<std::string> sites_;
     Timing timing_;
     std::uint64_t epoch_ = 0, version_ = 0, orders_ = 0;
-    keeper::SessionId owner_ = 0;
-    std::map<keeper::SessionId, std::string> sessions_;
+    coordinator::SessionId owner_ = 0;
+    std::map<coordinator::SessionId, std::string> sessions_;
     std::vector<Budget> budgets_;
     std::map<Key, Book> books_;
     std::set<std::string> frozen_;
--- a/src/fleet/raft/raft.h
+++ b/src/fleet/raft/raft.h
@@ -24,7 +24,7 @@
 #include "fleet/error/error.h"
 #include "fleet/raft/entries.h"
 #include "fleet/raft/message.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::raft {
 
--- a/src/fleet/migration/error.cpp
+++ b/src/fleet/schema_migration/error.cpp
@@ -1,6 +1,6 @@
-#include "fleet/migration/error.h"
+#include "fleet/schema_migration/error.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
@@ -53,4 +53,4 @@
     return kNames[std::size_t(stage)];
 }
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/error.h
+++ b/src/fleet/schema_migration/error.h
@@ -7,7 +7,7 @@
 #include "fleet/error/error.h"
 #include "fleet/schema/schema.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 enum class Error : std::uint8_t {
     Malformed,  ///< no message of this version, or one that says nonsense
@@ -68,4 +68,4 @@
     return error - 1 < kErrors ? Error(error - 1) : Error::Malformed;
 }
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/machine.cpp
+++ b/src/fleet/schema_migration/machine.cpp
@@ -1,9 +1,9 @@
-#include "fleet/migration/machine.h"
+#include "fleet/schema_migration/machine.h"
 
 #include <limits>
 #include <utility>
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 namespace {
 
 using schema::kKinds;
@@ -42,7 +42,7 @@
 
 Migrations::Migrations(const Levels& first) : levels_(first) {}
 
-std::string Migrations::apply(const keeper::Command& command) {
+std::string Migrations::apply(const coordinator::Command& command) {
     wire::Command what;
     Answer answer;
     if (!what.ParseFromArray(command.body.data(), int(command.body.size()))) {
@@ -79,13 +79,13 @@
     return answer.SerializeAsString();
 }
 
-void Migrations::session_began(keeper::SessionId session, std::string_view name, std::string_view zone) {
+void Migrations::session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) {
     Live& live = sessions_[session];
     live = {};
     live.name = name, live.zone = zone;
 }
 
-void Migrations::session_over(keeper::SessionId session) {
+void Migrations::session_over(coordinator::SessionId session) {
     sessions_.erase(session);
     if (now_.owner() == session) now_.set_owner(0);
     advance();
@@ -107,7 +107,7 @@
         needs(now_.kind(), now_.from(), "may go back to ");
 }
 
-void Migrations::says(keeper::SessionId session, const wire::Says& said, Answer& answer) {
+void Migrations::says(coordinator::SessionId session, const wire::Says& said, Answer& answer) {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return refuse(answer, Error::Stale);
     if (std::size_t(said.ranges_size()) != kKinds) return refuse(answer, Error::Malformed);
@@ -161,7 +161,7 @@
     enter(Stage::Widen);
 }
 
-void Migrations::want(keeper::SessionId session, Answer& answer) {
+void Migrations::want(coordinator::SessionId session, Answer& answer) {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return refuse(answer, Error::Stale);
     if (ended(stage())) return refuse(answer, Error::Nothing);
@@ -177,13 +177,13 @@
     now_.set_epoch(++epochs_);
 }
 
-bool Migrations::of_owner(keeper::SessionId session, std::uint64_t id, std::uint64_t epoch,
+bool Migrations::of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
                           std::uint64_t revision, std::uint32_t shard) const {
     return session && now_.owner() == session && now_.id() == id && now_.epoch() == epoch &&
            now_.revision() == revision && works(stage()) && shard < now_.shards();
 }
 
-void Migrations::did(keeper::SessionId session, const wire::Did& did, Answer& answer) {
+void Migrations::did(coordinator::SessionId session, const wire::Did& did, Answer& answer) {
     if (!of_owner(session, did.migration(), did.epoch(), did.revision(), did.shard()))
         return refuse(answer, Error::Stale);
     const wire::Counts& counts = did.counts();
@@ -204,7 +204,7 @@
         stop(Error::Refusals, std::to_string(refusals));
 }
 
-void Migrations::trouble(keeper::SessionId session, const wire::Trouble& trouble, Answer& answer) {
+void Migrations::trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& answer) {
     if (!of_owner(session, trouble.migration(), trouble.epoch(), trouble.revision(), trouble.shard()))
         return refuse(answer, Error::Stale);
     stop(from_wire(trouble.error()), "shard " + std::to_string(trouble.shard()) +
@@ -321,7 +321,7 @@
     }
 }
 
-void Migrations::fill(wire::News& news, keeper::SessionId session) const {
+void Migrations::fill(wire::News& news, coordinator::SessionId session) const {
     for (schema::Number level : levels_) news.add_levels(level);
     if (now_.id()) *news.mutable_migration() = now_;
     news.set_asked(!ended(stage()) && now_.owner() == 0);
@@ -333,7 +333,7 @@
     news.set_about(live.about);
 }
 
-std::string Migrations::news(keeper::SessionId session) const {
+std::string Migrations::news(coordinator::SessionId session) const {
     wire::News news;
     fill(news, session);
     return news.SerializeAsString();
@@ -371,7 +371,7 @@
         status.shards() > kShardsMost || std::uint32_t(status.refusals_size()) != status.shards() ||
         status.done().size() != bits)
         return false;
-    std::map<keeper::SessionId, Live> sessions;
+    std::map<coordinator::SessionId, Live> sessions;
     for (const wire::Session& one : all.sessions()) {
         Live live{one.name(), one.zone(), one.about(), one.said(), {}, one.refused()};
         if (std::size_t(one.ranges_size()) != kKinds) return false;
@@ -386,4 +386,4 @@
     return true;
 }
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
