--- a/src/fleet/migration/machine.h
+++ b/src/fleet/schema_migration/machine.h
@@ -7,19 +7,19 @@
 // at once, and is open until Narrow.
 #pragma once
 
-#include <migration.pb.h>
+#include <schema_migration.pb.h>
 
 #include <array>
 #include <map>
 #include <string>
 #include <string_view>
 
-#include "fleet/keeper/machine.h"
-#include "fleet/migration/error.h"
+#include "fleet/coordinator/machine.h"
+#include "fleet/schema_migration/error.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
-class Migrations : public keeper::Machine {
+class Migrations : public coordinator::Machine {
 public:
     using Levels = std::array<schema::Number, schema::kKinds>;
     /// Of a fleet that has never migrated. Keepers of two releases begin alike: this is never changed.
@@ -32,14 +32,14 @@
 
     std::string_view kind() const override { return "migration"; }
     std::uint32_t schema() const override { return 1; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     /// Whatever is asked: all of it, as wire::Machine.
     std::string read(std::string_view question) const override;
-    void session_began(keeper::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(keeper::SessionId session) override;
-    std::string news(keeper::SessionId session) const override;
+    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
+    void session_over(coordinator::SessionId session) override;
+    std::string news(coordinator::SessionId session) const override;
     /// Nothing here ends by time: an owner is lost with its session.
-    void armed(std::vector<keeper::Armed>&) const override {}
+    void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
@@ -57,15 +57,15 @@
     };
     using Answer = wire::Answer;
 
-    void says(keeper::SessionId session, const wire::Says& said, Answer& answer);
+    void says(coordinator::SessionId session, const wire::Says& said, Answer& answer);
     void start(const wire::Start& start, Answer& answer);
-    void want(keeper::SessionId session, Answer& answer);
-    void did(keeper::SessionId session, const wire::Did& did, Answer& answer);
-    void trouble(keeper::SessionId session, const wire::Trouble& trouble, Answer& answer);
+    void want(coordinator::SessionId session, Answer& answer);
+    void did(coordinator::SessionId session, const wire::Did& did, Answer& answer);
+    void trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& answer);
     void steer(wire::Steer way, Answer& answer);
 
-    bool of_owner(keeper::SessionId session, std::uint64_t id, std::uint64_t epoch, std::uint64_t revision,
-                  std::uint32_t shard) const;
+    bool of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
+                  std::uint64_t revision, std::uint32_t shard) const;
     /// Whether this one may read and write by the levels of now.
     void judge(Live& live) const;
     /// The first live session that does not read this, or has not said: fills `why`.
@@ -73,13 +73,13 @@
     void enter(Stage stage);
     void advance();
     void stop(Error error, std::string_view about);
-    void fill(wire::News& news, keeper::SessionId session) const;
+    void fill(wire::News& news, coordinator::SessionId session) const;
     bool all_done() const;
 
     Levels levels_;
-    std::map<keeper::SessionId, Live> sessions_;
+    std::map<coordinator::SessionId, Live> sessions_;
     wire::Status now_;
     std::uint64_t epochs_ = 0, ids_ = 0, revisions_ = 0;
 };
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/owner.cpp
+++ b/src/fleet/schema_migration/owner.cpp
@@ -1,8 +1,8 @@
-#include "fleet/migration/owner.h"
+#include "fleet/schema_migration/owner.h"
 
 #include <algorithm>
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 void Owner::handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions) {
     now_ = now;
@@ -142,4 +142,4 @@
     actions.emplace_back(WakeAt{next});
 }
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/owner.h
+++ b/src/fleet/schema_migration/owner.h
@@ -8,17 +8,17 @@
 // woken.
 #pragma once
 
-#include <migration.pb.h>
+#include <schema_migration.pb.h>
 
 #include <cstdint>
 #include <optional>
 #include <variant>
 #include <vector>
 
-#include "fleet/migration/error.h"
-#include "ochrehub/rules.h"
+#include "fleet/schema_migration/error.h"
+#include "ochrehub/balancer.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 struct OwnerSettings {
     bool willing = true;        ///< asks for what nobody owns
@@ -93,4 +93,4 @@
     std::uint64_t orders_ = 0;
 };
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/receiver.cpp
+++ b/src/fleet/schema_migration/receiver.cpp
@@ -1,4 +1,4 @@
-#include "fleet/migration/receiver.h"
+#include "fleet/schema_migration/receiver.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 #include <optional>
 #include <utility>
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 namespace {
 
 using schema::Group;
@@ -415,4 +415,4 @@
     return false;
 }
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/receiver.h
+++ b/src/fleet/schema_migration/receiver.h
@@ -14,17 +14,17 @@
 // behind the last that was written down.
 #pragma once
 
-#include <migration.pb.h>
+#include <schema_migration.pb.h>
 
 #include <functional>
 #include <string>
 #include <string_view>
 
-#include "fleet/migration/error.h"
-#include "fleet/migration/records.h"
 #include "fleet/schema/schema.h"
+#include "fleet/schema_migration/error.h"
+#include "fleet/schema_migration/records.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 enum class ShardForm : std::uint8_t { Plain, Wide, Switched, Narrowing, Unwidening };
 
@@ -72,4 +72,4 @@
     std::uint64_t refusals_ = 0;
 };
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/migration/records.h
+++ b/src/fleet/schema_migration/records.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 
 class Records {
 public:
@@ -99,4 +99,4 @@
     std::size_t most_;
 };
 
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/src/fleet/shards/holder.h
+++ b/src/fleet/shards/holder.h
@@ -49,7 +49,7 @@
     struct Renewed {  ///< the session stands
         SessionId session = 0;
         TimePoint
-            until{};  ///< counted from before it was asked for, to a margin before its end: keeper::Held
+            until{};  ///< counted from before it was asked for, to a margin before its end: coordinator::Held
         std::string_view news;  ///< the machine's; empty: none came with it
     };
     struct SessionOver {
--- a/src/fleet/shards/table.h
+++ b/src/fleet/shards/table.h
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "fleet/shards/error.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::shards {
 
--- a/src/fleet/shards/views.cpp
+++ b/src/fleet/shards/views.cpp
@@ -81,7 +81,7 @@
     return c.SerializeAsString();
 }
 
-std::string Views::apply(const keeper::Command& command) {
+std::string Views::apply(const coordinator::Command& command) {
     wire::Command c;
     if (!c.ParseFromArray(command.body.data(), int(command.body.size())))
         return reply(map_.number, Error::Malformed);
--- a/src/fleet/shards/views.h
+++ b/src/fleet/shards/views.h
@@ -14,12 +14,12 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/keeper/machine.h"
+#include "fleet/coordinator/machine.h"
 #include "fleet/shards/error.h"
 
 namespace ochrehub::shards {
 
-using keeper::SessionId;
+using coordinator::SessionId;
 
 /// A shard in the map, as all sides use it.
 struct Entry {
@@ -46,7 +46,7 @@
 /// False: octets that are no map; nothing was taken.
 bool decode(std::string_view octets, ViewMap& map);
 
-class Views : public keeper::Machine {
+class Views : public coordinator::Machine {
 public:
     struct Settings {
         std::size_t shards = 256;
@@ -59,13 +59,13 @@
 
     std::string_view kind() const override { return "views"; }
     std::uint32_t schema() const override { return 1; }
-    std::string apply(const keeper::Command& command) override;
+    std::string apply(const coordinator::Command& command) override;
     void session_began(SessionId session, std::string_view name, std::string_view zone) override;
     void session_over(SessionId session) override;
     /// The whole map, for everybody: 256 shards are about 4 kB.
     std::string news(SessionId session) const override;
     std::string read(std::string_view) const override { return news(0); }  ///< the same, sooner
-    void armed(std::vector<keeper::Armed>&) const override {}
+    void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
--- a/src/http/receive.h
+++ b/src/http/receive.h
@@ -4,7 +4,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::http {
 
--- a/src/takeover/manual_overrides.h
+++ b/src/takeover/manual_overrides.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::takeover {
 
--- a/src/wire.h
+++ b/src/wire.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "engine/decode.h"
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub {
 
--- a/tests/bench_side.h
+++ b/tests/bench_side.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace ochrehub::testing {
 
--- a/tests/example_test.cpp
+++ b/tests/example_test.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <variant>
 
-#include "ochrehub/rules.h"
+#include "ochrehub/balancer.h"
 
 namespace hub = ochrehub;
 
--- a/tests/fleet/agreement_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -7,13 +7,13 @@
 #include <random>
 #include <set>
 
-#include "fleet/agreement/document.h"
-#include "fleet/agreement/holder.h"
-#include "fleet/agreement/holder_file.h"
-#include "fleet/agreement/machine.h"
-#include "fleet/agreement/stated.h"
+#include "fleet/config_distribution/document.h"
+#include "fleet/config_distribution/holder.h"
+#include "fleet/config_distribution/holder_file.h"
+#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/stated.h"
 
-namespace ochrehub::agreement {
+namespace ochrehub::config_distribution {
 namespace {
 
 using namespace std::chrono_literals;
@@ -232,7 +232,7 @@
 
 struct Keepers {
     Agreement machine;
-    Answer ask(const std::string& command, keeper::SessionId session = 0) {
+    Answer ask(const std::string& command, coordinator::SessionId session = 0) {
         // Every state passes through a snapshot: what is not in it would show.
         Agreement other;
         EXPECT_TRUE(other.restore(1, machine.snapshot()));
@@ -246,13 +246,13 @@
     }
     Answer propose(Content content, std::uint64_t base, Mode mode = Mode::Strict, std::string name = "rates",
                    std::uint64_t token = 0) {
-        return ask(
-            agreement::propose({as(std::move(content), mode, std::move(name)), base, token, true, 30s}));
+        return ask(config_distribution::propose(
+            {as(std::move(content), mode, std::move(name)), base, token, true, 30s}));
     }
     static Document as(Content content, Mode mode = Mode::Strict, std::string name = "rates") {
         return {std::move(name), 0, std::move(content), mode, Choice::Caution, "ann", 1'700'000'000, {}, 0};
     }
-    void join(keeper::SessionId id, const std::string& name, const std::string& zone) {
+    void join(coordinator::SessionId id, const std::string& name, const std::string& zone) {
         machine.session_began(id, name, zone);
         EXPECT_TRUE(is(ask(said("rates", 1, true, ""), id).failure, Error::Unknown));  // not one that attends
         EXPECT_EQ(machine.news(id), "");
@@ -266,7 +266,7 @@
         return answer.documents.empty() ? DocumentStatus{} : answer.documents.front();
     }
     void over(Duration = {}) {
-        std::vector<keeper::Armed> armed;
+        std::vector<coordinator::Armed> armed;
         machine.armed(armed);
         ASSERT_EQ(armed.size(), 1u);
         ask(machine.over(armed[0].key, armed[0].revision));
@@ -384,7 +384,7 @@
     EXPECT_EQ(k.status().phase, Phase::Staging);
     k.ask(said("rates", 2, true, ""), 1);
     EXPECT_EQ(k.status().phase, Phase::Canary);
-    std::vector<keeper::Armed> armed;
+    std::vector<coordinator::Armed> armed;
     k.machine.armed(armed);
     EXPECT_EQ(armed.at(0).length, 60s);
     EXPECT_EQ(k.machine.in_force("rates"), 1u);
@@ -425,7 +425,7 @@
         holder->handle(now, event, actions);
         carry_out();
     }
-    void renew(keeper::SessionId session, Duration lease = 2920ms) {
+    void renew(coordinator::SessionId session, Duration lease = 2920ms) {
         handle(Renewed{session, now + lease, keepers.machine.news(session)});
     }
     void carry_out() {
@@ -607,4 +607,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::agreement
+}  // namespace ochrehub::config_distribution
--- a/tests/fleet/keeper_test.cpp
+++ b/tests/fleet/coordinator_test.cpp
@@ -1,7 +1,7 @@
 // The state that keepers hold alike, one keeper's core over an agreement of its own, and a process's session,
 // by hand. What they promise together when things break is judged in lab/keeper.
+#include <coordinator.pb.h>
 #include <gtest/gtest.h>
-#include <keeper.pb.h>
 #include <unistd.h>
 
 #include <cerrno>
@@ -12,12 +12,12 @@
 #include <optional>
 #include <set>
 
-#include "fleet/keeper/replica.h"
-#include "fleet/keeper/session.h"
-#include "fleet/keeper/storing.h"
+#include "fleet/coordinator/replica.h"
+#include "fleet/coordinator/session.h"
+#include "fleet/coordinator/storing.h"
 #include "fleet/store/posix_files.h"
 
-namespace ochrehub::keeper {
+namespace ochrehub::coordinator {
 namespace {
 
 TimePoint at(double ms) {
@@ -557,4 +557,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::keeper
+}  // namespace ochrehub::coordinator
--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -11,16 +11,16 @@
 #include <string>
 #include <vector>
 
-#include "fleet/agreement/error.h"
 #include "fleet/channel/channel.h"
-#include "fleet/duty/error.h"
-#include "fleet/duty/list.h"
+#include "fleet/config_distribution/error.h"
+#include "fleet/coordinator/error.h"
 #include "fleet/error/rows.h"
-#include "fleet/keeper/error.h"
-#include "fleet/migration/error.h"
+#include "fleet/leadership/error.h"
+#include "fleet/leadership/list.h"
 #include "fleet/quota/budget.h"
 #include "fleet/raft/raft.h"
 #include "fleet/schema/schema.h"
+#include "fleet/schema_migration/error.h"
 #include "fleet/shards/error.h"
 
 namespace ochrehub::fleet {
@@ -41,10 +41,10 @@
 /// A room that has errors is a line here.
 const std::vector<Room> kRooms{
     room<channel::Error>("channel"), room<schema::Error>("schema"),
-    room<raft::Error>("raft"),       room<keeper::Error>("keeper"),
-    room<duty::Error>("duty"),       room<duty::list::Error>("list", "duty"),
-    room<shards::Error>("shards"),   room<agreement::Error>("agreement"),
-    room<quota::Error>("quota"),     room<migration::Error>("migration"),
+    room<raft::Error>("raft"),       room<coordinator::Error>("keeper"),
+    room<leadership::Error>("duty"), room<leadership::list::Error>("list", "duty"),
+    room<shards::Error>("shards"),   room<config_distribution::Error>("agreement"),
+    room<quota::Error>("quota"),     room<schema_migration::Error>("migration"),
 };
 
 std::string contents(const std::filesystem::path& path) {
--- a/tests/fence_test.cpp
+++ b/tests/fleet/fencing_test.cpp
@@ -1,14 +1,14 @@
 // A receiver between owners that are late, doubled, stopped and lost: by hand, and over all orders in which
 // what two owners send can arrive, with a crash of the receiver anywhere.
-#include "fleet/fence/fence.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <functional>
 #include <set>
 
-namespace ochrehub::fence {
+#include "fleet/fencing/fence.h"
+
+namespace ochrehub::fencing {
 namespace {
 
 using V = Verdict;
@@ -315,4 +315,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::fence
+}  // namespace ochrehub::fencing
--- a/tests/fleet/duty_list_test.cpp
+++ b/tests/fleet/leadership_list_test.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <set>
 
-#include "fleet/duty/list_follower.h"
-#include "fleet/duty/list_owner.h"
+#include "fleet/leadership/list_follower.h"
+#include "fleet/leadership/list_owner.h"
 
-namespace ochrehub::duty::list {
+namespace ochrehub::leadership::list {
 namespace {
 
 TimePoint at(double ms) {
@@ -234,4 +234,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::duty::list
+}  // namespace ochrehub::leadership::list
--- a/tests/fleet/duty_test.cpp
+++ b/tests/fleet/leadership_test.cpp
@@ -5,10 +5,10 @@
 #include <algorithm>
 #include <set>
 
-#include "fleet/duty/machine.h"
-#include "fleet/duty/owner.h"
+#include "fleet/leadership/machine.h"
+#include "fleet/leadership/owner.h"
 
-namespace ochrehub::duty {
+namespace ochrehub::leadership {
 namespace {
 
 Answer say(Duties& machine, SessionId session, const std::string& body) {
@@ -243,7 +243,7 @@
                 log.push_back("stop " + stop->name + " " + std::to_string(stop->epoch) + " " +
                               std::string(name(stop->why)));
             if (auto* one = std::get_if<Say>(&action)) says.push_back(*one);
-            if (auto* one = std::get_if<duty::Refused>(&action)) log.push_back("refused " + one->name);
+            if (auto* one = std::get_if<leadership::Refused>(&action)) log.push_back("refused " + one->name);
             if (auto* one = std::get_if<Retire>(&action))
                 log.push_back("retire " + one->name + " " + std::to_string(one->epoch));
             if (std::get_if<Left>(&action)) log.push_back("left");
@@ -272,7 +272,7 @@
     EXPECT_EQ(std::get<WakeAt>(p.out.back()).at, at(2920));
     EXPECT_EQ(p.core.may(at(2919), "list"), Epoch(1));
     EXPECT_FALSE(p.core.may(at(2920), "list"));  // whether or not it was woken
-    p.handle(2920, duty::Woken{});
+    p.handle(2920, leadership::Woken{});
     EXPECT_EQ(p.log, (Log{"stop list 1 lease"}));
     // A renewal that comes late holds it again, once it is at rest and the keepers say so.
     p.handle(2930, SessionHeld{1, at(5000)});
@@ -344,9 +344,9 @@
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"list"});
     auto first = p.says.at(0);
-    p.handle(499, duty::Woken{});
+    p.handle(499, leadership::Woken{});
     EXPECT_TRUE(p.says.empty());
-    p.handle(500, duty::Woken{});
+    p.handle(500, leadership::Woken{});
     ASSERT_EQ(p.says.size(), 1u);
     EXPECT_EQ(p.says[0].number, first.number);
     p.deliver(501, machine);
@@ -387,7 +387,7 @@
     EXPECT_TRUE(p.log.empty());  // no receiver is told before the keepers know
     p.handle(4, Heard{1, old});
     EXPECT_TRUE(p.log.empty());
-    p.handle(600, duty::Woken{});
+    p.handle(600, leadership::Woken{});
     machine.apply({1, p.says.at(0).command});  // this answer is lost
     p.deliver(601, machine);
     EXPECT_EQ(p.log, (Log{"retire move/1 1"}));
@@ -414,7 +414,7 @@
     p.handle(2, Heard{1, machine.news(1)});
     p.handle(3, JobDone{"move/1", 1});
     Say end = p.says.at(0);
-    p.handle(2920, duty::Woken{});
+    p.handle(2920, leadership::Woken{});
     p.handle(2921, Stopped{"move/1", 1});
     p.handle(2930, SessionHeld{1, at(6000)});
     p.handle(2931, Heard{1, machine.news(1)});  // the keepers do not know of its end yet
@@ -428,4 +428,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::duty
+}  // namespace ochrehub::leadership
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -405,7 +405,7 @@
 
 struct Keepers {
     Quotas machine{{"north", "south"}};
-    MachineReply say(keeper::SessionId session, const std::string& body) {
+    MachineReply say(coordinator::SessionId session, const std::string& body) {
         return *decode_reply(machine.apply({session, body}));
     }
 };
--- a/tests/fleet/migration_test.cpp
+++ b/tests/fleet/schema_migration_test.cpp
@@ -8,12 +8,12 @@
 #include <set>
 #include <stdexcept>
 
-#include "fleet/migration/machine.h"
-#include "fleet/migration/owner.h"
-#include "fleet/migration/receiver.h"
-#include "lab/migration/nodes.h"
+#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/owner.h"
+#include "fleet/schema_migration/receiver.h"
+#include "lab/schema_migration/nodes.h"
 
-namespace ochrehub::migration {
+namespace ochrehub::schema_migration {
 namespace {
 
 using schema::Kind;
@@ -36,13 +36,13 @@
 struct Fleet {
     Migrations machine = Migrations(Migrations::Levels{3, 2, 2, 1, 1});
 
-    wire::Answer say(keeper::SessionId session, const wire::Command& command) {
+    wire::Answer say(coordinator::SessionId session, const wire::Command& command) {
         wire::Answer answer;
         std::string body = command.SerializeAsString();
         EXPECT_TRUE(answer.ParseFromString(machine.apply({session, body})));
         return answer;
     }
-    wire::Answer says(keeper::SessionId session, schema::Number least, schema::Number most) {
+    wire::Answer says(coordinator::SessionId session, schema::Number least, schema::Number most) {
         wire::Command command;
         for (std::size_t i = 0; i < schema::kKinds; ++i) {
             auto& range = *command.mutable_says()->add_ranges();
@@ -50,7 +50,7 @@
         }
         return say(session, command);
     }
-    wire::Answer join(keeper::SessionId session, schema::Number least, schema::Number most) {
+    wire::Answer join(coordinator::SessionId session, schema::Number least, schema::Number most) {
         machine.session_began(session, "node " + std::to_string(session), "z");
         return says(session, least, most);
     }
@@ -60,7 +60,7 @@
         start.set_to(to), start.set_shards(2), start.set_refusals(refusals), start.set_narrows(narrows);
         return say(0, command);
     }
-    wire::Answer want(keeper::SessionId session) {
+    wire::Answer want(coordinator::SessionId session) {
         wire::Command command;
         command.mutable_want();
         return say(session, command);
@@ -79,11 +79,11 @@
         *did.mutable_counts() = counts;
         return command;
     }
-    std::string pass(keeper::SessionId owner) {  // one stage
+    std::string pass(coordinator::SessionId owner) {  // one stage
         std::string first = error(say(owner, did(0)));
         return first.empty() ? error(say(owner, did(1))) : first;
     }
-    wire::News news(keeper::SessionId session) {
+    wire::News news(coordinator::SessionId session) {
         wire::News news;
         EXPECT_TRUE(news.ParseFromString(machine.news(session)));
         return news;
@@ -263,14 +263,14 @@
         return ((state = state * 6364136223846793005u + 1442695040888963407u) >> 33) % below;
     };
     Fleet fleet;
-    std::map<keeper::SessionId, schema::Range> said;
-    std::set<keeper::SessionId> live;
-    keeper::SessionId next = 1;
+    std::map<coordinator::SessionId, schema::Range> said;
+    std::set<coordinator::SessionId> live;
+    coordinator::SessionId next = 1;
     schema::Number level = 3;
     std::uint64_t revision = 0, epoch = 0;
     int switched = 0, done = 0, undone = 0, stopped = 0;
     for (int i = 0; i < 30'000; ++i) {
-        keeper::SessionId who = 1 + draw(next);
+        coordinator::SessionId who = 1 + draw(next);
         Stage before = fleet.machine.stage();
         wire::Counts counts;
         if (draw(30) == 0) counts.set_differ(1), counts.set_differs(std::string(5000, 'x'));
@@ -285,7 +285,7 @@
                     fleet.machine.session_over(who), live.erase(who), said.erase(who);
                 break;
             case 2:
-                for (keeper::SessionId one : live) {
+                for (coordinator::SessionId one : live) {
                     if (said.contains(one)) continue;
                     schema::Number least = schema::Number(draw(8) ? level : 1 + draw(4));
                     said[one] = {least, least + 1};
@@ -331,7 +331,7 @@
             level = fleet.machine.levels()[0];
             ++switched;
             // Nobody who has a say could not read it.
-            for (keeper::SessionId one : live) {
+            for (coordinator::SessionId one : live) {
                 wire::News news = fleet.news(one);
                 ASSERT_TRUE(news.refused() || said.at(one).holds(level));
             }
@@ -556,7 +556,7 @@
         fleet.join(1, 3, 4), fleet.join(2, 3, 4);
         fleet.start(4);
     }
-    void tell(double now, keeper::SessionId session, double until = 10'000) {
+    void tell(double now, coordinator::SessionId session, double until = 10'000) {
         actions.clear();
         owner.handle(at(now), Told{fleet.news(session), at(until)}, actions);
     }
@@ -687,4 +687,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::migration
+}  // namespace ochrehub::schema_migration
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -4,8 +4,8 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-lines=$(grep -c '[^[:space:]]' src/rules.cpp)
-longest=$(awk '{ if (length($0) > n) n = length($0) } END { print n + 0 }' src/rules.cpp)
+lines=$(grep -c '[^[:space:]]' src/balancer/balancer.cpp)
+longest=$(awk '{ if (length($0) > n) n = length($0) } END { print n + 0 }' src/balancer/balancer.cpp)
 echo "module: $lines lines that are not blank (950 at most), longest $longest characters (110 at most)"
 [ "$lines" -le 950 ] && [ "$longest" -le 110 ]
 
