--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -1,4 +1,5 @@
 #include "lab/config_distribution/fleet.h"
+#include "lab/record/decision_recorder.h"
 
 #include <coordinator.pb.h>
 
@@ -79,6 +80,7 @@
          events.pop_front()) {
         coordinator::ReplicaActions actions;
         replica_->handle(last_, events.front(), actions);
+        record_decision("replica", last_, events.front(), actions);
         for (coordinator::ReplicaAction& action : actions) {
             if (auto* send = std::get_if<raft::Send>(&action)) {
                 net_.send(self_, send->to - 1, tagged('r', raft::encode(send->message)));
@@ -159,6 +161,7 @@
 void SessionProcess::session(const coordinator::SessionEvent& event) {
     coordinator::SessionActions actions;
     session_->handle(own(), event, actions);
+    record_decision("session", own(), event, actions);
     std::optional<coordinator::Held> had;
     std::string news;
     for (coordinator::SessionAction& action : actions) {
@@ -276,6 +279,7 @@
     TimePoint now = own();
     config_distribution::Actions actions;
     holder_->handle(now, event, actions);
+    record_decision("subscriber", now, event, actions);
     carry_out(now, actions);
 }
 
--- a/lab/coordinator/world.cpp
+++ b/lab/coordinator/world.cpp
@@ -13,6 +13,7 @@
 #include "fleet/coordinator/session.h"
 #include "lab/coordinator/judge.h"
 #include "lab/swarm/net.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -207,6 +208,7 @@
         ReplicaActions actions;
         double rate = is(Saboteur::FastLeader) ? 2 : 1;
         k.replica->handle(TimePoint{own.time_since_epoch() * rate}, event, actions);
+        record_decision("replica", own, event, actions);
         std::optional<std::uint64_t> too_soon;
         for (ReplicaAction& action : actions) {
             if (auto* send = std::get_if<raft::Send>(&action)) {
@@ -287,6 +289,7 @@
         Process& one = processes_[p];
         SessionActions actions;
         one.session->handle(own, event, actions);
+        record_decision("session", own, event, actions);
         for (SessionAction& action : actions) {
             if (auto* say = std::get_if<Say>(&action)) {
                 net_.send(net_of(p), std::stoul(say->to.substr(1)) - 1,
--- a/lab/leadership/list_world.cpp
+++ b/lab/leadership/list_world.cpp
@@ -6,6 +6,7 @@
 
 #include "fleet/leadership/machine.h"
 #include "lab/leadership/replicas.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -225,6 +226,7 @@
     void duty(TimePoint now, const core::OwnerEvent& event) {
         core::OwnerActions actions;
         duties.handle(now, event, actions);
+        record_decision("lease_holder", now, event, actions);
         for (core::OwnerAction& action : actions) {
             if (auto* say = std::get_if<core::Say>(&action))
                 client->say(now, say->number, say->session, "duty", say->command);
@@ -253,6 +255,7 @@
         if ((!std::get_if<list::Began>(&event) && !epoch) || hung) return;
         list::OwnerActions actions;
         owner.handle(now, event, actions);
+        record_decision("list_publisher", now, event, actions);
         for (list::OwnerAction& action : actions) {
             if (auto* watch = std::get_if<list::Watch>(&action)) {
                 if (saboteur() == ListSaboteur::ReportsUnasked && watch->index) {
@@ -283,6 +286,7 @@
     void follow_(TimePoint now, const list::FollowerEvent& event) {
         list::FollowerActions actions;
         follower->handle(now, event, actions);
+        record_decision("list_follower", now, event, actions);
         for (list::FollowerAction& action : actions) {
             if (auto* whole = std::get_if<list::UseWhole>(&action))
                 view = {whole->entries.begin(), whole->entries.end()};
--- a/lab/leadership/process.h
+++ b/lab/leadership/process.h
@@ -7,6 +7,7 @@
 
 #include "fleet/coordinator/session.h"
 #include "lab/leadership/keepers.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -199,6 +200,7 @@
     void handle(TimePoint own, const coordinator::SessionEvent& event) {
         coordinator::SessionActions actions;
         session_.handle(own, event, actions);
+        record_decision("session", own, event, actions);
         for (coordinator::SessionAction& action : actions) {
             if (auto* say = std::get_if<coordinator::Say>(&action)) {
                 Message m;
--- a/lab/leadership/replicas.cpp
+++ b/lab/leadership/replicas.cpp
@@ -1,4 +1,5 @@
 #include "lab/leadership/replicas.h"
+#include "lab/record/decision_recorder.h"
 
 #include <coordinator.pb.h>
 
@@ -66,6 +67,7 @@
     Each& me = each_[self];
     coordinator::ReplicaActions actions;
     me.replica->handle(own, event, actions);
+    record_decision("replica", own, event, actions);
     for (coordinator::ReplicaAction& action : actions) {
         if (auto* send = std::get_if<raft::Send>(&action)) {
             Message m;
--- a/lab/leadership/world.cpp
+++ b/lab/leadership/world.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "lab/leadership/replicas.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -215,6 +216,7 @@
     void handle(TimePoint own, const OwnerEvent& event) {
         OwnerActions actions;
         owner->handle(own, event, actions);
+        record_decision("lease_holder", own, event, actions);
         for (OwnerAction& action : actions) {
             if (auto* begin = std::get_if<core::Begin>(&action)) start(own, begin->name, begin->epoch, false);
             if (auto* retire = std::get_if<core::Retire>(&action))
--- a/lab/quota/world.cpp
+++ b/lab/quota/world.cpp
@@ -4,6 +4,7 @@
 #include <map>
 
 #include "lab/quota/inflict.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 
@@ -490,6 +491,7 @@
         Process& one = all_[p];
         quota::Actions actions;
         one.lender->handle(own, event, actions);
+        record_decision("allocator", own, event, actions);
         for (quota::Action& a : actions) {
             if (auto* up = std::get_if<SendUp>(&a)) {
                 if (day_.liar && *day_.liar + 1 == one.group)
@@ -576,6 +578,7 @@
             }
         } else {
             auto outcome = one.charger->charge(own, *number, kNone);
+            record_decision("limiter", own, *number, outcome.index());
             if (auto* receipt = std::get_if<Receipt>(&outcome)) {
                 let();
                 if (uniform() < day_.never_ran) never_ran(p, std::move(*receipt), out_.let_in.size() - 1);
--- a/lab/raft/world.cpp
+++ b/lab/raft/world.cpp
@@ -1,4 +1,5 @@
 #include "lab/raft/world.h"
+#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 
@@ -142,6 +143,7 @@
     Node& n = node(id);
     Actions actions;
     n.core->handle(own, event, actions);
+    record_decision("raft", own, event, actions);
     if (set_.sabotage.acts) set_.sabotage.acts(*this, id, actions);
     Judge::Disks disks;
     for (KeeperId other = 1; other <= nodes_.size(); ++other) disks[other] = &node(other).disk;
--- a/lab/schema_migration/world.cpp
+++ b/lab/schema_migration/world.cpp
@@ -7,6 +7,7 @@
 
 #include "lab/schema_migration/nodes.h"
 #include "lab/swarm/net.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::migrating {
 namespace {
@@ -358,6 +359,7 @@
             return;
         answer.type = Type::Reply;
         answer.body = holder.receiver->handle(order).SerializeAsString();
+        record_decision("migration_receiver", TimePoint{}, message.body, answer.body);
     } else {
         wire::Ask ask;
         if (!ask.ParseFromString(message.body)) return;
@@ -494,6 +496,7 @@
     m::OwnerActions actions;
     p.owner_wake = TimePoint::max();
     p.owner->handle(own, event, actions);
+    record_decision("migration", own, event, actions);
     for (m::OwnerAction& action : actions) {
         if (auto* order = std::get_if<m::Give>(&action))
             send(i, holder_of(order->order.shard()), {Type::Order, 0, 0, order->order.SerializeAsString()});
--- a/lab/shards/world.cpp
+++ b/lab/shards/world.cpp
@@ -1,4 +1,5 @@
 #include "lab/shards/world.h"
+#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 
@@ -395,6 +396,7 @@
             h.last = own;
         Holder::Actions actions;
         h.core->handle(now, event, actions);
+        record_decision("shard_holder", now, event, actions);
         for (Holder::Action& action : actions) std::visit([&](auto& a) { carry_out(h, own, a); }, action);
     }
     void carry_out(HolderProcess& h, TimePoint own, Holder::Tell& a) {
@@ -471,6 +473,7 @@
     void handle(NodeProcess& n, TimePoint own, const Client::Event& event) {
         Client::Actions actions;
         n.core->handle(own, event, actions);
+        record_decision("shard_client", own, event, actions);
         for (Client::Action& action : actions) {
             if (auto* tell = std::get_if<Client::Tell>(&action)) {
                 auto to = process_of.find(tell->to);
--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -1,4 +1,5 @@
 #include "lab/sim/emulated_node.h"
+#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 #include <utility>
@@ -70,6 +71,10 @@
              AdmissionController::of(settings, budget_of(day, node).asked, ~seed, bounded_admission),
              budget_of(day, node), meddler, pool_.hands(), std::move(load_state)) {
     engine_.connect(pool_, watch_);
+    if (DecisionRecorder::active())
+        engine_.observe_decisions([](TimePoint now, const Event& event, const Actions& actions) {
+            record_decision("balancer", now, event, actions);
+        });
     pool_.hands().reply = [&world](ClientConnection connection, TryId id, const SimReply& reply) {
         world.reply(connection, id, reply);
     };
--- a/lab/swarm/swarm.cpp
+++ b/lab/swarm/swarm.cpp
@@ -1,4 +1,5 @@
 #include "lab/swarm/swarm.h"
+#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -135,6 +136,7 @@
     if (std::holds_alternative<membership::Woken>(event) && node.asked < TimePoint::max())
         at = std::max(at, node.asked);
     node.core->handle(at, event, actions);
+    record_decision("membership", at, event, actions);
     for (membership::Action& action : actions) {
         if (auto* send = std::get_if<membership::Send>(&action)) {
             carry(to, *send);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -132,6 +132,7 @@
         events_.pop_front();
         actions.clear();
         balancer_.handle(scheduler_.now(), event, actions);
+        if (decision_observer_) decision_observer_(scheduler_.now(), event, actions);
         for (const Action& action : actions) carry_out(action);
         // An event concludes others' requests too: a wake gives up all that have waited too long. Guards
         // against keeping them, and the buffers of their bodies, for good.
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -42,6 +42,10 @@
     /// Another process of this node lives, or no longer does.
     void twinned(bool twin) { post(Twinned{twin}); }
     void sharers(int gateways, int me) { post(Sharers{gateways < 1 ? 1 : gateways, me}); }
+    /// Receives each event of the decision core and the actions it led to, before they are carried out: for
+    /// recorders. Called on the engine's thread; must not call the engine.
+    using DecisionObserver = std::function<void(TimePoint now, const Event& event, const Actions& actions)>;
+    void observe_decisions(DecisionObserver observer) { decision_observer_ = std::move(observer); }
     /// Where the module's count of avoided servers goes; may be null.
     void count_in(Counters* counters) { counters_ = counters; }
     /// It may still be written: its request is unanswered, its time and the window for a repeat are not over,
@@ -96,6 +100,7 @@
 
     Scheduler& scheduler_;
     Balancer balancer_;
+    DecisionObserver decision_observer_;  ///< empty: nobody observes
     Duration grace_;
     std::vector<bool> repeatable_;  // of each class: what may have run may be sent again
     int max_attempts_;
