--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -42,12 +42,12 @@
                              std::uint64_t seed)
     : net_(net), self_(self), saboteur_(saboteur), seed_(seed) {
     for (std::size_t i = 0; i < keepers; ++i)
-        disk_.members.push_back({raft::KeeperId(i + 1), true, address(i)});
+        disk_.initial_members.push_back({raft::NodeId(i + 1), true, address(i)});
 }
 
 void KeeperProcess::start() {
     raft::Settings settings;
-    settings.self = raft::KeeperId(self_ + 1);
+    settings.self = raft::NodeId(self_ + 1);
     raft_ = std::make_unique<raft::Raft>(settings, disk_, seed_ * 1000 + ++starts_);
     coordinator::ReplicaSettings replica;
     replica.self = settings.self;
@@ -70,7 +70,7 @@
     if (!replica_) return;
     if (message[0] == 'a') return handle(own, coordinator::Asked{from, message.substr(1)});
     if (auto decoded = raft::decode(std::string_view(message).substr(1)))
-        handle(own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
+        handle(own, coordinator::FromKeeper{raft::NodeId(from + 1), std::move(*decoded)});
 }
 
 void KeeperProcess::handle(TimePoint own, coordinator::ReplicaEvent event) {
@@ -80,14 +80,14 @@
         coordinator::ReplicaActions actions;
         replica_->handle(last_, events.front(), actions);
         for (coordinator::ReplicaAction& action : actions) {
-            if (auto* send = std::get_if<raft::Send>(&action)) {
+            if (auto* send = std::get_if<raft::SendMessage>(&action)) {
                 net_.send(self_, send->to - 1, tagged('r', raft::encode(send->message)));
             } else if (auto* to_write = std::get_if<raft::Write>(&action)) {
                 write(*to_write);
                 events.emplace_back(coordinator::Written{to_write->number});
             } else if (auto* answer = std::get_if<coordinator::Answer>(&action)) {
                 net_.send(self_, answer->who, tagged('w', answer->body));
-            } else if (auto* wake = std::get_if<raft::WakeAt>(&action)) {
+            } else if (auto* wake = std::get_if<raft::SetTimer>(&action)) {
                 net_.wake_at(self_, asked_ = wake->at);
             } else if (auto* stop = std::get_if<coordinator::Stop>(&action)) {
                 stopped_ = stop->about;
@@ -97,14 +97,16 @@
 }
 
 void KeeperProcess::write(const raft::Write& w) {
-    if (w.vote) disk_.vote = *w.vote;
-    if (w.cut) disk_.entries.resize(std::min<std::size_t>(disk_.entries.size(), *w.cut - disk_.first));
+    if (w.hard_state) disk_.hard_state = *w.hard_state;
+    if (w.truncate_from)
+        disk_.entries.resize(
+            std::min<std::size_t>(disk_.entries.size(), *w.truncate_from - disk_.first_index));
     disk_.entries.insert(disk_.entries.end(), w.append.begin(), w.append.end());
     if (!w.snapshot) return;
-    std::size_t in_it = w.snapshot->index + 1 - disk_.first;
+    std::size_t in_it = w.snapshot->last_included_index + 1 - disk_.first_index;
     disk_.entries.erase(disk_.entries.begin(),
                         disk_.entries.begin() + std::ptrdiff_t(std::min(in_it, disk_.entries.size())));
-    disk_.first = w.snapshot->index + 1;
+    disk_.first_index = w.snapshot->last_included_index + 1;
     disk_.snapshot = w.snapshot;
 }
 
--- a/lab/config_distribution/fleet.h
+++ b/lab/config_distribution/fleet.h
@@ -49,7 +49,7 @@
     std::size_t self_;
     Saboteur saboteur_;
     std::uint64_t seed_, starts_ = 0;
-    raft::Disk disk_;
+    raft::PersistentState disk_;
     std::unique_ptr<raft::Raft> raft_;
     std::unique_ptr<coordinator::Replica> replica_;
     TimePoint last_{}, asked_{};
--- a/lab/coordinator/world.cpp
+++ b/lab/coordinator/world.cpp
@@ -38,7 +38,7 @@
 }
 
 struct Disk {
-    raft::Disk durable;
+    raft::PersistentState durable;
     struct Pending {
         TimePoint done;
         raft::Write write;
@@ -46,24 +46,28 @@
     std::deque<Pending> pending;
 
     void apply(const raft::Write& write) {
-        raft::Disk& d = durable;
-        if (write.vote) d.vote = *write.vote;
-        if (write.cut)
+        raft::PersistentState& d = durable;
+        if (write.hard_state) d.hard_state = *write.hard_state;
+        if (write.truncate_from)
             d.entries.resize(
-                *write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
+                *write.truncate_from <= d.first_index
+                    ? 0
+                    : std::min<std::size_t>(d.entries.size(), *write.truncate_from - d.first_index));
         d.entries.insert(d.entries.end(), write.append.begin(), write.append.end());
         if (write.snapshot) {
-            std::uint64_t index = write.snapshot->index, last = d.first + d.entries.size() - 1;
-            bool other =
-                index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
-            std::size_t gone =
-                index < d.first ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first + 1);
+            std::uint64_t index = write.snapshot->last_included_index,
+                          last = d.first_index + d.entries.size() - 1;
+            bool other = index >= d.first_index && index <= last &&
+                         d.entries[index - d.first_index].term != write.snapshot->last_included_term;
+            std::size_t gone = index < d.first_index
+                                   ? 0
+                                   : std::min<std::size_t>(d.entries.size(), index - d.first_index + 1);
             d.entries.erase(d.entries.begin(),
                             other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
-            d.first = index + 1;
+            d.first_index = index + 1;
             d.snapshot = write.snapshot;
         }
-        if (write.caught_up) d.trusted = true;
+        if (write.recovered) d.trusted = true;
     }
 };
 
@@ -83,14 +87,14 @@
             return static_cast<const World*>(world)->net_.own(at);
         };
         for (std::size_t i = 0; i < set.keepers; ++i)
-            members_.push_back({raft::KeeperId(i + 1), true, numbered('k', i + 1)});
+            members_.push_back({raft::NodeId(i + 1), true, numbered('k', i + 1)});
         for (std::size_t i = 0; i < net_.size(); ++i)
             net_.clock(i, set.quiet ? 1 : 0.995 + 0.01 * std::size_t(net_.uniform() * 3) / 2);
     }
 
     KeeperVerdict go() {
         for (std::size_t i = 0; i < keepers_.size(); ++i)
-            keepers_[i].disk.durable.members = members_, begin_keeper(i);
+            keepers_[i].disk.durable.initial_members = members_, begin_keeper(i);
         for (std::size_t i = 0; i < processes_.size(); ++i) begin_process(i);
         heal();
         TimePoint over = net_.now() + set_.faults;
@@ -147,9 +151,9 @@
     void begin_keeper(std::size_t at) {
         Keeper& k = keepers_[at];
         raft::Settings raft_set;
-        raft_set.self = raft::KeeperId(at + 1), raft_set.heartbeat = kHeartbeat,
-        raft_set.election = kElection;
-        raft_set.piece = 300;  // so that snapshots come in several
+        raft_set.self = raft::NodeId(at + 1), raft_set.heartbeat_interval = kHeartbeat,
+        raft_set.election_timeout = kElection;
+        raft_set.snapshot_chunk_bytes = 300;  // so that snapshots come in several
         ReplicaSettings set;
         set.self = raft_set.self, set.snapshot_entries = set_.snapshot_entries;
         k.raft =
@@ -172,7 +176,7 @@
     /// Raft, and whoever errs on purpose between it and the replica.
     void agree(std::size_t at, TimePoint now, const raft::Event& event, raft::Actions& actions) {
         Keeper& k = keepers_[at];
-        if (const auto* read = std::get_if<raft::Read>(&event); read && is(Saboteur::ReadUnconfirmed)) {
+        if (const auto* read = std::get_if<raft::ReadIndex>(&event); read && is(Saboteur::ReadUnconfirmed)) {
             actions.push_back(raft::ReadReady{read->id, 0});
             return;
         }
@@ -182,7 +186,7 @@
             if (entry.has_do_()) entry.mutable_do_()->set_session(0);
             return k.raft->handle(now, raft::Propose{propose->id, entry.SerializeAsString()}, actions);
         }
-        if (const auto* taken = std::get_if<raft::Snapshotted>(&event)) {
+        if (const auto* taken = std::get_if<raft::SnapshotTaken>(&event)) {
             ++verdict_.snapshots;
             wire::State state;
             state.ParseFromString(taken->state);
@@ -190,15 +194,15 @@
             if (is(Saboteur::ForgetsNumbers))
                 for (auto& session : *state.mutable_sessions()) session.set_last(0), session.clear_kept();
             if (is(Saboteur::ForgetsMachines)) state.mutable_machines(0)->set_bytes("0 0 0");
-            return k.raft->handle(now, raft::Snapshotted{taken->index, state.SerializeAsString()}, actions);
+            return k.raft->handle(now, raft::SnapshotTaken{taken->index, state.SerializeAsString()}, actions);
         }
         if (!is(Saboteur::OldDeadlines)) return k.raft->handle(now, event, actions);
         // As though it had counted all along.
-        if (!std::exchange(k.lied, true)) actions.push_back(raft::Became{raft::Role::Leader, 1, 0});
+        if (!std::exchange(k.lied, true)) actions.push_back(raft::RoleChanged{raft::Role::Leader, 1, 0});
         raft::Actions real;
         k.raft->handle(now, event, real);
         for (raft::Action& action : real)
-            if (!std::holds_alternative<raft::Became>(action)) actions.push_back(std::move(action));
+            if (!std::holds_alternative<raft::RoleChanged>(action)) actions.push_back(std::move(action));
     }
 
     void to_keeper(std::size_t at, TimePoint own, const ReplicaEvent& event) {
@@ -209,7 +213,7 @@
         k.replica->handle(TimePoint{own.time_since_epoch() * rate}, event, actions);
         std::optional<std::uint64_t> too_soon;
         for (ReplicaAction& action : actions) {
-            if (auto* send = std::get_if<raft::Send>(&action)) {
+            if (auto* send = std::get_if<raft::SendMessage>(&action)) {
                 net_.send(at, send->to - 1, marked('R', raft::encode(send->message)));
             } else if (auto* write = std::get_if<raft::Write>(&action)) {
                 Duration takes{0.1 + 3 * net_.uniform()};
@@ -222,9 +226,9 @@
                 std::size_t to = std::size_t(answer->who % kProcesses);
                 if (processes_[to - keepers_.size()].instance == answer->who / kProcesses)
                     net_.send(at, to, marked('N', answer->body));
-            } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
+            } else if (const auto* wake = std::get_if<raft::SetTimer>(&action)) {
                 k.wake = TimePoint{wake->at.time_since_epoch() / rate};
-            } else if (const auto* became = std::get_if<raft::Became>(&action)) {
+            } else if (const auto* became = std::get_if<raft::RoleChanged>(&action)) {
                 verdict_.leaders += became->role == raft::Role::Leader;
             } else if (const auto* stop = std::get_if<Stop>(&action)) {
                 judge_.wrong("keeper " + std::to_string(at + 1) + " stopped at " + stop->about);
@@ -260,7 +264,7 @@
         k.wake = TimePoint::max();
         if (!disk_too) return;
         k.disk.durable = {};
-        k.disk.durable.members = members_, k.disk.durable.trusted = false;
+        k.disk.durable.initial_members = members_, k.disk.durable.trusted = false;
     }
     void restart_keeper(std::size_t at) {
         net_.start(at);
@@ -402,7 +406,7 @@
         if (m[0] == 'R') {
             auto message = raft::decode(std::string_view(m).substr(1));
             if (!message) return judge_.wrong("a message that cannot be read");
-            return to_keeper(to, own, FromKeeper{raft::KeeperId(from + 1), std::move(*message)});
+            return to_keeper(to, own, FromKeeper{raft::NodeId(from + 1), std::move(*message)});
         }
         std::size_t space = m.find(' ');
         std::uint64_t who = std::stoull(m.substr(1, space - 1)) * kProcesses + from;
--- a/lab/leadership/replicas.cpp
+++ b/lab/leadership/replicas.cpp
@@ -18,9 +18,10 @@
     Each& me = each_[self];
     if (me.lives == 0)
         for (std::size_t i = 0; i < each_.size(); ++i)
-            me.disk.members.push_back({raft::KeeperId(i + 1), true, std::to_string(i + 1).insert(0, 1, 'k')});
+            me.disk.initial_members.push_back(
+                {raft::NodeId(i + 1), true, std::to_string(i + 1).insert(0, 1, 'k')});
     raft::Settings settings;
-    settings.self = raft::KeeperId(self + 1);
+    settings.self = raft::NodeId(self + 1);
     coordinator::ReplicaSettings replica;
     replica.self = settings.self;
     replica.snapshot_entries = 60;
@@ -35,23 +36,26 @@
     handle(self, own, coordinator::Woken{});
 }
 
-void Replicas::take(raft::Disk& d, const raft::Write& write) {
-    if (write.vote) d.vote = *write.vote;
-    if (write.cut)
-        d.entries.resize(
-            *write.cut <= d.first ? 0 : std::min<std::size_t>(d.entries.size(), *write.cut - d.first));
+void Replicas::take(raft::PersistentState& d, const raft::Write& write) {
+    if (write.hard_state) d.hard_state = *write.hard_state;
+    if (write.truncate_from)
+        d.entries.resize(*write.truncate_from <= d.first_index
+                             ? 0
+                             : std::min<std::size_t>(d.entries.size(), *write.truncate_from - d.first_index));
     d.entries.insert(d.entries.end(), write.append.begin(), write.append.end());
     if (write.snapshot) {
-        std::uint64_t index = write.snapshot->index, last = d.first + d.entries.size() - 1;
-        bool other =
-            index >= d.first && index <= last && d.entries[index - d.first].term != write.snapshot->term;
-        std::size_t gone = index < d.first ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first + 1);
+        std::uint64_t index = write.snapshot->last_included_index,
+                      last = d.first_index + d.entries.size() - 1;
+        bool other = index >= d.first_index && index <= last &&
+                     d.entries[index - d.first_index].term != write.snapshot->last_included_term;
+        std::size_t gone =
+            index < d.first_index ? 0 : std::min<std::size_t>(d.entries.size(), index - d.first_index + 1);
         d.entries.erase(d.entries.begin(),
                         other ? d.entries.end() : d.entries.begin() + std::ptrdiff_t(gone));
-        d.first = index + 1;
+        d.first_index = index + 1;
         d.snapshot = write.snapshot;
     }
-    if (write.caught_up) d.trusted = true;
+    if (write.recovered) d.trusted = true;
 }
 
 void Replicas::crashed(std::size_t self) {
@@ -67,7 +71,7 @@
     coordinator::ReplicaActions actions;
     me.replica->handle(own, event, actions);
     for (coordinator::ReplicaAction& action : actions) {
-        if (auto* send = std::get_if<raft::Send>(&action)) {
+        if (auto* send = std::get_if<raft::SendMessage>(&action)) {
             Message m;
             m.kind = Message::Kind::Raft;
             m.body = raft::encode(send->message);
@@ -87,7 +91,7 @@
             m.kind = Message::Kind::Answered;
             m.body = answer->body;
             net_->send(self, std::size_t(answer->who - 1), m);
-        } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
+        } else if (const auto* wake = std::get_if<raft::SetTimer>(&action)) {
             me.wake = wake->at;
         }
     }
@@ -120,7 +124,7 @@
 void Replicas::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
     if (message.kind == Message::Kind::Raft) {
         auto read = raft::decode(message.body);
-        if (read) handle(self, own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*read)});
+        if (read) handle(self, own, coordinator::FromKeeper{raft::NodeId(from + 1), std::move(*read)});
     } else {
         handle(self, own, coordinator::Asked{from + 1, message.body});
     }
--- a/lab/leadership/replicas.h
+++ b/lab/leadership/replicas.h
@@ -26,7 +26,7 @@
 
 private:
     struct Each {
-        raft::Disk disk;
+        raft::PersistentState disk;
         struct Pending {
             TimePoint done;
             raft::Write write;
@@ -39,7 +39,7 @@
     };
     void handle(std::size_t self, TimePoint own, const coordinator::ReplicaEvent& event);
     void arm(std::size_t self);
-    static void take(raft::Disk& disk, const raft::Write& write);
+    static void take(raft::PersistentState& disk, const raft::Write& write);
 
     std::uint64_t seed_;
     coordinator::MakeMachines machines_;
--- a/lab/raft/chaos.cpp
+++ b/lab/raft/chaos.cpp
@@ -14,24 +14,24 @@
     Chaos(RaftWorld& world, std::size_t keepers, std::size_t spares, bool disks_lost)
         : w_(world),
           keepers_(keepers),
-          next_spare_(KeeperId(keepers + 1)),
+          next_spare_(NodeId(keepers + 1)),
           spares_(spares),
           disks_lost_(disks_lost) {}
 
     void one() {
-        KeeperId id = any();
+        NodeId id = any();
         switch (w_.draw(16)) {
             case 0:
             case 1:
                 if (down() * 2 < keepers_) w_.crash(id, Keeps(w_.draw(3)));
                 break;
             case 2:
-                if (KeeperId l = w_.leader()) w_.crash(l, Keeps(w_.draw(3)));
+                if (NodeId l = w_.leader()) w_.crash(l, Keeps(w_.draw(3)));
                 break;
             case 3:
             case 4:
             case 5:
-                for (KeeperId k = 1; k <= w_.size(); ++k)
+                for (NodeId k = 1; k <= w_.size(); ++k)
                     if (w_.draw(2) == 0) raise(k);
                 break;
             case 6:
@@ -39,12 +39,12 @@
                 ++w_.counts["pauses"];
                 break;
             case 7:
-                for (KeeperId k = 1; k <= w_.size(); ++k) w_.go_on(k);
+                for (NodeId k = 1; k <= w_.size(); ++k) w_.go_on(k);
                 break;
             case 8: {
-                KeeperId l = w_.leader() != 0 ? w_.leader() : id;
+                NodeId l = w_.leader() != 0 ? w_.leader() : id;
                 bool in = w_.draw(2) == 0, both = w_.draw(2) == 0;
-                for (KeeperId k = 1; k <= w_.size(); ++k) {
+                for (NodeId k = 1; k <= w_.size(); ++k) {
                     if (k == l || w_.draw(5) == 0) continue;
                     if (in || both) w_.net().cut(k - 1, l - 1);
                     if (!in || both) w_.net().cut(l - 1, k - 1);
@@ -53,7 +53,7 @@
                 break;
             }
             case 9: {
-                KeeperId other = any();
+                NodeId other = any();
                 w_.net().cut(id - 1, other - 1);
                 w_.net().delay(other - 1, id - 1, Duration(400 * w_.uniform()));
                 ++w_.counts["cuts"];
@@ -82,42 +82,43 @@
     }
 
 private:
-    KeeperId any() { return KeeperId(1 + w_.draw(w_.size())); }
-    bool begun(KeeperId id) const { return id < next_spare_; }
-    void raise(KeeperId id) {
+    NodeId any() { return NodeId(1 + w_.draw(w_.size())); }
+    bool begun(NodeId id) const { return id < next_spare_; }
+    void raise(NodeId id) {
         if (begun(id)) w_.start(id);
     }
     std::size_t down() const {
         std::size_t count = 0;
-        for (KeeperId k = 1; k <= w_.size(); ++k) count += begun(k) && !w_.up(k);
+        for (NodeId k = 1; k <= w_.size(); ++k) count += begun(k) && !w_.up(k);
         return count;
     }
     void members() {
-        KeeperId l = w_.leader();
+        NodeId l = w_.leader();
         if (l == 0) return;
         const Members& now = w_.core(l).members();
         if (next_spare_ <= keepers_ + spares_ && w_.draw(2) == 0) {
-            KeeperId id = next_spare_++;
+            NodeId id = next_spare_++;
             w_.start(id);
             w_.change(id, true);
         } else if (now.size() > 3) {
             w_.change(now[w_.draw(now.size())].id, false);
         } else {
-            for (KeeperId k = KeeperId(keepers_ + 1); k < next_spare_; ++k)  // one that was not taken in
-                if (w_.up(k) && w_.core(k).last() == 0) w_.change(k, true);
+            for (NodeId k = NodeId(keepers_ + 1); k < next_spare_; ++k)  // one that was not taken in
+                if (w_.up(k) && w_.core(k).last_index() == 0) w_.change(k, true);
         }
     }
-    void lose(KeeperId id) {
+    void lose(NodeId id) {
         if (!disks_lost_ || !begun(id)) return;
-        for (KeeperId k = 1; k <= w_.size(); ++k)
-            if (!w_.disk(k).there().trusted || (begun(k) && w_.up(k) && !w_.core(k).trusted())) return;
+        for (NodeId k = 1; k <= w_.size(); ++k)
+            if (!w_.disk(k).there().trusted || (begun(k) && w_.up(k) && !w_.core(k).storage_trusted()))
+                return;
         w_.crash(id, Keeps::Nothing);
         w_.lose_disk(id, 1 + w_.draw(std::size_t(w_.disk(id).last() + 1)));
     }
 
     RaftWorld& w_;
     std::size_t keepers_;
-    KeeperId next_spare_;
+    NodeId next_spare_;
     std::size_t spares_;
     bool disks_lost_;
 };
--- a/lab/raft/crashes.cpp
+++ b/lab/raft/crashes.cpp
@@ -12,8 +12,8 @@
     set.think = Duration(40);
     set.sabotage = sabotage;
     CrashDay day;
-    raft::KeeperId down = 0;
-    set.each = [&](RaftWorld& w, raft::KeeperId id, std::uint64_t number) {
+    raft::NodeId down = 0;
+    set.each = [&](RaftWorld& w, raft::NodeId id, std::uint64_t number) {
         if (n == 0 || number != n) return;
         day.reached = true;
         w.crash(id, keeps);
@@ -32,9 +32,9 @@
     };
     pass(Duration(2000));
     world.start(4);
-    for (int i = 0; i < 5 && world.core(4).last() == 0; ++i) world.change(4, true), pass(Duration(100));
+    for (int i = 0; i < 5 && world.core(4).last_index() == 0; ++i) world.change(4, true), pass(Duration(100));
     pass(Duration(300));
-    raft::KeeperId first = world.leader();
+    raft::NodeId first = world.leader();
     world.transfer(0);
     pass(Duration(300));
     if (first != 0 && world.leader() != first) world.change(first, false);
--- a/lab/raft/explore.cpp
+++ b/lab/raft/explore.cpp
@@ -8,49 +8,49 @@
 namespace ochrehub::lab {
 
 using namespace raft;
-using raft::Action, raft::Actions, raft::Event, raft::Settings, raft::WakeAt, raft::Woken;
+using raft::Action, raft::Actions, raft::Event, raft::Settings, raft::SetTimer, raft::TimerFired;
 
 RaftStage::RaftStage(std::size_t keepers, const Sabotage* sabotage, std::size_t window)
     : sabotage_(sabotage), window_(window) {
     Members first;
-    for (KeeperId id = 1; id <= keepers; ++id) first.push_back({id, true, {}});
+    for (NodeId id = 1; id <= keepers; ++id) first.push_back({id, true, {}});
     judge_.members(first);
-    for (KeeperId id = 1; id <= keepers; ++id) {
-        Disk disk;
-        disk.members = first;
+    for (NodeId id = 1; id <= keepers; ++id) {
+        PersistentState disk;
+        disk.initial_members = first;
         sides_.push_back({begin(id, disk, 1), {}, 0, {}, {}, 0, 1});
         sides_.back().disk.there() = disk;
         judge_.started(id);
     }
-    for (KeeperId id = 1; id <= keepers; ++id) happen(id, Woken{});
+    for (NodeId id = 1; id <= keepers; ++id) happen(id, TimerFired{});
 }
 
-Raft RaftStage::begin(KeeperId id, const Disk& disk, std::uint64_t life) {
+Raft RaftStage::begin(NodeId id, const PersistentState& disk, std::uint64_t life) {
     Settings set;
     set.self = id;
-    set.kept = 0;
-    set.batch = 1;
-    set.window = window_;
-    Disk found = disk;
+    set.retained_log_bytes = 0;
+    set.max_append_bytes = 1;
+    set.max_inflight_appends = window_;
+    PersistentState found = disk;
     if (sabotage_ && sabotage_->starts) sabotage_->starts(*this, id, found);
     return Raft(set, found, id * 1000 + life);
 }
 
-void RaftStage::note(KeeperId id, const std::string& what) {
+void RaftStage::note(NodeId id, const std::string& what) {
     Side& side = sides_[id - 1];
     side.past = hashed(what, side.past * 0x9e3779b97f4a7c15u + 1);
 }
 
-void RaftStage::happen(KeeperId id, const Event& event) {
+void RaftStage::happen(NodeId id, const Event& event) {
     Side& side = sides_[id - 1];
     Actions actions;
     side.core.handle(side.clock, event, actions);
     if (sabotage_ && sabotage_->acts) sabotage_->acts(*this, id, actions);
     Judge::Disks disks;
-    for (KeeperId other = 1; other <= sides_.size(); ++other) disks[other] = &sides_[other - 1].disk;
+    for (NodeId other = 1; other <= sides_.size(); ++other) disks[other] = &sides_[other - 1].disk;
     judge_.after({id, &side.core, &side.disk}, actions, disks);
     for (Action& action : actions) {
-        if (auto* send = std::get_if<Send>(&action)) {
+        if (auto* send = std::get_if<SendMessage>(&action)) {
             if (send->to == 0 || send->to > sides_.size()) continue;
             if (sabotage_ && sabotage_->sends && !sabotage_->sends(*this, id, send->to, send->message))
                 continue;
@@ -60,26 +60,26 @@
             if (sabotage_ && sabotage_->writes) sabotage_->writes(*this, id, *write);
             side.disk.write(*write);
             side.write = write->number;
-        } else if (auto* wake = std::get_if<WakeAt>(&action)) {
+        } else if (auto* wake = std::get_if<SetTimer>(&action)) {
             side.wake = wake->at;
         }
     }
 }
 
-void RaftStage::wake(KeeperId id) {
+void RaftStage::wake(NodeId id) {
     Side& side = sides_[id - 1];
     note(id, "wake");
     side.clock = std::max(side.clock, side.wake);
-    happen(id, Woken{});
+    happen(id, TimerFired{});
 }
 
-void RaftStage::sync(KeeperId id) {
+void RaftStage::sync(NodeId id) {
     Side& side = sides_[id - 1];
     if (side.write == 0) return;
     note(id, "sync");
     std::uint64_t number = std::exchange(side.write, 0);
     side.disk.sync(number);
-    happen(id, Written{number});
+    happen(id, WriteCompleted{number});
 }
 
 void RaftStage::take(std::size_t flying, bool again) {
@@ -89,16 +89,16 @@
     auto message = decode(f.octets);
     if (!message) return judge_.fault("a message is not read back");
     if (sabotage_ && sabotage_->receives && !sabotage_->receives(*this, f.to, f.from, *message)) return;
-    happen(f.to, Received{f.from, std::move(*message)});
+    happen(f.to, MessageReceived{f.from, std::move(*message)});
 }
 
-void RaftStage::lose_disk(KeeperId id) {
+void RaftStage::lose_disk(NodeId id) {
     judge_.loses(id, sides_[id - 1].disk);
     sides_[id - 1].disk.lose(1);
     crash(id, false);
 }
 
-void RaftStage::crash(KeeperId id, bool keeps) {
+void RaftStage::crash(NodeId id, bool keeps) {
     Side& side = sides_[id - 1];
     note(id, keeps ? "crash" : "crash and lose");
     side.disk.crash(keeps ? side.disk.unsynced() : 0);
@@ -106,25 +106,25 @@
     side.wake = side.clock;
     side.core = begin(id, side.disk.there(), ++side.lives);
     judge_.started(id);
-    happen(id, Woken{});
+    happen(id, TimerFired{});
 }
 
-void RaftStage::propose(KeeperId id, std::string data) {
+void RaftStage::propose(NodeId id, std::string data) {
     note(id, "propose " + data);
     judge_.asked(++asked_, false);
     happen(id, Propose{asked_, std::move(data)});
 }
 
-void RaftStage::read(KeeperId id) {
+void RaftStage::read(NodeId id) {
     note(id, "read");
     judge_.asked(++asked_, true);
-    happen(id, Read{asked_});
+    happen(id, ReadIndex{asked_});
 }
 
-void RaftStage::change(KeeperId id, KeeperId member, bool add) {
+void RaftStage::change(NodeId id, NodeId member, bool add) {
     note(id, "change");
     judge_.asked(++asked_, false);
-    happen(id, Change{asked_, member, add, {}});
+    happen(id, ChangeMembership{asked_, member, add, {}});
 }
 
 std::uint64_t RaftStage::digest() const {
@@ -136,11 +136,11 @@
 
 // ---- Scenes
 
-void RaftStage::settle(const std::vector<KeeperId>& among) {
-    auto in = [&](KeeperId id) { return std::find(among.begin(), among.end(), id) != among.end(); };
+void RaftStage::settle(const std::vector<NodeId>& among) {
+    auto in = [&](NodeId id) { return std::find(among.begin(), among.end(), id) != among.end(); };
     for (bool any = true; any;) {
         any = false;
-        for (KeeperId id : among)
+        for (NodeId id : among)
             if (writing(id)) sync(id), any = true;
         for (std::size_t i = 0; i < flying_.size(); ++i)
             if (in(flying_[i].from) && in(flying_[i].to)) {
@@ -151,12 +151,12 @@
     }
 }
 
-void RaftStage::lose(KeeperId id) {
+void RaftStage::lose(NodeId id) {
     std::erase_if(flying_, [&](const Flying& f) { return f.from == id || f.to == id; });
 }
 
-bool RaftStage::elect(KeeperId id, const std::vector<KeeperId>& among) {
-    for (KeeperId other : among)
+bool RaftStage::elect(NodeId id, const std::vector<NodeId>& among) {
+    for (NodeId other : among)
         if (other != id) wake(other);  // its patience is over too
     lose_all();
     for (int i = 0; i < 4 && core(id).role() != Role::Leader; ++i) {
@@ -164,7 +164,7 @@
         // Votes alone: what the new leader sends at once is lost.
         for (bool any = true; any && core(id).role() != Role::Leader;) {
             any = false;
-            for (KeeperId other : among)
+            for (NodeId other : among)
                 if (writing(other)) sync(other), any = true;
             for (std::size_t m = 0; m < flying_.size() && !any; ++m)
                 if (std::count(among.begin(), among.end(), flying_[m].from) &&
@@ -176,7 +176,7 @@
     return core(id).role() == Role::Leader;
 }
 
-bool RaftStage::arrive(KeeperId from, KeeperId to) {
+bool RaftStage::arrive(NodeId from, NodeId to) {
     for (std::size_t i = 0; i < flying_.size(); ++i)
         if (flying_[i].from == from && flying_[i].to == to) {
             take(i);
@@ -201,7 +201,7 @@
         case From::Start:
             break;
         case From::Candidates:
-            for (KeeperId id : {1u, 2u}) stage.wake(id);
+            for (NodeId id : {1u, 2u}) stage.wake(id);
             stage.arrive(1, 3), stage.arrive(3, 1);
             stage.arrive(2, 3), stage.arrive(3, 2);
             stage.lose_all();
@@ -288,7 +288,7 @@
                 next(step + " again", crashes, wakes, doubled - 1, proposals, reads,
                      [&](RaftStage& s) { s.take(i, true); });
         }
-        for (KeeperId id = 1; id <= stage.size(); ++id) {
+        for (NodeId id = 1; id <= stage.size(); ++id) {
             std::string who = std::to_string(id);
             if (stage.writing(id))
                 next(who + " has written", crashes, wakes, doubled, proposals, reads,
--- a/lab/raft/explore.h
+++ b/lab/raft/explore.h
@@ -21,7 +21,7 @@
 class RaftStage : public RaftSight {
 public:
     struct Flying {
-        raft::KeeperId from = 0, to = 0;
+        raft::NodeId from = 0, to = 0;
         std::string octets;
         friend auto operator<=>(const Flying&, const Flying&) = default;
     };
@@ -29,36 +29,36 @@
     explicit RaftStage(std::size_t keepers, const Sabotage* sabotage = nullptr, std::size_t window = 8);
 
     // What may happen. Each is judged.
-    void wake(raft::KeeperId id);
-    void sync(raft::KeeperId id);  ///< all that it was given to write is on its disk, and it is told
+    void wake(raft::NodeId id);
+    void sync(raft::NodeId id);  ///< all that it was given to write is on its disk, and it is told
     void take(std::size_t flying, bool again = false);  ///< arrives; `again`: and stays under way
-    void crash(raft::KeeperId id, bool keeps);  ///< with what is not synced, or without, and starts again
-    void lose_disk(raft::KeeperId id);          ///< all that it held, which is noticed as it starts again
-    void propose(raft::KeeperId id, std::string data);
-    void read(raft::KeeperId id);
-    void change(raft::KeeperId id, raft::KeeperId member, bool add);
+    void crash(raft::NodeId id, bool keeps);  ///< with what is not synced, or without, and starts again
+    void lose_disk(raft::NodeId id);          ///< all that it held, which is noticed as it starts again
+    void propose(raft::NodeId id, std::string data);
+    void read(raft::NodeId id);
+    void change(raft::NodeId id, raft::NodeId member, bool add);
 
     // For scenes.
     /// All that is under way between these arrives, and all is synced, until nothing is left.
-    void settle(const std::vector<raft::KeeperId>& among);
+    void settle(const std::vector<raft::NodeId>& among);
     /// Whatever is under way from or to it is lost.
-    void lose(raft::KeeperId id);
+    void lose(raft::NodeId id);
     void lose_all() { flying_.clear(); }
     void under_way(const Flying& f) {
         flying_.insert(std::upper_bound(flying_.begin(), flying_.end(), f), f);
     }
     /// `id` is woken until it leads, with the votes of `among`; all else that is sent meanwhile is lost.
-    bool elect(raft::KeeperId id, const std::vector<raft::KeeperId>& among);
-    bool arrive(raft::KeeperId from, raft::KeeperId to);  ///< the first that is under way so
+    bool elect(raft::NodeId id, const std::vector<raft::NodeId>& among);
+    bool arrive(raft::NodeId from, raft::NodeId to);  ///< the first that is under way so
 
-    const raft::Raft& core(raft::KeeperId id) const override { return sides_[id - 1].core; }
+    const raft::Raft& core(raft::NodeId id) const override { return sides_[id - 1].core; }
     std::size_t draw(std::size_t) override { return 0; }
-    void deliver(raft::KeeperId to, raft::KeeperId from, const raft::Message& message) override {
-        happen(to, raft::Received{from, message});
+    void deliver(raft::NodeId to, raft::NodeId from, const raft::Message& message) override {
+        happen(to, raft::MessageReceived{from, message});
     }
     std::size_t size() const { return sides_.size(); }
     const std::vector<Flying>& flying() const { return flying_; }
-    bool writing(raft::KeeperId id) const { return sides_[id - 1].write != 0; }
+    bool writing(raft::NodeId id) const { return sides_[id - 1].write != 0; }
     const Judge& judge() const { return judge_; }
     /// Two that have it have the same cores, disks and messages: it is of what happened to each keeper, in
     /// its order.
@@ -73,9 +73,9 @@
         std::uint64_t past = 0, lives = 1;
     };
 
-    raft::Raft begin(raft::KeeperId id, const raft::Disk& disk, std::uint64_t life);
-    void happen(raft::KeeperId id, const raft::Event& event);
-    void note(raft::KeeperId id, const std::string& what);
+    raft::Raft begin(raft::NodeId id, const raft::PersistentState& disk, std::uint64_t life);
+    void happen(raft::NodeId id, const raft::Event& event);
+    void note(raft::NodeId id, const std::string& what);
 
     const Sabotage* sabotage_;
     std::size_t window_;
--- a/lab/raft/judge.cpp
+++ b/lab/raft/judge.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::lab {
 
 using namespace raft;
-using raft::Action, raft::Actions, raft::Event, raft::Settings, raft::Woken;  // and not the module's
+using raft::Action, raft::Actions, raft::Event, raft::Settings, raft::TimerFired;  // and not the module's
 
 // ---- Registers
 
@@ -50,7 +50,7 @@
 
 namespace {
 
-std::string who(KeeperId id) {
+std::string who(NodeId id) {
     return "keeper " + std::to_string(id);
 }
 std::string at(std::uint64_t index) {
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-void Judge::started(KeeperId id) {
+void Judge::started(NodeId id) {
     committed_[id] = 0;
     applied_[id] = 0;
 }
@@ -69,23 +69,25 @@
         if (const auto* write = std::get_if<Write>(&action)) appended(side, *write);
     if (side.core->role() == Role::Leader) led(side);
     for (const Action& action : actions)
-        if (const auto* restore = std::get_if<Restore>(&action)) {
+        if (const auto* restore = std::get_if<RestoreSnapshot>(&action)) {
             const Snapshot& s = restore->snapshot;
-            auto known = agreed_.find(s.index);
-            if (known == agreed_.end() || known->second.term != s.term)
-                fault(who(side.id) + " takes a snapshot of what was never agreed on" + at(s.index));
-            else if (s.members != members_at(s.index))
+            auto known = agreed_.find(s.last_included_index);
+            if (known == agreed_.end() || known->second.term != s.last_included_term)
+                fault(who(side.id) + " takes a snapshot of what was never agreed on" +
+                      at(s.last_included_index));
+            else if (s.members != members_at(s.last_included_index))
                 fault(who(side.id) + " takes a snapshot with other members than were agreed on" +
-                      at(s.index));
-            else if (states_[s.index] != hashed(s.state))
-                fault(who(side.id) + " takes a snapshot of another state" + at(s.index));
-            if (s.index < applied_[side.id]) fault(who(side.id) + " goes back to a snapshot" + at(s.index));
-            committed_[side.id] = std::max(committed_[side.id], s.index);
-            applied_[side.id] = s.index;
+                      at(s.last_included_index));
+            else if (states_[s.last_included_index] != hashed(s.state))
+                fault(who(side.id) + " takes a snapshot of another state" + at(s.last_included_index));
+            if (s.last_included_index < applied_[side.id])
+                fault(who(side.id) + " goes back to a snapshot" + at(s.last_included_index));
+            committed_[side.id] = std::max(committed_[side.id], s.last_included_index);
+            applied_[side.id] = s.last_included_index;
         }
     committed(side, disks);
     for (const Action& action : actions) {
-        if (const auto* applied = std::get_if<Applied>(&action)) {
+        if (const auto* applied = std::get_if<ApplyEntry>(&action)) {
             std::uint64_t& last = applied_[side.id];
             if (applied->index <= last) fault(who(side.id) + " applies twice" + at(applied->index));
             for (std::uint64_t i = last + 1; i < applied->index; ++i)
@@ -106,7 +108,7 @@
             answered(ready->id, "read");
         } else if (const auto* rejected = std::get_if<Rejected>(&action)) {
             answered(rejected->id, "refused");
-        } else if (const auto* send = std::get_if<Send>(&action)) {
+        } else if (const auto* send = std::get_if<SendMessage>(&action)) {
             sent(side, *send);
         }
     }
@@ -118,16 +120,16 @@
 }
 
 void Judge::appended(const Side& side, const Write& write) {
-    if (write.cut) {
-        auto known = agreed_.lower_bound(*write.cut);
+    if (write.truncate_from) {
+        auto known = agreed_.lower_bound(*write.truncate_from);
         for (; known != agreed_.end(); ++known)
             if (known->first > side.disk->covered() && side.disk->has(known->first, known->second.term)) {
                 fault(who(side.id) + " cuts what was agreed on" + at(known->first));
                 break;
             }
     }
-    std::uint64_t index = side.core->last() - write.append.size();
-    std::uint64_t previous = side.core->term_of(index);
+    std::uint64_t index = side.core->last_index() - write.append.size();
+    std::uint64_t previous = side.core->term_at(index);
     for (const Entry& entry : write.append) {
         ++index;
         auto [seen, first] =
@@ -151,8 +153,9 @@
         return;
     }
     leader.id = side.id;
-    leader.first = core.first();
-    for (std::uint64_t i = core.first(); i <= core.last(); ++i) leader.terms.push_back(core.term_of(i));
+    leader.first = core.first_index();
+    for (std::uint64_t i = core.first_index(); i <= core.last_index(); ++i)
+        leader.terms.push_back(core.term_at(i));
     for (const auto& [index, known] : agreed_)
         if (known.by_term < core.term() && !leader.has(index, known.term)) return lacks(core.term(), index);
 }
@@ -164,8 +167,8 @@
 
 void Judge::committed(const Side& side, const Disks& disks) {
     const Raft& core = *side.core;
-    for (std::uint64_t i = committed_[side.id] + 1; i <= core.committed(); ++i) {
-        if (i < core.first()) continue;  // by a snapshot, which was looked at
+    for (std::uint64_t i = committed_[side.id] + 1; i <= core.commit_index(); ++i) {
+        if (i < core.first_index()) continue;  // by a snapshot, which was looked at
         const Entry& entry = core.entry(i);
         auto known = agreed_.find(i);
         if (known != agreed_.end()) {
@@ -190,34 +193,35 @@
         for (auto later = leaders_.upper_bound(core.term()); later != leaders_.end(); ++later)
             if (!later->second.has(i, entry.term)) lacks(later->first, i);
         agreed_[i] = {entry.term, core.term(), entry.kind, entry.data};
-        if (entry.kind == Entry::Kind::Change)
+        if (entry.kind == Entry::Kind::Configuration)
             if (auto members = decode_members(entry.data)) members_[i] = *members;
         if (entry.kind == Entry::Kind::Data) state_.apply(entry.data);
         states_[i] = hashed(state_.snapshot());
     }
-    committed_[side.id] = std::max(committed_[side.id], core.committed());
+    committed_[side.id] = std::max(committed_[side.id], core.commit_index());
 }
 
-void Judge::sent(const Side& side, const Send& send) {
-    if (const auto* m = std::get_if<Appended>(&send.message); m && m->matches) {
-        std::uint64_t term = side.core->term_of(m->index);
+void Judge::sent(const Side& side, const SendMessage& send) {
+    if (const auto* m = std::get_if<AppendEntriesResponse>(&send.message); m && m->matches) {
+        std::uint64_t term = side.core->term_at(m->index);
         if (m->index > 0 && (side.disk->last() < m->index || (term != 0 && !side.disk->has(m->index, term))))
             fault(who(side.id) + " says that it has what is not on its disk" + at(m->index));
-    } else if (const auto* piece = std::get_if<Piece>(&send.message)) {
+    } else if (const auto* piece = std::get_if<InstallSnapshot>(&send.message)) {
         sizes_[piece->index] = piece->size;
-    } else if (const auto* taken = std::get_if<PieceTaken>(&send.message)) {
+    } else if (const auto* taken = std::get_if<InstallSnapshotResponse>(&send.message)) {
         auto size = sizes_.find(taken->index);
         if (size != sizes_.end() && taken->next >= size->second && size->second > 0 &&
             side.disk->last() < taken->index)
             fault(who(side.id) + " says that it has a snapshot that is not on its disk" + at(taken->index));
-    } else if (const auto* vote = std::get_if<GiveVote>(&send.message); vote && vote->granted && !vote->pre) {
+    } else if (const auto* vote = std::get_if<RequestVoteResponse>(&send.message);
+               vote && vote->granted && !vote->pre) {
         auto given = votes_.try_emplace({side.id, vote->term}, send.to).first;
         if (given->second != send.to)
             fault(who(side.id) + " votes twice in term " + std::to_string(vote->term));
-        if (side.disk->there().vote != raft::Vote{vote->term, send.to})
+        if (side.disk->there().hard_state != raft::HardState{vote->term, send.to})
             fault(who(side.id) + " gives a vote that is not on its disk");
         if (!side.disk->there().trusted) fault(who(side.id) + " votes with a disk that is not trusted");
-    } else if (const auto* ask = std::get_if<AskVote>(&send.message); ask && !ask->pre) {
+    } else if (const auto* ask = std::get_if<RequestVote>(&send.message); ask && !ask->pre) {
         auto given = votes_.try_emplace({side.id, ask->term}, side.id).first;
         if (given->second != side.id)
             fault(who(side.id) + " votes twice in term " + std::to_string(ask->term) + ", once for itself");
--- a/lab/raft/judge.h
+++ b/lab/raft/judge.h
@@ -33,20 +33,20 @@
 class Judge {
 public:
     struct Side {  ///< one keeper as it is now
-        raft::KeeperId id = 0;
+        raft::NodeId id = 0;
         const raft::Raft* core = nullptr;
         const VirtualDisk* disk = nullptr;
     };
-    using Disks = std::map<raft::KeeperId, const VirtualDisk*>;
+    using Disks = std::map<raft::NodeId, const VirtualDisk*>;
 
     void members(const raft::Members& first) { members_[0] = first; }
     /// A keeper has begun anew.
-    void started(raft::KeeperId id);
+    void started(raft::NodeId id);
     /// Behind each event, with what came of it, before any of it is done: `disks` as they are now.
     void after(const Side& side, const raft::Actions& actions, const Disks& disks);
     /// What this disk holds is about to be lost. That it was there counts for what is agreed on by an answer
     /// under way; who has lost it must not vote before it has it again.
-    void loses(raft::KeeperId id, const VirtualDisk& disk) { lost_[id].push_back(disk); }
+    void loses(raft::NodeId id, const VirtualDisk& disk) { lost_[id].push_back(disk); }
     /// A proposal or a read was asked of `id`.
     void asked(std::uint64_t id, bool read) { open_[id] = read ? agreed_last() : 0; }
 
@@ -73,14 +73,14 @@
     void led(const Side& side);
     void lacks(std::uint64_t term, std::uint64_t index);
     void committed(const Side& side, const Disks& disks);
-    void sent(const Side& side, const raft::Send& send);
+    void sent(const Side& side, const raft::SendMessage& send);
     void answered(std::uint64_t id, const char* how);
     const raft::Members& members_at(std::uint64_t index) const {
         return std::prev(members_.upper_bound(index))->second;
     }
 
     struct Leader {
-        raft::KeeperId id = 0;
+        raft::NodeId id = 0;
         std::uint64_t first = 1;
         std::vector<std::uint64_t> terms;  ///< of its entries from `first` on, when it began
         bool has(std::uint64_t index, std::uint64_t term) const {
@@ -90,15 +90,15 @@
     };
     std::map<std::uint64_t, Leader> leaders_;
     std::map<std::pair<std::uint64_t, std::uint64_t>, Seen> entries_;
-    std::map<std::pair<raft::KeeperId, std::uint64_t>, raft::KeeperId> votes_;
+    std::map<std::pair<raft::NodeId, std::uint64_t>, raft::NodeId> votes_;
     std::map<std::uint64_t, Agreed> agreed_;
     std::map<std::uint64_t, raft::Members> members_;  // that are agreed on, by their index
     std::map<std::uint64_t, std::uint64_t> states_;   // what the state as of an index comes to
     Registers state_;
-    std::map<raft::KeeperId, std::uint64_t> committed_, applied_;
+    std::map<raft::NodeId, std::uint64_t> committed_, applied_;
     std::map<std::uint64_t, std::uint64_t>
         open_;  // asked and not answered; of a read: what was agreed on then
-    std::map<raft::KeeperId, std::vector<VirtualDisk>> lost_;
+    std::map<raft::NodeId, std::vector<VirtualDisk>> lost_;
     std::map<std::uint64_t, std::uint64_t> sizes_;  // of snapshots that were sent, by index
     std::vector<std::string> broken_;
 };
--- a/lab/raft/main.cpp
+++ b/lab/raft/main.cpp
@@ -54,41 +54,41 @@
 int bench(std::uint64_t proposals, std::size_t octets, std::size_t at_once) {
     using namespace ochrehub;
     std::vector<raft::Raft> cores;
-    std::deque<std::tuple<raft::KeeperId, raft::KeeperId, std::string>> links;
+    std::deque<std::tuple<raft::NodeId, raft::NodeId, std::string>> links;
     std::uint64_t agreed = 0, bytes = 0, messages = 0;
     double now = 0;
-    std::function<void(raft::KeeperId, const raft::Event&)> tell = [&](raft::KeeperId id,
-                                                                       const raft::Event& event) {
+    std::function<void(raft::NodeId, const raft::Event&)> tell = [&](raft::NodeId id,
+                                                                     const raft::Event& event) {
         raft::Actions out;
         cores[id - 1].handle(TimePoint{Duration{now}}, event, out);
         std::uint64_t written = 0;
         for (raft::Action& action : out) {
-            if (auto* send = std::get_if<raft::Send>(&action)) {
+            if (auto* send = std::get_if<raft::SendMessage>(&action)) {
                 links.emplace_back(id, send->to, raft::encode(send->message));
                 bytes += std::get<2>(links.back()).size(), ++messages;
             }
             if (auto* write = std::get_if<raft::Write>(&action)) written = write->number;
-            if (auto* applied = std::get_if<raft::Applied>(&action)) agreed += applied->id != 0;
+            if (auto* applied = std::get_if<raft::ApplyEntry>(&action)) agreed += applied->id != 0;
         }
-        if (written != 0) tell(id, raft::Written{written});
+        if (written != 0) tell(id, raft::WriteCompleted{written});
     };
     auto settle = [&] {
         while (!links.empty()) {
             auto [from, to, text] = std::move(links.front());
             links.pop_front();
-            tell(to, raft::Received{from, *raft::decode(text)});
+            tell(to, raft::MessageReceived{from, *raft::decode(text)});
         }
     };
-    raft::Disk disk;
-    for (raft::KeeperId id = 1; id <= 3; ++id) disk.members.push_back({id, true, {}});
-    for (raft::KeeperId id = 1; id <= 3; ++id) {
+    raft::PersistentState disk;
+    for (raft::NodeId id = 1; id <= 3; ++id) disk.initial_members.push_back({id, true, {}});
+    for (raft::NodeId id = 1; id <= 3; ++id) {
         raft::Settings set;
         set.self = id;
         cores.emplace_back(set, disk, id);
     }
-    for (raft::KeeperId id = 1; id <= 3; ++id) tell(id, raft::Woken{});
+    for (raft::NodeId id = 1; id <= 3; ++id) tell(id, raft::TimerFired{});
     now = 2500;
-    tell(1, raft::Woken{});
+    tell(1, raft::TimerFired{});
     settle();
     auto began = std::chrono::steady_clock::now();
     std::string data(octets, 'x');
@@ -98,9 +98,9 @@
         now += 0.01;
         if (i % 100'000 < at_once) {
             now += 100;
-            for (raft::KeeperId id = 1; id <= 3; ++id)
-                tell(id, raft::Snapshotted{cores[id - 1].committed(), "state"});
-            tell(1, raft::Woken{}), settle();
+            for (raft::NodeId id = 1; id <= 3; ++id)
+                tell(id, raft::SnapshotTaken{cores[id - 1].commit_index(), "state"});
+            tell(1, raft::TimerFired{}), settle();
         }
     }
     double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
--- a/lab/raft/sabotage.h
+++ b/lab/raft/sabotage.h
@@ -12,19 +12,19 @@
 class RaftSight {
 public:
     virtual ~RaftSight() = default;
-    virtual const raft::Raft& core(raft::KeeperId id) const = 0;
+    virtual const raft::Raft& core(raft::NodeId id) const = 0;
     virtual std::size_t draw(std::size_t below) = 0;
     /// One message more, now.
-    virtual void deliver(raft::KeeperId to, raft::KeeperId from, const raft::Message& message) = 0;
+    virtual void deliver(raft::NodeId to, raft::NodeId from, const raft::Message& message) = 0;
 };
 
 /// Those that give bool: false: it does not happen.
 struct Sabotage {
-    std::function<bool(RaftSight&, raft::KeeperId from, raft::KeeperId to, raft::Message&)> sends;
-    std::function<bool(RaftSight&, raft::KeeperId to, raft::KeeperId from, raft::Message&)> receives;
-    std::function<void(RaftSight&, raft::KeeperId, raft::Disk&)> starts;
-    std::function<void(RaftSight&, raft::KeeperId, raft::Write&)> writes;
-    std::function<void(RaftSight&, raft::KeeperId, raft::Actions&)> acts;
+    std::function<bool(RaftSight&, raft::NodeId from, raft::NodeId to, raft::Message&)> sends;
+    std::function<bool(RaftSight&, raft::NodeId to, raft::NodeId from, raft::Message&)> receives;
+    std::function<void(RaftSight&, raft::NodeId, raft::PersistentState&)> starts;
+    std::function<void(RaftSight&, raft::NodeId, raft::Write&)> writes;
+    std::function<void(RaftSight&, raft::NodeId, raft::Actions&)> acts;
     // In RaftWorld alone.
     bool early = false;        ///< Written comes before anything is on the disk
     bool local_reads = false;  ///< a leader answers reads by itself
--- a/lab/raft/saboteurs.cpp
+++ b/lab/raft/saboteurs.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-Sabotage receiving(std::function<bool(RaftSight&, KeeperId to, KeeperId from, Message&)> f) {
+Sabotage receiving(std::function<bool(RaftSight&, NodeId to, NodeId from, Message&)> f) {
     Sabotage s;
     s.receives = std::move(f);
     return s;
 }
-Sabotage starting(std::function<void(RaftSight&, KeeperId, Disk&)> f) {
+Sabotage starting(std::function<void(RaftSight&, NodeId, PersistentState&)> f) {
     Sabotage s;
     s.starts = std::move(f);
     return s;
 }
 template <class T>
-Sabotage on_receipt(std::function<void(RaftSight&, KeeperId to, T&)> f) {
-    return receiving([f](RaftSight& w, KeeperId to, KeeperId, Message& m) {
+Sabotage on_receipt(std::function<void(RaftSight&, NodeId to, T&)> f) {
+    return receiving([f](RaftSight& w, NodeId to, NodeId, Message& m) {
         if (T* it = std::get_if<T>(&m)) f(w, to, *it);
         return true;
     });
@@ -32,8 +32,9 @@
 
 Sabotage votes_twice() {
     Sabotage s;
-    s.sends = [](RaftSight& w, KeeperId from, KeeperId, Message& m) {
-        if (auto* vote = std::get_if<GiveVote>(&m); vote && !vote->pre && vote->term == w.core(from).term())
+    s.sends = [](RaftSight& w, NodeId from, NodeId, Message& m) {
+        if (auto* vote = std::get_if<RequestVoteResponse>(&m);
+            vote && !vote->pre && vote->term == w.core(from).term())
             vote->granted = true;
         return true;
     };
@@ -42,21 +43,22 @@
 
 Sabotage counts_old_terms() {
     // What the leader of a term has heard that others have.
-    auto matches = std::make_shared<std::map<std::uint64_t, std::map<KeeperId, std::uint64_t>>>();
+    auto matches = std::make_shared<std::map<std::uint64_t, std::map<NodeId, std::uint64_t>>>();
     Sabotage s;
-    s.receives = [matches](RaftSight& w, KeeperId to, KeeperId from, Message& m) {
-        if (auto* a = std::get_if<Appended>(&m);
+    s.receives = [matches](RaftSight& w, NodeId to, NodeId from, Message& m) {
+        if (auto* a = std::get_if<AppendEntriesResponse>(&m);
             a && a->matches && a->doubt == 0 && a->term == w.core(to).term())
             (*matches)[a->term][from] = std::max((*matches)[a->term][from], a->index);
         return true;
     };
-    s.sends = [matches](RaftSight& w, KeeperId from, KeeperId, Message& m) {
-        auto* a = std::get_if<Append>(&m);
+    s.sends = [matches](RaftSight& w, NodeId from, NodeId, Message& m) {
+        auto* a = std::get_if<AppendEntries>(&m);
         if (!a || w.core(from).role() != Role::Leader) return true;
         std::vector<std::uint64_t> have;
         for (const Member& member : w.core(from).members())
             if (member.voter)
-                have.push_back(member.id == from ? w.core(from).written() : (*matches)[a->term][member.id]);
+                have.push_back(member.id == from ? w.core(from).durable_index()
+                                                 : (*matches)[a->term][member.id]);
         std::sort(have.begin(), have.end(), std::greater<>());
         if (!have.empty()) a->committed = std::max(a->committed, have[have.size() / 2]);
         return true;
@@ -65,8 +67,9 @@
 }
 
 Sabotage counts_learners() {
-    return receiving([](RaftSight& w, KeeperId to, KeeperId from, Message& m) {
-        if (!std::holds_alternative<Appended>(m) || w.core(to).role() != Role::Leader) return true;
+    return receiving([](RaftSight& w, NodeId to, NodeId from, Message& m) {
+        if (!std::holds_alternative<AppendEntriesResponse>(m) || w.core(to).role() != Role::Leader)
+            return true;
         const Members& members = w.core(to).members();
         bool learner = std::any_of(members.begin(), members.end(),
                                    [&](const Member& x) { return x.id == from && !x.voter; });
@@ -81,16 +84,16 @@
 }
 
 Sabotage trusts_at_once() {
-    auto doubts = std::make_shared<std::map<KeeperId, std::uint64_t>>();
+    auto doubts = std::make_shared<std::map<NodeId, std::uint64_t>>();
     Sabotage s;
-    s.acts = [doubts](RaftSight&, KeeperId id, Actions& actions) {
+    s.acts = [doubts](RaftSight&, NodeId id, Actions& actions) {
         for (Action& action : actions)
-            if (auto* send = std::get_if<Send>(&action))
-                if (auto* a = std::get_if<Appended>(&send->message); a && a->doubt != 0)
+            if (auto* send = std::get_if<SendMessage>(&action))
+                if (auto* a = std::get_if<AppendEntriesResponse>(&send->message); a && a->doubt != 0)
                     (*doubts)[id] = a->doubt;
     };
-    s.receives = [doubts](RaftSight&, KeeperId to, KeeperId, Message& m) {
-        if (auto* a = std::get_if<Append>(&m)) a->trusts = (*doubts)[to];
+    s.receives = [doubts](RaftSight&, NodeId to, NodeId, Message& m) {
+        if (auto* a = std::get_if<AppendEntries>(&m)) a->trusts = (*doubts)[to];
         return true;
     };
     return s;
@@ -98,13 +101,13 @@
 
 Sabotage applies_twice() {
     Sabotage s;
-    s.acts = [](RaftSight& w, KeeperId, Actions& actions) {
+    s.acts = [](RaftSight& w, NodeId, Actions& actions) {
         for (std::size_t i = 0; i < actions.size(); ++i)
-            if (auto* applied = std::get_if<Applied>(&actions[i]); applied && w.draw(50) == 0) {
-                Applied again = *applied;
+            if (auto* applied = std::get_if<ApplyEntry>(&actions[i]); applied && w.draw(50) == 0) {
+                ApplyEntry again = *applied;
                 again.id = 0;
                 actions.insert(actions.begin() + std::ptrdiff_t(i) + 1,
-                               Action(std::in_place_type<Applied>, again));
+                               Action(std::in_place_type<ApplyEntry>, again));
                 ++i;
             }
     };
@@ -113,8 +116,9 @@
 
 Sabotage cuts_too_much() {
     Sabotage s;
-    s.writes = [](RaftSight&, KeeperId, Write& write) {
-        if (write.cut) *write.cut = *write.cut > 3 ? *write.cut - 3 : 1;
+    s.writes = [](RaftSight&, NodeId, Write& write) {
+        if (write.truncate_from)
+            *write.truncate_from = *write.truncate_from > 3 ? *write.truncate_from - 3 : 1;
     };
     return s;
 }
@@ -131,10 +135,10 @@
     stage.elect(1, {1, 2});
     stage.sync(1);
     stage.wake(1);
-    for (int i = 0; i < 20 && stage.core(2).last() < 2;
+    for (int i = 0; i < 20 && stage.core(2).last_index() < 2;
          ++i) {  // up to its entry of the new term, which is not written yet
         stage.arrive(1, 2);
-        if (stage.core(2).last() < 2) stage.sync(2);
+        if (stage.core(2).last_index() < 2) stage.sync(2);
         stage.arrive(2, 1);
     }
     stage.crash(2, false);
@@ -155,7 +159,7 @@
     stage.lose_all();
     stage.lose_disk(2);
     stage.wake(1);
-    for (int i = 0; i < 4 && !stage.core(2).trusted(); ++i) {
+    for (int i = 0; i < 4 && !stage.core(2).storage_trusted(); ++i) {
         stage.arrive(1, 2);
         stage.sync(2);
         stage.arrive(2, 1);
@@ -188,16 +192,16 @@
     static const std::vector<Saboteur> kAll{
         {"votes twice in a term", "two leaders in term", votes_twice, nullptr, 3},
         {"forgets its vote at a restart", "votes twice in term",
-         [] { return starting([](RaftSight&, KeeperId, Disk& d) { d.vote.who = 0; }); },
+         [] { return starting([](RaftSight&, NodeId, PersistentState& d) { d.hard_state.voted_for = 0; }); },
          explored(RaftExploration::From::Candidates, 6)},
         {"takes what it is asked for by a candidate whose log is older", "without what was agreed on",
          [] {
-             return on_receipt<AskVote>(
-                 [](RaftSight&, KeeperId, AskVote& m) { m.last_term = m.last_index = ~std::uint64_t(0); });
+             return on_receipt<RequestVote>(
+                 [](RaftSight&, NodeId, RequestVote& m) { m.last_term = m.last_index = ~std::uint64_t(0); });
          }},
         {"takes a pre-vote for a vote", "two leaders in term",
          [] {
-             return on_receipt<GiveVote>([](RaftSight& w, KeeperId to, GiveVote& m) {
+             return on_receipt<RequestVoteResponse>([](RaftSight& w, NodeId to, RequestVoteResponse& m) {
                  if (m.pre && m.granted && w.core(to).role() == Role::Candidate) m.pre = false;
              });
          },
@@ -207,19 +211,23 @@
         {"counts a learner", "have on their disks", counts_learners},
         {"applies what is not agreed on yet", "have on their disks",
          [] {
-             return on_receipt<Append>(
-                 [](RaftSight&, KeeperId, Append& m) { m.committed = m.previous_index + m.entries.size(); });
+             return on_receipt<AppendEntries>([](RaftSight&, NodeId, AppendEntries& m) {
+                 m.committed = m.previous_index + m.entries.size();
+             });
          }},
         {"takes entries of an older leader", "cuts what was agreed on",
          [] {
-             return on_receipt<Append>([](RaftSight& w, KeeperId to, Append& m) {
+             return on_receipt<AppendEntries>([](RaftSight& w, NodeId to, AppendEntries& m) {
                  if (w.core(to).role() != Role::Leader) m.term = std::max(m.term, w.core(to).term());
              });
          },
          explored(RaftExploration::From::OldLeader, 3)},
         {"cuts more than is wrong", "disk", cuts_too_much},
         {"sends a snapshot without members", "other members",
-         [] { return on_receipt<Piece>([](RaftSight&, KeeperId, Piece& m) { m.members.clear(); }); }},
+         [] {
+             return on_receipt<InstallSnapshot>(
+                 [](RaftSight&, NodeId, InstallSnapshot& m) { m.members.clear(); });
+         }},
         {"makes a snapshot that holds more than it says", "of another state",
          [] { return with(&Sabotage::behind); }},
         {"does not take the state of a snapshot", "of another state", [] { return with(&Sabotage::deaf); }},
@@ -227,10 +235,13 @@
         {"answers reads without a round", "answers a read", [] { return with(&Sabotage::local_reads); }},
         {"answers before it is agreed on", "not linearizable", [] { return with(&Sabotage::hasty); }},
         {"trusts a disk that has lost what was promised", "have on their disks",
-         [] { return starting([](RaftSight&, KeeperId, Disk& d) { d.trusted = true; }); }},
+         [] { return starting([](RaftSight&, NodeId, PersistentState& d) { d.trusted = true; }); }},
         {"ends a doubt at once", "without what was agreed on", trusts_at_once, lost_promise},
         {"counts one in doubt", "have on their disks",
-         [] { return on_receipt<Appended>([](RaftSight&, KeeperId, Appended& m) { m.doubt = 0; }); }},
+         [] {
+             return on_receipt<AppendEntriesResponse>(
+                 [](RaftSight&, NodeId, AppendEntriesResponse& m) { m.doubt = 0; });
+         }},
     };
     return kAll;
 }
--- a/lab/raft/world.cpp
+++ b/lab/raft/world.cpp
@@ -5,8 +5,8 @@
 namespace ochrehub::lab {
 
 using namespace raft;
-using raft::Action, raft::Actions, raft::WakeAt, raft::Event, raft::Settings,
-    raft::Woken;  // and not the module's
+using raft::Action, raft::Actions, raft::SetTimer, raft::Event, raft::Settings,
+    raft::TimerFired;  // and not the module's
 
 namespace {
 
@@ -36,49 +36,49 @@
     net_ = std::make_unique<Net<std::string>>(
         net_settings(settings),
         Net<std::string>::Hooks{
-            [this](std::size_t process, TimePoint own) { happen(KeeperId(process + 1), own, Woken{}); },
+            [this](std::size_t process, TimePoint own) { happen(NodeId(process + 1), own, TimerFired{}); },
             [this](std::size_t to, std::size_t from, TimePoint own, const std::string& octets) {
                 received(to, from, own, octets);
             },
             nullptr});
     Members first;
-    for (KeeperId id = 1; id <= set_.keepers; ++id) first.push_back({id, true, {}});
+    for (NodeId id = 1; id <= set_.keepers; ++id) first.push_back({id, true, {}});
     judge_.members(first);
-    for (KeeperId id = 1; id <= nodes_.size(); ++id) {
+    for (NodeId id = 1; id <= nodes_.size(); ++id) {
         node(id).sync_most = set_.sync_most;
         net_->crash(id - 1);
-        if (id <= set_.keepers) node(id).disk.there().members = first;
+        if (id <= set_.keepers) node(id).disk.there().initial_members = first;
     }
-    for (KeeperId id = 1; id <= set_.keepers; ++id) start(id);
+    for (NodeId id = 1; id <= set_.keepers; ++id) start(id);
     clients_.resize(set_.clients);
     for (Client& client : clients_) client.next = net_->now() + set_.think * uniform();
 }
 
-void RaftWorld::start(KeeperId id) {
+void RaftWorld::start(NodeId id) {
     if (up(id)) return;
     net_->start(id - 1);
     Node& n = node(id);
-    Disk disk = n.disk.there();
+    PersistentState disk = n.disk.there();
     if (set_.sabotage.starts) set_.sabotage.starts(*this, id, disk);
     Settings set;
     set.self = id;
-    set.kept = set_.kept;
-    set.heartbeat = set_.heartbeat;
-    set.election = set_.election;
-    set.batch = set_.batch;
-    set.piece = 300;
-    set.window = 4;
-    set.waiting = 64;
+    set.retained_log_bytes = set_.kept;
+    set.heartbeat_interval = set_.heartbeat;
+    set.election_timeout = set_.election;
+    set.max_append_bytes = set_.batch;
+    set.snapshot_chunk_bytes = 300;
+    set.max_inflight_appends = 4;
+    set.max_pending_requests = 64;
     n.core = std::make_unique<Raft>(set, disk, (set_.seed << 20) + ++lives_);
     n.state = {};
     n.applied = n.since_snapshot = 0;
     n.synced = net_->now();
     judge_.started(id);
     ++counts["starts"];
-    happen(id, net_->own(id - 1), Woken{});
+    happen(id, net_->own(id - 1), TimerFired{});
 }
 
-void RaftWorld::crash(KeeperId id, Keeps keeps) {
+void RaftWorld::crash(NodeId id, Keeps keeps) {
     if (!up(id)) return;
     net_->crash(id - 1);
     Node& n = node(id);
@@ -89,31 +89,31 @@
     ++counts["crashes"];
 }
 
-void RaftWorld::lose_disk(KeeperId id, std::uint64_t from) {
+void RaftWorld::lose_disk(NodeId id, std::uint64_t from) {
     judge_.loses(id, node(id).disk);
     node(id).disk.lose(from);
     ++counts["disks lost"];
 }
 
-void RaftWorld::change(KeeperId member, bool add) {
-    KeeperId to = leader();
+void RaftWorld::change(NodeId member, bool add) {
+    NodeId to = leader();
     if (to == 0) return;
     std::uint64_t id = ++operators_;
     judge_.asked(id, false);
-    happen(to, net_->own(to - 1), Change{id, member, add, {}});
+    happen(to, net_->own(to - 1), ChangeMembership{id, member, add, {}});
     ++counts[add ? "adds asked" : "removals asked"];
 }
 
-void RaftWorld::transfer(KeeperId to) {
-    KeeperId from = leader();
+void RaftWorld::transfer(NodeId to) {
+    NodeId from = leader();
     if (from == 0) return;
-    happen(from, net_->own(from - 1), Transfer{to});
+    happen(from, net_->own(from - 1), TransferLeadership{to});
     ++counts["transfers asked"];
 }
 
-KeeperId RaftWorld::leader() const {
-    KeeperId found = 0;
-    for (KeeperId id = 1; id <= nodes_.size(); ++id)
+NodeId RaftWorld::leader() const {
+    NodeId found = 0;
+    for (NodeId id = 1; id <= nodes_.size(); ++id)
         if (net_->up(id - 1) && !net_->stopped(id - 1) && core(id).role() == Role::Leader &&
             (found == 0 || core(id).term() > core(found).term()))
             found = id;
@@ -123,20 +123,20 @@
 // ---- What happens to a keeper
 
 void RaftWorld::received(std::size_t to, std::size_t from, TimePoint own, const std::string& octets) {
-    KeeperId id = KeeperId(to + 1), sender = KeeperId(from + 1);
+    NodeId id = NodeId(to + 1), sender = NodeId(from + 1);
     if (to == from) {
         std::uint64_t number = std::stoull(octets.substr(1));
         if (octets[0] == 'c') return ask(id, number);
         node(id).disk.sync(number);
-        return happen(id, own, Written{number});
+        return happen(id, own, WriteCompleted{number});
     }
     auto message = decode(octets);
     if (!message) return judge_.fault("a message is not read back");
     if (set_.sabotage.receives && !set_.sabotage.receives(*this, id, sender, *message)) return;
-    happen(id, own, Received{sender, std::move(*message)});
+    happen(id, own, MessageReceived{sender, std::move(*message)});
 }
 
-void RaftWorld::happen(KeeperId id, TimePoint own, const Event& event) {
+void RaftWorld::happen(NodeId id, TimePoint own, const Event& event) {
     if (!net_->up(id - 1)) return;
     std::uint64_t number = ++events_;
     Node& n = node(id);
@@ -144,17 +144,17 @@
     n.core->handle(own, event, actions);
     if (set_.sabotage.acts) set_.sabotage.acts(*this, id, actions);
     Judge::Disks disks;
-    for (KeeperId other = 1; other <= nodes_.size(); ++other) disks[other] = &node(other).disk;
+    for (NodeId other = 1; other <= nodes_.size(); ++other) disks[other] = &node(other).disk;
     judge_.after({id, n.core.get(), &n.disk}, actions, disks);
     carry_out(id, actions);
     if (set_.each) set_.each(*this, id, number);
 }
 
-void RaftWorld::carry_out(KeeperId id, Actions& actions) {
+void RaftWorld::carry_out(NodeId id, Actions& actions) {
     Node& n = node(id);
     std::optional<std::uint64_t> early;
     for (Action& action : actions) {
-        if (auto* send = std::get_if<Send>(&action)) {
+        if (auto* send = std::get_if<SendMessage>(&action)) {
             if (send->to == 0 || send->to > nodes_.size()) continue;
             if (set_.sabotage.sends && !set_.sabotage.sends(*this, id, send->to, send->message)) continue;
             net_->send(id - 1, send->to - 1, encode(send->message));
@@ -164,14 +164,14 @@
             n.synced = std::max(n.synced, net_->now() + n.sync_most * uniform());
             if (set_.sabotage.early) early = write->number;
             net_->later(id - 1, n.synced - net_->now(), numbered("w", write->number));
-        } else if (auto* applied = std::get_if<Applied>(&action)) {
+        } else if (auto* applied = std::get_if<ApplyEntry>(&action)) {
             std::string answer = n.state.apply(applied->data);
             n.applied = applied->index;
             ++n.since_snapshot;
             if (applied->id != 0) end_call(applied->id, answer, true);
-        } else if (auto* restore = std::get_if<Restore>(&action)) {
+        } else if (auto* restore = std::get_if<RestoreSnapshot>(&action)) {
             if (!set_.sabotage.deaf) n.state.restore(restore->snapshot.state);
-            n.applied = restore->snapshot.index;
+            n.applied = restore->snapshot.last_included_index;
             ++counts["snapshots taken in"];
         } else if (auto* ready = std::get_if<ReadReady>(&action)) {
             if (ready->id < kOperators)
@@ -181,23 +181,23 @@
             ++counts["refused: " + std::string(row(rejected->error).code)];
             if (auto waiting = by_call_.find(rejected->id); waiting != by_call_.end() && rejected->hint != 0)
                 clients_[waiting->second].guess = rejected->hint;
-            end_call(rejected->id, std::nullopt, rejected->error == Error::Lost);
-        } else if (auto* wake = std::get_if<WakeAt>(&action)) {
+            end_call(rejected->id, std::nullopt, rejected->error == Error::LeadershipLost);
+        } else if (auto* wake = std::get_if<SetTimer>(&action)) {
             net_->wake_at(id - 1, wake->at);
         }
     }
-    if (early) happen(id, net_->own(id - 1), Written{*early});
+    if (early) happen(id, net_->own(id - 1), WriteCompleted{*early});
     if (set_.snapshot_each != 0 && n.since_snapshot >= set_.snapshot_each) {
         n.since_snapshot = 0;
         ++counts["snapshots made"];
         happen(id, net_->own(id - 1),
-               Snapshotted{n.applied - (set_.sabotage.behind ? 1 : 0), n.state.snapshot()});
+               SnapshotTaken{n.applied - (set_.sabotage.behind ? 1 : 0), n.state.snapshot()});
     }
 }
 
 // ---- Clients
 
-void RaftWorld::ask(KeeperId id, std::uint64_t number) {
+void RaftWorld::ask(NodeId id, std::uint64_t number) {
     const Call& call = calls_[std::size_t(number - 1)];
     if (call.ended != Call::kOpen) return;
     bool read = call.kind == Call::Kind::Read;
@@ -205,11 +205,11 @@
     TimePoint own = net_->own(id - 1);
     if (read) {
         if (set_.sabotage.local_reads && core(id).role() == Role::Leader) {
-            Actions now{ReadReady{number, core(id).committed()}};
+            Actions now{ReadReady{number, core(id).commit_index()}};
             judge_.after({id, &core(id), &disk(id)}, now, {});
             return carry_out(id, now);
         }
-        return happen(id, own, Read{number});
+        return happen(id, own, ReadIndex{number});
     }
     char kind = call.kind == Call::Kind::Write ? 'w' : call.kind == Call::Kind::Cas ? 'c' : 'a';
     happen(id, own, Propose{number, Registers::command(kind, call.key, call.value, call.expected)});
@@ -245,10 +245,10 @@
         if (client.call && now >= client.until) {  // it may happen yet, for nobody
             by_call_.erase(*client.call + 1);
             client.call.reset();
-            client.guess = KeeperId(1 + draw(nodes_.size()));
+            client.guess = NodeId(1 + draw(nodes_.size()));
         }
         if (client.call || !clients_on_ || now < client.next) continue;
-        if (!up(client.guess)) client.guess = KeeperId(1 + draw(nodes_.size()));
+        if (!up(client.guess)) client.guess = NodeId(1 + draw(nodes_.size()));
         if (!up(client.guess)) {
             client.next = now + set_.think;
             continue;
@@ -292,7 +292,7 @@
     net_->heal();
     net_->loss(0);
     net_->doubled(0);
-    for (KeeperId id = 1; id <= nodes_.size(); ++id) {
+    for (NodeId id = 1; id <= nodes_.size(); ++id) {
         node(id).sync_most = set_.sync_most;
         net_->clock(id - 1, 1);
         net_->go_on(id - 1);
@@ -303,31 +303,31 @@
     std::uint64_t probe = 0;
     while (net_->now() < end) {
         run(Duration(50));
-        KeeperId to = leader();
+        NodeId to = leader();
         if (to == 0) continue;
         const Raft& lead = core(to);
-        if (probe == 0 || lead.last() < probe) {
+        if (probe == 0 || lead.last_index() < probe) {
             std::uint64_t id = ++operators_;
             judge_.asked(id, false);
             happen(to, net_->own(to - 1), Propose{id, Registers::command('w', "probe", "1", "")});
-            if (core(to).role() == Role::Leader) probe = core(to).last();
+            if (core(to).role() == Role::Leader) probe = core(to).last_index();
             continue;
         }
-        bool all = lead.committed() >= probe;
+        bool all = lead.commit_index() >= probe;
         for (const Member& member : lead.members())
-            all = all && up(member.id) && core(member.id).committed() >= probe && core(member.id).trusted() &&
-                  member.voter;
+            all = all && up(member.id) && core(member.id).commit_index() >= probe &&
+                  core(member.id).storage_trusted() && member.voter;
         if (all) return true;
     }
     std::string state;
-    for (KeeperId id = 1; id <= nodes_.size(); ++id) {
+    for (NodeId id = 1; id <= nodes_.size(); ++id) {
         if (!up(id)) continue;
         const Raft& c = core(id);
         state +=
             numbered("; ", id) + numbered(": role ", std::uint64_t(c.role())) + numbered(" term ", c.term());
-        state += numbered(" entries ", c.first()) + numbered(" to ", c.last()) +
-                 numbered(" agreed ", c.committed());
-        state += c.trusted() ? " members" : " not trusted, members";
+        state += numbered(" entries ", c.first_index()) + numbered(" to ", c.last_index()) +
+                 numbered(" agreed ", c.commit_index());
+        state += c.storage_trusted() ? " members" : " not trusted, members";
         for (const Member& member : c.members()) state += numbered(member.voter ? " " : " ?", member.id);
     }
     judge_.fault("it does not heal" + state);
--- a/lab/raft/world.h
+++ b/lab/raft/world.h
@@ -34,7 +34,7 @@
     std::size_t batch = 2000;
     std::uint64_t seed = 1;
     Sabotage sabotage;
-    std::function<void(RaftWorld&, raft::KeeperId, std::uint64_t number)> each =
+    std::function<void(RaftWorld&, raft::NodeId, std::uint64_t number)> each =
         nullptr;  ///< behind each event of a keeper, its first included
 };
 
@@ -45,14 +45,14 @@
     explicit RaftWorld(const RaftWorldSettings& settings);
 
     void run(Duration time);  ///< clients go on meanwhile
-    void crash(raft::KeeperId id, Keeps keeps);
-    void start(raft::KeeperId id);
-    void lose_disk(raft::KeeperId id, std::uint64_t from);  ///< of one that is down
-    void stop(raft::KeeperId id) { net_->stop(id - 1); }
-    void go_on(raft::KeeperId id) { net_->go_on(id - 1); }
-    void change(raft::KeeperId member, bool add);
-    void transfer(raft::KeeperId to);
-    void slow_disk(raft::KeeperId id, Duration most) { node(id).sync_most = most; }
+    void crash(raft::NodeId id, Keeps keeps);
+    void start(raft::NodeId id);
+    void lose_disk(raft::NodeId id, std::uint64_t from);  ///< of one that is down
+    void stop(raft::NodeId id) { net_->stop(id - 1); }
+    void go_on(raft::NodeId id) { net_->go_on(id - 1); }
+    void change(raft::NodeId member, bool add);
+    void transfer(raft::NodeId to);
+    void slow_disk(raft::NodeId id, Duration most) { node(id).sync_most = most; }
     void clients_stop() { clients_on_ = false; }
     /// All is mended; within `patience` one leads, and a write is agreed on and applied by all members.
     bool heals(Duration patience);
@@ -61,13 +61,13 @@
 
     Net<std::string>& net() { return *net_; }
     Judge& judge() { return judge_; }
-    raft::KeeperId leader() const;  ///< of the highest term; zero: none
-    bool up(raft::KeeperId id) const { return net_->up(id - 1); }
-    const raft::Raft& core(raft::KeeperId id) const override { return *nodes_[id - 1].core; }
-    void deliver(raft::KeeperId to, raft::KeeperId from, const raft::Message& message) override {
-        happen(to, net_->own(to - 1), raft::Received{from, message});
+    raft::NodeId leader() const;  ///< of the highest term; zero: none
+    bool up(raft::NodeId id) const { return net_->up(id - 1); }
+    const raft::Raft& core(raft::NodeId id) const override { return *nodes_[id - 1].core; }
+    void deliver(raft::NodeId to, raft::NodeId from, const raft::Message& message) override {
+        happen(to, net_->own(to - 1), raft::MessageReceived{from, message});
     }
-    VirtualDisk& disk(raft::KeeperId id) { return nodes_[id - 1].disk; }
+    VirtualDisk& disk(raft::NodeId id) { return nodes_[id - 1].disk; }
     std::size_t size() const { return nodes_.size(); }
     std::uint64_t events() const { return events_; }
     void nothing_more() { set_.each = nullptr; }
@@ -91,16 +91,16 @@
         TimePoint next{};
         std::optional<std::size_t> call;
         TimePoint until{};
-        raft::KeeperId guess = 1;
+        raft::NodeId guess = 1;
     };
 
-    Node& node(raft::KeeperId id) { return nodes_[id - 1]; }
+    Node& node(raft::NodeId id) { return nodes_[id - 1]; }
     void received(std::size_t to, std::size_t from, TimePoint own, const std::string& octets);
-    void happen(raft::KeeperId id, TimePoint own, const raft::Event& event);
-    void carry_out(raft::KeeperId id, raft::Actions& actions);
+    void happen(raft::NodeId id, TimePoint own, const raft::Event& event);
+    void carry_out(raft::NodeId id, raft::Actions& actions);
     void clients();
     void end_call(std::uint64_t id, std::optional<std::string> answer, bool happened);
-    void ask(raft::KeeperId id, std::uint64_t call);
+    void ask(raft::NodeId id, std::uint64_t call);
 
     RaftWorldSettings set_;
     boost::random::taus88 random_;
--- a/src/app/keeper_config.cpp
+++ b/src/app/keeper_config.cpp
@@ -169,8 +169,8 @@
 coordinator::ProcessSettings process_settings(const KeeperTold& told, coordinator::Begin begin) {
     coordinator::ProcessSettings set;
     const Keeper& from = told.keeper;
-    set.raft.self = set.replica.self = raft::KeeperId(from.number);
-    set.raft.heartbeat = from.heartbeat, set.raft.election = from.election;
+    set.raft.self = set.replica.self = raft::NodeId(from.number);
+    set.raft.heartbeat_interval = from.heartbeat, set.raft.election_timeout = from.election;
     set.replica.snapshot_entries = from.snapshot_entries;
     set.replica.snapshot_octets = from.snapshot_mb << 20;
     set.listen = from.listen;
@@ -179,8 +179,8 @@
     set.asking = from.asking;
     set.begin = begin;
     for (const Member& member : told.members) {
-        set.members.push_back({raft::KeeperId(member.number), true, text(member.address)});
-        set.reach[raft::KeeperId(member.number)] = text(member.address);
+        set.members.push_back({raft::NodeId(member.number), true, text(member.address)});
+        set.reach[raft::NodeId(member.number)] = text(member.address);
     }
     std::sort(set.members.begin(), set.members.end(),
               [](const auto& a, const auto& b) { return a.id < b.id; });
--- a/src/fleet/coordinator/process.cpp
+++ b/src/fleet/coordinator/process.cpp
@@ -40,10 +40,11 @@
     mesh.channel.self = {settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
     mesh.channel.keys = settings.keys;
-    mesh.channel.idle = settings.raft.election, mesh.channel.dead = settings.raft.election * 3;
-    mesh.dial.first = settings.raft.heartbeat;
-    mesh.dial.most = settings.raft.election;
-    mesh.dial.limit = settings.raft.election * 2;
+    mesh.channel.idle = settings.raft.election_timeout,
+    mesh.channel.dead = settings.raft.election_timeout * 3;
+    mesh.dial.first = settings.raft.heartbeat_interval;
+    mesh.dial.most = settings.raft.election_timeout;
+    mesh.dial.limit = settings.raft.election_timeout * 2;
     mesh.accepted = settings.asking;
     return mesh;
 }
@@ -116,7 +117,7 @@
 
 void KeeperProcess::carry_out(ReplicaAction& action) {
     if (stopped_) return;
-    if (const auto* send = std::get_if<raft::Send>(&action)) {
+    if (const auto* send = std::get_if<raft::SendMessage>(&action)) {
         // What is not sent is as good as lost: Raft sends again.
         if (auto found = instances_.find(send->to); found != instances_.end())
             mesh_.send(found->second, channel::Kind::Raft, raft::encode(send->message));
@@ -124,12 +125,12 @@
         storing_->write(std::move(*write));
     } else if (auto* answer = std::get_if<Answer>(&action)) {
         mesh_.send(answer->who, channel::Kind::Answer, std::move(answer->body));
-    } else if (const auto* became = std::get_if<raft::Became>(&action)) {
+    } else if (const auto* became = std::get_if<raft::RoleChanged>(&action)) {
         log(became->role == raft::Role::Leader ? LogLevel::Info : LogLevel::Debug, "keeper: this one now",
             {{"role", worded(became->role)}, {"term", became->term}, {"leader", became->leader}});
-    } else if (const auto* are = std::get_if<raft::MembersAre>(&action)) {
+    } else if (const auto* are = std::get_if<raft::MembershipChanged>(&action)) {
         meet(are->members);
-    } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
+    } else if (const auto* wake = std::get_if<raft::SetTimer>(&action)) {
         scheduler_.cancel(timer_);
         timer_ = scheduler_.call_at(wake->at, [this] {
             timer_ = 0;
@@ -141,7 +142,7 @@
 }
 
 void KeeperProcess::meet(const raft::Members& members) {
-    std::map<raft::KeeperId, std::string> wanted;
+    std::map<raft::NodeId, std::string> wanted;
     bool among = false;
     for (const raft::Member& member : members) {
         among |= member.id == set_.raft.self;
--- a/src/fleet/coordinator/process.h
+++ b/src/fleet/coordinator/process.h
@@ -24,8 +24,8 @@
     channel::Mesh::Endpoint listen;
     std::string name, zone, cluster, folder;
     std::vector<std::string> keys;
-    std::map<raft::KeeperId, std::string> reach;  ///< where others are dialled, instead of where they say
-    raft::Members members;                        ///< of the cluster's beginning
+    std::map<raft::NodeId, std::string> reach;  ///< where others are dialled, instead of where they say
+    raft::Members members;                      ///< of the cluster's beginning
     Begin begin = Begin::Again;
     std::uint32_t release = 0;
     std::size_t asking = 4096;  ///< connections of processes
@@ -58,12 +58,12 @@
     Scheduler& scheduler_;
     ProcessSettings set_;
     std::unique_ptr<Storing> storing_;
-    raft::Disk disk_;
+    raft::PersistentState disk_;
     raft::Raft raft_;
     Replica replica_;
     channel::Mesh mesh_;
-    std::map<raft::KeeperId, std::uint64_t> instances_;
-    std::map<raft::KeeperId, std::string> dialled_;
+    std::map<raft::NodeId, std::uint64_t> instances_;
+    std::map<raft::NodeId, std::string> dialled_;
     TimerId timer_ = 0;
     bool stopped_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/fleet/coordinator/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -49,13 +49,13 @@
             return Error::NotLeader;
         case raft::Error::Busy:
             return Error::Busy;
-        case raft::Error::Changing:
+        case raft::Error::MembershipChanging:
             return Error::Changing;
-        case raft::Error::Lost:
+        case raft::Error::LeadershipLost:
             return Error::Uncertain;
-        case raft::Error::Unknown:
+        case raft::Error::UnknownMember:
             return Error::UnknownMember;
-        case raft::Error::Last:
+        case raft::Error::LastVoter:
             return Error::LastVoter;
     }
     return Error::Uncertain;
@@ -63,12 +63,13 @@
 
 }  // namespace
 
-Replica::Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree, const raft::Disk& disk)
+Replica::Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree,
+                 const raft::PersistentState& disk)
     : set_(settings),
       agree_(std::move(agree)),
       state_(settings.bounds, std::move(machines)),
       trusted_(disk.trusted) {
-    members_ = disk.snapshot ? disk.snapshot->members : disk.members;
+    members_ = disk.snapshot ? disk.snapshot->members : disk.initial_members;
 }
 
 void Replica::handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions) {
@@ -82,12 +83,12 @@
         sessions_.put_off(now - wake_), armed_.put_off(now - wake_);
     std::visit(Overloaded{[&](const Woken&) {
                               if (now_ >= raft_wake_) raft_wake_ = TimePoint::max();
-                              raft(raft::Woken{});
+                              raft(raft::TimerFired{});
                           },
                           [&](const FromKeeper& from) {
-                              raft(raft::Received{from.from, from.message});
+                              raft(raft::MessageReceived{from.from, from.message});
                           },
-                          [&](const Written& written) { raft(raft::Written{written.number}); },
+                          [&](const Written& written) { raft(raft::WriteCompleted{written.number}); },
                           [&](const Asked& ask) { asked(ask); }},
                event);
     work_off();
@@ -113,7 +114,7 @@
             take(action);
         }
         // A change of members has no entry that comes back: what was not refused at once has begun.
-        if (const auto* change = std::get_if<raft::Change>(&event)) {
+        if (const auto* change = std::get_if<raft::ChangeMembership>(&event)) {
             auto found = waiting_.find(change->id);
             if (found == waiting_.end()) continue;
             wire::Answer begun;
@@ -126,19 +127,19 @@
 }
 
 void Replica::take(raft::Action& action) {
-    std::visit(Overloaded{[&](raft::Send& send) { out_->push_back(std::move(send)); },
+    std::visit(Overloaded{[&](raft::SendMessage& send) { out_->push_back(std::move(send)); },
                           [&](raft::Write& write) {
-                              trusted_ |= write.caught_up;
+                              trusted_ |= write.recovered;
                               out_->push_back(std::move(write));
                           },
-                          [&](raft::Applied& entry) { applied(entry); },
-                          [&](raft::Restore& restore) {
+                          [&](raft::ApplyEntry& entry) { applied(entry); },
+                          [&](raft::RestoreSnapshot& restore) {
                               if (!state_.restore(restore.snapshot.state)) {
                                   stopped_ = true;
                                   out_->push_back(Stop{Error::Behind, "a snapshot"});
                                   return;
                               }
-                              applied_ = snapshot_at_ = restore.snapshot.index;
+                              applied_ = snapshot_at_ = restore.snapshot.last_included_index;
                               snapshot_size_ = restore.snapshot.state.size(), octets_ = 0;
                           },
                           [&](raft::ReadReady& ready_at) {
@@ -151,7 +152,7 @@
                               ready(waiting);
                           },
                           [&](raft::Rejected& r) { rejected(r); },
-                          [&](raft::Became& became) {
+                          [&](raft::RoleChanged& became) {
                               bool anew =
                                   became.role == raft::Role::Leader && (!leads() || became.term != term_);
                               bool down = leads() && became.role != raft::Role::Leader;
@@ -160,11 +161,11 @@
                               if (down) sessions_.clear(), armed_.clear(), look_due_ = false;
                               out_->push_back(became);
                           },
-                          [&](raft::MembersAre& are) {
+                          [&](raft::MembershipChanged& are) {
                               members_ = are.members;
                               out_->push_back(std::move(are));
                           },
-                          [&](raft::WakeAt& at) { raft_wake_ = at.at; }},
+                          [&](raft::SetTimer& at) { raft_wake_ = at.at; }},
                action);
 }
 
@@ -172,7 +173,7 @@
     if (who != 0) out_->push_back(Answer{who, answer.SerializeAsString()});
 }
 
-void Replica::refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint) {
+void Replica::refuse(std::uint64_t who, std::uint64_t call, Error error, raft::NodeId hint) {
     wire::Answer no;
     no.set_call(call), no.set_error(std::uint32_t(error));
     if (error == Error::NotLeader) {
@@ -192,7 +193,7 @@
 void Replica::read(Waiting waiting) {
     std::uint64_t id = next_id_++;
     waiting_.emplace(id, std::move(waiting));
-    raft(raft::Read{id});
+    raft(raft::ReadIndex{id});
 }
 
 void Replica::asked(const Asked& ask) {
@@ -266,11 +267,11 @@
             waiting.what = What::Change;
             std::uint64_t id = next_id_++;
             waiting_.emplace(id, std::move(waiting));
-            return raft(
-                raft::Change{id, what.change().member(), what.change().add(), what.change().address()});
+            return raft(raft::ChangeMembership{id, what.change().member(), what.change().add(),
+                                               what.change().address()});
         }
         case wire::Ask::kTransfer: {
-            raft(raft::Transfer{what.transfer().to()});
+            raft(raft::TransferLeadership{what.transfer().to()});
             wire::Answer begun;
             begun.set_call(what.call());
             return answer(ask.who, begun);
@@ -282,7 +283,7 @@
     no(Error::Malformed);
 }
 
-void Replica::applied(const raft::Applied& entry) {
+void Replica::applied(const raft::ApplyEntry& entry) {
     applied_ = entry.index;
     octets_ += entry.data.size() + 32;
     Outcome is = state_.apply(entry.data);
@@ -431,7 +432,7 @@
     std::string state = state_.snapshot();
     snapshot_size_ = state.size(), octets_ = 0, snapshot_at_ = applied_;
     ++snapshots_;
-    raft(raft::Snapshotted{applied_, std::move(state)});
+    raft(raft::SnapshotTaken{applied_, std::move(state)});
 }
 
 void Replica::wake() {
@@ -442,7 +443,7 @@
     }
     if (at == wake_ && now_ < wake_) return;
     wake_ = at;
-    if (at != TimePoint::max()) out_->push_back(raft::WakeAt{at});
+    if (at != TimePoint::max()) out_->push_back(raft::SetTimer{at});
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -30,7 +30,7 @@
 }
 
 struct ReplicaSettings {
-    raft::KeeperId self = 0;
+    raft::NodeId self = 0;
     Bounds bounds;
     Duration lease_least{500}, lease_most{60'000};
     std::uint64_t snapshot_entries = 20'000;  ///< a snapshot after so many entries ...
@@ -46,7 +46,7 @@
 // ---- What happens
 struct Woken {};
 struct FromKeeper {
-    raft::KeeperId from = 0;
+    raft::NodeId from = 0;
     raft::Message message;
 };
 struct Written {
@@ -68,8 +68,8 @@
     std::string about;
 };
 /// Of raft's: Send, Write, Became, MembersAre.
-using ReplicaAction =
-    std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, Answer, Stop>;
+using ReplicaAction = std::variant<raft::SendMessage, raft::Write, raft::RoleChanged, raft::MembershipChanged,
+                                   raft::SetTimer, Answer, Stop>;
 using ReplicaActions = std::vector<ReplicaAction>;
 
 /// What the leader counts, by key. What is being ended is in it without a time.
@@ -130,7 +130,8 @@
 class Replica {
 public:
     /// Begins with Woken. What is on the disk raft hands on.
-    Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree, const raft::Disk& disk);
+    Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree,
+            const raft::PersistentState& disk);
 
     void handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions);
 
@@ -152,13 +153,13 @@
     using ArmedKey = std::pair<std::size_t, std::uint64_t>;  // machine, key
 
     void asked(const Asked& ask);
-    void refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint = 0);
+    void refuse(std::uint64_t who, std::uint64_t call, Error error, raft::NodeId hint = 0);
     void propose(std::string entry, Waiting waiting);
     void read(Waiting waiting);
     void raft(raft::Event event) { pending_.push_back(std::move(event)); }
     void work_off();
     void take(raft::Action& action);
-    void applied(const raft::Applied& entry);
+    void applied(const raft::ApplyEntry& entry);
     void outcome(const Waiting& waiting, const Outcome& outcome);
     void ready(const Waiting& waiting);
     void rejected(const raft::Rejected& rejected);
@@ -182,7 +183,7 @@
 
     raft::Role role_ = raft::Role::Follower;
     std::uint64_t term_ = 0;
-    raft::KeeperId leader_ = 0;
+    raft::NodeId leader_ = 0;
     raft::Members members_;
     bool trusted_ = true;
     std::uint64_t applied_ = 0, snapshot_at_ = 0, next_id_ = 1;
--- a/src/fleet/coordinator/storing.cpp
+++ b/src/fleet/coordinator/storing.cpp
@@ -97,24 +97,24 @@
     if (thread_.joinable()) thread_.join();
 }
 
-raft::Disk Storing::disk() const {
-    raft::Disk disk;
+raft::PersistentState Storing::disk() const {
+    raft::PersistentState disk;
     const store::Log& log = *log_;
-    disk.vote.term = log.vote().term;
-    disk.vote.who = log.vote().who.empty() ? 0 : raft::KeeperId(std::stoul(log.vote().who));
+    disk.hard_state.term = log.vote().term;
+    disk.hard_state.voted_for = log.vote().who.empty() ? 0 : raft::NodeId(std::stoul(log.vote().who));
     if (log.snapshot()) {
         auto [members, state] = *read_stored(log.snapshot()->data);
         disk.snapshot =
             raft::Snapshot{log.snapshot()->index, log.snapshot()->term, std::move(members), std::move(state)};
     }
-    disk.first = log.first();
+    disk.first_index = log.first();
     for (std::uint64_t i = log.first(); i <= log.last(); ++i) {
         const store::Entry& entry = log.entry(i);
-        raft::Entry one{entry.term, raft::Entry::Kind::Term, {}};
+        raft::Entry one{entry.term, raft::Entry::Kind::NoOp, {}};
         if (!entry.data.empty()) one.kind = raft::Entry::Kind(entry.data[0]), one.data = entry.data.substr(1);
         disk.entries.push_back(std::move(one));
     }
-    disk.members = members_;
+    disk.initial_members = members_;
     disk.trusted = log.found() != store::Found::Lost;
     return disk;
 }
@@ -156,14 +156,16 @@
 
 bool Storing::carry_out(raft::Write& write) {
     store::Log& log = *log_;
-    if (write.vote) log.vote({write.vote->term, write.vote->who == 0 ? "" : std::to_string(write.vote->who)});
-    if (write.cut) log.cut(*write.cut);
+    if (write.hard_state)
+        log.vote({write.hard_state->term,
+                  write.hard_state->voted_for == 0 ? "" : std::to_string(write.hard_state->voted_for)});
+    if (write.truncate_from) log.cut(*write.truncate_from);
     for (raft::Entry& entry : write.append)
         log.append({entry.term, char(entry.kind) + std::move(entry.data)});
-    if (write.snapshot && !log.save({write.snapshot->index, write.snapshot->term,
+    if (write.snapshot && !log.save({write.snapshot->last_included_index, write.snapshot->last_included_term,
                                      stored(write.snapshot->members, write.snapshot->state)}))
         return false;
-    return !write.caught_up || log.caught_up();
+    return !write.recovered || log.caught_up();
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/storing.h
+++ b/src/fleet/coordinator/storing.h
@@ -55,7 +55,7 @@
     ~Storing();
 
     /// Before `start`.
-    raft::Disk disk() const;
+    raft::PersistentState disk() const;
     store::Found found() const { return log_->found(); }
     /// `written` and `failed` (once, with an errno) on the storing thread.
     void start(std::function<void(std::uint64_t number)> written, std::function<void(int)> failed);
--- a/src/fleet/raft/codec.cpp
+++ b/src/fleet/raft/codec.cpp
@@ -38,17 +38,17 @@
 struct Put {
     wire::Message& out;
 
-    void operator()(const AskVote& m) const {
-        wire::AskVote& w = *out.mutable_ask_vote();
+    void operator()(const RequestVote& m) const {
+        wire::RequestVote& w = *out.mutable_request_vote();
         w.set_term(m.term), w.set_last_index(m.last_index), w.set_last_term(m.last_term);
         w.set_pre(m.pre), w.set_transfer(m.transfer);
     }
-    void operator()(const GiveVote& m) const {
-        wire::GiveVote& w = *out.mutable_give_vote();
+    void operator()(const RequestVoteResponse& m) const {
+        wire::RequestVoteResponse& w = *out.mutable_request_vote_response();
         w.set_term(m.term), w.set_pre(m.pre), w.set_granted(m.granted);
     }
-    void operator()(const Append& m) const {
-        wire::Append& w = *out.mutable_append();
+    void operator()(const AppendEntries& m) const {
+        wire::AppendEntries& w = *out.mutable_append_entries();
         w.set_term(m.term), w.set_previous_index(m.previous_index), w.set_previous_term(m.previous_term);
         w.set_committed(m.committed), w.set_round(m.round), w.set_trusts(m.trusts);
         for (const Entry& entry : m.entries) {
@@ -56,33 +56,35 @@
             e.set_term(entry.term), e.set_kind(std::uint32_t(entry.kind)), e.set_data(entry.data);
         }
     }
-    void operator()(const Appended& m) const {
-        wire::Appended& w = *out.mutable_appended();
+    void operator()(const AppendEntriesResponse& m) const {
+        wire::AppendEntriesResponse& w = *out.mutable_append_entries_response();
         w.set_term(m.term), w.set_round(m.round), w.set_matches(m.matches), w.set_index(m.index),
             w.set_doubt(m.doubt);
     }
-    void operator()(const Piece& m) const {
-        wire::Piece& w = *out.mutable_piece();
+    void operator()(const InstallSnapshot& m) const {
+        wire::InstallSnapshot& w = *out.mutable_install_snapshot();
         w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_index_term(m.index_term);
         w.set_offset(m.offset), w.set_size(m.size), w.set_octets(m.octets);
         put(m.members, *w.mutable_members());
     }
-    void operator()(const PieceTaken& m) const {
-        wire::PieceTaken& w = *out.mutable_piece_taken();
+    void operator()(const InstallSnapshotResponse& m) const {
+        wire::InstallSnapshotResponse& w = *out.mutable_install_snapshot_response();
         w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_next(m.next),
             w.set_doubt(m.doubt);
     }
     void operator()(const TimeoutNow& m) const { out.mutable_timeout_now()->set_term(m.term); }
 };
 
-std::optional<Message> take(const wire::Append& w) {
+std::optional<Message> take(const wire::AppendEntries& w) {
     if (!sane(w.term(), w.previous_index(), w.previous_term(), w.committed(), w.round())) return std::nullopt;
-    Append m{w.term(), w.previous_index(), w.previous_term(), w.committed(), w.round(), {}, w.trusts()};
+    AppendEntries m{w.term(), w.previous_index(), w.previous_term(), w.committed(), w.round(),
+                    {},       w.trusts()};
     m.entries.reserve(std::size_t(w.entries_size()));
     for (const wire::Entry& e : w.entries()) {
-        if (!sane(e.term()) || e.kind() > std::uint32_t(Entry::Kind::Change)) return std::nullopt;
+        if (!sane(e.term()) || e.kind() > std::uint32_t(Entry::Kind::Configuration)) return std::nullopt;
         m.entries.push_back({e.term(), Entry::Kind(e.kind()), e.data()});
-        if (m.entries.back().kind == Entry::Kind::Change && !decode_members(e.data())) return std::nullopt;
+        if (m.entries.back().kind == Entry::Kind::Configuration && !decode_members(e.data()))
+            return std::nullopt;
     }
     return m;
 }
@@ -102,33 +104,35 @@
         return std::nullopt;
     if (in.version() != kVersion) return std::nullopt;
     switch (in.what_case()) {
-        case wire::Message::kAskVote: {
-            const wire::AskVote& w = in.ask_vote();
+        case wire::Message::kRequestVote: {
+            const wire::RequestVote& w = in.request_vote();
             if (!sane(w.term(), w.last_index(), w.last_term())) break;
-            return AskVote{w.term(), w.last_index(), w.last_term(), w.pre(), w.transfer()};
+            return RequestVote{w.term(), w.last_index(), w.last_term(), w.pre(), w.transfer()};
         }
-        case wire::Message::kGiveVote:
-            if (!sane(in.give_vote().term())) break;
-            return GiveVote{in.give_vote().term(), in.give_vote().pre(), in.give_vote().granted()};
-        case wire::Message::kAppend:
-            return take(in.append());
-        case wire::Message::kAppended: {
-            const wire::Appended& w = in.appended();
+        case wire::Message::kRequestVoteResponse:
+            if (!sane(in.request_vote_response().term())) break;
+            return RequestVoteResponse{in.request_vote_response().term(), in.request_vote_response().pre(),
+                                       in.request_vote_response().granted()};
+        case wire::Message::kAppendEntries:
+            return take(in.append_entries());
+        case wire::Message::kAppendEntriesResponse: {
+            const wire::AppendEntriesResponse& w = in.append_entries_response();
             if (!sane(w.term(), w.round(), w.index())) break;
-            return Appended{w.term(), w.round(), w.matches(), w.index(), w.doubt()};
+            return AppendEntriesResponse{w.term(), w.round(), w.matches(), w.index(), w.doubt()};
         }
-        case wire::Message::kPiece: {
-            const wire::Piece& w = in.piece();
+        case wire::Message::kInstallSnapshot: {
+            const wire::InstallSnapshot& w = in.install_snapshot();
             if (!sane(w.term(), w.round(), w.index(), w.index_term(), w.offset(), w.size())) break;
-            Piece m{w.term(), w.round(), w.index(), w.index_term(), w.offset(), w.size(), {}, w.octets()};
+            InstallSnapshot m{w.term(),   w.round(), w.index(), w.index_term(),
+                              w.offset(), w.size(),  {},        w.octets()};
             if (!take(w.members(), m.members) || m.offset > m.size || m.octets.size() > m.size - m.offset)
                 return std::nullopt;
             return m;
         }
-        case wire::Message::kPieceTaken: {
-            const wire::PieceTaken& w = in.piece_taken();
+        case wire::Message::kInstallSnapshotResponse: {
+            const wire::InstallSnapshotResponse& w = in.install_snapshot_response();
             if (!sane(w.term(), w.round(), w.index(), w.next())) break;
-            return PieceTaken{w.term(), w.round(), w.index(), w.next(), w.doubt()};
+            return InstallSnapshotResponse{w.term(), w.round(), w.index(), w.next(), w.doubt()};
         }
         case wire::Message::kTimeoutNow:
             if (!sane(in.timeout_now().term())) break;
--- a/src/fleet/raft/entries.cpp
+++ b/src/fleet/raft/entries.cpp
@@ -19,7 +19,7 @@
 }
 
 void Entries::append(Entry entry) {
-    if (entry.kind == Entry::Kind::Change)
+    if (entry.kind == Entry::Kind::Configuration)
         if (auto members = decode_members(entry.data)) members_[last() + 1] = std::move(*members), ++changes_;
     entries_.push_back(std::move(entry));
 }
@@ -52,13 +52,13 @@
 }
 
 void Entries::reset(Snapshot snapshot) {
-    auto here = term(snapshot.index);
-    if (snapshot.index > base_ && here == snapshot.term) {
-        drop_to(snapshot.index);
+    auto here = term(snapshot.last_included_index);
+    if (snapshot.last_included_index > base_ && here == snapshot.last_included_term) {
+        drop_to(snapshot.last_included_index);
     } else {
         entries_.clear();
         members_.clear();
-        base_ = snapshot.index, base_term_ = snapshot.term;
+        base_ = snapshot.last_included_index, base_term_ = snapshot.last_included_term;
     }
     members_[base_] = snapshot.members;
     ++changes_;
--- a/src/fleet/raft/entries.h
+++ b/src/fleet/raft/entries.h
@@ -36,7 +36,7 @@
     void reset(Snapshot snapshot);
 
     const Members& members() const { return members_.rbegin()->second; }
-    std::uint64_t members_since() const {
+    std::uint64_t membership_index() const {
         return members_.rbegin()->first;
     }  ///< index of the entry that says so; or the base
     const Members& members_at(std::uint64_t index) const {
--- a/src/fleet/raft/follower.cpp
+++ b/src/fleet/raft/follower.cpp
@@ -5,14 +5,14 @@
 
 namespace ochrehub::raft {
 
-void Raft::obey(std::uint64_t term, KeeperId leader) {
+void Raft::obey(std::uint64_t term, NodeId leader) {
     follow(term, leader);
     heard_ = now_;
     draw_patience();
 }
 
-void Raft::take(KeeperId from, const Append& m) {
-    if (m.term < vote_.term) return send(from, Appended{vote_.term, m.round, false, 0, doubt_});
+void Raft::take(NodeId from, const AppendEntries& m) {
+    if (m.term < vote_.term) return send(from, AppendEntriesResponse{vote_.term, m.round, false, 0, doubt_});
     if (m.term == vote_.term && role_ == Role::Leader) return;
     obey(m.term, from);
 
@@ -22,7 +22,7 @@
             for (std::uint64_t wrong = *log_.term(below);
                  below > committed_ + 1 && log_.term(below - 1) == wrong;)
                 --below;
-        return send_behind(from, Appended{vote_.term, m.round, false, below, doubt_});
+        return send_behind(from, AppendEntriesResponse{vote_.term, m.round, false, below, doubt_});
     }
     std::uint64_t index = m.previous_index;
     for (const Entry& entry : m.entries) {
@@ -35,11 +35,11 @@
     }
     if (m.trusts != 0 && m.trusts == doubt_) {
         doubt_ = 0;
-        write_.vote = vote_;
-        write_.caught_up = true;
+        write_.hard_state = vote_;
+        write_.recovered = true;
     }
     commit(std::min(m.committed, index));
-    send_behind(from, Appended{vote_.term, m.round, true, index, doubt_});
+    send_behind(from, AppendEntriesResponse{vote_.term, m.round, true, index, doubt_});
 }
 
 void Raft::commit(std::uint64_t index) {
@@ -51,25 +51,28 @@
             proposals_.pop_front();
         }
         if (entry.kind == Entry::Kind::Data)
-            out_->emplace_back(Applied{committed_, entry.term, id, entry.data});
+            out_->emplace_back(ApplyEntry{committed_, entry.term, id, entry.data});
     }
 }
 
-void Raft::take(KeeperId from, const Piece& m) {
-    if (m.term < vote_.term) return send(from, PieceTaken{vote_.term, m.round, m.index, 0, doubt_});
+void Raft::take(NodeId from, const InstallSnapshot& m) {
+    if (m.term < vote_.term)
+        return send(from, InstallSnapshotResponse{vote_.term, m.round, m.index, 0, doubt_});
     if (m.term == vote_.term && role_ == Role::Leader) return;
     obey(m.term, from);
     if (m.index <= committed_) {
         pieces_.reset();
-        return send_behind(from, PieceTaken{vote_.term, m.round, m.index, m.size, doubt_});
+        return send_behind(from, InstallSnapshotResponse{vote_.term, m.round, m.index, m.size, doubt_});
     }
-    if (!pieces_ || pieces_->index != m.index || pieces_->term != m.index_term || pieces_size_ != m.size) {
+    if (!pieces_ || pieces_->last_included_index != m.index || pieces_->last_included_term != m.index_term ||
+        pieces_size_ != m.size) {
         pieces_ = Snapshot{m.index, m.index_term, m.members, {}};
         pieces_size_ = m.size;
     }
     if (m.offset == pieces_->state.size()) pieces_->state += m.octets;
     if (pieces_->state.size() < pieces_size_)
-        return send(from, PieceTaken{vote_.term, m.round, m.index, pieces_->state.size(), doubt_});
+        return send(from,
+                    InstallSnapshotResponse{vote_.term, m.round, m.index, pieces_->state.size(), doubt_});
 
     // Entries that are promised and not in conflict stay on the disk until the snapshot is there too.
     auto here = log_.term(m.index);
@@ -82,8 +85,8 @@
     pieces_.reset();
     write_.snapshot = *log_.snapshot();
     committed_ = m.index;
-    out_->emplace_back(Restore{*log_.snapshot()});
-    send_behind(from, PieceTaken{vote_.term, m.round, m.index, m.size, doubt_});
+    out_->emplace_back(RestoreSnapshot{*log_.snapshot()});
+    send_behind(from, InstallSnapshotResponse{vote_.term, m.round, m.index, m.size, doubt_});
 }
 
 }  // namespace ochrehub::raft
--- a/src/fleet/raft/leader.cpp
+++ b/src/fleet/raft/leader.cpp
@@ -38,45 +38,48 @@
 
 void Raft::on(const Propose& event) {
     if (role_ != Role::Leader) return reject(event.id, Error::NotLeader);
-    if (transfer_to_ != 0 || proposals_.size() >= set_.waiting) return reject(event.id, Error::Busy);
+    if (transfer_to_ != 0 || proposals_.size() >= set_.max_pending_requests)
+        return reject(event.id, Error::Busy);
     proposals_.emplace_back(append({vote_.term, Entry::Kind::Data, event.data}), event.id);
 }
 
-void Raft::on(const Read& event) {
+void Raft::on(const ReadIndex& event) {
     if (role_ != Role::Leader) return reject(event.id, Error::NotLeader);
-    if (reads_.size() + early_reads_.size() >= set_.waiting) return reject(event.id, Error::Busy);
+    if (reads_.size() + early_reads_.size() >= set_.max_pending_requests)
+        return reject(event.id, Error::Busy);
     if (committed_ < began_)
         early_reads_.push_back(event.id);
     else
         reads_.push_back({event.id, committed_, round_ + 1});
 }
 
-void Raft::on(const Change& event) {
+void Raft::on(const ChangeMembership& event) {
     if (role_ != Role::Leader) return reject(event.id, Error::NotLeader);
     if (transfer_to_ != 0) return reject(event.id, Error::Busy);
-    if (committed_ < began_ || log_.members_since() > committed_) return reject(event.id, Error::Changing);
+    if (committed_ < began_ || log_.membership_index() > committed_)
+        return reject(event.id, Error::MembershipChanging);
     Members members = log_.members();
     auto place = std::lower_bound(members.begin(), members.end(), event.member,
-                                  [](const Member& m, KeeperId id) { return m.id < id; });
+                                  [](const Member& m, NodeId id) { return m.id < id; });
     bool there = place != members.end() && place->id == event.member;
-    if (event.member == 0 || there == event.add) return reject(event.id, Error::Unknown);
+    if (event.member == 0 || there == event.add) return reject(event.id, Error::UnknownMember);
     bool learns = std::any_of(members.begin(), members.end(),
                               [&](const Member& m) { return !m.voter && m.id != event.member; });
-    if (learns) return reject(event.id, Error::Changing);
+    if (learns) return reject(event.id, Error::MembershipChanging);
     if (event.add) {
         members.insert(place, {event.member, false, event.address});
     } else {
         if (place->voter &&
             std::count_if(members.begin(), members.end(), [](const Member& m) { return m.voter; }) == 1)
-            return reject(event.id, Error::Last);
+            return reject(event.id, Error::LastVoter);
         members.erase(place);
     }
-    append({vote_.term, Entry::Kind::Change, encode(members)});
+    append({vote_.term, Entry::Kind::Configuration, encode(members)});
 }
 
-void Raft::on(const Transfer& event) {
+void Raft::on(const TransferLeadership& event) {
     if (role_ != Role::Leader || transfer_to_ != 0) return;
-    KeeperId to = 0;
+    NodeId to = 0;
     std::uint64_t most = 0;
     for (const auto& [id, peer] : peers_) {
         if (!voter(id) || peer.doubt != 0 || (event.to != 0 && id != event.to)) continue;
@@ -84,7 +87,7 @@
     }
     if (to == 0) return;
     transfer_to_ = to;
-    transfer_until_ = now_ + set_.election;
+    transfer_until_ = now_ + set_.election_timeout;
     transfer_told_ = false;
 }
 
@@ -92,7 +95,7 @@
 
 void Raft::lead_on() {
     advance();
-    if (!voter(set_.self) && log_.members_since() <= committed_) {  // it has taken itself out
+    if (!voter(set_.self) && log_.membership_index() <= committed_) {  // it has taken itself out
         beat();
         return follow(vote_.term, 0);
     }
@@ -117,7 +120,7 @@
         peer.next = log_.last() + 1;
         peer.heard = now_;
     }
-    if (log_.members_since() > committed_) return;
+    if (log_.membership_index() > committed_) return;
     for (auto it = peers_.begin(); it != peers_.end();) {
         const Members& members = log_.members();
         if (std::any_of(members.begin(), members.end(), [&](const Member& m) { return m.id == it->first; })) {
@@ -161,21 +164,21 @@
 }
 
 void Raft::promote() {
-    if (committed_ < began_ || log_.members_since() > committed_ || transfer_to_ != 0) return;
+    if (committed_ < began_ || log_.membership_index() > committed_ || transfer_to_ != 0) return;
     for (const Member& member : log_.members()) {
         if (member.voter || member.id == set_.self) continue;
         Peer& peer = peers_[member.id];
         if (peer.doubt != 0) continue;
         if (peer.catch_up == 0) peer.catch_up = log_.last(), peer.caught_since = now_;
         if (peer.match < peer.catch_up) continue;
-        if (now_ - peer.caught_since >= set_.election) {  // too far behind still: another round
+        if (now_ - peer.caught_since >= set_.election_timeout) {  // too far behind still: another round
             peer.catch_up = log_.last(), peer.caught_since = now_;
             if (peer.match < peer.catch_up) continue;
         }
         Members members = log_.members();
         for (Member& m : members)
             if (m.id == member.id) m.voter = true;
-        append({vote_.term, Entry::Kind::Change, encode(members)});
+        append({vote_.term, Entry::Kind::Configuration, encode(members)});
         return;
     }
 }
@@ -194,7 +197,7 @@
 // ---- To others
 
 void Raft::beat() {
-    beat_ = now_ + set_.heartbeat;
+    beat_ = now_ + set_.heartbeat_interval;
     beat_round_ = round_ + 1;
     for (auto& [id, peer] : peers_) {
         if (peer.snapshot)
@@ -204,7 +207,7 @@
     }
 }
 
-void Raft::pump(KeeperId to, Peer& peer) {
+void Raft::pump(NodeId to, Peer& peer) {
     if (peer.snapshot) return;
     if (peer.next <= log_.base()) {
         peer.snapshot = log_.snapshot();
@@ -218,23 +221,24 @@
         }
         return;
     }
-    while (peer.next <= log_.last() && peer.flying.size() < set_.window) send_entries(to, peer, true);
+    while (peer.next <= log_.last() && peer.flying.size() < set_.max_inflight_appends)
+        send_entries(to, peer, true);
 }
 
-void Raft::send_entries(KeeperId to, Peer& peer, bool with_entries) {
-    Append m{vote_.term,
-             peer.next - 1,
-             *log_.term(peer.next - 1),
-             committed_,
-             ++round_,
-             {},
-             peer.trusts_round != 0 ? peer.doubt : 0};
+void Raft::send_entries(NodeId to, Peer& peer, bool with_entries) {
+    AppendEntries m{vote_.term,
+                    peer.next - 1,
+                    *log_.term(peer.next - 1),
+                    committed_,
+                    ++round_,
+                    {},
+                    peer.trusts_round != 0 ? peer.doubt : 0};
     if (with_entries) {
         std::size_t octets = 0;
         for (; peer.next <= log_.last(); ++peer.next) {
             const Entry& entry = log_.at(peer.next);
             octets += entry.data.size() + 16;
-            if (!m.entries.empty() && octets > set_.batch) break;
+            if (!m.entries.empty() && octets > set_.max_append_bytes) break;
             m.entries.push_back(entry);
         }
         peer.flying.push_back(round_);
@@ -242,14 +246,15 @@
     send(to, std::move(m));
 }
 
-void Raft::send_piece(KeeperId to, Peer& peer) {
+void Raft::send_piece(NodeId to, Peer& peer) {
     const Snapshot& snapshot = *peer.snapshot;
     peer.pieces = ++round_;
-    send(to, Piece{vote_.term, round_, snapshot.index, snapshot.term, peer.offset, snapshot.state.size(),
-                   snapshot.members, snapshot.state.substr(std::size_t(peer.offset), set_.piece)});
+    send(to, InstallSnapshot{vote_.term, round_, snapshot.last_included_index, snapshot.last_included_term,
+                             peer.offset, snapshot.state.size(), snapshot.members,
+                             snapshot.state.substr(std::size_t(peer.offset), set_.snapshot_chunk_bytes)});
 }
 
-Raft::Peer* Raft::answered(KeeperId from, std::uint64_t round, std::uint64_t doubt) {
+Raft::Peer* Raft::answered(NodeId from, std::uint64_t round, std::uint64_t doubt) {
     auto found = peers_.find(from);
     if (found == peers_.end() || round > round_) return nullptr;
     Peer& peer = found->second;
@@ -277,7 +282,7 @@
     return &peer;
 }
 
-void Raft::take(KeeperId from, const Appended& m) {
+void Raft::take(NodeId from, const AppendEntriesResponse& m) {
     if (m.term > vote_.term) return follow(m.term, 0);
     if (m.term < vote_.term || role_ != Role::Leader || m.index > log_.last() + 1) return;
     Peer* peer = answered(from, m.round, m.doubt);
@@ -287,7 +292,7 @@
         peer->match = std::max(peer->match, m.index);
         peer->next = std::max(peer->next, peer->match + 1);
         if (m.round >= peer->since) peer->probing = false;
-        if (peer->snapshot && peer->snapshot->index <= peer->match) peer->snapshot.reset();
+        if (peer->snapshot && peer->snapshot->last_included_index <= peer->match) peer->snapshot.reset();
     } else if (m.round >= peer->since && !peer->snapshot && m.index > 0) {
         // It names the first of a term that is wrong somewhere; what it has said to match needs no looking at
         // again. But one in doubt may have lost that.
@@ -299,11 +304,11 @@
     }
 }
 
-void Raft::take(KeeperId from, const PieceTaken& m) {
+void Raft::take(NodeId from, const InstallSnapshotResponse& m) {
     if (m.term > vote_.term) return follow(m.term, 0);
     if (m.term < vote_.term || role_ != Role::Leader) return;
     Peer* peer = answered(from, m.round, m.doubt);
-    if (!peer || !peer->snapshot || peer->snapshot->index != m.index) return;
+    if (!peer || !peer->snapshot || peer->snapshot->last_included_index != m.index) return;
     if (m.next >= peer->snapshot->state.size()) {
         peer->match = std::max(peer->match, m.index);
         peer->next = peer->match + 1;
--- a/src/fleet/raft/raft.h
+++ b/src/fleet/raft/raft.h
@@ -29,89 +29,91 @@
 namespace ochrehub::raft {
 
 struct Settings {
-    KeeperId self = 0;
-    Duration heartbeat{100};
-    Duration election{1000};        ///< a follower's patience is drawn from this to twice this
-    std::size_t batch = 256 << 10;  ///< octets of entries in one message
-    std::size_t piece = 64 << 10;   ///< octets of a snapshot in one message
-    std::size_t window = 8;         ///< messages with entries to one follower that are not answered yet
-    std::size_t waiting = 4096;     ///< proposals that are not committed yet; more are refused
-    std::size_t kept =
+    NodeId self = 0;
+    Duration heartbeat_interval{100};
+    Duration election_timeout{1000};              ///< a follower's patience is drawn from this to twice this
+    std::size_t max_append_bytes = 256 << 10;     ///< octets of entries in one message
+    std::size_t snapshot_chunk_bytes = 64 << 10;  ///< octets of a snapshot in one message
+    std::size_t max_inflight_appends =
+        8;  ///< messages with entries to one follower that are not answered yet
+    std::size_t max_pending_requests = 4096;  ///< proposals that are not committed yet; more are refused
+    std::size_t retained_log_bytes =
         1 << 20;  ///< octets of entries that stay in memory behind a snapshot, for followers a little late
 };
 
 enum class Error {
-    NotLeader,  ///< ask `hint`
-    Busy,       ///< too many wait
-    Changing,   ///< a change of members is under way
-    Lost,       ///< leadership was lost with it under way: it may have been committed, or may yet
-    Unknown,    ///< no such member, or it is one already
-    Last,       ///< the only voter: without it nobody could decide anything
+    NotLeader,           ///< ask `hint`
+    Busy,                ///< too many wait
+    MembershipChanging,  ///< a change of members is under way
+    LeadershipLost,      ///< leadership was lost with it under way: it may have been committed, or may yet
+    UnknownMember,       ///< no such member, or it is one already
+    LastVoter,           ///< the only voter: without it nobody could decide anything
 };
 const fleet::ErrorRow& row(Error error);
 
 /// What was on the disk at the start. `trusted`: false where the store had lost something that was promised
 /// (Found::Lost): this one neither votes nor counts until it has caught up with a leader's word.
-struct Disk {
-    Vote vote;
+struct PersistentState {
+    HardState hard_state;
     std::optional<Snapshot> snapshot;
-    std::uint64_t first = 1;  ///< index of entries[0]
+    std::uint64_t first_index = 1;  ///< index of entries[0]
     std::vector<Entry> entries;
-    Members members;  ///< at the very first start alone; later ones stand in snapshot and entries
+    Members initial_members;  ///< at the very first start alone; later ones stand in snapshot and entries
     bool trusted = true;
 };
 
 // ---- What happens
-struct Woken {};
-struct Received {
-    KeeperId from = 0;
+struct TimerFired {};
+struct MessageReceived {
+    NodeId from = 0;
     Message message;
 };
-struct Written {  ///< all Writes up to this number are on the disk
+struct WriteCompleted {  ///< all Writes up to this number are on the disk
     std::uint64_t number = 0;
 };
 struct Propose {
     std::uint64_t id = 0;  ///< chosen by whoever asks; comes back in Applied or Rejected, once
     std::string data;
 };
-struct Read {  ///< answered by ReadReady once this one has certainly still been leader after now
+struct ReadIndex {  ///< answered by ReadReady once this one has certainly still been leader after now
     std::uint64_t id = 0;
 };
-struct Change {  ///< one member more (a learner until it has caught up, then a voter), or one less
+struct ChangeMembership {  ///< one member more (a learner until it has caught up, then a voter), or one less
     std::uint64_t id = 0;
-    KeeperId member = 0;
+    NodeId member = 0;
     bool add = true;
     std::string address;
 };
-struct Transfer {
-    KeeperId to = 0;
+struct TransferLeadership {
+    NodeId to = 0;
 };
-struct Snapshotted {  ///< whoever runs it has the state as of this index
+struct SnapshotTaken {  ///< whoever runs it has the state as of this index
     std::uint64_t index = 0;
     std::string state;
 };
-using Event = std::variant<Woken, Received, Written, Propose, Read, Change, Transfer, Snapshotted>;
+using Event = std::variant<TimerFired, MessageReceived, WriteCompleted, Propose, ReadIndex, ChangeMembership,
+                           TransferLeadership, SnapshotTaken>;
 
 // ---- What is to be done about it
-struct Send {
-    KeeperId to = 0;
+struct SendMessage {
+    NodeId to = 0;
     Message message;
 };
 /// In this order: vote, cut (entries from this index on are gone), append (at the log's end), snapshot.
 struct Write {
     std::uint64_t number = 0;
-    std::optional<Vote> vote;
-    std::optional<std::uint64_t> cut;
+    std::optional<HardState> hard_state;
+    std::optional<std::uint64_t> truncate_from;
     std::vector<Entry> append;
     std::optional<Snapshot> snapshot;
-    bool caught_up = false;  ///< it has again what it may have promised: Log::caught_up
+    bool recovered = false;  ///< it has again what it may have promised: Log::caught_up
 };
-struct Applied {  ///< in order, each once; entries of the core's own (new terms, members) are skipped over
+struct ApplyEntry {  ///< in order, each once; entries of the core's own (new terms, members) are skipped over
     std::uint64_t index = 0, term = 0;
     std::uint64_t id = 0;  ///< of the Propose, where it was made here; zero: elsewhere
     std::string data;
 };
-struct Restore {  ///< the state is this snapshot's from now on
+struct RestoreSnapshot {  ///< the state is this snapshot's from now on
     Snapshot snapshot;
 };
 struct ReadReady {  ///< once all up to `index` is applied, what is read is true
@@ -120,58 +122,61 @@
 struct Rejected {
     std::uint64_t id = 0;
     Error error{};
-    KeeperId hint = 0;  ///< who leads, as far as is known; zero: nobody
+    NodeId hint = 0;  ///< who leads, as far as is known; zero: nobody
 };
 enum class Role : std::uint8_t { Follower, PreCandidate, Candidate, Leader, Learner };
-struct Became {
+struct RoleChanged {
     Role role{};
     std::uint64_t term = 0;
-    KeeperId leader = 0;
+    NodeId leader = 0;
 };
-struct MembersAre {  ///< as of the last entry in the log
+struct MembershipChanged {  ///< as of the last entry in the log
     Members members;
 };
-struct WakeAt {  ///< replaces what was asked for before
+struct SetTimer {  ///< replaces what was asked for before
     TimePoint at;
 };
-using Action = std::variant<Send, Write, Applied, Restore, ReadReady, Rejected, Became, MembersAre, WakeAt>;
+using Action = std::variant<SendMessage, Write, ApplyEntry, RestoreSnapshot, ReadReady, Rejected, RoleChanged,
+                            MembershipChanged, SetTimer>;
 using Actions = std::vector<Action>;
 
 /// One keeper's part. Not for two threads. Cost of an event: what it carries, and the number of members.
 ///
 /// The first event is Woken; its actions bear the snapshot from the disk, if there is one, as Restore, and
 /// what lies behind it is applied again once a leader says that it is agreed on. A Change has no answer but a
-/// refusal: it is done when MembersAre shows it and `members_since() <= committed()`. A proposal and a read
-/// that were under way when leadership ends are Rejected as Lost. A disk that is not trusted is so until a
-/// leader has heard every other voter since, not only a majority (see docs/design/raft.md); where that cannot
-/// be, the member is taken out and a new number added.
+/// refusal: it is done when MembersAre shows it and `membership_index() <= commit_index()`. A proposal and a
+/// read that were under way when leadership ends are Rejected as Lost. A disk that is not trusted is so until
+/// a leader has heard every other voter since, not only a majority (see docs/design/raft.md); where that
+/// cannot be, the member is taken out and a new number added.
 class Raft {
 public:
     /// `seed`: another at each start, or a doubt that was settled in an earlier life might be taken for this
     /// one's.
-    Raft(const Settings& settings, const Disk& disk, std::uint64_t seed);
+    Raft(const Settings& settings, const PersistentState& disk, std::uint64_t seed);
 
     /// `now` is of one monotonic clock and does not go back.
     void handle(TimePoint now, const Event& event, Actions& actions);
 
     Role role() const { return role_; }
     std::uint64_t term() const { return vote_.term; }
-    KeeperId leader() const { return leader_; }  ///< as far as is known; zero: nobody
-    std::uint64_t committed() const { return committed_; }
-    std::uint64_t written() const { return durable_; }  ///< the last entry that is on the disk
-    std::uint64_t first() const {
+    NodeId leader() const { return leader_; }  ///< as far as is known; zero: nobody
+    std::uint64_t commit_index() const { return committed_; }
+    std::uint64_t durable_index() const { return durable_; }  ///< the last entry that is on the disk
+    std::uint64_t first_index() const {
         return log_.base() + 1;
     }  ///< of the entries in memory; `last` may be below it
-    std::uint64_t last() const { return log_.last(); }
-    std::uint64_t term_of(std::uint64_t index) const { return log_.term(index).value_or(0); }
-    const Entry& entry(std::uint64_t index) const { return log_.at(index); }  ///< first() to last()
-    const Members& members() const { return log_.members(); }                 ///< as of the last entry
-    std::uint64_t members_since() const {
-        return log_.members_since();
+    std::uint64_t last_index() const { return log_.last(); }
+    std::uint64_t term_at(std::uint64_t index) const { return log_.term(index).value_or(0); }
+    const Entry& entry(std::uint64_t index) const {
+        return log_.at(index);
+    }                                                          ///< first_index() to last_index()
+    const Members& members() const { return log_.members(); }  ///< as of the last entry
+    std::uint64_t membership_index() const {
+        return log_.membership_index();
     }  ///< in force; agreed on once committed
-    bool trusted() const { return doubt_ == 0; }
-    std::size_t waiting() const { return proposals_.size(); }  ///< proposals that are not committed
-    KeeperId handing_over() const { return transfer_to_; }     ///< to whom; zero: it is not
+    bool storage_trusted() const { return doubt_ == 0; }
+    std::size_t pending_proposals() const { return proposals_.size(); }  ///< proposals that are not committed
+    NodeId transfer_target() const { return transfer_to_; }              ///< to whom; zero: it is not
 
 private:
     struct Peer {  ///< what the leader knows of another
@@ -191,7 +196,7 @@
     };
     struct Held {  ///< until the write is done
         std::uint64_t write = 0;
-        KeeperId to = 0;
+        NodeId to = 0;
         Message message;
     };
     struct Issued {
@@ -202,24 +207,24 @@
     };
 
     void begin();
-    void on(const Woken& event);
-    void on(const Received& event);
-    void on(const Written& event);
+    void on(const TimerFired& event);
+    void on(const MessageReceived& event);
+    void on(const WriteCompleted& event);
     void on(const Propose& event);
-    void on(const Read& event);
-    void on(const Change& event);
-    void on(const Transfer& event);
-    void on(const Snapshotted& event);
+    void on(const ReadIndex& event);
+    void on(const ChangeMembership& event);
+    void on(const TransferLeadership& event);
+    void on(const SnapshotTaken& event);
     void finish();
 
     // Elections: election.cpp
-    void take(KeeperId from, const AskVote& m);
-    void take(KeeperId from, const GiveVote& m);
-    void take(KeeperId from, const TimeoutNow& m);
+    void take(NodeId from, const RequestVote& m);
+    void take(NodeId from, const RequestVoteResponse& m);
+    void take(NodeId from, const TimeoutNow& m);
     void campaign(bool pre, bool transfer);
     void count_votes();
     void lead();
-    void follow(std::uint64_t term, KeeperId leader);
+    void follow(std::uint64_t term, NodeId leader);
     void leave_lead();
     void draw_patience();
     bool hears_leader() const;
@@ -229,19 +234,19 @@
     bool may_campaign() const { return doubt_ == 0 && elects(); }
 
     // Followers: follower.cpp
-    void take(KeeperId from, const Append& m);
-    void take(KeeperId from, const Piece& m);
-    void obey(std::uint64_t term, KeeperId leader);
+    void take(NodeId from, const AppendEntries& m);
+    void take(NodeId from, const InstallSnapshot& m);
+    void obey(std::uint64_t term, NodeId leader);
     void commit(std::uint64_t index);
 
     // The leader: leader.cpp
-    void take(KeeperId from, const Appended& m);
-    void take(KeeperId from, const PieceTaken& m);
-    Peer* answered(KeeperId from, std::uint64_t round, std::uint64_t doubt);
+    void take(NodeId from, const AppendEntriesResponse& m);
+    void take(NodeId from, const InstallSnapshotResponse& m);
+    Peer* answered(NodeId from, std::uint64_t round, std::uint64_t doubt);
     void beat();
-    void pump(KeeperId to, Peer& peer);
-    void send_entries(KeeperId to, Peer& peer, bool with_entries);
-    void send_piece(KeeperId to, Peer& peer);
+    void pump(NodeId to, Peer& peer);
+    void send_entries(NodeId to, Peer& peer, bool with_entries);
+    void send_piece(NodeId to, Peer& peer);
     std::uint64_t append(Entry entry);
     void lead_on();
     void advance();
@@ -255,13 +260,14 @@
     template <class T, class F>
     T reached(T own, T none, F&& of) const;
 
-    bool voter(KeeperId id) const;
-    void send(KeeperId to, Message message) { out_->emplace_back(Send{to, std::move(message)}); }
+    bool voter(NodeId id) const;
+    void send(NodeId to, Message message) { out_->emplace_back(SendMessage{to, std::move(message)}); }
     /// Once all that is being written is on the disk.
-    void send_behind(KeeperId to, Message message);
+    void send_behind(NodeId to, Message message);
     void reject(std::uint64_t id, Error error) { out_->emplace_back(Rejected{id, error, leader_}); }
     bool writes() const {
-        return write_.vote || write_.cut || !write_.append.empty() || write_.snapshot || write_.caught_up;
+        return write_.hard_state || write_.truncate_from || !write_.append.empty() || write_.snapshot ||
+               write_.recovered;
     }
     std::uint64_t last_write() const { return issued_ + (writes() ? 1 : 0); }
     void cut(std::uint64_t from);
@@ -270,14 +276,14 @@
     Settings set_;
     boost::random::taus88 random_;
     Entries log_;
-    Vote vote_;  ///< its term is the current one
+    HardState vote_;  ///< its term is the current one
     Role role_ = Role::Follower;
-    KeeperId leader_ = 0;
+    NodeId leader_ = 0;
     std::uint64_t doubt_ = 0;
     std::uint64_t committed_ = 0, durable_ = 0;
     bool begun_ = false;
     TimePoint now_{}, heard_{}, patience_{};  ///< patience_: its end
-    std::set<KeeperId> votes_;
+    std::set<NodeId> votes_;
     std::uint64_t own_vote_ = 0;  ///< the write that has it
     bool transferred_ = false;    ///< this candidacy was the leader's wish
 
@@ -292,20 +298,20 @@
     std::uint64_t pieces_size_ = 0;
 
     // The leader's
-    std::map<KeeperId, Peer> peers_;
+    std::map<NodeId, Peer> peers_;
     std::uint64_t round_ = 0, began_ = 0;                            ///< began_: index of its own first entry
     std::uint64_t beat_round_ = 0;                                   ///< the first round of the last beat
     TimePoint beat_{}, led_since_{};                                 ///< beat_: the next
     std::deque<std::pair<std::uint64_t, std::uint64_t>> proposals_;  ///< index, id
     std::deque<Asked> reads_;
     std::deque<std::uint64_t> early_reads_;
-    KeeperId transfer_to_ = 0;
+    NodeId transfer_to_ = 0;
     TimePoint transfer_until_{};
     bool transfer_told_ = false;
 
     // What was last said
     Actions* out_ = nullptr;
-    std::optional<Became> said_;
+    std::optional<RoleChanged> said_;
     std::optional<std::uint64_t> said_members_;
     std::optional<TimePoint> asked_;
 };
--- a/tests/fleet/coordinator_test.cpp
+++ b/tests/fleet/coordinator_test.cpp
@@ -154,21 +154,22 @@
     std::uint64_t index = 0;
     std::deque<raft::Propose> held;  ///< while `holds`
     bool holds = false;
-    std::vector<raft::Snapshotted> snapshots;
+    std::vector<raft::SnapshotTaken> snapshots;
     std::optional<raft::Error> refuses;  ///< changes
     void operator()(TimePoint, const raft::Event& event, raft::Actions& actions) {
-        if (std::holds_alternative<raft::Woken>(event) && index == 0 && leads)
-            index = 1, actions.push_back(raft::Became{raft::Role::Leader, 1, 1}),
-            actions.push_back(raft::MembersAre{{{1, true, "k1"}}});
+        if (std::holds_alternative<raft::TimerFired>(event) && index == 0 && leads)
+            index = 1, actions.push_back(raft::RoleChanged{raft::Role::Leader, 1, 1}),
+            actions.push_back(raft::MembershipChanged{{{1, true, "k1"}}});
         if (const auto* p = std::get_if<raft::Propose>(&event)) {
             if (holds)
                 held.push_back(*p);
             else
-                actions.push_back(raft::Applied{++index, 1, p->id, p->data});
+                actions.push_back(raft::ApplyEntry{++index, 1, p->id, p->data});
         }
-        if (const auto* r = std::get_if<raft::Read>(&event)) actions.push_back(raft::ReadReady{r->id, index});
-        if (const auto* s = std::get_if<raft::Snapshotted>(&event)) snapshots.push_back(*s);
-        if (const auto* c = std::get_if<raft::Change>(&event); c && refuses)
+        if (const auto* r = std::get_if<raft::ReadIndex>(&event))
+            actions.push_back(raft::ReadReady{r->id, index});
+        if (const auto* s = std::get_if<raft::SnapshotTaken>(&event)) snapshots.push_back(*s);
+        if (const auto* c = std::get_if<raft::ChangeMembership>(&event); c && refuses)
             actions.push_back(raft::Rejected{c->id, *refuses, 1});
     }
 };
@@ -283,11 +284,12 @@
     EXPECT_EQ(Error(keeper.ask(at(1), {}).error()), Error::Malformed);
     wire::Ask change;
     change.mutable_change()->set_member(2);
-    for (auto [theirs, ours] :
-         {std::pair(raft::Error::Unknown, Error::UnknownMember),
-          std::pair(raft::Error::Changing, Error::Changing), std::pair(raft::Error::Last, Error::LastVoter),
-          std::pair(raft::Error::NotLeader, Error::NotLeader), std::pair(raft::Error::Lost, Error::Uncertain),
-          std::pair(raft::Error::Busy, Error::Busy)}) {
+    for (auto [theirs, ours] : {std::pair(raft::Error::UnknownMember, Error::UnknownMember),
+                                std::pair(raft::Error::MembershipChanging, Error::Changing),
+                                std::pair(raft::Error::LastVoter, Error::LastVoter),
+                                std::pair(raft::Error::NotLeader, Error::NotLeader),
+                                std::pair(raft::Error::LeadershipLost, Error::Uncertain),
+                                std::pair(raft::Error::Busy, Error::Busy)}) {
         keeper.raft.refuses = theirs;
         EXPECT_EQ(Error(keeper.ask(at(1), change).error()), ours);
     }
@@ -355,7 +357,7 @@
     EXPECT_EQ(folder.refused(Begin::Again), Error::Untrusted);
     EXPECT_EQ(folder.refused(Begin::New), Error::None);
     EXPECT_EQ(folder.refused(Begin::New), Error::Begun);
-    EXPECT_EQ(folder.open(Begin::Again)->disk().members.size(), 2u);
+    EXPECT_EQ(folder.open(Begin::Again)->disk().initial_members.size(), 2u);
     std::filesystem::remove(folder.path + "/first");
     EXPECT_EQ(folder.refused(Begin::Again), Error::Untrusted) << "a part of it is missing";
     EXPECT_EQ(folder.refused(Begin::New), Error::Untrusted);
@@ -367,8 +369,8 @@
     EXPECT_FALSE(folder.open(Begin::Again)->disk().trusted);
     Folder joins;
     std::filesystem::remove_all(joins.path);
-    EXPECT_TRUE(joins.open(Begin::Join)->disk().members.empty());
-    EXPECT_TRUE(joins.open(Begin::Again)->disk().members.empty()) << "whatever its file names by now";
+    EXPECT_TRUE(joins.open(Begin::Join)->disk().initial_members.empty());
+    EXPECT_TRUE(joins.open(Begin::Again)->disk().initial_members.empty()) << "whatever its file names by now";
     for (const auto& entry : std::filesystem::directory_iterator(joins.path))
         if (entry.path().filename().string().starts_with("log-")) std::filesystem::remove(entry.path());
     EXPECT_FALSE(joins.open(Begin::Again)->disk().trusted) << "begun, and nothing is left of it";
@@ -377,12 +379,12 @@
 TEST(Storing, FindsAgainWhatItSaidWasWritten) {
     Folder folder;
     raft::Write write;
-    write.number = 1, write.vote = raft::Vote{3, 2};
-    write.append = {{3, raft::Entry::Kind::Term, ""},
+    write.number = 1, write.hard_state = raft::HardState{3, 2};
+    write.append = {{3, raft::Entry::Kind::NoOp, ""},
                     {3, raft::Entry::Kind::Data, "a"},
                     {3, raft::Entry::Kind::Data, "b"}};
     raft::Write more;
-    more.number = 2, more.cut = 3, more.append = {{4, raft::Entry::Kind::Change, "c"}};
+    more.number = 2, more.truncate_from = 3, more.append = {{4, raft::Entry::Kind::Configuration, "c"}};
     more.snapshot = raft::Snapshot{2, 3, {{1, true, "k1"}, {4, false, "k4"}}, "state"};
     {
         auto storing = folder.open(Begin::New);
@@ -395,10 +397,10 @@
         storing->write(write), storing->write(more);
         done.get_future().wait();
     }
-    raft::Disk disk = folder.open(Begin::Again)->disk();
-    EXPECT_EQ(disk.vote, (raft::Vote{3, 2}));
+    raft::PersistentState disk = folder.open(Begin::Again)->disk();
+    EXPECT_EQ(disk.hard_state, (raft::HardState{3, 2}));
     EXPECT_EQ(disk.snapshot, more.snapshot);
-    EXPECT_EQ(disk.first, 3u);
+    EXPECT_EQ(disk.first_index, 3u);
     ASSERT_EQ(disk.entries.size(), 1u);
     EXPECT_EQ(disk.entries[0], more.append[0]);
     EXPECT_TRUE(disk.trusted);
@@ -420,7 +422,7 @@
     std::promise<int> why;
     storing.start([](std::uint64_t) { ADD_FAILURE(); }, [&](int error) { why.set_value(error); });
     raft::Write write;
-    write.number = 1, write.vote = raft::Vote{1, 1};
+    write.number = 1, write.hard_state = raft::HardState{1, 1};
     storing.write(write);
     EXPECT_EQ(why.get_future().get(), ENOSPC);  // what KeeperProcess tells as Error::Broken
     storing.write(write);
--- a/tests/fleet/raft_test.cpp
+++ b/tests/fleet/raft_test.cpp
@@ -19,56 +19,56 @@
     struct Keeper {
         std::unique_ptr<Raft> core;
         std::vector<Action> all;
-        std::vector<Applied> applied;
+        std::vector<ApplyEntry> applied;
         std::deque<std::uint64_t> writes;
         TimePoint wake{};
         bool slow_disk = false;
     };
     struct Flying {
-        KeeperId from, to;
+        NodeId from, to;
         Message message;
     };
-    std::map<KeeperId, Keeper> keepers;
+    std::map<NodeId, Keeper> keepers;
     std::deque<Flying> flying;
-    std::set<KeeperId> off;
+    std::set<NodeId> off;
     Duration now{0};
     std::function<Settings(Settings)> adjust = [](Settings s) { return s; };
 
-    static Members members(KeeperId count) {
+    static Members members(NodeId count) {
         Members all;
-        for (KeeperId id = 1; id <= count; ++id) all.push_back({id, true, ""});
+        for (NodeId id = 1; id <= count; ++id) all.push_back({id, true, ""});
         return all;
     }
-    void start(KeeperId id, Disk disk) {
+    void start(NodeId id, PersistentState disk) {
         Settings set;
         set.self = id;
         keepers[id].core = std::make_unique<Raft>(adjust(set), disk, id);
         keepers[id].writes.clear();
-        happen(id, Woken{});
+        happen(id, TimerFired{});
     }
-    explicit Group(KeeperId count, std::function<Settings(Settings)> a = nullptr) {
+    explicit Group(NodeId count, std::function<Settings(Settings)> a = nullptr) {
         if (a) adjust = a;
-        for (KeeperId id = 1; id <= count; ++id) {
-            Disk disk;
-            disk.members = members(count);
+        for (NodeId id = 1; id <= count; ++id) {
+            PersistentState disk;
+            disk.initial_members = members(count);
             start(id, disk);
         }
     }
-    Raft& at(KeeperId id) { return *keepers.at(id).core; }
-    std::vector<Action> happen(KeeperId id, const Event& event) {
+    Raft& at(NodeId id) { return *keepers.at(id).core; }
+    std::vector<Action> happen(NodeId id, const Event& event) {
         Keeper& k = keepers.at(id);
         Actions actions;
         k.core->handle(TimePoint{now}, event, actions);
         std::vector<Action> all = actions;
         for (Action& action : actions) {
-            if (auto* send = std::get_if<Send>(&action)) {
+            if (auto* send = std::get_if<SendMessage>(&action)) {
                 auto message = decode(encode(send->message));  // as it will be over a link
                 EXPECT_TRUE(message);
                 if (message) flying.push_back({id, send->to, *message});
             }
             if (auto* write = std::get_if<Write>(&action)) k.writes.push_back(write->number);
-            if (auto* wake = std::get_if<WakeAt>(&action)) k.wake = wake->at;
-            if (auto* applied = std::get_if<Applied>(&action)) k.applied.push_back(*applied);
+            if (auto* wake = std::get_if<SetTimer>(&action)) k.wake = wake->at;
+            if (auto* applied = std::get_if<ApplyEntry>(&action)) k.applied.push_back(*applied);
             k.all.push_back(action);
         }
         return all;
@@ -81,7 +81,7 @@
                 if (!k.slow_disk && !k.writes.empty() && !off.contains(id)) {
                     std::uint64_t number = k.writes.back();
                     k.writes.clear();
-                    happen(id, Written{number});
+                    happen(id, WriteCompleted{number});
                     any = true;
                 }
             if (flying.empty()) continue;
@@ -89,31 +89,29 @@
             Flying f = std::move(flying.front());
             flying.pop_front();
             if (!off.contains(f.from) && !off.contains(f.to) && keepers.contains(f.to))
-                happen(f.to, Received{f.from, std::move(f.message)});
+                happen(f.to, MessageReceived{f.from, std::move(f.message)});
         }
     }
     void pass(Duration time) {
         TimePoint end{now + time};
         for (;;) {
             settle();
-            KeeperId next = 0;
+            NodeId next = 0;
             for (auto& [id, k] : keepers)
                 if (!off.contains(id) && (next == 0 || k.wake < keepers[next].wake)) next = id;
             if (next == 0 || keepers[next].wake > end) break;
             now = std::max(now, keepers[next].wake.time_since_epoch());
-            happen(next, Woken{});
+            happen(next, TimerFired{});
         }
         now = std::max(now, end.time_since_epoch());
     }
-    KeeperId leader() {
-        KeeperId found = 0;
+    NodeId leader() {
+        NodeId found = 0;
         for (auto& [id, k] : keepers)
             if (!off.contains(id) && k.core->role() == Role::Leader) found = id;
         return found;
     }
-    void propose(KeeperId to, std::uint64_t id, std::string data) {
-        happen(to, Propose{id, std::move(data)});
-    }
+    void propose(NodeId to, std::uint64_t id, std::string data) { happen(to, Propose{id, std::move(data)}); }
 };
 
 template <class T>
@@ -130,7 +128,7 @@
 TEST(Raft, OneOfThreeLeadsAndAllApplyTheSame) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader();
+    NodeId l = g.leader();
     ASSERT_NE(l, 0u);
     for (int i = 1; i <= 100; ++i) g.propose(l, std::uint64_t(i), "x" + std::to_string(i));
     g.pass(Duration(300));
@@ -150,13 +148,13 @@
     g.propose(1, 7, "a");
     g.settle();
     EXPECT_EQ(g.keepers[1].applied.size(), 1u);
-    EXPECT_NE(find<ReadReady>(g.happen(1, Read{8})), nullptr);
+    EXPECT_NE(find<ReadReady>(g.happen(1, ReadIndex{8})), nullptr);
 }
 
 TEST(Raft, NothingIsAppliedBeforeAMajorityHasWritten) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader();
+    NodeId l = g.leader();
     for (auto& [id, k] : g.keepers) k.slow_disk = id != l;
     g.propose(l, 1, "a");
     g.settle();
@@ -167,13 +165,13 @@
 }
 
 TEST(Raft, EachRefusalHasItsCause) {
-    Group g(3, [](Settings s) { return s.waiting = 2, s; });
+    Group g(3, [](Settings s) { return s.max_pending_requests = 2, s; });
     EXPECT_TRUE(refused(g.happen(1, Propose{1, "a"}), Error::NotLeader));
-    EXPECT_TRUE(refused(g.happen(1, Read{1}), Error::NotLeader));
+    EXPECT_TRUE(refused(g.happen(1, ReadIndex{1}), Error::NotLeader));
     g.pass(Duration(5000));
-    KeeperId l = g.leader(), other = l == 1 ? 2 : 1;
-    EXPECT_TRUE(refused(g.happen(l, Change{1, other, true, ""}), Error::Unknown));
-    EXPECT_TRUE(refused(g.happen(l, Change{1, 9, false, ""}), Error::Unknown));
+    NodeId l = g.leader(), other = l == 1 ? 2 : 1;
+    EXPECT_TRUE(refused(g.happen(l, ChangeMembership{1, other, true, ""}), Error::UnknownMember));
+    EXPECT_TRUE(refused(g.happen(l, ChangeMembership{1, 9, false, ""}), Error::UnknownMember));
     auto known = g.happen(other, Propose{1, "a"});
     ASSERT_NE(find<Rejected>(known), nullptr);
     EXPECT_EQ(find<Rejected>(known)->hint, l);
@@ -181,48 +179,50 @@
     g.happen(l, Propose{2, "b"});
     EXPECT_TRUE(refused(g.happen(l, Propose{3, "c"}), Error::Busy));
     g.settle();
-    g.happen(l, Change{4, 4, true, ""});
-    EXPECT_TRUE(refused(g.happen(l, Change{5, 5, true, ""}), Error::Changing));
+    g.happen(l, ChangeMembership{4, 4, true, ""});
+    EXPECT_TRUE(refused(g.happen(l, ChangeMembership{5, 5, true, ""}), Error::MembershipChanging));
     g.settle();
-    EXPECT_TRUE(refused(g.happen(l, Change{6, 5, true, ""}), Error::Changing));  // 4 still learns
+    EXPECT_TRUE(
+        refused(g.happen(l, ChangeMembership{6, 5, true, ""}), Error::MembershipChanging));  // 4 still learns
     g.happen(l, Propose{7, "d"});
-    for (KeeperId id = 1; id <= 3; ++id)
+    for (NodeId id = 1; id <= 3; ++id)
         if (id != l) g.off.insert(id);
     auto& all = g.keepers[l].all;
     all.clear();
     g.pass(Duration(3000));
-    EXPECT_TRUE(refused(all, Error::Lost));
+    EXPECT_TRUE(refused(all, Error::LeadershipLost));
     EXPECT_NE(g.at(l).role(), Role::Leader);
 
     Group alone(1);
     alone.pass(Duration(2500));
-    EXPECT_TRUE(refused(alone.happen(1, Change{1, 1, false, ""}), Error::Last));
+    EXPECT_TRUE(refused(alone.happen(1, ChangeMembership{1, 1, false, ""}), Error::LastVoter));
     std::set<std::string_view> codes;
-    for (Error e : {Error::NotLeader, Error::Busy, Error::Changing, Error::Lost, Error::Unknown, Error::Last})
+    for (Error e : {Error::NotLeader, Error::Busy, Error::MembershipChanging, Error::LeadershipLost,
+                    Error::UnknownMember, Error::LastVoter})
         codes.insert(row(e).code);
     EXPECT_EQ(codes.size(), 6u);
 }
 
 TEST(Raft, ANewMemberLearnsFirstThenVotesAndOneIsTakenOut) {
-    Group g(3, [](Settings s) { return s.kept = 0, s.piece = 7, s; });
+    Group g(3, [](Settings s) { return s.retained_log_bytes = 0, s.snapshot_chunk_bytes = 7, s; });
     g.pass(Duration(5000));
-    KeeperId l = g.leader();
+    NodeId l = g.leader();
     for (int i = 1; i <= 10; ++i) g.propose(l, std::uint64_t(i), "x");
     g.settle();
-    g.happen(l, Snapshotted{g.at(l).committed(), "a state of forty octets or a few more than that"});
+    g.happen(l, SnapshotTaken{g.at(l).commit_index(), "a state of forty octets or a few more than that"});
     g.settle();
-    g.happen(l, Change{99, 4, true, "there"});
+    g.happen(l, ChangeMembership{99, 4, true, "there"});
     EXPECT_FALSE(g.at(l).members().back().voter);
-    g.start(4, Disk{});
+    g.start(4, PersistentState{});
     EXPECT_EQ(g.at(4).role(), Role::Learner);
     g.pass(Duration(1000));
     EXPECT_TRUE(g.at(l).members().back().voter);
     EXPECT_EQ(g.at(4).role(), Role::Follower);
-    const Restore* restored = find<Restore>(g.keepers[4].all);
+    const RestoreSnapshot* restored = find<RestoreSnapshot>(g.keepers[4].all);
     ASSERT_NE(restored, nullptr);
     EXPECT_EQ(restored->snapshot.state, "a state of forty octets or a few more than that");
     EXPECT_EQ(g.at(4).members(), g.at(l).members());
-    g.happen(l, Change{100, l, false, ""});  // itself
+    g.happen(l, ChangeMembership{100, l, false, ""});  // itself
     g.pass(Duration(5000));
     EXPECT_NE(g.leader(), l);
     EXPECT_NE(g.leader(), 0u);
@@ -233,10 +233,10 @@
 TEST(Raft, LeadershipIsHandedOver) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader(), to = l % 3 + 1;
+    NodeId l = g.leader(), to = l % 3 + 1;
     std::uint64_t term = g.at(l).term();
     g.propose(l, 1, "a");
-    g.happen(l, Transfer{to});
+    g.happen(l, TransferLeadership{to});
     EXPECT_TRUE(refused(g.happen(l, Propose{2, "b"}), Error::Busy));
     g.settle();
     EXPECT_EQ(g.leader(), to);
@@ -246,83 +246,84 @@
 TEST(Raft, ALeaderThatStoodStillAnswersNothingFromBefore) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader();
+    NodeId l = g.leader();
     std::vector<Group::Flying> kept;
-    g.happen(l, Read{5});
+    g.happen(l, ReadIndex{5});
     while (!g.flying.empty()) {  // the others answer, and the answers lie in its socket
         Group::Flying f = g.flying.front();
         g.flying.pop_front();
         if (f.to == l)
             kept.push_back(f);
         else
-            g.happen(f.to, Received{f.from, f.message});
+            g.happen(f.to, MessageReceived{f.from, f.message});
     }
     ASSERT_FALSE(kept.empty());
     g.now += Duration(30'000);
-    auto actions = g.happen(l, Received{kept[0].from, kept[0].message});
+    auto actions = g.happen(l, MessageReceived{kept[0].from, kept[0].message});
     EXPECT_EQ(find<ReadReady>(actions), nullptr);
-    EXPECT_TRUE(refused(actions, Error::Lost));
+    EXPECT_TRUE(refused(actions, Error::LeadershipLost));
     EXPECT_NE(g.at(l).role(), Role::Leader);
 }
 
 TEST(Raft, ADiskThatIsNotTrustedCountsOnlyOnceAllOthersHaveAnswered) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader(), a = l % 3 + 1, b = a % 3 + 1;
+    NodeId l = g.leader(), a = l % 3 + 1, b = a % 3 + 1;
     g.propose(l, 1, "a");
     g.settle();
     g.off.insert(b);
-    Disk lost;
-    lost.members = Group::members(3);
+    PersistentState lost;
+    lost.initial_members = Group::members(3);
     lost.trusted = false;
     g.start(a, lost);
     g.propose(l, 2, "b");
     g.pass(Duration(600));
-    EXPECT_EQ(g.at(a).last(), g.at(l).last());
-    EXPECT_FALSE(g.at(a).trusted());
+    EXPECT_EQ(g.at(a).last_index(), g.at(l).last_index());
+    EXPECT_FALSE(g.at(a).storage_trusted());
     EXPECT_EQ(g.keepers[l].applied.size(), 1u);  // it has it, and does not count
     g.flying.clear();
-    auto asked = g.happen(a, Received{b, AskVote{g.at(a).term() + 1, 100, 100, false, true}});
-    ASSERT_NE(find<Send>(asked), nullptr);
-    EXPECT_FALSE(std::get<GiveVote>(find<Send>(asked)->message).granted);
+    auto asked = g.happen(a, MessageReceived{b, RequestVote{g.at(a).term() + 1, 100, 100, false, true}});
+    ASSERT_NE(find<SendMessage>(asked), nullptr);
+    EXPECT_FALSE(std::get<RequestVoteResponse>(find<SendMessage>(asked)->message).granted);
     g.off.clear();
     g.pass(Duration(5000));
-    EXPECT_TRUE(g.at(a).trusted());
+    EXPECT_TRUE(g.at(a).storage_trusted());
     bool told = false;
     for (const Action& action : g.keepers[a].all)
-        if (auto* write = std::get_if<Write>(&action)) told = told || write->caught_up;
+        if (auto* write = std::get_if<Write>(&action)) told = told || write->recovered;
     EXPECT_TRUE(told);
 }
 
 TEST(Raft, AFollowerOneEntryShortNamesItsEnd) {
     Group g(3);
     g.happen(1,
-             Received{2, Append{1, 0, 0, 0, 1, {{1, Entry::Kind::Term, ""}, {1, Entry::Kind::Data, "a"}}}});
+             MessageReceived{
+                 2, AppendEntries{1, 0, 0, 0, 1, {{1, Entry::Kind::NoOp, ""}, {1, Entry::Kind::Data, "a"}}}});
     g.settle();
     g.keepers[1].all.clear();
-    g.happen(1, Received{2, Append{1, 3, 1, 0, 2, {}}});
-    const Send* send = find<Send>(g.keepers[1].all);
+    g.happen(1, MessageReceived{2, AppendEntries{1, 3, 1, 0, 2, {}}});
+    const SendMessage* send = find<SendMessage>(g.keepers[1].all);
     ASSERT_NE(send, nullptr);
-    EXPECT_FALSE(std::get<Appended>(send->message).matches);
-    EXPECT_EQ(std::get<Appended>(send->message).index, 3u);
+    EXPECT_FALSE(std::get<AppendEntriesResponse>(send->message).matches);
+    EXPECT_EQ(std::get<AppendEntriesResponse>(send->message).index, 3u);
 }
 
 TEST(Raft, OneThatHasTakenItselfOutStillLeadsUntilThatIsAgreedOn) {
     Group g(3);
     g.pass(Duration(5000));
-    KeeperId l = g.leader();
-    g.happen(l, Change{1, l, false, ""});
+    NodeId l = g.leader();
+    g.happen(l, ChangeMembership{1, l, false, ""});
     g.flying.clear();  // nobody hears of it
-    Disk disk;
-    disk.vote = {g.at(l).term(), l};
-    disk.members = Group::members(3);
-    for (std::uint64_t i = 1; i <= g.at(l).last(); ++i) disk.entries.push_back(g.at(l).entry(i));
+    PersistentState disk;
+    disk.hard_state = {g.at(l).term(), l};
+    disk.initial_members = Group::members(3);
+    for (std::uint64_t i = 1; i <= g.at(l).last_index(); ++i) disk.entries.push_back(g.at(l).entry(i));
     g.start(l, disk);
     g.pass(Duration(10'000));
     ASSERT_NE(g.leader(), 0u);
     EXPECT_NE(g.leader(), l);
     EXPECT_EQ(g.at(g.leader()).members().size(), 2u);
-    EXPECT_LE(g.at(g.leader()).members_since(), g.at(g.leader()).committed());
+    EXPECT_LE(g.at(g.leader()).membership_index(), g.at(g.leader()).commit_index());
 }
 
 TEST(Raft, MessagesAreReadBackAsTheyWereSaid) {
@@ -330,26 +331,27 @@
     auto octets = [] { return *rc::gen::container<std::string>(rc::gen::arbitrary<char>()); };
     auto members = [&] {
         Members all;
-        for (KeeperId id : *rc::gen::container<std::set<KeeperId>>(rc::gen::inRange<KeeperId>(1, 100)))
+        for (NodeId id : *rc::gen::container<std::set<NodeId>>(rc::gen::inRange<NodeId>(1, 100)))
             all.push_back({id, *rc::gen::arbitrary<bool>(), std::to_string(id)});
         return all;
     };
     EXPECT_TRUE(rc::check([&] {
         bool a = *rc::gen::arbitrary<bool>(), b = *rc::gen::arbitrary<bool>();
-        Append append{
+        AppendEntries append{
             number(), number(), number(), number(), number(), {}, *rc::gen::arbitrary<std::uint64_t>()};
         for (int i = *rc::gen::inRange(0, 5); i > 0; --i)
             append.entries.push_back({number(), Entry::Kind::Data, octets()});
-        append.entries.push_back({number(), Entry::Kind::Change, encode(members())});
+        append.entries.push_back({number(), Entry::Kind::Configuration, encode(members())});
         std::string part = octets();
         std::uint64_t offset = *rc::gen::inRange<std::uint64_t>(0, 1000);
         std::vector<Message> all{
-            AskVote{number(), number(), number(), a, b},
-            GiveVote{number(), a, b},
+            RequestVote{number(), number(), number(), a, b},
+            RequestVoteResponse{number(), a, b},
             append,
-            Appended{number(), number(), a, number(), *rc::gen::arbitrary<std::uint64_t>()},
-            Piece{number(), number(), number(), number(), offset, offset + part.size() + 3, members(), part},
-            PieceTaken{number(), number(), number(), number(), 7},
+            AppendEntriesResponse{number(), number(), a, number(), *rc::gen::arbitrary<std::uint64_t>()},
+            InstallSnapshot{number(), number(), number(), number(), offset, offset + part.size() + 3,
+                            members(), part},
+            InstallSnapshotResponse{number(), number(), number(), number(), 7},
             TimeoutNow{number()}};
         for (const Message& m : all) {
             auto back = decode(encode(m));
@@ -364,17 +366,19 @@
 TEST(Raft, WhatIsNoMessageIsNotRead) {
     EXPECT_FALSE(decode(""));
     EXPECT_FALSE(decode("nonsense"));
-    std::string sound = encode(Message{Append{1, 2, 3, 4, 5, {{1, Entry::Kind::Data, "abc"}}}});
+    std::string sound = encode(Message{AppendEntries{1, 2, 3, 4, 5, {{1, Entry::Kind::Data, "abc"}}}});
     for (std::size_t length = 0; length < sound.size(); ++length) {
         auto cut = decode(sound.substr(0, length));
         if (cut) {
             EXPECT_EQ(decode(encode(*cut)), cut);
         }
     }
-    EXPECT_FALSE(decode(encode(Message{Append{1, 2, 3, 4, 5, {{1, Entry::Kind::Change, "\xff"}}}})));
-    EXPECT_FALSE(decode(encode(Message{Append{std::uint64_t(1) << 60, 2, 3, 4, 5, {}}})));
-    EXPECT_FALSE(decode(encode(Message{Piece{1, 1, 1, 1, 5, 4, {}, ""}})));
-    EXPECT_FALSE(decode(encode(Message{Piece{1, 1, 1, 1, 0, 4, {{2, true, ""}, {2, true, ""}}, ""}})));
+    EXPECT_FALSE(
+        decode(encode(Message{AppendEntries{1, 2, 3, 4, 5, {{1, Entry::Kind::Configuration, "\xff"}}}})));
+    EXPECT_FALSE(decode(encode(Message{AppendEntries{std::uint64_t(1) << 60, 2, 3, 4, 5, {}}})));
+    EXPECT_FALSE(decode(encode(Message{InstallSnapshot{1, 1, 1, 1, 5, 4, {}, ""}})));
+    EXPECT_FALSE(
+        decode(encode(Message{InstallSnapshot{1, 1, 1, 1, 0, 4, {{2, true, ""}, {2, true, ""}}, ""}})));
     EXPECT_FALSE(decode_members(encode(Members{{0, true, ""}})));
 }
 
--- a/tests/raft_fuzz.cpp
+++ b/tests/raft_fuzz.cpp
@@ -21,7 +21,7 @@
     std::uint64_t writes = 0;
     double now = 0;
 
-    explicit One(const raft::Disk& disk) : core(settings(), disk, 1) { tell(raft::Woken{}); }
+    explicit One(const raft::PersistentState& disk) : core(settings(), disk, 1) { tell(raft::TimerFired{}); }
     static raft::Settings settings() {
         raft::Settings set;
         set.self = 1;
@@ -33,7 +33,7 @@
         for (const raft::Action& action : actions)
             if (const auto* write = std::get_if<raft::Write>(&action)) writes = write->number;
         must(actions.size() < 1000);
-        must(core.committed() <= core.last() && core.written() <= core.last());
+        must(core.commit_index() <= core.last_index() && core.durable_index() <= core.last_index());
     }
 };
 
@@ -45,24 +45,24 @@
     if (!message) return 0;
     auto again = raft::decode(raft::encode(*message));
     must(again && *again == *message);
-    raft::Disk disk;
-    disk.members = {{1, true, ""}, {2, true, ""}, {3, true, ""}};
-    disk.entries = {{1, raft::Entry::Kind::Term, ""}, {1, raft::Entry::Kind::Data, "a"}};
-    disk.vote = {1, 2};
+    raft::PersistentState disk;
+    disk.initial_members = {{1, true, ""}, {2, true, ""}, {3, true, ""}};
+    disk.entries = {{1, raft::Entry::Kind::NoOp, ""}, {1, raft::Entry::Kind::Data, "a"}};
+    disk.hard_state = {1, 2};
     One follower(disk);
     One leader(disk);
     leader.now = 3000;
-    leader.tell(raft::Woken{});
-    leader.tell(raft::Received{2, raft::GiveVote{2, true, true}});
-    leader.tell(raft::Written{leader.writes});
-    leader.tell(raft::Received{2, raft::GiveVote{2, false, true}});
+    leader.tell(raft::TimerFired{});
+    leader.tell(raft::MessageReceived{2, raft::RequestVoteResponse{2, true, true}});
+    leader.tell(raft::WriteCompleted{leader.writes});
+    leader.tell(raft::MessageReceived{2, raft::RequestVoteResponse{2, false, true}});
     must(leader.core.role() == raft::Role::Leader);
     for (One* one : {&follower, &leader})
         for (int i = 0; i < 2; ++i) {
-            one->tell(raft::Received{2, *message});
-            one->tell(raft::Written{one->writes});
+            one->tell(raft::MessageReceived{2, *message});
+            one->tell(raft::WriteCompleted{one->writes});
             one->now += 50;
-            one->tell(raft::Woken{});
+            one->tell(raft::TimerFired{});
             one->tell(raft::Propose{7, "b"});
         }
     return 0;
