--- a/lab/raft/judge.cpp
+++ b/lab/raft/judge.cpp
@@ -202,26 +202,26 @@
 }
 
 void Judge::sent(const Side& side, const SendMessage& send) {
-    if (const auto* m = std::get_if<AppendEntriesResponse>(&send.message); m && m->matches) {
+    if (const auto* m = std::get_if<AppendEntriesResponse>(&send.message); m && m->success) {
         std::uint64_t term = side.core->term_at(m->index);
         if (m->index > 0 && (side.disk->last() < m->index || (term != 0 && !side.disk->has(m->index, term))))
             fault(who(side.id) + " says that it has what is not on its disk" + at(m->index));
     } else if (const auto* piece = std::get_if<InstallSnapshot>(&send.message)) {
-        sizes_[piece->index] = piece->size;
+        sizes_[piece->last_included_index] = piece->total_size;
     } else if (const auto* taken = std::get_if<InstallSnapshotResponse>(&send.message)) {
-        auto size = sizes_.find(taken->index);
-        if (size != sizes_.end() && taken->next >= size->second && size->second > 0 &&
-            side.disk->last() < taken->index)
-            fault(who(side.id) + " says that it has a snapshot that is not on its disk" + at(taken->index));
+        auto size = sizes_.find(taken->last_included_index);
+        if (size != sizes_.end() && taken->next_offset >= size->second && size->second > 0 &&
+            side.disk->last() < taken->last_included_index)
+            fault(who(side.id) + " says that it has a snapshot that is not on its disk" + at(taken->last_included_index));
     } else if (const auto* vote = std::get_if<RequestVoteResponse>(&send.message);
-               vote && vote->granted && !vote->pre) {
+               vote && vote->vote_granted && !vote->pre_vote) {
         auto given = votes_.try_emplace({side.id, vote->term}, send.to).first;
         if (given->second != send.to)
             fault(who(side.id) + " votes twice in term " + std::to_string(vote->term));
         if (side.disk->there().hard_state != raft::HardState{vote->term, send.to})
             fault(who(side.id) + " gives a vote that is not on its disk");
         if (!side.disk->there().trusted) fault(who(side.id) + " votes with a disk that is not trusted");
-    } else if (const auto* ask = std::get_if<RequestVote>(&send.message); ask && !ask->pre) {
+    } else if (const auto* ask = std::get_if<RequestVote>(&send.message); ask && !ask->pre_vote) {
         auto given = votes_.try_emplace({side.id, ask->term}, side.id).first;
         if (given->second != side.id)
             fault(who(side.id) + " votes twice in term " + std::to_string(ask->term) + ", once for itself");
--- a/lab/raft/saboteurs.cpp
+++ b/lab/raft/saboteurs.cpp
@@ -34,8 +34,8 @@
     Sabotage s;
     s.sends = [](RaftSight& w, NodeId from, NodeId, Message& m) {
         if (auto* vote = std::get_if<RequestVoteResponse>(&m);
-            vote && !vote->pre && vote->term == w.core(from).term())
-            vote->granted = true;
+            vote && !vote->pre_vote && vote->term == w.core(from).term())
+            vote->vote_granted = true;
         return true;
     };
     return s;
@@ -47,7 +47,7 @@
     Sabotage s;
     s.receives = [matches](RaftSight& w, NodeId to, NodeId from, Message& m) {
         if (auto* a = std::get_if<AppendEntriesResponse>(&m);
-            a && a->matches && a->doubt == 0 && a->term == w.core(to).term())
+            a && a->success && a->recovery_id == 0 && a->term == w.core(to).term())
             (*matches)[a->term][from] = std::max((*matches)[a->term][from], a->index);
         return true;
     };
@@ -60,7 +60,7 @@
                 have.push_back(member.id == from ? w.core(from).durable_index()
                                                  : (*matches)[a->term][member.id]);
         std::sort(have.begin(), have.end(), std::greater<>());
-        if (!have.empty()) a->committed = std::max(a->committed, have[have.size() / 2]);
+        if (!have.empty()) a->leader_commit = std::max(a->leader_commit, have[have.size() / 2]);
         return true;
     };
     return s;
@@ -89,11 +89,11 @@
     s.acts = [doubts](RaftSight&, NodeId id, Actions& actions) {
         for (Action& action : actions)
             if (auto* send = std::get_if<SendMessage>(&action))
-                if (auto* a = std::get_if<AppendEntriesResponse>(&send->message); a && a->doubt != 0)
-                    (*doubts)[id] = a->doubt;
+                if (auto* a = std::get_if<AppendEntriesResponse>(&send->message); a && a->recovery_id != 0)
+                    (*doubts)[id] = a->recovery_id;
     };
     s.receives = [doubts](RaftSight&, NodeId to, NodeId, Message& m) {
-        if (auto* a = std::get_if<AppendEntries>(&m)) a->trusts = (*doubts)[to];
+        if (auto* a = std::get_if<AppendEntries>(&m)) a->completed_recovery_id = (*doubts)[to];
         return true;
     };
     return s;
@@ -197,12 +197,12 @@
         {"takes what it is asked for by a candidate whose log is older", "without what was agreed on",
          [] {
              return on_receipt<RequestVote>(
-                 [](RaftSight&, NodeId, RequestVote& m) { m.last_term = m.last_index = ~std::uint64_t(0); });
+                 [](RaftSight&, NodeId, RequestVote& m) { m.last_log_term = m.last_log_index = ~std::uint64_t(0); });
          }},
         {"takes a pre-vote for a vote", "two leaders in term",
          [] {
              return on_receipt<RequestVoteResponse>([](RaftSight& w, NodeId to, RequestVoteResponse& m) {
-                 if (m.pre && m.granted && w.core(to).role() == Role::Candidate) m.pre = false;
+                 if (m.pre_vote && m.vote_granted && w.core(to).role() == Role::Candidate) m.pre_vote = false;
              });
          },
          nullptr, 28},
@@ -212,7 +212,7 @@
         {"applies what is not agreed on yet", "have on their disks",
          [] {
              return on_receipt<AppendEntries>([](RaftSight&, NodeId, AppendEntries& m) {
-                 m.committed = m.previous_index + m.entries.size();
+                 m.leader_commit = m.prev_log_index + m.entries.size();
              });
          }},
         {"takes entries of an older leader", "cuts what was agreed on",
@@ -240,7 +240,7 @@
         {"counts one in doubt", "have on their disks",
          [] {
              return on_receipt<AppendEntriesResponse>(
-                 [](RaftSight&, NodeId, AppendEntriesResponse& m) { m.doubt = 0; });
+                 [](RaftSight&, NodeId, AppendEntriesResponse& m) { m.recovery_id = 0; });
          }},
     };
     return kAll;
--- a/lab/raft/world.cpp
+++ b/lab/raft/world.cpp
@@ -179,8 +179,8 @@
         } else if (auto* rejected = std::get_if<Rejected>(&action)) {
             if (rejected->id >= kOperators || rejected->id == 0) continue;
             ++counts["refused: " + std::string(row(rejected->error).code)];
-            if (auto waiting = by_call_.find(rejected->id); waiting != by_call_.end() && rejected->hint != 0)
-                clients_[waiting->second].guess = rejected->hint;
+            if (auto waiting = by_call_.find(rejected->id); waiting != by_call_.end() && rejected->leader_hint != 0)
+                clients_[waiting->second].guess = rejected->leader_hint;
             end_call(rejected->id, std::nullopt, rejected->error == Error::LeadershipLost);
         } else if (auto* wake = std::get_if<SetTimer>(&action)) {
             net_->wake_at(id - 1, wake->at);
--- a/src/fleet/coordinator/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -350,7 +350,7 @@
     } else if (waiting.what == What::Over) {
         if (leads()) armed_.set({std::size_t(waiting.session), waiting.key}, now_ + kAgain, waiting.revision);
     } else {
-        refuse(waiting.who, waiting.call, translated(no.error), no.hint);
+        refuse(waiting.who, waiting.call, translated(no.error), no.leader_hint);
     }
 }
 
--- a/src/fleet/raft/codec.cpp
+++ b/src/fleet/raft/codec.cpp
@@ -1,143 +1,218 @@
 #include <raft.pb.h>
 
 #include <algorithm>
+#include <limits>
 
 #include "fleet/raft/message.h"
 
 namespace ochrehub::raft {
 namespace {
 
-constexpr std::uint32_t kVersion = 1;
+constexpr std::uint32_t kProtocolVersion = 1;
+
+/// Terms, indices, rounds and offsets stay below this, so that adding to one cannot overflow.
+constexpr std::uint64_t kNumberLimit = std::uint64_t(1) << 60;
 
-/// Terms, indices, rounds: what is beyond was counted by nobody, and one more of it must still be a number.
-constexpr std::uint64_t kMost = std::uint64_t(1) << 60;
 template <class... Numbers>
-bool sane(Numbers... numbers) {
-    return ((numbers < kMost) && ...);
+bool within_limit(Numbers... numbers) {
+    return ((numbers < kNumberLimit) && ...);
+}
+
+template <class WireMessage>
+bool parse(std::string_view bytes, WireMessage& out) {
+    constexpr std::size_t kMaxParseBytes = std::numeric_limits<std::int32_t>::max();
+    return bytes.size() <= kMaxParseBytes && out.ParseFromArray(bytes.data(), int(bytes.size()));
 }
 
 template <class List>
-void put(const Members& members, List& out) {
+void encode_members_into(const Members& members, List& out) {
     for (const Member& member : members) {
-        wire::Member& m = *out.Add();
-        m.set_id(member.id);
-        m.set_learner(!member.voter);
-        m.set_address(member.address);
+        wire::Member& encoded = *out.Add();
+        encoded.set_id(member.id);
+        encoded.set_learner(!member.voter);
+        encoded.set_address(member.address);
     }
 }
-/// False: a number is zero, out of order or there twice.
+
 template <class List>
-bool take(const List& list, Members& out) {
-    for (const wire::Member& m : list) {
-        if (m.id() == 0 || (!out.empty() && m.id() <= out.back().id)) return false;
-        out.push_back({m.id(), !m.learner(), m.address()});
+std::optional<Members> decode_members_from(const List& list) {
+    Members members;
+    for (const wire::Member& encoded : list) {
+        bool ascending = members.empty() || encoded.id() > members.back().id;
+        if (encoded.id() == 0 || !ascending) return std::nullopt;
+        members.push_back({encoded.id(), !encoded.learner(), encoded.address()});
     }
-    return true;
+    return members;
 }
 
-struct Put {
+// ---- Encoding
+
+struct Encoder {
     wire::Message& out;
 
-    void operator()(const RequestVote& m) const {
-        wire::RequestVote& w = *out.mutable_request_vote();
-        w.set_term(m.term), w.set_last_index(m.last_index), w.set_last_term(m.last_term);
-        w.set_pre(m.pre), w.set_transfer(m.transfer);
+    void operator()(const RequestVote& request) const {
+        wire::RequestVote& encoded = *out.mutable_request_vote();
+        encoded.set_term(request.term);
+        encoded.set_last_log_index(request.last_log_index);
+        encoded.set_last_log_term(request.last_log_term);
+        encoded.set_pre_vote(request.pre_vote);
+        encoded.set_leadership_transfer(request.leadership_transfer);
     }
-    void operator()(const RequestVoteResponse& m) const {
-        wire::RequestVoteResponse& w = *out.mutable_request_vote_response();
-        w.set_term(m.term), w.set_pre(m.pre), w.set_granted(m.granted);
+    void operator()(const RequestVoteResponse& response) const {
+        wire::RequestVoteResponse& encoded = *out.mutable_request_vote_response();
+        encoded.set_term(response.term);
+        encoded.set_pre_vote(response.pre_vote);
+        encoded.set_vote_granted(response.vote_granted);
     }
-    void operator()(const AppendEntries& m) const {
-        wire::AppendEntries& w = *out.mutable_append_entries();
-        w.set_term(m.term), w.set_previous_index(m.previous_index), w.set_previous_term(m.previous_term);
-        w.set_committed(m.committed), w.set_round(m.round), w.set_trusts(m.trusts);
-        for (const Entry& entry : m.entries) {
-            wire::Entry& e = *w.add_entries();
-            e.set_term(entry.term), e.set_kind(std::uint32_t(entry.kind)), e.set_data(entry.data);
+    void operator()(const AppendEntries& request) const {
+        wire::AppendEntries& encoded = *out.mutable_append_entries();
+        encoded.set_term(request.term);
+        encoded.set_prev_log_index(request.prev_log_index);
+        encoded.set_prev_log_term(request.prev_log_term);
+        encoded.set_leader_commit(request.leader_commit);
+        encoded.set_round(request.round);
+        encoded.set_completed_recovery_id(request.completed_recovery_id);
+        for (const Entry& entry : request.entries) {
+            wire::Entry& encoded_entry = *encoded.add_entries();
+            encoded_entry.set_term(entry.term);
+            encoded_entry.set_kind(std::uint32_t(entry.kind));
+            encoded_entry.set_data(entry.data);
         }
     }
-    void operator()(const AppendEntriesResponse& m) const {
-        wire::AppendEntriesResponse& w = *out.mutable_append_entries_response();
-        w.set_term(m.term), w.set_round(m.round), w.set_matches(m.matches), w.set_index(m.index),
-            w.set_doubt(m.doubt);
+    void operator()(const AppendEntriesResponse& response) const {
+        wire::AppendEntriesResponse& encoded = *out.mutable_append_entries_response();
+        encoded.set_term(response.term);
+        encoded.set_round(response.round);
+        encoded.set_success(response.success);
+        encoded.set_index(response.index);
+        encoded.set_recovery_id(response.recovery_id);
     }
-    void operator()(const InstallSnapshot& m) const {
-        wire::InstallSnapshot& w = *out.mutable_install_snapshot();
-        w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_index_term(m.index_term);
-        w.set_offset(m.offset), w.set_size(m.size), w.set_octets(m.octets);
-        put(m.members, *w.mutable_members());
+    void operator()(const InstallSnapshot& request) const {
+        wire::InstallSnapshot& encoded = *out.mutable_install_snapshot();
+        encoded.set_term(request.term);
+        encoded.set_round(request.round);
+        encoded.set_last_included_index(request.last_included_index);
+        encoded.set_last_included_term(request.last_included_term);
+        encoded.set_offset(request.offset);
+        encoded.set_total_size(request.total_size);
+        encoded.set_data(request.data);
+        encode_members_into(request.members, *encoded.mutable_members());
     }
-    void operator()(const InstallSnapshotResponse& m) const {
-        wire::InstallSnapshotResponse& w = *out.mutable_install_snapshot_response();
-        w.set_term(m.term), w.set_round(m.round), w.set_index(m.index), w.set_next(m.next),
-            w.set_doubt(m.doubt);
+    void operator()(const InstallSnapshotResponse& response) const {
+        wire::InstallSnapshotResponse& encoded = *out.mutable_install_snapshot_response();
+        encoded.set_term(response.term);
+        encoded.set_round(response.round);
+        encoded.set_last_included_index(response.last_included_index);
+        encoded.set_next_offset(response.next_offset);
+        encoded.set_recovery_id(response.recovery_id);
     }
-    void operator()(const TimeoutNow& m) const { out.mutable_timeout_now()->set_term(m.term); }
+    void operator()(const TimeoutNow& request) const { out.mutable_timeout_now()->set_term(request.term); }
 };
 
-std::optional<Message> take(const wire::AppendEntries& w) {
-    if (!sane(w.term(), w.previous_index(), w.previous_term(), w.committed(), w.round())) return std::nullopt;
-    AppendEntries m{w.term(), w.previous_index(), w.previous_term(), w.committed(), w.round(),
-                    {},       w.trusts()};
-    m.entries.reserve(std::size_t(w.entries_size()));
-    for (const wire::Entry& e : w.entries()) {
-        if (!sane(e.term()) || e.kind() > std::uint32_t(Entry::Kind::Configuration)) return std::nullopt;
-        m.entries.push_back({e.term(), Entry::Kind(e.kind()), e.data()});
-        if (m.entries.back().kind == Entry::Kind::Configuration && !decode_members(e.data()))
-            return std::nullopt;
+// ---- Decoding: nothing where a field is out of range
+
+std::optional<Message> decode_body(const wire::RequestVote& in) {
+    if (!within_limit(in.term(), in.last_log_index(), in.last_log_term())) return std::nullopt;
+    return RequestVote{in.term(), in.last_log_index(), in.last_log_term(), in.pre_vote(),
+                       in.leadership_transfer()};
+}
+
+std::optional<Message> decode_body(const wire::RequestVoteResponse& in) {
+    if (!within_limit(in.term())) return std::nullopt;
+    return RequestVoteResponse{in.term(), in.pre_vote(), in.vote_granted()};
+}
+
+std::optional<Entry> decode_entry(const wire::Entry& in) {
+    if (!within_limit(in.term()) || in.kind() > std::uint32_t(Entry::Kind::Configuration))
+        return std::nullopt;
+    Entry entry{in.term(), Entry::Kind(in.kind()), in.data()};
+    if (entry.kind == Entry::Kind::Configuration && !decode_members(entry.data)) return std::nullopt;
+    return entry;
+}
+
+std::optional<Message> decode_body(const wire::AppendEntries& in) {
+    if (!within_limit(in.term(), in.prev_log_index(), in.prev_log_term(), in.leader_commit(), in.round()))
+        return std::nullopt;
+    AppendEntries request;
+    request.term = in.term();
+    request.prev_log_index = in.prev_log_index();
+    request.prev_log_term = in.prev_log_term();
+    request.leader_commit = in.leader_commit();
+    request.round = in.round();
+    request.completed_recovery_id = in.completed_recovery_id();
+    request.entries.reserve(std::size_t(in.entries_size()));
+    for (const wire::Entry& encoded : in.entries()) {
+        std::optional<Entry> entry = decode_entry(encoded);
+        if (!entry) return std::nullopt;
+        request.entries.push_back(std::move(*entry));
     }
-    return m;
+    return request;
+}
+
+std::optional<Message> decode_body(const wire::AppendEntriesResponse& in) {
+    if (!within_limit(in.term(), in.round(), in.index())) return std::nullopt;
+    return AppendEntriesResponse{in.term(), in.round(), in.success(), in.index(), in.recovery_id()};
+}
+
+std::optional<Message> decode_body(const wire::InstallSnapshot& in) {
+    if (!within_limit(in.term(), in.round(), in.last_included_index(), in.last_included_term(), in.offset(),
+                      in.total_size()))
+        return std::nullopt;
+    if (in.offset() > in.total_size() || in.data().size() > in.total_size() - in.offset())
+        return std::nullopt;
+    std::optional<Members> members = decode_members_from(in.members());
+    if (!members) return std::nullopt;
+    InstallSnapshot request;
+    request.term = in.term();
+    request.round = in.round();
+    request.last_included_index = in.last_included_index();
+    request.last_included_term = in.last_included_term();
+    request.offset = in.offset();
+    request.total_size = in.total_size();
+    request.members = std::move(*members);
+    request.data = in.data();
+    return request;
+}
+
+std::optional<Message> decode_body(const wire::InstallSnapshotResponse& in) {
+    if (!within_limit(in.term(), in.round(), in.last_included_index(), in.next_offset())) return std::nullopt;
+    return InstallSnapshotResponse{in.term(), in.round(), in.last_included_index(), in.next_offset(),
+                                   in.recovery_id()};
+}
+
+std::optional<Message> decode_body(const wire::TimeoutNow& in) {
+    if (!within_limit(in.term())) return std::nullopt;
+    return TimeoutNow{in.term()};
 }
 
 }  // namespace
 
 std::string encode(const Message& message) {
     wire::Message out;
-    out.set_version(kVersion);
-    std::visit(Put{out}, message);
+    out.set_version(kProtocolVersion);
+    std::visit(Encoder{out}, message);
     return out.SerializeAsString();
 }
 
-std::optional<Message> decode(std::string_view octets) {
+std::optional<Message> decode(std::string_view bytes) {
     wire::Message in;
-    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size())))
-        return std::nullopt;
-    if (in.version() != kVersion) return std::nullopt;
-    switch (in.what_case()) {
-        case wire::Message::kRequestVote: {
-            const wire::RequestVote& w = in.request_vote();
-            if (!sane(w.term(), w.last_index(), w.last_term())) break;
-            return RequestVote{w.term(), w.last_index(), w.last_term(), w.pre(), w.transfer()};
-        }
+    if (!parse(bytes, in) || in.version() != kProtocolVersion) return std::nullopt;
+    switch (in.body_case()) {
+        case wire::Message::kRequestVote:
+            return decode_body(in.request_vote());
         case wire::Message::kRequestVoteResponse:
-            if (!sane(in.request_vote_response().term())) break;
-            return RequestVoteResponse{in.request_vote_response().term(), in.request_vote_response().pre(),
-                                       in.request_vote_response().granted()};
+            return decode_body(in.request_vote_response());
         case wire::Message::kAppendEntries:
-            return take(in.append_entries());
-        case wire::Message::kAppendEntriesResponse: {
-            const wire::AppendEntriesResponse& w = in.append_entries_response();
-            if (!sane(w.term(), w.round(), w.index())) break;
-            return AppendEntriesResponse{w.term(), w.round(), w.matches(), w.index(), w.doubt()};
-        }
-        case wire::Message::kInstallSnapshot: {
-            const wire::InstallSnapshot& w = in.install_snapshot();
-            if (!sane(w.term(), w.round(), w.index(), w.index_term(), w.offset(), w.size())) break;
-            InstallSnapshot m{w.term(),   w.round(), w.index(), w.index_term(),
-                              w.offset(), w.size(),  {},        w.octets()};
-            if (!take(w.members(), m.members) || m.offset > m.size || m.octets.size() > m.size - m.offset)
-                return std::nullopt;
-            return m;
-        }
-        case wire::Message::kInstallSnapshotResponse: {
-            const wire::InstallSnapshotResponse& w = in.install_snapshot_response();
-            if (!sane(w.term(), w.round(), w.index(), w.next())) break;
-            return InstallSnapshotResponse{w.term(), w.round(), w.index(), w.next(), w.doubt()};
-        }
+            return decode_body(in.append_entries());
+        case wire::Message::kAppendEntriesResponse:
+            return decode_body(in.append_entries_response());
+        case wire::Message::kInstallSnapshot:
+            return decode_body(in.install_snapshot());
+        case wire::Message::kInstallSnapshotResponse:
+            return decode_body(in.install_snapshot_response());
         case wire::Message::kTimeoutNow:
-            if (!sane(in.timeout_now().term())) break;
-            return TimeoutNow{in.timeout_now().term()};
-        case wire::Message::WHAT_NOT_SET:
+            return decode_body(in.timeout_now());
+        case wire::Message::BODY_NOT_SET:
             break;
     }
     return std::nullopt;
@@ -145,17 +220,14 @@
 
 std::string encode(const Members& members) {
     wire::Members out;
-    put(members, *out.mutable_members());
+    encode_members_into(members, *out.mutable_members());
     return out.SerializeAsString();
 }
 
-std::optional<Members> decode_members(std::string_view octets) {
+std::optional<Members> decode_members(std::string_view bytes) {
     wire::Members in;
-    Members out;
-    if (octets.size() > std::size_t(INT32_MAX) || !in.ParseFromArray(octets.data(), int(octets.size())))
-        return std::nullopt;
-    if (!take(in.members(), out)) return std::nullopt;
-    return out;
+    if (!parse(bytes, in)) return std::nullopt;
+    return decode_members_from(in.members());
 }
 
 }  // namespace ochrehub::raft
--- a/src/fleet/raft/message.h
+++ b/src/fleet/raft/message.h
@@ -1,5 +1,6 @@
-// What keepers say to each other, and what they keep. Numbers of keepers are from 1 on, and never given to
-// another.
+// The messages between servers, named as in the Raft paper, and their encoding as protobuf
+// (proto/raft.proto). Responsible for rejecting malformed bytes; what a message causes is raft.h's.
+// Plain values and pure functions, safe on any thread.
 #pragma once
 
 #include <cstdint>
@@ -9,90 +10,96 @@
 #include <variant>
 #include <vector>
 
-namespace ochrehub::raft {
-
-using NodeId = std::uint32_t;
-
-struct Member {
-    NodeId id = 0;
-    bool voter = true;    ///< false: a learner, which is sent everything and counts for nothing
-    std::string address;  ///< for whoever carries messages
-    friend bool operator==(const Member&, const Member&) = default;
-};
-using Members = std::vector<Member>;  ///< by number, each once
+#include "fleet/raft/types.h"
 
-struct Entry {
-    enum class Kind : std::uint8_t { Data, NoOp, Configuration };
-    std::uint64_t term = 0;
-    Kind kind = Kind::Data;
-    std::string data;  ///< of Configuration: all members from here on, encoded
-    friend bool operator==(const Entry&, const Entry&) = default;
-};
-struct HardState {
-    std::uint64_t term = 0;
-    NodeId voted_for = 0;  ///< zero: nobody, in this term
-    friend bool operator==(const HardState&, const HardState&) = default;
-};
-struct Snapshot {
-    std::uint64_t last_included_index = 0, last_included_term = 0;  ///< of the last entry that is in it
-    Members members;
-    std::string state;
-    friend bool operator==(const Snapshot&, const Snapshot&) = default;
-};
+namespace ochrehub::raft {
 
+/// A candidate requests a vote.
 struct RequestVote {
-    std::uint64_t term = 0, last_index = 0, last_term = 0;
-    bool pre = false;       ///< would you, in this term
-    bool transfer = false;  ///< the leader wishes it: patience does not count
+    std::uint64_t term = 0;  ///< pre-vote: the term that the sender would campaign in
+    std::uint64_t last_log_index = 0;
+    std::uint64_t last_log_term = 0;
+    bool pre_vote = false;  ///< polls without changing any term (thesis, 9.6)
+    bool leadership_transfer =
+        false;  ///< the leader requested this election: voters don't wait for its timeout
     friend bool operator==(const RequestVote&, const RequestVote&) = default;
 };
+
 struct RequestVoteResponse {
-    std::uint64_t term = 0;
-    bool pre = false, granted = false;
+    std::uint64_t term = 0;  ///< of a granted pre-vote: the term that was polled
+    bool pre_vote = false;
+    bool vote_granted = false;
     friend bool operator==(const RequestVoteResponse&, const RequestVoteResponse&) = default;
 };
+
+/// The leader replicates entries, or sends a heartbeat where `entries` is empty.
 struct AppendEntries {
-    std::uint64_t term = 0, previous_index = 0, previous_term = 0, committed = 0;
-    std::uint64_t round =
-        0;  ///< rises with each that the leader sends; comes back, for read index and check quorum
-    std::vector<Entry> entries;
-    std::uint64_t trusts = 0;  ///< the doubt that is over: it has again all that it may have promised
+    std::uint64_t term = 0;
+    std::uint64_t prev_log_index = 0;
+    std::uint64_t prev_log_term = 0;
+    std::uint64_t leader_commit = 0;
+    /// Rises by one with each message of the leader; the response returns it, for read index and check
+    /// quorum.
+    std::uint64_t round = 0;
+    std::vector<Entry> entries;  ///< from prev_log_index + 1 on
+    /// Non-zero: the recovery that is complete. The receiver holds again all that it may have acknowledged.
+    std::uint64_t completed_recovery_id = 0;
     friend bool operator==(const AppendEntries&, const AppendEntries&) = default;
 };
+
 struct AppendEntriesResponse {
-    std::uint64_t term = 0, round = 0;
-    bool matches = false;
-    std::uint64_t index = 0;  ///< matches: on the disk up to here; else: look below this one
-    std::uint64_t doubt =
-        0;  ///< not zero: its disk is not trusted, and it counts for nothing; drawn at each such start
+    std::uint64_t term = 0;
+    std::uint64_t round = 0;
+    bool success = false;
+    /// Success: the log is durable and matches the leader's up to here. Failure: the first index to send
+    /// again.
+    std::uint64_t index = 0;
+    /// Non-zero: the sender lost stored data and counts for no majority. Random for each such start.
+    std::uint64_t recovery_id = 0;
     friend bool operator==(const AppendEntriesResponse&, const AppendEntriesResponse&) = default;
 };
-struct InstallSnapshot {  ///< of a snapshot
-    std::uint64_t term = 0, round = 0, index = 0, index_term = 0, offset = 0, size = 0;
+
+/// One chunk of a snapshot. Chunks arrive in order of their offset; others are dropped by the receiver.
+struct InstallSnapshot {
+    std::uint64_t term = 0;
+    std::uint64_t round = 0;  ///< as in AppendEntries
+    std::uint64_t last_included_index = 0;
+    std::uint64_t last_included_term = 0;
+    std::uint64_t offset = 0;      ///< of the chunk, bytes
+    std::uint64_t total_size = 0;  ///< of the snapshot's state, bytes
     Members members;
-    std::string octets;
+    std::string data;
     friend bool operator==(const InstallSnapshot&, const InstallSnapshot&) = default;
 };
+
 struct InstallSnapshotResponse {
-    std::uint64_t term = 0, round = 0, index = 0,
-                  next = 0;   ///< next: the offset that is wanted; the size: all of it is on the disk
-    std::uint64_t doubt = 0;  ///< as in Appended
+    std::uint64_t term = 0;
+    std::uint64_t round = 0;
+    std::uint64_t last_included_index = 0;
+    std::uint64_t next_offset = 0;  ///< expected next, bytes; total_size: the whole snapshot is durable
+    std::uint64_t recovery_id = 0;  ///< as in AppendEntriesResponse
     friend bool operator==(const InstallSnapshotResponse&, const InstallSnapshotResponse&) = default;
 };
+
+/// The leader requests that the receiver starts an election at once (thesis, 3.10).
 struct TimeoutNow {
     std::uint64_t term = 0;
     friend bool operator==(const TimeoutNow&, const TimeoutNow&) = default;
 };
+
 using Message = std::variant<RequestVote, RequestVoteResponse, AppendEntries, AppendEntriesResponse,
                              InstallSnapshot, InstallSnapshotResponse, TimeoutNow>;
 
-/// As protobuf (proto/raft.proto).
 std::string encode(const Message& message);
-/// Nothing where the octets are no message of this version. Reads none outside of them, whatever they claim.
-std::optional<Message> decode(std::string_view octets);
 
-/// An entry of Kind::Change bears these.
+/// Nothing where the bytes are no well-formed message of this version. A number of 2^60 or more, unsorted
+/// members, or a chunk that reaches beyond its snapshot are malformed too.
+std::optional<Message> decode(std::string_view bytes);
+
+/// The data of an entry of Kind::Configuration.
 std::string encode(const Members& members);
-std::optional<Members> decode_members(std::string_view octets);
+
+/// Nothing where the bytes are no list of members, or its ids are zero, unsorted or repeated.
+std::optional<Members> decode_members(std::string_view bytes);
 
 }  // namespace ochrehub::raft
--- a/tests/fleet/raft_test.cpp
+++ b/tests/fleet/raft_test.cpp
@@ -174,7 +174,7 @@
     EXPECT_TRUE(refused(g.happen(l, ChangeMembership{1, 9, false, ""}), Error::UnknownMember));
     auto known = g.happen(other, Propose{1, "a"});
     ASSERT_NE(find<Rejected>(known), nullptr);
-    EXPECT_EQ(find<Rejected>(known)->hint, l);
+    EXPECT_EQ(find<Rejected>(known)->leader_hint, l);
     g.happen(l, Propose{1, "a"});
     g.happen(l, Propose{2, "b"});
     EXPECT_TRUE(refused(g.happen(l, Propose{3, "c"}), Error::Busy));
@@ -284,7 +284,7 @@
     g.flying.clear();
     auto asked = g.happen(a, MessageReceived{b, RequestVote{g.at(a).term() + 1, 100, 100, false, true}});
     ASSERT_NE(find<SendMessage>(asked), nullptr);
-    EXPECT_FALSE(std::get<RequestVoteResponse>(find<SendMessage>(asked)->message).granted);
+    EXPECT_FALSE(std::get<RequestVoteResponse>(find<SendMessage>(asked)->message).vote_granted);
     g.off.clear();
     g.pass(Duration(5000));
     EXPECT_TRUE(g.at(a).storage_trusted());
@@ -304,7 +304,7 @@
     g.happen(1, MessageReceived{2, AppendEntries{1, 3, 1, 0, 2, {}}});
     const SendMessage* send = find<SendMessage>(g.keepers[1].all);
     ASSERT_NE(send, nullptr);
-    EXPECT_FALSE(std::get<AppendEntriesResponse>(send->message).matches);
+    EXPECT_FALSE(std::get<AppendEntriesResponse>(send->message).success);
     EXPECT_EQ(std::get<AppendEntriesResponse>(send->message).index, 3u);
 }
 
