--- a/lab/raft/main.cpp
+++ b/lab/raft/main.cpp
@@ -1,190 +1,152 @@
-// Long runs on agreement, beside the short ones in CI:
+// Long runs of the consensus simulation, by hand; CI has short ones:
 //   ochrehub_raft_lab seeds FROM COUNT [JOBS]
-//   ochrehub_raft_lab bench [PROPOSALS] [OCTETS] [AT ONCE]
-//   ochrehub_raft_lab saboteurs [SEEDS]
+//   ochrehub_raft_lab bench [PROPOSALS] [BYTES] [AT ONCE]
+//   ochrehub_raft_lab saboteurs [SEEDS]        (detects all mutants)
 //   ochrehub_raft_lab crashes [JOBS]
-//   ochrehub_raft_lab explore [DEPTH] [CRASHES] [WAKES] [DOUBLED]
+//   ochrehub_raft_lab explore [DEPTH] [CRASHES] [TIMERS] [DUPLICATES]
+// Exits with 0 where nothing was violated, with 1 where something was, with 2 on a wrong command line.
 #include <chrono>
+#include <cinttypes>
 #include <cstdio>
 #include <cstdlib>
-#include <deque>
-#include <functional>
 #include <mutex>
 #include <string>
-#include <tuple>
-#include <utility>
-#include <vector>
 
-#include "lab/raft/crashes.h"
-#include "lab/raft/explore.h"
-#include "lab/raft/saboteurs.h"
-#include "lab/raft/world.h"
+#include "lab/raft/bench.h"
+#include "lab/raft/crash_sweep.h"
+#include "lab/raft/exploration.h"
+#include "lab/raft/mutants.h"
+#include "lab/raft/random_faults.h"
 #include "lab/record/parallel.h"
 
 using namespace ochrehub::lab;
 
 namespace {
 
-int seeds(std::uint64_t from, std::uint64_t count, int jobs) {
-    std::mutex guard;
-    std::map<std::string, std::uint64_t> counts;
-    std::uint64_t wrong = 0, agreed = 0, terms = 0, calls = 0, events = 0;
+using Seconds = std::chrono::duration<double>;
+
+int run_seeds(std::uint64_t from, std::uint64_t count, int jobs) {
+    std::mutex mutex;
+    RandomFaultResult total;
+    std::uint64_t faulty = 0;
     in_parallel(std::size_t(count), jobs, [&](std::size_t i) {
-        ChaosSettings set;
-        set.seed = from + i;
-        ChaosResult r = chaos(set);
-        std::lock_guard lock(guard);
-        for (const auto& [name, n] : r.counts) counts[name] += n;
-        agreed += r.agreed, terms += r.terms, calls += r.calls, events += r.events;
-        if (r.broken.empty()) return;
-        ++wrong;
-        for (const std::string& what : r.broken)
-            std::printf("seed %llu: %s\n", (unsigned long long)(from + i), what.c_str());
+        RandomFaultSettings settings;
+        settings.seed = from + i;
+        RandomFaultResult result = run_random_faults(settings);
+        std::lock_guard lock(mutex);
+        for (const auto& [name, n] : result.counts) total.counts[name] += n;
+        total.committed += result.committed;
+        total.terms_with_leader += result.terms_with_leader;
+        total.operations += result.operations;
+        total.events += result.events;
+        faulty += !result.violations.empty();
+        for (const std::string& violation : result.violations)
+            std::printf("seed %" PRIu64 ": %s\n", settings.seed, violation.c_str());
     });
-    std::printf(
-        "%llu seeds, %llu wrong; %llu events, %llu entries agreed on, %llu terms with a leader, %llu calls "
-        "judged\n",
-        (unsigned long long)count, (unsigned long long)wrong, (unsigned long long)events,
-        (unsigned long long)agreed, (unsigned long long)terms, (unsigned long long)calls);
-    for (const auto& [name, n] : counts) std::printf("  %s: %llu\n", name.c_str(), (unsigned long long)n);
-    return wrong == 0 ? 0 : 1;
+    std::printf("%" PRIu64 " seeds, %" PRIu64 " with violations; %" PRIu64 " events, %" PRIu64
+                " committed entries, %" PRIu64 " terms with a leader, %" PRIu64 " operations checked\n",
+                count, faulty, total.events, total.committed, total.terms_with_leader, total.operations);
+    for (const auto& [name, n] : total.counts) std::printf("  %s: %" PRIu64 "\n", name.c_str(), n);
+    return faulty == 0 ? 0 : 1;
 }
 
-/// Three cores that hand each other encoded messages and whose writes are done at once.
-int bench(std::uint64_t proposals, std::size_t octets, std::size_t at_once) {
-    using namespace ochrehub;
-    std::vector<raft::Raft> cores;
-    std::deque<std::tuple<raft::NodeId, raft::NodeId, std::string>> links;
-    std::uint64_t agreed = 0, bytes = 0, messages = 0;
-    double now = 0;
-    std::function<void(raft::NodeId, const raft::Event&)> tell = [&](raft::NodeId id,
-                                                                     const raft::Event& event) {
-        raft::Actions out;
-        cores[id - 1].handle(TimePoint{Duration{now}}, event, out);
-        std::uint64_t written = 0;
-        for (raft::Action& action : out) {
-            if (auto* send = std::get_if<raft::SendMessage>(&action)) {
-                links.emplace_back(id, send->to, raft::encode(send->message));
-                bytes += std::get<2>(links.back()).size(), ++messages;
-            }
-            if (auto* write = std::get_if<raft::Write>(&action)) written = write->number;
-            if (auto* applied = std::get_if<raft::ApplyEntry>(&action)) agreed += applied->id != 0;
-        }
-        if (written != 0) tell(id, raft::WriteCompleted{written});
-    };
-    auto settle = [&] {
-        while (!links.empty()) {
-            auto [from, to, text] = std::move(links.front());
-            links.pop_front();
-            tell(to, raft::MessageReceived{from, *raft::decode(text)});
-        }
-    };
-    raft::PersistentState disk;
-    for (raft::NodeId id = 1; id <= 3; ++id) disk.initial_members.push_back({id, true, {}});
-    for (raft::NodeId id = 1; id <= 3; ++id) {
-        raft::Settings set;
-        set.self = id;
-        cores.emplace_back(set, disk, id);
-    }
-    for (raft::NodeId id = 1; id <= 3; ++id) tell(id, raft::TimerFired{});
-    now = 2500;
-    tell(1, raft::TimerFired{});
-    settle();
-    auto began = std::chrono::steady_clock::now();
-    std::string data(octets, 'x');
-    for (std::uint64_t i = 0; i < proposals; i += at_once) {
-        for (std::uint64_t k = 0; k < at_once; ++k) tell(1, raft::Propose{i + k + 1, data});
-        settle();
-        now += 0.01;
-        if (i % 100'000 < at_once) {
-            now += 100;
-            for (raft::NodeId id = 1; id <= 3; ++id)
-                tell(id, raft::SnapshotTaken{cores[id - 1].commit_index(), "state"});
-            tell(1, raft::TimerFired{}), settle();
-        }
-    }
-    double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    std::printf(
-        "%llu proposals of %zu octets, %zu at once: %.0f a second, %.2f messages and %.0f octets each\n",
-        (unsigned long long)agreed, octets, at_once, double(agreed) / seconds,
-        double(messages) / double(agreed), double(bytes) / double(agreed));
-    return agreed == 0;
+int run_bench(const RaftBenchSettings& settings) {
+    RaftBenchResult result = run_raft_bench(settings);
+    auto committed = double(result.committed);
+    std::printf("%" PRIu64
+                " proposals of %zu bytes, %zu at once: %.0f a second, %.2f messages and %.0f bytes each\n",
+                result.committed, settings.proposal_bytes, settings.at_once, committed / result.seconds,
+                double(result.messages) / committed, double(result.message_bytes) / committed);
+    return result.committed == 0 ? 1 : 0;
 }
 
-int saboteurs(std::uint64_t most) {
+int detect_mutants(std::uint64_t max_seed) {
     int missed = 0;
-    for (const Saboteur& saboteur : raft_saboteurs()) {
-        Caught caught = catch_saboteur(saboteur, most);
-        missed += caught.what.empty();
-        std::string where = caught.seed == 0 ? "in its scene" : "seed " + std::to_string(caught.seed);
-        std::printf("%s: %s: %s\n", saboteur.name.c_str(), where.c_str(),
-                    caught.what.empty() ? "NOT FOUND" : caught.what.c_str());
+    for (const RaftMutant& mutant : raft_mutants()) {
+        MutantDetection detection = detect_mutant(mutant, max_seed);
+        bool found = !detection.violation.empty();
+        missed += !found;
+        std::string where =
+            detection.seed == 0 ? "in its scenario" : "seed " + std::to_string(detection.seed);
+        std::printf("%s: %s: %s\n", mutant.name.c_str(), where.c_str(),
+                    found ? detection.violation.c_str() : "NOT FOUND");
     }
     return missed == 0 ? 0 : 1;
 }
 
-int explore(int depth, int crashes, int wakes, int doubled) {
-    using From = RaftExploration::From;
-    bool wrong = false;
-    for (From from : {From::Start, From::Candidates, From::Leader, From::OldLeader, From::Removal}) {
-        RaftExploration e;
-        e.from = from;
-        e.depth = depth;
-        e.crashes = crashes;
-        e.wakes = wakes;
-        e.doubled = doubled;
-        e.reads = from == From::OldLeader ? 1 : 0;
+int run_exploration(int depth, const EventBudget& budget) {
+    bool violated = false;
+    for (ExplorationStart start :
+         {ExplorationStart::Empty, ExplorationStart::Candidates, ExplorationStart::Leader,
+          ExplorationStart::OldLeader, ExplorationStart::Removal}) {
+        ExplorationSettings settings;
+        settings.start = start;
+        settings.depth = depth;
+        settings.budget = budget;
+        settings.budget.reads = start == ExplorationStart::OldLeader ? 1 : 0;
         auto began = std::chrono::steady_clock::now();
-        RaftExplored r = explore_raft(e);
-        double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-        std::printf("%s, depth %d: %llu states by %llu steps, %zu broken, %.1f s\n", name(from).c_str(),
-                    depth, (unsigned long long)r.states, (unsigned long long)r.steps, r.broken.size(),
-                    seconds);
-        for (const std::string& what : r.broken) std::printf("  %s\n", what.c_str());
+        ExplorationResult result = explore_raft(settings);
+        Seconds elapsed = std::chrono::steady_clock::now() - began;
+        std::printf("%s, depth %d: %" PRIu64 " states by %" PRIu64 " steps, %zu violations, %.1f s\n",
+                    name(start).c_str(), depth, result.states, result.steps, result.violations.size(),
+                    elapsed.count());
+        for (const std::string& violation : result.violations) std::printf("  %s\n", violation.c_str());
         std::fflush(stdout);
-        wrong = wrong || !r.broken.empty();
+        violated = violated || !result.violations.empty();
     }
-    return wrong ? 1 : 0;
+    return violated ? 1 : 0;
 }
 
-int crashes(int jobs) {
-    std::mutex guard;
-    std::uint64_t runs = 0, wrong = 0;
+/// A crash after each event of the scripted run, with each fate of unsynced writes.
+int run_crashes(int jobs) {
+    constexpr std::size_t kFates = 3;  ///< of unsynced writes
+    constexpr std::uint64_t kEventsAtATime = 300;
+    std::mutex mutex;
+    std::uint64_t runs = 0;
+    std::uint64_t faulty = 0;
     bool more = true;
-    for (std::uint64_t from = 1; more; from += 300) {
+    for (std::uint64_t from = 1; more; from += kEventsAtATime) {
         more = false;
-        in_parallel(900, jobs, [&](std::size_t i) {
-            CrashDay day = crash_day(from + i / 3, Keeps(i % 3));
-            std::lock_guard lock(guard);
-            if (!day.reached) return;
-            more = more || i / 3 == 299;
+        in_parallel(std::size_t(kEventsAtATime * kFates), jobs, [&](std::size_t i) {
+            CrashRunSettings settings;
+            settings.crash_after_event = from + i / kFates;
+            settings.unsynced = UnsyncedWrites(i % kFates);
+            CrashRunResult result = run_with_crash(settings);
+            std::lock_guard lock(mutex);
+            if (!result.crashed) return;
+            more = more || i / kFates == kEventsAtATime - 1;
             ++runs;
-            if (day.broken.empty()) return;
-            ++wrong;
-            std::printf("event %llu, %zu: %s\n", (unsigned long long)(from + i / 3), i % 3,
-                        day.broken[0].c_str());
+            if (result.violations.empty()) return;
+            ++faulty;
+            std::printf("event %" PRIu64 ", unsynced writes %zu: %s\n", settings.crash_after_event,
+                        i % kFates, result.violations[0].c_str());
         });
     }
-    std::printf("%llu crashes, %llu wrong\n", (unsigned long long)runs, (unsigned long long)wrong);
-    return wrong == 0 ? 0 : 1;
+    std::printf("%" PRIu64 " crashes, %" PRIu64 " with violations\n", runs, faulty);
+    return faulty == 0 ? 0 : 1;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    std::string what = argc > 1 ? argv[1] : "";
-    auto number = [&](int i, std::uint64_t otherwise) {
-        return argc > i ? std::strtoull(argv[i], nullptr, 10) : otherwise;
+    std::string command = argc > 1 ? argv[1] : "";
+    auto number = [&](int position, std::uint64_t fallback) -> std::uint64_t {
+        return argc > position ? std::strtoull(argv[position], nullptr, 10) : fallback;
     };
-    if (what == "seeds") return seeds(number(2, 1), number(3, 100), int(number(4, 2)));
-    if (what == "saboteurs") return saboteurs(number(2, 200));
-    if (what == "explore")
-        return explore(int(number(2, 6)), int(number(3, 1)), int(number(4, 2)), int(number(5, 1)));
-    if (what == "crashes") return crashes(int(number(2, 2)));
-    if (what == "bench")
-        return bench(number(2, 300'000), std::size_t(number(3, 100)), std::size_t(number(4, 1)));
+    if (command == "seeds") return run_seeds(number(2, 1), number(3, 100), int(number(4, 2)));
+    if (command == "saboteurs") return detect_mutants(number(2, 200));
+    if (command == "crashes") return run_crashes(int(number(2, 2)));
+    if (command == "explore") {
+        EventBudget budget;
+        budget.crashes = int(number(3, 1));
+        budget.timers = int(number(4, 2));
+        budget.duplicates = int(number(5, 1));
+        return run_exploration(int(number(2, 6)), budget);
+    }
+    if (command == "bench")
+        return run_bench({number(2, 300'000), std::size_t(number(3, 100)), std::size_t(number(4, 1))});
     std::fprintf(stderr,
-                 "usage: ochrehub_raft_lab seeds FROM COUNT [JOBS] | bench [PROPOSALS] [OCTETS] [AT ONCE] | "
-                 "saboteurs [SEEDS] | crashes [JOBS] | explore [DEPTH] [CRASHES] [WAKES] [DOUBLED]\n");
+                 "usage: ochrehub_raft_lab seeds FROM COUNT [JOBS] | bench [PROPOSALS] [BYTES] [AT ONCE] | "
+                 "saboteurs [SEEDS] | crashes [JOBS] | explore [DEPTH] [CRASHES] [TIMERS] [DUPLICATES]\n");
     return 2;
 }
