--- a/lab/leadership/message.h
+++ b/lab/leadership/message.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fleet/coordinator/machine.h"
-#include "fleet/fencing/fence.h"
+#include "fleet/fencing/fencing_guard.h"
 
 namespace ochrehub::lab::leadership {
 
--- a/lab/leadership/world.cpp
+++ b/lab/leadership/world.cpp
@@ -81,7 +81,7 @@
 
     World& world;
     std::size_t self;
-    fencing::Fence fence{{}};
+    fencing::FencingGuard fence{{}};
     std::vector<std::string> disk;
     Timers timers;
     std::map<std::pair<std::string, std::uint64_t>, Message> doing;
@@ -90,14 +90,14 @@
     std::set<std::pair<std::string, std::uint64_t>> landed;
 
     void write() {
-        for (std::string& one : fence.to_write()) disk.push_back(std::move(one));
+        for (std::string& one : fence.take_records()) disk.push_back(std::move(one));
     }
     void started() {
         timers.clear();
         for (const auto& [key, message] : doing)
             if (!landed.contains({key.first, message.item})) unknown.insert({key.first, message.item});
         doing.clear();
-        fence = fencing::Fence({});
+        fence = fencing::FencingGuard({});
         for (const std::string& one : disk) fence.replay(one);
     }
     void answer(std::size_t to, Message m, Verdict verdict) {
@@ -108,47 +108,47 @@
     void received(std::size_t from, TimePoint own, const Message& m) {
         const Saboteur saboteur = world.set_.saboteur;
         if (m.kind == Message::Kind::Look) {
-            fencing::Answer a = fence.look(m.what, m.epoch, m.step);
+            fencing::Response a = fence.query_step(m.what, m.epoch, m.step);
             saw(m, a.verdict);
             write();
             return answer(from, m, a.verdict);
         }
         if (m.kind == Message::Kind::Retire) {
-            fencing::Answer a = fence.retire(m.what, m.epoch);
+            fencing::Response a = fence.retire(m.what, m.epoch);
             if (saboteur == Saboteur::ForgetsRetired) {
                 std::vector<std::string> left;
                 for (std::string& one : fence.snapshot())
                     if (one.substr(10, std::size_t(one[9])) != m.what) left.push_back(std::move(one));
                 disk = left;
-                fence = fencing::Fence({});
+                fence = fencing::FencingGuard({});
                 for (const std::string& one : disk) fence.replay(one);
             }
             write();
             return answer(from, m, a.verdict);
         }
-        fencing::Answer a = fence.begin(m.what, m.epoch, m.step);
+        fencing::Response a = fence.begin_step(m.what, m.epoch, m.step);
         saw(m, a.verdict);
         auto newer = newest.find(m.what);
         if (newer != newest.end() && newer->second.first > m.epoch)
             world.records_.refused.push_back(
                 {world.net_.now(), self, from, m.what, m.epoch, world.net_.now() - newer->second.second});
         if (saboteur != Saboteur::EffectBeforeWritten) write();
-        bool unfenced = saboteur == Saboteur::NoFence && a.verdict == Verdict::Stale;
-        if (a.verdict != Verdict::Do && !unfenced) return answer(from, m, a.verdict);
+        bool unfenced = saboteur == Saboteur::NoFence && a.verdict == Verdict::StaleEpoch;
+        if (a.verdict != Verdict::Execute && !unfenced) return answer(from, m, a.verdict);
         doing[{m.what, m.step}] = m;
         timers.at(own + Duration{0.5}, [this, from, m](TimePoint t) {
             landed.insert({m.what, m.item});
             world.records_.effects.push_back({world.net_.now(), self, from, m.what, m.epoch, m.item});
             timers.at(t + Duration{0.5}, [this, from, m](TimePoint) {
                 doing.erase({m.what, m.step});
-                fence.done(m.what, m.step, "");
+                fence.complete_step(m.what, m.step, "");
                 write();
-                answer(from, m, Verdict::Done);
+                answer(from, m, Verdict::Executed);
             });
         });
     }
     void saw(const Message& m, Verdict verdict) {
-        if (verdict == Verdict::Stale || verdict == Verdict::Malformed) return;
+        if (verdict == Verdict::StaleEpoch || verdict == Verdict::Malformed) return;
         auto& known = newest[m.what];
         if (m.epoch > known.first) known = {m.epoch, world.net_.now()};
     }
@@ -355,18 +355,18 @@
             return;
         }
         if (m.index != 1) run.flying = false;
-        if (m.verdict == Verdict::Stale || m.verdict == Verdict::Behind) return;
+        if (m.verdict == Verdict::StaleEpoch || m.verdict == Verdict::EpochForgotten) return;
         if (world.set_.endless) {
             if (m.index == 1) run.told.insert(from - world.receiver(0));
-            if (m.verdict == Verdict::Done && m.index != 1 && m.item == (run.epoch << 24) + run.next + 1)
+            if (m.verdict == Verdict::Executed && m.index != 1 && m.item == (run.epoch << 24) + run.next + 1)
                 ++run.next;
             return;
         }
         if (m.item == 0 || m.item > run.items.size()) return;
         Item& item = run.items[m.item - 1];
-        if (m.verdict == Verdict::Never && item == Item::Unknown) item = Item::Todo;
-        if (m.verdict == Verdict::Done || m.verdict == Verdict::Settled) item = Item::Done;
-        if (m.verdict == Verdict::Doing) {
+        if (m.verdict == Verdict::NotExecuted && item == Item::Unknown) item = Item::Todo;
+        if (m.verdict == Verdict::Executed || m.verdict == Verdict::Settled) item = Item::Done;
+        if (m.verdict == Verdict::PossiblyExecuted) {
             // It ends soon, or ended with a crash of the receiver: what became of it nobody knows, and it is
             // not done again.
             TimePoint since = run.doing.try_emplace(m.item, own).first->second;
--- a/lab/leadership/world.h
+++ b/lab/leadership/world.h
@@ -1,7 +1,7 @@
 // Owners, receivers and keepers in virtual time: duties are jobs of so many items, each an effect at a
-// receiver. Owners are leadership::Owner as shipped, receivers have fencing::Fence as shipped and a disk;
-// faults come from a script, an event's number or a seed. The verdict is made from the receivers' records
-// alone.
+// receiver. Owners are leadership::Owner as shipped, receivers have fencing::FencingGuard as shipped and a
+// disk; faults come from a script, an event's number or a seed. The verdict is made from the receivers'
+// records alone.
 #pragma once
 
 #include <memory>
--- a/src/fleet/leadership/machine.h
+++ b/src/fleet/leadership/machine.h
@@ -1,7 +1,7 @@
 // The keepers' machine of duties: for each piece of work one owner at a time, a session, under an epoch.
 // Epochs of all duties come from one counter that never goes back, so that a duty which vanished and came
 // again is granted under a higher one than ever before, and a receiver may forget single duties behind a
-// bound (fencing::Fence::retire).
+// bound (fencing::FencingGuard::retire).
 //
 // Two kinds: a standing duty has a name and is there while somebody wants it; a job is opened, is named by a
 // number that is never given twice, ends once (`end_job`: from then on nothing of it is done, its owner only
