--- a/src/app/keeper.cpp
+++ b/src/app/keeper.cpp
@@ -60,9 +60,9 @@
     try {
         if (access(folder.c_str(), R_OK | X_OK) != 0) throw std::system_error(errno, std::generic_category());
         store::PosixFiles files(folder);
-        std::string report = store::Log::verify(files, {coordinator::folder_cluster(cluster)});
-        std::fputs(report.c_str(), stdout);
-        return report.find(": LOST: ") == std::string::npos ? 0 : 1;
+        store::Log::Report report = store::Log::verify(files, {coordinator::folder_cluster(cluster)});
+        std::fputs(report.text.c_str(), stdout);
+        return report.data_lost ? 1 : 0;
     } catch (const std::exception& error) {
         std::fprintf(stderr, "cannot read %s: %s\n", folder.c_str(), error.what());
         return 2;
--- a/src/fleet/coordinator/storing.cpp
+++ b/src/fleet/coordinator/storing.cpp
@@ -81,9 +81,10 @@
     log_ = std::make_unique<store::Log>(*files_, settings.log);
     // Begun, and nothing is left of it; or its number's earlier folder is gone, and it has had nothing from
     // others yet.
-    bool bare = log_->last() == 0 && !log_->snapshot();
-    bool gone = (first && log_->found() == store::Found::Empty) || (bare && told->second == "lost");
-    if (gone && !log_->lose()) throw store::StoreError(std::strerror(log_->why()));
+    bool bare = log_->last_index() == 0 && !log_->snapshot();
+    bool gone = (first && log_->recovery_result() == store::RecoveryResult::Empty) ||
+                (bare && told->second == "lost");
+    if (gone && !log_->mark_data_lost()) throw store::StoreError(std::strerror(log_->failure()));
     if (log_->snapshot() && !read_stored(log_->snapshot()->data))
         throw FolderError(Error::Behind, "the snapshot");
 }
@@ -100,22 +101,24 @@
 raft::PersistentState Storing::disk() const {
     raft::PersistentState disk;
     const store::Log& log = *log_;
-    disk.hard_state.term = log.vote().term;
-    disk.hard_state.voted_for = log.vote().who.empty() ? 0 : raft::NodeId(std::stoul(log.vote().who));
+    disk.hard_state.term = log.hard_state().term;
+    disk.hard_state.voted_for =
+        log.hard_state().voted_for.empty() ? 0 : raft::NodeId(std::stoul(log.hard_state().voted_for));
     if (log.snapshot()) {
         auto [members, state] = *read_stored(log.snapshot()->data);
         disk.snapshot =
-            raft::Snapshot{log.snapshot()->index, log.snapshot()->term, std::move(members), std::move(state)};
+            raft::Snapshot{log.snapshot()->last_included_index, log.snapshot()->last_included_term,
+                           std::move(members), std::move(state)};
     }
-    disk.first_index = log.first();
-    for (std::uint64_t i = log.first(); i <= log.last(); ++i) {
+    disk.first_index = log.first_index();
+    for (std::uint64_t i = log.first_index(); i <= log.last_index(); ++i) {
         const store::Entry& entry = log.entry(i);
         raft::Entry one{entry.term, raft::Entry::Kind::NoOp, {}};
         if (!entry.data.empty()) one.kind = raft::Entry::Kind(entry.data[0]), one.data = entry.data.substr(1);
         disk.entries.push_back(std::move(one));
     }
     disk.initial_members = members_;
-    disk.trusted = log.found() != store::Found::Lost;
+    disk.trusted = log.recovery_result() != store::RecoveryResult::DataLost;
     return disk;
 }
 
@@ -147,7 +150,7 @@
         }
         bool good = true;
         for (raft::Write& write : batch) good = good && carry_out(write);
-        if (!good || !log_->sync()) return failed_(log_->why());
+        if (!good || !log_->sync()) return failed_(log_->failure());
         writes_.fetch_add(batch.size(), std::memory_order_relaxed);
         syncs_.fetch_add(1, std::memory_order_relaxed);
         written_(batch.back().number);
@@ -157,15 +160,17 @@
 bool Storing::carry_out(raft::Write& write) {
     store::Log& log = *log_;
     if (write.hard_state)
-        log.vote({write.hard_state->term,
-                  write.hard_state->voted_for == 0 ? "" : std::to_string(write.hard_state->voted_for)});
-    if (write.truncate_from) log.cut(*write.truncate_from);
+        log.set_hard_state({write.hard_state->term, write.hard_state->voted_for == 0
+                                                        ? ""
+                                                        : std::to_string(write.hard_state->voted_for)});
+    if (write.truncate_from) log.truncate(*write.truncate_from);
     for (raft::Entry& entry : write.append)
         log.append({entry.term, char(entry.kind) + std::move(entry.data)});
-    if (write.snapshot && !log.save({write.snapshot->last_included_index, write.snapshot->last_included_term,
-                                     stored(write.snapshot->members, write.snapshot->state)}))
+    if (write.snapshot &&
+        !log.save_snapshot({write.snapshot->last_included_index, write.snapshot->last_included_term,
+                            stored(write.snapshot->members, write.snapshot->state)}))
         return false;
-    return !write.recovered || log.caught_up();
+    return !write.recovered || log.mark_recovered();
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/storing.h
+++ b/src/fleet/coordinator/storing.h
@@ -56,7 +56,7 @@
 
     /// Before `start`.
     raft::PersistentState disk() const;
-    store::Found found() const { return log_->found(); }
+    store::RecoveryResult found() const { return log_->recovery_result(); }
     /// `written` and `failed` (once, with an errno) on the storing thread.
     void start(std::function<void(std::uint64_t number)> written, std::function<void(int)> failed);
     /// From any thread.
--- a/src/fleet/store/files.h
+++ b/src/fleet/store/files.h
@@ -1,34 +1,35 @@
-// The seam for files: what a store asks of a disk. POSIX behind it in a process; in tests a disk that tears,
-// loses, fills up and fails at call N. Calls block; whoever owns a store gives it a thread of its own.
+// The interface to one directory of files that a store writes through, so that tests can inject crashes and
+// errors. Responsible for nothing but the calls; POSIX is behind it in a process (posix_files.h).
+// Calls block as long as the disk does; not thread-safe unless an implementation says so.
 #pragma once
 
-#include <cstdint>
 #include <string>
 #include <string_view>
 #include <vector>
 
 namespace ochrehub::store {
 
-/// Zero, or an errno. Names are of one folder, without a path.
+/// An errno; zero: success.
 using Error = int;
 
+/// Names are those of files in the directory, without a path.
 class Files {
 public:
     virtual ~Files() = default;
 
-    /// Nobody else has the folder from now on, until this is gone. EWOULDBLOCK: somebody has.
+    /// Takes the directory for this object until its end. EWOULDBLOCK: another process holds it.
     virtual Error lock() = 0;
     virtual Error list(std::vector<std::string>& names) = 0;
-    /// All of it.
+    /// The whole file.
     virtual Error read(const std::string& name, std::string& bytes) = 0;
-    /// At its end; made where it is missing. Some of it may be there though it failed.
+    /// Appends; creates the file where it is missing. On an error a part may have been written.
     virtual Error append(const std::string& name, std::string_view bytes) = 0;
-    /// What was appended outlives a crash from here on. Once that failed, nothing is known of what was
-    /// appended since the last.
+    /// Makes what was appended durable. After an error, whatever was appended since the last success may or
+    /// may not be durable.
     virtual Error sync(const std::string& name) = 0;
     virtual Error rename(const std::string& from, const std::string& to) = 0;
     virtual Error remove(const std::string& name) = 0;
-    /// Names that were made, changed and removed outlive a crash from here on.
+    /// Makes the creation, renaming and removal of files durable.
     virtual Error sync_names() = 0;
 };
 
--- a/src/fleet/store/log.h
+++ b/src/fleet/store/log.h
@@ -1,11 +1,6 @@
-// What a keeper has written down: entries, its vote, snapshots. Records with checksums in segments; what is
-// appended counts once `sync` has said so, all of it at once (group commit). A sync that failed is fatal:
-// nothing goes on as though it were written. Not for two threads; calls block as long as the disk does.
-//
-// A record: length 4, checksum 8 (xxHash64, seeded by the cluster), then its payload: kind 1, number 8,
-// synced 8, index 8, term 8, data. Numbers rise by one over all segments. `synced` is the last number that
-// was known to be on the disk when the record was written: that is what tells a tail that a crash tore, which
-// nobody was promised, from a record that was promised and is gone.
+// The durable log of a consensus server: entries, its vote, snapshots. Responsible for what is readable after
+// a crash or damage, and for telling a torn tail from lost data; the format is format.h's, disk access
+// files.h's. Not thread-safe; calls block as long as the disk does. No clock.
 #pragma once
 
 #include <cstddef>
@@ -15,14 +10,14 @@
 #include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "fleet/store/files.h"
+#include "fleet/store/format.h"
 
 namespace ochrehub::store {
 
-/// what() names the file and what is wrong with it.
+/// The directory can't be used. what() names the file and what is wrong with it.
 struct StoreError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -32,111 +27,137 @@
     std::string data;
     friend bool operator==(const Entry&, const Entry&) = default;
 };
-struct Vote {
+/// The paper's currentTerm and votedFor.
+struct HardState {
     std::uint64_t term = 0;
-    std::string who;  ///< empty: nobody, in this term
-    friend bool operator==(const Vote&, const Vote&) = default;
+    std::string voted_for;  ///< in this term; empty: nobody
+    friend bool operator==(const HardState&, const HardState&) = default;
 };
 struct Snapshot {
-    std::uint64_t index = 0, term = 0;  ///< of the last entry that is in it
+    std::uint64_t last_included_index = 0;
+    std::uint64_t last_included_term = 0;
     std::string data;
     friend bool operator==(const Snapshot&, const Snapshot&) = default;
 };
 
-/// How it was found.
-enum class Found {
-    Empty,  ///< nothing was ever written here
-    Whole,
-    Torn,  ///< its tail was: nothing that was promised is missing
-    Lost,  ///< something that was promised is gone. Stays so, over restarts, until `caught_up`
+/// What was found when the directory was opened.
+enum class RecoveryResult {
+    Empty,  ///< nothing was ever stored
+    Intact,
+    TornTail,  ///< a crash tore the end: nothing that was synced is missing
+    DataLost,  ///< synced data is missing. Remains so, over restarts, until mark_recovered()
 };
 
+/// A log in segments, and at most one snapshot.
+///
+///     open -> appending -- sync() or save_snapshot() fails --> failed
+///
+/// What is appended is readable at once and durable once sync() returns true, all of it together (group
+/// commit). After a failure nothing more is written, because the disk's content is unknown: every later sync
+/// fails too.
+///
+/// Each record holds the number of the last record that was durable when it was written. That tells apart a
+/// tail that a crash tore, which was never acknowledged, from a record that had been synced and is gone.
 class Log {
 public:
     struct Settings {
-        std::uint64_t cluster = 0;  ///< a fingerprint: a folder of another cluster's is not read
-        std::size_t segment = 8 << 20, record_most = 4 << 20;  ///< octets
+        std::uint64_t cluster_fingerprint = 0;   ///< files of another cluster are rejected
+        std::size_t segment_bytes = 8 << 20;     ///< a new segment begins after a sync beyond this
+        std::size_t max_record_bytes = 4 << 20;  ///< of an entry's data
     };
 
-    /// Locks the folder and reads it. Throws StoreError: locked, another cluster's, of another version,
-    /// unreadable.
+    /// Locks the directory and reads it. `files` must outlive the log. Throws StoreError: locked, of another
+    /// cluster or version, unreadable, or not writable.
     Log(Files& files, const Settings& settings);
 
-    Found found() const { return found_; }
-    /// It has all again that it may have promised, by another's word.
-    bool caught_up();
-    /// Whoever has it knows that something was promised which is not here: Lost from now on, until
-    /// `caught_up`.
-    bool lose();
-
-    // What is there, appended things included, synced or not.
-    std::uint64_t first() const {
-        return first_;
-    }  ///< index of the first entry; above `last` where there is none
-    std::uint64_t last() const { return first_ + entries_.size() - 1; }
-    const Entry& entry(std::uint64_t index) const { return entries_.at(index - first_); }
-    std::uint64_t term(std::uint64_t index) const;  ///< also of the snapshot's last; 0: not known
-    const Vote& vote() const { return vote_; }
+    RecoveryResult recovery_result() const { return recovery_result_; }
+    /// The server holds again all that it may have acknowledged. False: failed.
+    bool mark_recovered();
+    /// The caller knows that acknowledged data is missing: DataLost from now on. False: failed.
+    bool mark_data_lost();
+
+    // The log's content, including what is not synced.
+    std::uint64_t first_index() const { return first_index_; }  ///< may be last_index() + 1
+    std::uint64_t last_index() const { return first_index_ + entries_.size() - 1; }
+    /// `index`: from first_index() to last_index(); throws std::out_of_range elsewhere.
+    const Entry& entry(std::uint64_t index) const { return entries_.at(index - first_index_); }
+    /// Also of the snapshot's last included entry; zero: unknown.
+    std::uint64_t term_at(std::uint64_t index) const;
+    const HardState& hard_state() const { return hard_state_; }
     const std::optional<Snapshot>& snapshot() const { return snapshot_; }
 
-    // To be made good by the next sync.
-    void append(Entry entry);      ///< at last() + 1
-    void cut(std::uint64_t from);  ///< entries from this index on are gone
-    void vote(Vote vote);
-    /// All before is on the disk. False: it is not, and nothing ever will be: `broken`.
+    // Changes, durable after the next sync(). Each throws std::length_error where its data is too long.
+    void append(Entry entry);           ///< at last_index() + 1
+    void truncate(std::uint64_t from);  ///< deletes the entries from `from` on
+    void set_hard_state(HardState hard_state);
+    /// Makes all changes durable. False: failed.
     bool sync();
-    /// Takes the place of the entries up to its index; of all where it goes beyond them. On the disk when it
-    /// returns true.
-    bool save(Snapshot snapshot);
+    /// Replaces the entries up to the snapshot's index; all of them where the log has another entry there, or
+    /// none. Durable when it returns true. False: failed.
+    bool save_snapshot(Snapshot snapshot);
 
-    bool broken() const { return why_ != 0; }
-    int why() const { return why_; }  ///< the errno that broke it
+    bool failed() const { return failure_ != 0; }
+    Error failure() const { return failure_; }  ///< what failed first; zero: nothing
 
-    /// For `verify`: reads a folder without changing it. One line a file, then what is found.
-    static std::string verify(Files& files, const Settings& settings);
+    struct Report {
+        std::string text;        ///< one line for each file, then one for the log
+        bool data_lost = false;  ///< see RecoveryResult::DataLost
+    };
+    /// Reads a directory without locking or changing it. Throws StoreError.
+    static Report verify(Files& files, const Settings& settings);
 
 private:
-    enum class Kind : std::uint8_t { Entry = 1, Cut, Vote };
-    struct Record {
-        Kind kind = Kind::Entry;
-        std::uint64_t number = 0, synced = 0, index = 0, term = 0;
-        std::string_view data;
+    struct Segment {
+        std::string name;
+        std::uint64_t max_index = 0;  ///< the highest index of an entry that it may hold
     };
-    struct Look {  ///< what a reading came to
+    /// What reading the directory has found.
+    struct ReadResult {
         std::string report;
-        bool torn = false, lost = false, any = false;
-        std::string damaged, prefix;      ///< the first segment that is not whole, and what of it is
-        std::vector<std::string> behind;  ///< segments that are not believed since
+        bool torn = false;  ///< a segment has an incomplete end that was never synced
+        bool data_lost = false;
+        bool any_file = false;
+        std::string damaged_segment;              ///< the first that is not whole; empty: none
+        std::string intact_prefix;                ///< of the damaged segment; empty: not a record
+        std::vector<std::string> later_segments;  ///< after the damaged one: not used
     };
 
-    Log(Files& files, const Settings& settings, Look& look);
-    static std::optional<Record> parse(std::string_view bytes, std::size_t at, std::uint64_t cluster,
-                                       std::size_t most, std::size_t& size);
-    void read(Look& look);
-    void read_segment(const std::string& name, bool first, Look& look);
-    void set_aside(const Look& look);
-    bool promised(std::string_view rest) const;
-    void take(const Record& record, Look& look);
-    void read_snapshot(const std::string& name, Look& look);
-    void put(Kind kind, std::uint64_t index, std::uint64_t term, std::string_view data);
+    /// Reads without locking or changing anything.
+    Log(Files& files, const Settings& settings, ReadResult& result);
+
+    // log_recovery.cpp
+    void read(ReadResult& result);
+    void read_snapshot(const std::string& name, ReadResult& result);
+    void read_segment(const std::string& name, ReadResult& result);
+    std::size_t replay_segment(std::string_view bytes, ReadResult& result);
+    void replay(const Record& record, ReadResult& result);
+    void replay_entry(const Record& record, ReadResult& result);
+    bool shows_synced_data(std::string_view rest) const;
+    void set_aside_damage(const ReadResult& result);
+    std::string read_file(const std::string& name);
+
+    // log.cpp
+    void add_record(Record record);
     bool begin_segment();
-    bool must(Error error) {
-        if (error != 0 && why_ == 0) why_ = error;
-        return why_ == 0;
-    }
+    bool remove_if_exists(const std::string& name);
+    bool drop_unneeded_files(const std::string& old_snapshot);
+    ParseLimits parse_limits() const { return {settings_.cluster_fingerprint, settings_.max_record_bytes}; }
+    bool succeeded(Error error);
 
     Files& files_;
-    Settings set_;
-    Found found_ = Found::Empty;
-    std::uint64_t first_ = 1, number_ = 0, synced_ = 0;
+    Settings settings_;
+    RecoveryResult recovery_result_ = RecoveryResult::Empty;
+    std::uint64_t first_index_ = 1;  ///< of entries_[0]
     std::deque<Entry> entries_;
-    Vote vote_;
+    HardState hard_state_;
     std::optional<Snapshot> snapshot_;
-    std::string segment_, pending_;
-    std::size_t segment_size_ = 0;
-    std::deque<std::pair<std::string, std::uint64_t>>
-        segments_;  // names, and the highest index that each may hold
-    int why_ = 0;
+    std::uint64_t last_number_ = 0;    ///< of the last record that was read or added
+    std::uint64_t synced_number_ = 0;  ///< records up to this number are durable
+    std::deque<Segment> segments_;     ///< by name; the last one is written to
+    std::string segment_name_;         ///< of the one that is written to
+    std::size_t segment_size_ = 0;     ///< of the same, bytes
+    std::string pending_;              ///< encoded records that are not written yet
+    Error failure_ = 0;                ///< see failure()
 };
 
 }  // namespace ochrehub::store
--- a/src/fleet/store/posix_files.cpp
+++ b/src/fleet/store/posix_files.cpp
@@ -6,118 +6,139 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
+#include <memory>
 #include <system_error>
+#include <utility>
 
 namespace ochrehub::store {
 namespace {
-constexpr const char* kLock = "LOCK";
-constexpr int kOpen = O_CLOEXEC | O_NOFOLLOW;
+
+constexpr const char* kLockName = "LOCK";
+constexpr int kOpenFlags = O_CLOEXEC | O_NOFOLLOW;
+constexpr mode_t kDirectoryMode = 0700;
+constexpr mode_t kFileMode = 0600;
+
+struct CloseDirectory {
+    void operator()(DIR* stream) const { closedir(stream); }
+};
+using DirectoryStream = std::unique_ptr<DIR, CloseDirectory>;
+
+[[noreturn]] void throw_errno(const std::string& path) {
+    throw std::system_error(errno, std::generic_category(), path);
+}
+
 }  // namespace
 
-PosixFiles::PosixFiles(std::string folder) : folder_(std::move(folder)) {
-    if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST)
-        throw std::system_error(errno, std::generic_category(), folder_);
-    names_ = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (names_ < 0) throw std::system_error(errno, std::generic_category(), folder_);
+// ---- FileDescriptor
+
+FileDescriptor& FileDescriptor::operator=(FileDescriptor&& other) noexcept {
+    if (this == &other) return *this;
+    reset();
+    descriptor_ = other.release();
+    return *this;
+}
+
+int FileDescriptor::release() {
+    return std::exchange(descriptor_, -1);
+}
+
+void FileDescriptor::reset() {
+    if (valid()) close(release());
 }
 
-PosixFiles::~PosixFiles() {
-    for (const auto& [name, descriptor] : open_) close(descriptor);
-    if (lock_ >= 0) close(lock_);
-    close(names_);
+// ---- PosixFiles
+
+PosixFiles::PosixFiles(const std::string& path) {
+    if (mkdir(path.c_str(), kDirectoryMode) != 0 && errno != EEXIST) throw_errno(path);
+    directory_ = FileDescriptor(open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (!directory_.valid()) throw_errno(path);
 }
 
 Error PosixFiles::lock() {
-    if (lock_ >= 0) return 0;
-    lock_ = openat(names_, kLock, O_RDWR | O_CREAT | kOpen, 0600);
-    if (lock_ < 0) return errno;
-    if (flock(lock_, LOCK_EX | LOCK_NB) == 0) return 0;
-    Error why = errno;
-    close(lock_);
-    lock_ = -1;
-    return why;
+    if (lock_.valid()) return 0;
+    FileDescriptor file(openat(directory_.get(), kLockName, O_RDWR | O_CREAT | kOpenFlags, kFileMode));
+    if (!file.valid()) return errno;
+    if (flock(file.get(), LOCK_EX | LOCK_NB) != 0) return errno;
+    lock_ = std::move(file);
+    return 0;
 }
 
 Error PosixFiles::list(std::vector<std::string>& names) {
     names.clear();
-    int descriptor = openat(names_, ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    DIR* all = descriptor < 0 ? nullptr : fdopendir(descriptor);
-    if (!all) {
-        Error why = errno;
-        if (descriptor >= 0) close(descriptor);
-        return why;
-    }
+    FileDescriptor descriptor(openat(directory_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (!descriptor.valid()) return errno;
+    DirectoryStream stream(fdopendir(descriptor.get()));
+    if (!stream) return errno;
+    descriptor.release();  // the stream owns it from here on
     errno = 0;
-    while (dirent* one = readdir(all)) {
-        std::string name = one->d_name;
-        if (name != "." && name != ".." && name != kLock) names.push_back(std::move(name));
+    while (const dirent* file = readdir(stream.get())) {
+        std::string name = file->d_name;
+        if (name != "." && name != ".." && name != kLockName) names.push_back(std::move(name));
     }
-    Error why = errno;
-    closedir(all);
-    return why;
+    return errno;
 }
 
 Error PosixFiles::read(const std::string& name, std::string& bytes) {
+    constexpr std::size_t kChunkBytes = 65536;
     bytes.clear();
-    int descriptor = openat(names_, name.c_str(), O_RDONLY | kOpen);
-    if (descriptor < 0) return errno;
-    char piece[65536];
-    ssize_t got = 0;
-    while ((got = ::read(descriptor, piece, sizeof piece)) > 0 || (got < 0 && errno == EINTR))
-        if (got > 0) bytes.append(piece, std::size_t(got));
-    Error why = got < 0 ? errno : 0;
-    close(descriptor);
-    return why;
+    FileDescriptor file(openat(directory_.get(), name.c_str(), O_RDONLY | kOpenFlags));
+    if (!file.valid()) return errno;
+    std::array<char, kChunkBytes> chunk;
+    for (;;) {
+        ssize_t count = ::read(file.get(), chunk.data(), chunk.size());
+        if (count == 0) return 0;
+        if (count > 0)
+            bytes.append(chunk.data(), std::size_t(count));
+        else if (errno != EINTR)
+            return errno;
+    }
 }
 
-Error PosixFiles::open(const std::string& name, int& descriptor) {
+Error PosixFiles::open_for_append(const std::string& name, int& descriptor) {
     auto known = open_.find(name);
-    if (known != open_.end()) return descriptor = known->second, 0;
-    descriptor = openat(names_, name.c_str(), O_WRONLY | O_APPEND | O_CREAT | kOpen, 0600);
-    if (descriptor < 0) return errno;
-    open_.emplace(name, descriptor);
+    if (known == open_.end()) {
+        int flags = O_WRONLY | O_APPEND | O_CREAT | kOpenFlags;
+        FileDescriptor file(openat(directory_.get(), name.c_str(), flags, kFileMode));
+        if (!file.valid()) return errno;
+        known = open_.emplace(name, std::move(file)).first;
+    }
+    descriptor = known->second.get();
     return 0;
 }
 
-void PosixFiles::forget(const std::string& name) {
-    auto known = open_.find(name);
-    if (known == open_.end()) return;
-    close(known->second);
-    open_.erase(known);
-}
-
 Error PosixFiles::append(const std::string& name, std::string_view bytes) {
     int descriptor = -1;
-    if (Error why = open(name, descriptor)) return why;
+    if (Error error = open_for_append(name, descriptor)) return error;
     while (!bytes.empty()) {
-        ssize_t put = write(descriptor, bytes.data(), bytes.size());
-        if (put < 0 && errno == EINTR) continue;
-        if (put < 0) return errno;
-        bytes.remove_prefix(std::size_t(put));
+        ssize_t written = write(descriptor, bytes.data(), bytes.size());
+        if (written < 0 && errno == EINTR) continue;
+        if (written < 0) return errno;
+        bytes.remove_prefix(std::size_t(written));
     }
     return 0;
 }
 
 Error PosixFiles::sync(const std::string& name) {
     int descriptor = -1;
-    if (Error why = open(name, descriptor)) return why;
+    if (Error error = open_for_append(name, descriptor)) return error;
     return fdatasync(descriptor) == 0 ? 0 : errno;
 }
 
 Error PosixFiles::rename(const std::string& from, const std::string& to) {
-    forget(from);
-    forget(to);
-    return renameat(names_, from.c_str(), names_, to.c_str()) == 0 ? 0 : errno;
+    open_.erase(from);
+    open_.erase(to);
+    return renameat(directory_.get(), from.c_str(), directory_.get(), to.c_str()) == 0 ? 0 : errno;
 }
 
 Error PosixFiles::remove(const std::string& name) {
-    forget(name);
-    return unlinkat(names_, name.c_str(), 0) == 0 ? 0 : errno;
+    open_.erase(name);
+    return unlinkat(directory_.get(), name.c_str(), 0) == 0 ? 0 : errno;
 }
 
 Error PosixFiles::sync_names() {
-    return fsync(names_) == 0 ? 0 : errno;
+    return fsync(directory_.get()) == 0 ? 0 : errno;
 }
 
 }  // namespace ochrehub::store
--- a/src/fleet/store/posix_files.h
+++ b/src/fleet/store/posix_files.h
@@ -1,4 +1,5 @@
-// A folder on a real disk.
+// Files of a directory on a real disk.
+// Responsible for descriptors and the directory's lock. Not thread-safe; blocks as long as the disk does.
 #pragma once
 
 #include <map>
@@ -8,13 +9,29 @@
 
 namespace ochrehub::store {
 
+/// An open file descriptor, or none; closes it at its end.
+class FileDescriptor {
+public:
+    explicit FileDescriptor(int descriptor = -1) : descriptor_(descriptor) {}
+    ~FileDescriptor() { reset(); }
+    FileDescriptor(FileDescriptor&& other) noexcept : descriptor_(other.release()) {}
+    FileDescriptor& operator=(FileDescriptor&& other) noexcept;
+    FileDescriptor(const FileDescriptor&) = delete;
+    FileDescriptor& operator=(const FileDescriptor&) = delete;
+
+    bool valid() const { return descriptor_ >= 0; }
+    int get() const { return descriptor_; }
+    int release();
+    void reset();
+
+private:
+    int descriptor_;  ///< negative: none
+};
+
 class PosixFiles : public Files {
 public:
-    /// Makes the folder where it is missing. Throws std::system_error where it cannot.
-    explicit PosixFiles(std::string folder);
-    ~PosixFiles() override;
-    PosixFiles(const PosixFiles&) = delete;
-    PosixFiles& operator=(const PosixFiles&) = delete;
+    /// Creates the directory where it is missing. Throws std::system_error with its path where it cannot.
+    explicit PosixFiles(const std::string& path);
 
     Error lock() override;
     Error list(std::vector<std::string>& names) override;
@@ -26,12 +43,11 @@
     Error sync_names() override;
 
 private:
-    Error open(const std::string& name, int& descriptor);
-    void forget(const std::string& name);
+    Error open_for_append(const std::string& name, int& descriptor);
 
-    std::string folder_;
-    int names_ = -1, lock_ = -1;
-    std::map<std::string, int> open_;  ///< what is being appended to
+    FileDescriptor directory_;
+    FileDescriptor lock_;                         ///< valid while the lock is held
+    std::map<std::string, FileDescriptor> open_;  ///< files that are being appended to
 };
 
 }  // namespace ochrehub::store
