--- a/src/fleet/coordinator/storing.h
+++ b/src/fleet/coordinator/storing.h
@@ -55,8 +55,8 @@
     ~Storing();
 
     /// Before `start`.
-    raft::Disk disk() const;
-    store::Found found() const { return log_->found(); }
+    raft::PersistentState disk() const;
+    store::RecoveryResult found() const { return log_->recovery_result(); }
     /// `written` and `failed` (once, with an errno) on the storing thread.
     void start(std::function<void(std::uint64_t number)> written, std::function<void(int)> failed);
     /// From any thread.
