--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -21,7 +21,7 @@
 }
 /// What a saboteur asks for instead.
 std::string shortened(const std::string& body, Saboteur saboteur) {
-    coordinator::wire::Ask ask;
+    coordinator::wire::Request ask;
     if (saboteur != Saboteur::ShortLease || !ask.ParseFromString(body) || !ask.has_open()) return body;
     ask.mutable_open()->set_lease_ms(ask.open().lease_ms() / 2);
     return ask.SerializeAsString();
@@ -59,18 +59,18 @@
         },
         disk_);
     last_ = net_.own(self_);
-    handle(last_, coordinator::Woken{});
+    handle(last_, coordinator::TimerFired{});
 }
 
 void KeeperProcess::woken(TimePoint own) {
-    if (replica_) handle(std::max(own, asked_), coordinator::Woken{});
+    if (replica_) handle(std::max(own, asked_), coordinator::TimerFired{});
 }
 
 void KeeperProcess::received(TimePoint own, std::size_t from, const std::string& message) {
     if (!replica_) return;
-    if (message[0] == 'a') return handle(own, coordinator::Asked{from, message.substr(1)});
+    if (message[0] == 'a') return handle(own, coordinator::RequestReceived{from, message.substr(1)});
     if (auto decoded = raft::decode(std::string_view(message).substr(1)))
-        handle(own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*decoded)});
+        handle(own, coordinator::RaftMessageReceived{raft::KeeperId(from + 1), std::move(*decoded)});
 }
 
 void KeeperProcess::handle(TimePoint own, coordinator::ReplicaEvent event) {
@@ -84,8 +84,8 @@
                 net_.send(self_, send->to - 1, tagged('r', raft::encode(send->message)));
             } else if (auto* to_write = std::get_if<raft::Write>(&action)) {
                 write(*to_write);
-                events.emplace_back(coordinator::Written{to_write->number});
-            } else if (auto* answer = std::get_if<coordinator::Answer>(&action)) {
+                events.emplace_back(coordinator::WriteCompleted{to_write->number});
+            } else if (auto* answer = std::get_if<coordinator::SendResponse>(&action)) {
                 net_.send(self_, answer->who, tagged('w', answer->body));
             } else if (auto* wake = std::get_if<raft::WakeAt>(&action)) {
                 net_.wake_at(self_, asked_ = wake->at);
@@ -117,13 +117,13 @@
 
 void SessionProcess::begin() {
     coordinator::SessionSettings settings;
-    for (std::size_t i = 0; i < set_.keepers; ++i) settings.keepers.push_back(address(i));
+    for (std::size_t i = 0; i < set_.keepers; ++i) settings.coordinators.push_back(address(i));
     settings.name = set_.name, settings.zone = set_.zone, settings.lease = set_.lease;
     settings.instance = set_.self * 1'000'000 + ++starts_;
     settings.seed = set_.seed + starts_;
     session_ = std::make_unique<coordinator::Session>(settings);
     session_wake_ = TimePoint::max();
-    session(coordinator::SessionWoken{});
+    session(coordinator::SessionTimerFired{});
     wake();
 }
 
@@ -135,7 +135,7 @@
     if (!session_) return;
     last_ = std::max({last_, now, asked_});
     before();
-    if (session_wake_ <= last_) session_wake_ = TimePoint::max(), session(coordinator::SessionWoken{});
+    if (session_wake_ <= last_) session_wake_ = TimePoint::max(), session(coordinator::SessionTimerFired{});
     look(last_);
     before();
     wake();
@@ -145,7 +145,7 @@
     if (!session_ || message[0] != 'w') return;
     last_ = std::max(last_, now);
     before();
-    session(coordinator::Heard{address(from), message.substr(1)});
+    session(coordinator::ResponseReceived{address(from), message.substr(1)});
     look(last_);
     before();
     wake();
@@ -159,21 +159,21 @@
 void SessionProcess::session(const coordinator::SessionEvent& event) {
     coordinator::SessionActions actions;
     session_->handle(own(), event, actions);
-    std::optional<coordinator::Held> had;
+    std::optional<coordinator::SessionRenewed> had;
     std::string news;
     for (coordinator::SessionAction& action : actions) {
-        if (auto* say = std::get_if<coordinator::Say>(&action))
+        if (auto* say = std::get_if<coordinator::SendRequest>(&action))
             net_.send(set_.self, std::stoul(say->to.substr(1)),
                       tagged('a', shortened(say->body, set_.saboteur)));
-        else if (auto* is = std::get_if<coordinator::Held>(&action))
+        else if (auto* is = std::get_if<coordinator::SessionRenewed>(&action))
             had = *is;
-        else if (auto* told = std::get_if<coordinator::News>(&action))
+        else if (auto* told = std::get_if<coordinator::SessionUpdate>(&action))
             news = told->kind == "rules" ? told->bytes : news;
-        else if (std::holds_alternative<coordinator::Lost>(action))
+        else if (std::holds_alternative<coordinator::SessionLost>(action))
             lost();
-        else if (auto* answer = std::get_if<coordinator::Answered>(&action))
+        else if (auto* answer = std::get_if<coordinator::CallCompleted>(&action))
             answered(*answer);
-        else if (auto* at = std::get_if<coordinator::SessionWakeAt>(&action))
+        else if (auto* at = std::get_if<coordinator::SetSessionTimer>(&action))
             session_wake_ = at->at;
     }
     if (had) held(*had, news);
@@ -243,7 +243,7 @@
     if (holder_wake_ <= now) holder_wake_ = TimePoint::max(), hold(config_distribution::Woken{});
 }
 
-void NodeProcess::held(const coordinator::Held& held, const std::string& news) {
+void NodeProcess::held(const coordinator::SessionRenewed& held, const std::string& news) {
     TimePoint until = held.until;
     if (set_.saboteur == Saboteur::CountsFromAnswer) until = own() + set_.lease;
     if (set_.saboteur == Saboteur::HoldsTooLong) until += set_.lease * 0.1;
@@ -300,7 +300,7 @@
             if (d.scope) judge_.canary(d.name, d.version, d.scope->length * 1.011);
             hold(config_distribution::Verdict{d.name, d.version, bad.empty(), bad});
         } else if (auto* say = std::get_if<config_distribution::Say>(&action)) {
-            if (session_) session(coordinator::Submit{++calls_, "rules", say->command});
+            if (session_) session(coordinator::CommandRequested{++calls_, "rules", say->command});
         } else if (auto* write = std::get_if<config_distribution::Write>(&action)) {
             file_ = write->octets;
         } else if (auto* wake_at = std::get_if<config_distribution::WakeAt>(&action)) {
@@ -317,15 +317,15 @@
 
 void OperatorProcess::look_up(const std::string& document, Answer then) {
     waiting_[++calls_] = std::move(then);
-    session(coordinator::Question{calls_, "rules", config_distribution::question(document)});
+    session(coordinator::QueryRequested{calls_, "rules", config_distribution::question(document)});
     wake();
 }
 void OperatorProcess::ask(const std::string& command, Answer then) {
     waiting_[++calls_] = std::move(then);
-    session(coordinator::Submit{calls_, "rules", command});
+    session(coordinator::CommandRequested{calls_, "rules", command});
     wake();
 }
-void OperatorProcess::answered(const coordinator::Answered& is) {
+void OperatorProcess::answered(const coordinator::CallCompleted& is) {
     auto found = waiting_.find(is.call);
     if (found == waiting_.end()) return;
     Answer then = std::move(found->second);
--- a/lab/config_distribution/fleet.h
+++ b/lab/config_distribution/fleet.h
@@ -25,7 +25,7 @@
     Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
 
 /// Agreement, or one that errs.
-coordinator::MakeMachines machines(Saboteur saboteur);
+coordinator::StateMachineFactory machines(Saboteur saboteur);
 
 /// Whatever is bad about a content, for a node of this zone. Empty: it takes it.
 std::string local_check(const config_distribution::Content& content, const std::string& zone);
@@ -81,9 +81,9 @@
     void wake();
     virtual void before() {}  ///< whatever comes, it may decide something first
     virtual void look(TimePoint) {}
-    virtual void held(const coordinator::Held&, const std::string& /*news*/) {}
+    virtual void held(const coordinator::SessionRenewed&, const std::string& /*news*/) {}
     virtual void lost() {}
-    virtual void answered(const coordinator::Answered&) {}
+    virtual void answered(const coordinator::CallCompleted&) {}
     virtual TimePoint wanted() const { return TimePoint::max(); }
 
     Wire& net_;
@@ -107,7 +107,7 @@
 protected:
     void before() override { decide(); }
     void look(TimePoint own) override;
-    void held(const coordinator::Held& held, const std::string& news) override;
+    void held(const coordinator::SessionRenewed& held, const std::string& news) override;
     void lost() override;
     TimePoint wanted() const override;
 
@@ -136,7 +136,7 @@
     void ask(const std::string& command, Answer then);
 
 protected:
-    void answered(const coordinator::Answered& answered) override;
+    void answered(const coordinator::CallCompleted& answered) override;
 
 private:
     std::map<std::uint64_t, Answer> waiting_;
--- a/lab/config_distribution/saboteurs.cpp
+++ b/lab/config_distribution/saboteurs.cpp
@@ -30,9 +30,9 @@
             }
         return answer;
     }
-    void session_over(coordinator::SessionId session) override {
+    void session_ended(coordinator::SessionId session) override {
         sessions_.erase(session);
-        Agreement::session_over(session);
+        Agreement::session_ended(session);
     }
     bool restore(std::uint32_t schema, std::string_view bytes) override {
         wire::State state;
@@ -50,7 +50,7 @@
     };
     std::map<std::string, Drained> drained() const {
         std::map<std::string, Drained> out;
-        auto all = config_distribution::read_answer(read(config_distribution::question("")));
+        auto all = config_distribution::read_answer(query(config_distribution::question("")));
         for (const auto& d : all->documents) {
             if (d.phase != config_distribution::Phase::Draining) continue;
             Drained& one = out[d.name];
@@ -65,11 +65,11 @@
 
 }  // namespace
 
-coordinator::MakeMachines machines(Saboteur saboteur) {
+coordinator::StateMachineFactory machines(Saboteur saboteur) {
     bool errs = saboteur == Saboteur::NoDraining || saboteur == Saboteur::MajorityGivesBack ||
                 saboteur == Saboteur::NoIsYes;
     return [=] {
-        coordinator::Machines out;
+        coordinator::StateMachines out;
         if (errs)
             out.push_back(std::make_unique<Erring>(saboteur));
         else
--- a/lab/config_distribution/world.cpp
+++ b/lab/config_distribution/world.cpp
@@ -345,7 +345,7 @@
     void settled() {
         const config_distribution::Agreement* m = machine();
         if (!m) return day.broken.push_back("nobody leads the keepers"), void();
-        auto seen = config_distribution::read_answer(m->read(config_distribution::question("")));
+        auto seen = config_distribution::read_answer(m->query(config_distribution::question("")));
         for (const auto& d : seen->documents) {
             if (d.phase == config_distribution::Phase::Staging ||
                 d.phase == config_distribution::Phase::Draining)
@@ -353,9 +353,10 @@
             for (const auto& ended : d.ended)
                 ++day.stopped[std::string(config_distribution::row(ended.why.error).code)];
             if (!d.in_force) continue;
-            Content content = config_distribution::read_answer(m->read(config_distribution::question(d.name)))
-                                  ->documents.at(0)
-                                  .in_force->content;
+            Content content =
+                config_distribution::read_answer(m->query(config_distribution::question(d.name)))
+                    ->documents.at(0)
+                    .in_force->content;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
                 // It came in force while none was there whose check refuses it: whoever does goes on without
                 // it.
--- a/lab/coordinator/judge.cpp
+++ b/lab/coordinator/judge.cpp
@@ -28,21 +28,21 @@
     return std::to_string(list_.size() - 1);
 }
 
-std::string ListMachine::read(std::string_view) const {
+std::string ListMachine::query(std::string_view) const {
     return std::to_string(list_.size()) + " " + (list_.empty() ? "" : list_.back());
 }
 
-void ListMachine::session_over(coordinator::SessionId session) {
-    judge_->session_over(session);
+void ListMachine::session_ended(coordinator::SessionId session) {
+    judge_->session_ended(session);
     holds_.erase(session);
 }
 
-void ListMachine::armed(std::vector<coordinator::Armed>& armed) const {
+void ListMachine::timeouts(std::vector<coordinator::Timeout>& armed) const {
     for (const auto& [session, hold] : holds_)
         armed.push_back({session, hold.revision, Duration{hold.length}});
 }
 
-std::string ListMachine::over(std::uint64_t key, std::uint64_t revision) const {
+std::string ListMachine::on_timeout(std::uint64_t key, std::uint64_t revision) const {
     return "over " + std::to_string(key) + " " + std::to_string(revision);
 }
 
@@ -85,7 +85,7 @@
         if (belief.process == process) belief.given_up = true;
 }
 
-void KeeperJudge::session_over(coordinator::SessionId session) {
+void KeeperJudge::session_ended(coordinator::SessionId session) {
     ++ended;
     auto found = sessions_.find(session);
     if (found == sessions_.end() || found->second.given_up) return;
--- a/lab/coordinator/judge.h
+++ b/lab/coordinator/judge.h
@@ -7,25 +7,25 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "ochrehub/balancer.h"
 
 namespace ochrehub::lab {
 
 /// A list that commands append to; a read tells how long it is and what its last is. `hold MS` arms a time
 /// for the session.
-class ListMachine : public coordinator::Machine {
+class ListMachine : public coordinator::StateMachine {
 public:
     explicit ListMachine(class KeeperJudge* judge, std::size_t at) : judge_(judge), at_(at) {}
     std::string_view kind() const override { return "list"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    std::string read(std::string_view) const override;
-    void session_began(coordinator::SessionId, std::string_view, std::string_view) override {}
-    void session_over(coordinator::SessionId session) override;
-    std::string news(coordinator::SessionId) const override { return {}; }
-    void armed(std::vector<coordinator::Armed>& armed) const override;
-    std::string over(std::uint64_t key, std::uint64_t revision) const override;
+    std::string query(std::string_view) const override;
+    void session_opened(coordinator::SessionId, std::string_view, std::string_view) override {}
+    void session_ended(coordinator::SessionId session) override;
+    std::string session_update(coordinator::SessionId) const override { return {}; }
+    void timeouts(std::vector<coordinator::Timeout>& armed) const override;
+    std::string on_timeout(std::uint64_t key, std::uint64_t revision) const override;
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
@@ -72,7 +72,7 @@
     void gave_up_time(std::uint64_t revision) { times_[revision].given_up = true; }
     void crashed(std::size_t process);
     // What machines carry out.
-    void session_over(coordinator::SessionId session);
+    void session_ended(coordinator::SessionId session);
     void time_over(std::uint64_t revision);
     void appended(std::size_t keeper, std::uint64_t place, const std::string& tag);
     /// The state of a keeper as of an index.
--- a/lab/coordinator/measure.cpp
+++ b/lab/coordinator/measure.cpp
@@ -44,7 +44,7 @@
 
 /// Always so many commands on their way: duties of its own, wanted and given back in turn.
 struct Load {
-    coordinator::SessionSide side;
+    coordinator::SessionThread side;
     std::string name;
     std::atomic<std::uint64_t> grants{0}, commands{0}, errors{0}, sessions{0};
     std::atomic<bool> ends{false};
@@ -54,18 +54,19 @@
 
     Load(const std::vector<std::string>& keepers, const std::string& called)
         : side(settings(keepers, called), Clock()), name(called) {
-        side.listen([this](const coordinator::SessionSide::Told& told) {
-            if (const auto* held = std::get_if<coordinator::Held>(&told); held && held->session != session) {
+        side.add_listener([this](const coordinator::SessionThread::Notification& told) {
+            if (const auto* held = std::get_if<coordinator::SessionRenewed>(&told);
+                held && held->session != session) {
                 session = held->session, ++sessions;
                 for (std::size_t i = 0; i < 16; ++i) go(i, true);
             }
         });
         side.start();
     }
-    static coordinator::SideSettings settings(const std::vector<std::string>& keepers,
-                                              const std::string& called) {
-        coordinator::SideSettings set;
-        set.session.keepers = keepers, set.session.name = called, set.cluster = "rig";
+    static coordinator::SessionThreadSettings settings(const std::vector<std::string>& keepers,
+                                                       const std::string& called) {
+        coordinator::SessionThreadSettings set;
+        set.session.coordinators = keepers, set.session.name = called, set.cluster = "rig";
         return set;
     }
     void go(std::size_t i, bool want) {
--- a/lab/coordinator/rig.cpp
+++ b/lab/coordinator/rig.cpp
@@ -15,7 +15,7 @@
 #include <stdexcept>
 #include <thread>
 
-#include "fleet/coordinator/asking.h"
+#include "fleet/coordinator/admin_client.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -37,15 +37,15 @@
     return text.append(":").append(std::to_string(ntohs(at.sin_port)));
 }
 
-std::vector<std::pair<std::size_t, coordinator::wire::StatusIs>> statuses(
+std::vector<std::pair<std::size_t, coordinator::wire::StatusResponse>> statuses(
     const std::vector<std::string>& addresses, Duration patience) {
-    coordinator::wire::Ask ask;
+    coordinator::wire::Request ask;
     ask.set_call(1);
     ask.mutable_status();
-    auto answers = coordinator::ask_each({"rig", {}, patience}, addresses, ask.SerializeAsString());
-    std::vector<std::pair<std::size_t, coordinator::wire::StatusIs>> all;
+    auto answers = coordinator::send_to_each({"rig", {}, patience}, addresses, ask.SerializeAsString());
+    std::vector<std::pair<std::size_t, coordinator::wire::StatusResponse>> all;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
-        coordinator::wire::Answer answer;
+        coordinator::wire::Response answer;
         if (auto found = answers.find(addresses[i]);
             found != answers.end() && answer.ParseFromString(found->second))
             all.emplace_back(i, answer.status());
--- a/lab/coordinator/rig.h
+++ b/lab/coordinator/rig.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "lab/channel/relay.h"
 
 namespace ochrehub::lab {
--- a/lab/coordinator/world.cpp
+++ b/lab/coordinator/world.cpp
@@ -158,7 +158,7 @@
         k.replica = std::make_unique<Replica>(
             set,
             [this, at] {
-                Machines all;
+                StateMachines all;
                 all.push_back(std::make_unique<ListMachine>(&judge_, at));
                 return all;
             },
@@ -166,7 +166,7 @@
                 agree(at, now, event, actions);
             },
             k.disk.durable);
-        to_keeper(at, net_.own(at), coordinator::Woken{});
+        to_keeper(at, net_.own(at), coordinator::TimerFired{});
     }
 
     /// Raft, and whoever errs on purpose between it and the replica.
@@ -177,19 +177,20 @@
             return;
         }
         if (const auto* propose = std::get_if<raft::Propose>(&event); propose && is(Saboteur::TwiceApplied)) {
-            wire::Entry entry;
+            wire::LogEntry entry;
             entry.ParseFromString(propose->data);
-            if (entry.has_do_()) entry.mutable_do_()->set_session(0);
+            if (entry.has_command()) entry.mutable_command()->set_session(0);
             return k.raft->handle(now, raft::Propose{propose->id, entry.SerializeAsString()}, actions);
         }
         if (const auto* taken = std::get_if<raft::Snapshotted>(&event)) {
             ++verdict_.snapshots;
-            wire::State state;
+            wire::ReplicatedState state;
             state.ParseFromString(taken->state);
             if (is(Saboteur::ForgetsSessions)) state.clear_sessions();
             if (is(Saboteur::ForgetsNumbers))
-                for (auto& session : *state.mutable_sessions()) session.set_last(0), session.clear_kept();
-            if (is(Saboteur::ForgetsMachines)) state.mutable_machines(0)->set_bytes("0 0 0");
+                for (auto& session : *state.mutable_sessions())
+                    session.set_last_sequence(0), session.clear_cached_responses();
+            if (is(Saboteur::ForgetsMachines)) state.mutable_state_machines(0)->set_bytes("0 0 0");
             return k.raft->handle(now, raft::Snapshotted{taken->index, state.SerializeAsString()}, actions);
         }
         if (!is(Saboteur::OldDeadlines)) return k.raft->handle(now, event, actions);
@@ -217,7 +218,7 @@
                 TimePoint done =
                     std::max(own + takes, k.disk.pending.empty() ? own : k.disk.pending.back().done);
                 k.disk.pending.push_back({done, std::move(*write)});
-            } else if (auto* answer = std::get_if<Answer>(&action)) {
+            } else if (auto* answer = std::get_if<SendResponse>(&action)) {
                 // A connection ends with its process: the next one is not answered what another asked.
                 std::size_t to = std::size_t(answer->who % kProcesses);
                 if (processes_[to - keepers_.size()].instance == answer->who / kProcesses)
@@ -232,7 +233,7 @@
         }
         if (k.replica->applied() != before)
             judge_.state(at, k.replica->applied(), std::hash<std::string>()(k.replica->state().snapshot()));
-        if (too_soon && k.lives == life) to_keeper(at, own, Written{*too_soon});
+        if (too_soon && k.lives == life) to_keeper(at, own, WriteCompleted{*too_soon});
         wake_keeper(at);
     }
 
@@ -272,15 +273,16 @@
     void begin_process(std::size_t p) {
         Process& one = processes_[p];
         SessionSettings set;
-        for (const raft::Member& member : members_) set.keepers.push_back(member.address);
+        for (const raft::Member& member : members_) set.coordinators.push_back(member.address);
         set.name = numbered('p', p), set.instance = ++instances_, set.lease = set_.lease;
-        set.patience = Duration{200}, set.resend = Duration{600}, set.question = Duration{4000};
+        set.response_timeout = Duration{200}, set.resend_interval = Duration{600},
+        set.query_timeout = Duration{4000};
         set.seed = set_.seed * 77 + instances_;
         one.session = std::make_unique<Session>(set);
         one.wake = TimePoint::max(), one.held = 0, one.calls.clear(), one.times.clear();
         one.act = net_.own(net_of(p)) + Duration{20};
         one.instance = set.instance;
-        to_process(p, net_.own(net_of(p)), SessionWoken{});
+        to_process(p, net_.own(net_of(p)), SessionTimerFired{});
     }
 
     void to_process(std::size_t p, TimePoint own, const SessionEvent& event) {
@@ -288,10 +290,10 @@
         SessionActions actions;
         one.session->handle(own, event, actions);
         for (SessionAction& action : actions) {
-            if (auto* say = std::get_if<Say>(&action)) {
+            if (auto* say = std::get_if<SendRequest>(&action)) {
                 net_.send(net_of(p), std::stoul(say->to.substr(1)) - 1,
                           marked('A', std::to_string(one.instance) + " " + say->body));
-            } else if (const auto* held = std::get_if<Held>(&action)) {
+            } else if (const auto* held = std::get_if<SessionRenewed>(&action)) {
                 verdict_.sessions += one.held != held->session;
                 one.held = held->session;
                 TimePoint until = held->until;
@@ -299,22 +301,22 @@
                 if (is(Saboteur::NoMargin)) until += set_.lease * 0.01 + Duration{50};
                 if (is(Saboteur::PauseUnseen)) until = TimePoint::max();
                 judge_.held(held->session, net_of(p), until);
-            } else if (const auto* lost = std::get_if<Lost>(&action)) {
+            } else if (const auto* lost = std::get_if<SessionLost>(&action)) {
                 // Who does not look at his clock hears of it with what made him look; that it is said first
                 // is another's test.
                 judge_.gave_up(lost->session);
                 for (std::uint64_t time : std::exchange(one.times, {})) judge_.gave_up_time(time);
                 one.held = 0;
-            } else if (const auto* answered = std::get_if<Answered>(&action)) {
+            } else if (const auto* answered = std::get_if<CallCompleted>(&action)) {
                 hear(p, *answered);
-            } else if (const auto* wake = std::get_if<SessionWakeAt>(&action)) {
+            } else if (const auto* wake = std::get_if<SetSessionTimer>(&action)) {
                 one.wake = wake->at;
             }
         }
         wake_at(net_of(p), std::min(one.wake, one.act));
     }
 
-    void hear(std::size_t p, const Answered& answered) {
+    void hear(std::size_t p, const CallCompleted& answered) {
         Process& one = processes_[p];
         auto found = one.calls.find(answered.call);
         if (found == one.calls.end()) return judge_.wrong("a call was answered twice");
@@ -347,16 +349,16 @@
         std::uint64_t call = one.next_call++;
         if (what < 0.3) {
             one.calls[call] = {judge_.ask(net_.now(), false, ""), own, 0};
-            to_process(p, own, Question{call, "list", ""});
+            to_process(p, own, QueryRequested{call, "list", ""});
         } else if (what < 0.4) {
             double length = 300 + 900 * net_.uniform();
             one.calls[call] = {std::nullopt, own, length};
-            to_process(p, own, Submit{call, "list", "hold " + std::to_string(length)});
+            to_process(p, own, CommandRequested{call, "list", "hold " + std::to_string(length)});
         } else {
             std::string tag =
                 numbered('p', p) + "." + std::to_string(one.instance) + "." + std::to_string(++one.tags);
             one.calls[call] = {judge_.ask(net_.now(), true, tag), own, 0};
-            to_process(p, own, Submit{call, "list", tag});
+            to_process(p, own, CommandRequested{call, "list", tag});
         }
     }
 
@@ -371,7 +373,7 @@
         if (at >= keepers_.size()) {
             std::size_t p = at - keepers_.size();
             if (!processes_[p].session) return;
-            to_process(p, own, SessionWoken{});
+            to_process(p, own, SessionTimerFired{});
             if (own >= processes_[p].act) act(p, own);
             return;
         }
@@ -384,8 +386,9 @@
             written = k.disk.pending.front().write.number;
             k.disk.pending.pop_front();
         }
-        if (written && !is(Saboteur::WrittenTooSoon)) to_keeper(at, own, Written{*written});
-        if (k.replica && own >= k.wake) k.wake = TimePoint::max(), to_keeper(at, own, coordinator::Woken{});
+        if (written && !is(Saboteur::WrittenTooSoon)) to_keeper(at, own, WriteCompleted{*written});
+        if (k.replica && own >= k.wake)
+            k.wake = TimePoint::max(), to_keeper(at, own, coordinator::TimerFired{});
         if (k.replica) wake_keeper(at);
     }
 
@@ -395,22 +398,24 @@
             std::size_t p = to - keepers_.size();
             if (!processes_[p].session) return;
             std::string address = numbered('k', from + 1);
-            if (m[0] == 'X') return to_process(p, own, Cut{address});
-            return to_process(p, own, Heard{address, m.substr(1)});
+            if (m[0] == 'X') return to_process(p, own, Disconnected{address});
+            return to_process(p, own, ResponseReceived{address, m.substr(1)});
         }
         if (!keepers_[to].replica) return;
         if (m[0] == 'R') {
             auto message = raft::decode(std::string_view(m).substr(1));
             if (!message) return judge_.wrong("a message that cannot be read");
-            return to_keeper(to, own, FromKeeper{raft::KeeperId(from + 1), std::move(*message)});
+            return to_keeper(to, own, RaftMessageReceived{raft::KeeperId(from + 1), std::move(*message)});
         }
         std::size_t space = m.find(' ');
         std::uint64_t who = std::stoull(m.substr(1, space - 1)) * kProcesses + from;
-        wire::Ask ask;
-        if (ask.ParseFromString(m.substr(space + 1)) && ask.has_do_())
-            verdict_.again +=
-                keepers_[to].replica->state().answered(ask.do_().session(), ask.do_().number()).has_value();
-        to_keeper(to, own, Asked{who, m.substr(space + 1)});
+        wire::Request ask;
+        if (ask.ParseFromString(m.substr(space + 1)) && ask.has_command())
+            verdict_.again += keepers_[to]
+                                  .replica->state()
+                                  .answered(ask.command().session(), ask.command().sequence())
+                                  .has_value();
+        to_keeper(to, own, RequestReceived{who, m.substr(space + 1)});
     }
 
     // ---- Faults
--- a/lab/leadership/keepers.cpp
+++ b/lab/leadership/keepers.cpp
@@ -30,12 +30,12 @@
 
 void Keepers::count_armed(std::size_t self, TimePoint own) {
     Each& me = each_[self];
-    std::vector<coordinator::Armed> armed;
+    std::vector<coordinator::Timeout> armed;
     for (auto& machine : machines_) {
         armed.clear();
-        machine->armed(armed);
+        machine->timeouts(armed);
         std::set<std::uint64_t> there;
-        for (const coordinator::Armed& one : armed) {
+        for (const coordinator::Timeout& one : armed) {
             there.insert(one.key);
             auto [it, fresh] = me.armed.try_emplace({std::string(machine->kind()), one.key});
             if (fresh || it->second.revision != one.revision) it->second = {one.revision, own + one.length};
@@ -47,8 +47,8 @@
     auto all = me.armed;
     for (const auto& [key, count] : all)
         if (count.end <= own) {
-            coordinator::Machine& its = machine(key.first);
-            its.apply({0, its.over(key.second, count.revision)});
+            coordinator::StateMachine& its = machine(key.first);
+            its.apply({0, its.on_timeout(key.second, count.revision)});
             me.armed.erase(key);
         }
 }
@@ -71,7 +71,7 @@
             }
             if (sessions_.erase(it->first)) {
                 ++ended_;
-                for (auto& machine : machines_) machine->session_over(it->first);
+                for (auto& machine : machines_) machine->session_ended(it->first);
             }
             it = me.ends.erase(it);
         }
@@ -102,7 +102,7 @@
         auto end = me.ends.find(session);
         if (session == 0) {
             sessions_.insert(session = ++last_);
-            for (auto& machine : machines_) machine->session_began(session, "process", "");
+            for (auto& machine : machines_) machine->session_opened(session, "process", "");
         } else if (!sessions_.contains(session) || end == me.ends.end() || end->second <= own) {
             session = 0;  // whoever is about to be ended is not renewed any more
         }
@@ -113,7 +113,7 @@
         answer.session = session;
     } else if (message.kind == Message::Kind::Ask) {
         answer.kind = Message::Kind::List;
-        answer.body = machine(message.what).read(message.body);
+        answer.body = machine(message.what).query(message.body);
     } else {
         answer.kind = Message::Kind::Did;
         if (sessions_.contains(message.session))
@@ -124,16 +124,17 @@
 }
 
 void Keepers::add_news(coordinator::SessionId session, Message& answer) const {
-    for (const auto& machine : machines_) answer.news.emplace_back(machine->kind(), machine->news(session));
+    for (const auto& machine : machines_)
+        answer.news.emplace_back(machine->kind(), machine->session_update(session));
 }
 
-coordinator::Machine& Keepers::machine(std::string_view kind) {
+coordinator::StateMachine& Keepers::machine(std::string_view kind) {
     for (auto& machine : machines_)
         if (machine->kind() == kind) return *machine;
     return *machines_.front();
 }
 
-const coordinator::Machine* Keepers::look(std::string_view kind) const {
+const coordinator::StateMachine* Keepers::look(std::string_view kind) const {
     for (const auto& machine : machines_)
         if (machine->kind() == kind) return machine.get();
     return nullptr;
--- a/lab/leadership/keepers.h
+++ b/lab/leadership/keepers.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/leadership/machine.h"
 #include "lab/leadership/message.h"
 #include "lab/swarm/net.h"
@@ -41,7 +41,7 @@
     /// Who leads; none: not now.
     virtual std::optional<std::size_t> leads() const = 0;
     /// The machine as whoever is furthest has it.
-    virtual const coordinator::Machine* look(std::string_view kind) const = 0;
+    virtual const coordinator::StateMachine* look(std::string_view kind) const = 0;
     /// As an operator does. What it is answered comes at once, or behind what the network still has to do
     /// (`answers`).
     virtual void operate(std::string_view kind, std::string_view body) = 0;
@@ -50,7 +50,7 @@
 
 class Keepers : public House {
 public:
-    using Machines = std::vector<std::unique_ptr<coordinator::Machine>>;
+    using Machines = std::vector<std::unique_ptr<coordinator::StateMachine>>;
     Keepers(const KeeperSettings& settings, Machines machines)
         : set_(settings), machines_(std::move(machines)), each_(settings.keepers) {}
     void attach(Network& net) override { net_ = &net; }
@@ -61,7 +61,7 @@
     std::optional<std::size_t> leads() const override {
         return leader_ < set_.keepers ? std::optional(leader_) : std::nullopt;
     }
-    const coordinator::Machine* look(std::string_view kind) const override;
+    const coordinator::StateMachine* look(std::string_view kind) const override;
     void operate(std::string_view kind, std::string_view body) override;
     std::vector<std::string>& answers() override { return answers_; }
     std::uint64_t sessions_ended() const { return ended_; }
@@ -80,7 +80,7 @@
     bool majority(std::size_t self) const;
     void take_over(std::size_t self, TimePoint own);
     void count_armed(std::size_t self, TimePoint own);
-    coordinator::Machine& machine(std::string_view kind);
+    coordinator::StateMachine& machine(std::string_view kind);
     void add_news(coordinator::SessionId session, Message& answer) const;
 
     KeeperSettings set_;
--- a/lab/leadership/message.h
+++ b/lab/leadership/message.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/fencing/fence.h"
 
 namespace ochrehub::lab::leadership {
--- a/lab/leadership/process.h
+++ b/lab/leadership/process.h
@@ -168,28 +168,28 @@
           hooks_(std::move(hooks)),
           session_([&] {
               coordinator::SessionSettings set;
-              for (std::size_t i = 0; i < settings.keepers; ++i) set.keepers.push_back(address(i));
+              for (std::size_t i = 0; i < settings.keepers; ++i) set.coordinators.push_back(address(i));
               set.name = address(self), set.instance = instance, set.seed = instance;
-              set.lease = settings.lease, set.patience = settings.patience;
+              set.lease = settings.lease, set.response_timeout = settings.patience;
               return set;
           }()) {}
     /// As the real keepers name themselves.
     static std::string address(std::size_t keeper) { return std::to_string(keeper + 1).insert(0, 1, 'k'); }
 
-    void begin(TimePoint own) override { handle(own, coordinator::SessionWoken{}); }
+    void begin(TimePoint own) override { handle(own, coordinator::SessionTimerFired{}); }
     void say(TimePoint own, std::uint64_t number, coordinator::SessionId session, const std::string& what,
              const std::string& body) override {
         if (session != session_.id()) return;
         calls_[++call_] = {what, number};
-        handle(own, coordinator::Submit{call_, what, body});
+        handle(own, coordinator::CommandRequested{call_, what, body});
     }
     void read(TimePoint own, const std::string& what) override {
         calls_[++call_] = {what, 0};
-        handle(own, coordinator::Question{call_, what, ""});
+        handle(own, coordinator::QueryRequested{call_, what, ""});
     }
     bool received(std::size_t from, TimePoint own, const Message& m) override {
         if (m.kind != Message::Kind::Answered) return false;
-        handle(own, coordinator::Heard{address(from), m.body});
+        handle(own, coordinator::ResponseReceived{address(from), m.body});
         return true;
     }
     TimePoint asked() const override { return asked_; }
@@ -200,30 +200,30 @@
         coordinator::SessionActions actions;
         session_.handle(own, event, actions);
         for (coordinator::SessionAction& action : actions) {
-            if (auto* say = std::get_if<coordinator::Say>(&action)) {
+            if (auto* say = std::get_if<coordinator::SendRequest>(&action)) {
                 Message m;
                 m.kind = Message::Kind::Asked;
                 m.body = say->body;
                 net_.send(self_, std::stoul(say->to.substr(1)) - 1, m);
-            } else if (const auto* held = std::get_if<coordinator::Held>(&action)) {
+            } else if (const auto* held = std::get_if<coordinator::SessionRenewed>(&action)) {
                 asked_ = held->until - lease_ * 0.99 + Duration{50};
                 hooks_.held(own, held->session, held->until);
-            } else if (std::get_if<coordinator::Lost>(&action)) {
+            } else if (std::get_if<coordinator::SessionLost>(&action)) {
                 hooks_.lost(own);
-            } else if (const auto* news = std::get_if<coordinator::News>(&action)) {
+            } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&action)) {
                 hooks_.news(own, session_.id(), news->kind, news->bytes);
-            } else if (const auto* answered = std::get_if<coordinator::Answered>(&action)) {
+            } else if (const auto* answered = std::get_if<coordinator::CallCompleted>(&action)) {
                 auto found = calls_.extract(answered->call);
                 if (found.empty() || answered->error != coordinator::Error::None) continue;
                 if (found.mapped().second == 0)
                     whole(own, answered->result);
                 else
                     hooks_.answered(own, found.mapped().first, found.mapped().second, answered->result);
-            } else if (const auto* wake = std::get_if<coordinator::SessionWakeAt>(&action)) {
+            } else if (const auto* wake = std::get_if<coordinator::SetSessionTimer>(&action)) {
                 const std::uint64_t number = ++wakes_;
                 if (wake->at != TimePoint::max())
                     timers_.at(std::max(wake->at, own + Duration{1e-6}), [this, number](TimePoint t) {
-                        if (number == wakes_) handle(t, coordinator::SessionWoken{});
+                        if (number == wakes_) handle(t, coordinator::SessionTimerFired{});
                     });
             }
         }
--- a/lab/leadership/replicas.cpp
+++ b/lab/leadership/replicas.cpp
@@ -32,7 +32,7 @@
         },
         me.disk);
     me.wake = TimePoint::max();
-    handle(self, own, coordinator::Woken{});
+    handle(self, own, coordinator::TimerFired{});
 }
 
 void Replicas::take(raft::Disk& d, const raft::Write& write) {
@@ -76,9 +76,9 @@
             TimePoint done = own + Duration{0.1 + 2 * net_->uniform()};
             if (!me.pending.empty()) done = std::max(done, me.pending.back().done);
             me.pending.push_back({done, std::move(*write)});
-        } else if (auto* answer = std::get_if<coordinator::Answer>(&action)) {
+        } else if (auto* answer = std::get_if<coordinator::SendResponse>(&action)) {
             if (answer->who == kOperator) {
-                coordinator::wire::Answer said;
+                coordinator::wire::Response said;
                 if (said.ParseFromString(answer->body) && said.error() == 0)
                     answers_.push_back(said.result());
                 continue;
@@ -109,10 +109,10 @@
         written = me.pending.front().write.number;
         me.pending.pop_front();
     }
-    if (written) handle(self, own, coordinator::Written{*written});
+    if (written) handle(self, own, coordinator::WriteCompleted{*written});
     if (own >= me.wake) {
         me.wake = TimePoint::max();
-        handle(self, own, coordinator::Woken{});
+        handle(self, own, coordinator::TimerFired{});
     }
     arm(self);
 }
@@ -120,9 +120,10 @@
 void Replicas::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
     if (message.kind == Message::Kind::Raft) {
         auto read = raft::decode(message.body);
-        if (read) handle(self, own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*read)});
+        if (read)
+            handle(self, own, coordinator::RaftMessageReceived{raft::KeeperId(from + 1), std::move(*read)});
     } else {
-        handle(self, own, coordinator::Asked{from + 1, message.body});
+        handle(self, own, coordinator::RequestReceived{from + 1, message.body});
     }
 }
 
@@ -132,7 +133,7 @@
     return std::nullopt;
 }
 
-const coordinator::Machine* Replicas::look(std::string_view kind) const {
+const coordinator::StateMachine* Replicas::look(std::string_view kind) const {
     const coordinator::Replica* furthest = nullptr;
     for (const Each& one : each_)
         if (one.replica && (!furthest || one.replica->applied() > furthest->applied()))
@@ -143,11 +144,11 @@
 void Replicas::operate(std::string_view kind, std::string_view body) {
     auto leader = leads();
     if (!leader) return;  // operators ask again; here it is let be
-    coordinator::wire::Ask ask;
+    coordinator::wire::Request ask;
     ask.set_call(++calls_);
-    ask.mutable_do_()->set_kind(std::string(kind));
-    ask.mutable_do_()->set_body(std::string(body));
-    handle(*leader, net_->own(*leader), coordinator::Asked{kOperator, ask.SerializeAsString()});
+    ask.mutable_command()->set_kind(std::string(kind));
+    ask.mutable_command()->set_body(std::string(body));
+    handle(*leader, net_->own(*leader), coordinator::RequestReceived{kOperator, ask.SerializeAsString()});
 }
 
 }  // namespace ochrehub::lab::leadership
--- a/lab/leadership/replicas.h
+++ b/lab/leadership/replicas.h
@@ -11,7 +11,7 @@
 
 class Replicas : public House {
 public:
-    Replicas(std::size_t keepers, std::uint64_t seed, coordinator::MakeMachines machines)
+    Replicas(std::size_t keepers, std::uint64_t seed, coordinator::StateMachineFactory machines)
         : seed_(seed), machines_(std::move(machines)), each_(keepers) {}
 
     void attach(Network& net) override { net_ = &net; }
@@ -20,7 +20,7 @@
     void woken(std::size_t self, TimePoint own) override;
     void received(std::size_t self, std::size_t from, TimePoint own, const Message& message) override;
     std::optional<std::size_t> leads() const override;
-    const coordinator::Machine* look(std::string_view kind) const override;
+    const coordinator::StateMachine* look(std::string_view kind) const override;
     void operate(std::string_view kind, std::string_view body) override;
     std::vector<std::string>& answers() override { return answers_; }
 
@@ -42,7 +42,7 @@
     static void take(raft::Disk& disk, const raft::Write& write);
 
     std::uint64_t seed_;
-    coordinator::MakeMachines machines_;
+    coordinator::StateMachineFactory machines_;
     std::vector<Each> each_;
     Network* net_ = nullptr;
     std::vector<std::string> answers_;
--- a/lab/quota/world.cpp
+++ b/lab/quota/world.cpp
@@ -269,7 +269,7 @@
         if (one.role == Role::Keeper) {
             for (auto it = one.sessions.begin(); it != one.sessions.end();) {
                 if (it->second.ends <= own) {
-                    one.machine->session_over(it->first);
+                    one.machine->session_ended(it->first);
                     it = one.sessions.erase(it);
                 } else {
                     ++it;
@@ -345,11 +345,11 @@
             if (found == one.sessions.end() || found->second.instance != m.a) {
                 session = one.next_session++;
                 one.sessions[session].instance = m.a;
-                one.machine->session_began(session, child(from), "");
+                one.machine->session_opened(session, child(from), "");
             }
         }
         one.sessions[session].ends = own + day_.session;
-        send(p, from, {Message::Kind::Renewed, session, m.b, one.machine->news(session)});
+        send(p, from, {Message::Kind::Renewed, session, m.b, one.machine->session_update(session)});
     }
     std::string child(std::size_t p) const { return std::string("process").append(std::to_string(p)); }
     void command(std::size_t p, std::size_t from, const Message& m) {
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -17,7 +17,7 @@
 
 #include "base/asio_scheduler.h"
 #include "fleet/channel/mesh.h"
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "fleet/schema_migration/machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
@@ -63,12 +63,12 @@
         at << mesh_->at();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
-        coordinator::SideSettings side;
-        side.session.keepers = std::move(keepers), side.session.name = "member-" + std::to_string(index),
+        coordinator::SessionThreadSettings side;
+        side.session.coordinators = std::move(keepers), side.session.name = "member-" + std::to_string(index),
         side.session.zone = "lab";
         side.session.lease = Duration{3000}, side.cluster = "migration";
-        session_ = std::make_unique<coordinator::SessionSide>(side, clock_);
-        session_->listen([this](const coordinator::SessionSide::Told& told) {
+        session_ = std::make_unique<coordinator::SessionThread>(side, clock_);
+        session_->add_listener([this](const coordinator::SessionThread::Notification& told) {
             boost::asio::post(io_, [this, told] { hear(told); });
         });
         session_->start();
@@ -146,8 +146,8 @@
     }
 
     // ---- Keepers
-    void hear(const coordinator::SessionSide::Told& told) {
-        if (const auto* held = std::get_if<coordinator::Held>(&told)) {
+    void hear(const coordinator::SessionThread::Notification& told) {
+        if (const auto* held = std::get_if<coordinator::SessionRenewed>(&told)) {
             until_ = held->until;
             if (held->session == session_id_) return;
             session_id_ = held->session, said_ = false;
@@ -157,7 +157,7 @@
                 to.set_least(range.least), to.set_most(range.most);
             }
             submit(says);
-        } else if (const auto* news = std::get_if<coordinator::News>(&told)) {
+        } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&told)) {
             wire::News is;
             if (news->kind == "migration" && is.ParseFromString(news->bytes)) learn(is);
         } else {
@@ -277,7 +277,7 @@
     m::Owner owner_;
     boost::random::taus88 random_;
     std::unique_ptr<channel::Mesh> mesh_;
-    std::unique_ptr<coordinator::SessionSide> session_;
+    std::unique_ptr<coordinator::SessionThread> session_;
     std::map<std::size_t, std::string> addresses_;
     coordinator::SessionId session_id_ = 0;
     TimePoint until_{}, op_ends_{};
--- a/lab/schema_migration/world.cpp
+++ b/lab/schema_migration/world.cpp
@@ -282,7 +282,7 @@
             ++it;
             continue;
         }
-        machine_->session_over(it->first);
+        machine_->session_ended(it->first);
         it = sessions_.erase(it);
     }
     net_.wake_at(kKeepers, own + Duration{25});
@@ -312,15 +312,15 @@
         if (!id) {  // a process begins anew: what it had is over
             for (auto it = sessions_.begin(); it != sessions_.end();)
                 if (it->second.process == from)
-                    machine_->session_over(it->first), it = sessions_.erase(it);
+                    machine_->session_ended(it->first), it = sessions_.erase(it);
                 else
                     ++it;
             id = next_session_++;
             sessions_[id] = {from, {}, 0, "try " + std::to_string(message.number)};
-            machine_->session_began(id, processes_[from].name, "zone");
+            machine_->session_opened(id, processes_[from].name, "zone");
         }
         sessions_[id].until = own + set_.lease;
-        answer.type = Type::Opened, answer.session = id, answer.body = machine_->news(id);
+        answer.type = Type::Opened, answer.session = id, answer.body = machine_->session_update(id);
     } else {
         auto found = sessions_.find(message.session);
         answer.type = message.type == Type::Renew ? Type::Renewed : Type::Done;
@@ -329,7 +329,7 @@
             answer.session = message.session;
             if (message.type == Type::Renew) {
                 session.until = own + set_.lease;
-                answer.body = machine_->news(message.session);
+                answer.body = machine_->session_update(message.session);
             } else {
                 if (message.number == session.number + 1) {
                     wire::Command command;
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -70,8 +70,8 @@
     std::signal(SIGTERM, [](int) { stopped = true; });
 
     Clock clock;
-    coordinator::SideSettings session;
-    session.session.keepers = keepers, session.session.name = name, session.session.zone = zone;
+    coordinator::SessionThreadSettings session;
+    session.session.coordinators = keepers, session.session.name = name, session.session.zone = zone;
     session.session.instance = instance, session.session.seed = instance + 1,
     session.session.lease = Duration(lease);
     session.cluster = "rig";
@@ -85,7 +85,7 @@
     set.mesh.channel.idle = Duration(300), set.mesh.channel.dead = Duration(900);
     set.mesh.dial.first = Duration(30), set.mesh.dial.most = Duration(300);
     set.listen = *channel::Mesh::endpoint(listen);
-    auto keeping = std::make_unique<coordinator::SessionSide>(session, clock);
+    auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
     fleet_shards::Side side(set, clock, *keeping);
     side.start();
     keeping->start();
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -20,7 +20,7 @@
 #include <sstream>
 #include <thread>
 
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "fleet/shards/error.h"
 #include "fleet/shards/views.h"
 #include "lab/channel/relay.h"
@@ -80,7 +80,7 @@
     std::vector<std::unique_ptr<lab::Relay>> relays;
     std::vector<std::string> diaries;
     std::uint64_t next_instance = 1;
-    std::unique_ptr<coordinator::SessionSide> asks;
+    std::unique_ptr<coordinator::SessionThread> asks;
 
     void start_node(std::size_t n) {
         std::uint64_t instance = seed * 1000 + next_instance++;
@@ -120,9 +120,9 @@
                 std::vector<std::string>{program, "keeper", "--config", file, "--new"},
                 folder + "/log.keeper" + std::to_string(i + 1)));
         }
-        coordinator::SideSettings side;
-        side.session.keepers = addresses, side.session.name = "judge", side.cluster = "rig";
-        asks = std::make_unique<coordinator::SessionSide>(side, Clock());
+        coordinator::SessionThreadSettings side;
+        side.session.coordinators = addresses, side.session.name = "judge", side.cluster = "rig";
+        asks = std::make_unique<coordinator::SessionThread>(side, Clock());
         asks->start();
         for (std::size_t n = 0; n < 4; ++n) {
             listens.push_back(free_address());
@@ -136,8 +136,8 @@
     std::optional<shards::ViewMap> map() {
         auto told = std::make_shared<std::promise<std::string>>();
         auto future = told->get_future();
-        asks->question("views", {},
-                       [told](coordinator::Error, std::string bytes) { told->set_value(std::move(bytes)); });
+        asks->query("views", {},
+                    [told](coordinator::Error, std::string bytes) { told->set_value(std::move(bytes)); });
         shards::ViewMap map;
         if (future.wait_for(std::chrono::seconds(10)) != std::future_status::ready ||
             !shards::decode(future.get(), map))
--- a/lab/shards/world.cpp
+++ b/lab/shards/world.cpp
@@ -313,12 +313,12 @@
         sessions.erase(session);
         change([&] {
             if (sabotaged(Saboteur::KeepersForgetTheSecond)) return forget_second(session);
-            machine->session_over(session);
+            machine->session_ended(session);
         });
     }
     void forget_second(SessionId session) {
         std::vector<Entry> before = machine->map().entries;
-        machine->session_over(session);
+        machine->session_ended(session);
         wire::Snapshot snapshot;
         snapshot.ParseFromString(machine->snapshot());
         for (wire::Entry& e : *snapshot.mutable_map()->mutable_entries()) {
@@ -349,7 +349,7 @@
                 id = ++last_session;
                 sessions[id] = {};
                 process_of[id] = from;
-                change([&] { machine->session_began(id, m.name, m.zone); });
+                change([&] { machine->session_opened(id, m.name, m.zone); });
             }
             auto session = sessions.find(id);
             answer.session = id, answer.nonce = m.nonce;
@@ -358,7 +358,7 @@
             } else {
                 session->second.counted = own;
                 answer.kind = Message::Kind::Renewed;
-                answer.body = machine->news(id);
+                answer.body = machine->session_update(id);
             }
             net->send(me, from, answer);
         } else if (m.kind == Message::Kind::Propose && sessions.contains(m.session)) {
--- a/lab/tests/coordinator_processes_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -24,22 +24,23 @@
     std::size_t asked = 0;
     coordinator::SessionId first = 0;
     std::uint64_t sessions = 0;
-    coordinator::SessionSide side;
+    coordinator::SessionThread side;
 
     explicit Client(const std::vector<std::string>& keepers) : side(settings(keepers), Clock()) {
-        side.listen([this](const coordinator::SessionSide::Told& what) {
+        side.add_listener([this](const coordinator::SessionThread::Notification& what) {
             std::lock_guard lock(mutex);
-            if (const auto* held = std::get_if<coordinator::Held>(&what); held && held->session != first)
+            if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what);
+                held && held->session != first)
                 first = held->session, ++sessions;
             told.notify_all();
         });
         side.start();
     }
-    static coordinator::SideSettings settings(const std::vector<std::string>& keepers) {
-        coordinator::SideSettings set;
-        set.session.keepers = keepers, set.session.name = "client", set.cluster = "rig";
+    static coordinator::SessionThreadSettings settings(const std::vector<std::string>& keepers) {
+        coordinator::SessionThreadSettings set;
+        set.session.coordinators = keepers, set.session.name = "client", set.cluster = "rig";
         set.session.lease = Duration{30'000};  // so that a machine that is busy ends nothing
-        set.session.patience = Duration{500};
+        set.session.response_timeout = Duration{500};
         return set;
     }
     bool await(auto what) {
--- a/src/app/ask_keepers.h
+++ b/src/app/ask_keepers.h
@@ -10,6 +10,7 @@
 namespace ochrehub::app {
 
 /// Nothing: none that leads was found in time. Throws ConfigError.
-std::optional<coordinator::wire::Answer> ask_leader(const KeepersAt& at, const coordinator::wire::Ask& ask);
+std::optional<coordinator::wire::Response> ask_leader(const KeepersAt& at,
+                                                      const coordinator::wire::Request& ask);
 
 }  // namespace ochrehub::app
--- a/src/app/keeper.cpp
+++ b/src/app/keeper.cpp
@@ -23,15 +23,15 @@
 int serve_keeper(const std::string& path, KeeperBegins begins) {
     KeeperTold told = read_keeper_file(path);
     log_by(told.log);
-    coordinator::Begin begin = begins.anew   ? coordinator::Begin::New
-                               : begins.join ? coordinator::Begin::Join
-                               : begins.lost ? coordinator::Begin::Lost
-                                             : coordinator::Begin::Again;
+    coordinator::StartMode begin = begins.anew   ? coordinator::StartMode::NewCluster
+                                   : begins.join ? coordinator::StartMode::JoinCluster
+                                   : begins.lost ? coordinator::StartMode::DataLost
+                                                 : coordinator::StartMode::Resume;
     boost::asio::io_context io{1};
     AsioScheduler scheduler(io);
     int status = 0;
     try {
-        coordinator::KeeperProcess process(io, scheduler, process_settings(told, begin), machines);
+        coordinator::CoordinatorServer process(io, scheduler, process_settings(told, begin), machines);
         process.stopped = [&](coordinator::Error, const std::string&) {
             status = 1;
             io.stop();
@@ -46,7 +46,7 @@
         log(LogLevel::Info, "keeper: serves",
             {{"number", told.keeper.number}, {"listen", listen.str()}, {"folder", told.keeper.folder}});
         io.run();
-    } catch (const coordinator::FolderError& error) {
+    } catch (const coordinator::DataDirectoryError& error) {
         std::fprintf(stderr, "%s\n", error.what());
         return 2;
     } catch (const std::exception& error) {
@@ -60,7 +60,7 @@
     try {
         if (access(folder.c_str(), R_OK | X_OK) != 0) throw std::system_error(errno, std::generic_category());
         store::PosixFiles files(folder);
-        std::string report = store::Log::verify(files, {coordinator::folder_cluster(cluster)});
+        std::string report = store::Log::verify(files, {coordinator::storage_cluster_id(cluster)});
         std::fputs(report.c_str(), stdout);
         return report.find(": LOST: ") == std::string::npos ? 0 : 1;
     } catch (const std::exception& error) {
--- a/src/app/keeper_config.cpp
+++ b/src/app/keeper_config.cpp
@@ -166,23 +166,23 @@
     return told;
 }
 
-coordinator::ProcessSettings process_settings(const KeeperTold& told, coordinator::Begin begin) {
-    coordinator::ProcessSettings set;
+coordinator::ServerSettings process_settings(const KeeperTold& told, coordinator::StartMode begin) {
+    coordinator::ServerSettings set;
     const Keeper& from = told.keeper;
     set.raft.self = set.replica.self = raft::KeeperId(from.number);
     set.raft.heartbeat = from.heartbeat, set.raft.election = from.election;
     set.replica.snapshot_entries = from.snapshot_entries;
-    set.replica.snapshot_octets = from.snapshot_mb << 20;
+    set.replica.snapshot_bytes = from.snapshot_mb << 20;
     set.listen = from.listen;
-    set.name = from.name, set.zone = from.zone, set.cluster = from.cluster, set.folder = from.folder,
+    set.name = from.name, set.zone = from.zone, set.cluster = from.cluster, set.data_directory = from.folder,
     set.keys = from.keys;
-    set.asking = from.asking;
-    set.begin = begin;
+    set.max_client_connections = from.asking;
+    set.start_mode = begin;
     for (const Member& member : told.members) {
-        set.members.push_back({raft::KeeperId(member.number), true, text(member.address)});
-        set.reach[raft::KeeperId(member.number)] = text(member.address);
+        set.initial_members.push_back({raft::KeeperId(member.number), true, text(member.address)});
+        set.dial_addresses[raft::KeeperId(member.number)] = text(member.address);
     }
-    std::sort(set.members.begin(), set.members.end(),
+    std::sort(set.initial_members.begin(), set.initial_members.end(),
               [](const auto& a, const auto& b) { return a.id < b.id; });
     return set;
 }
--- a/src/app/keeper_config.h
+++ b/src/app/keeper_config.h
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 #include "config/toml_file.h"
-#include "fleet/coordinator/process.h"
+#include "fleet/coordinator/server.h"
 #include "ochrehub/balancer.h"
 
 namespace ochrehub::app {
@@ -37,6 +37,6 @@
 KeeperTold read_keeper_file(config::TomlFile& file);
 /// Throws ConfigError.
 KeeperTold read_keeper_file(const std::string& path);
-coordinator::ProcessSettings process_settings(const KeeperTold& told, coordinator::Begin begin);
+coordinator::ServerSettings process_settings(const KeeperTold& told, coordinator::StartMode begin);
 
 }  // namespace ochrehub::app
--- a/src/app/keepers.cpp
+++ b/src/app/keepers.cpp
@@ -14,7 +14,7 @@
 #include "app/keeper_config.h"
 #include "app/node_config.h"
 #include "base/address.h"
-#include "fleet/coordinator/asking.h"
+#include "fleet/coordinator/admin_client.h"
 #include "fleet/coordinator/error.h"
 #include "fleet/membership/settings.h"
 
@@ -28,7 +28,7 @@
 constexpr std::chrono::milliseconds kLook{100};
 
 struct Asked {
-    coordinator::AskSettings settings;
+    coordinator::AdminClientSettings settings;
     std::vector<std::string> addresses;
 };
 
@@ -37,10 +37,10 @@
     if (at.config.empty() == at.ask.empty())
         throw ConfigError("--config FILE or --ask ADDR: one of them says whom to ask");
     if (!at.config.empty()) {
-        coordinator::ProcessSettings set =
-            process_settings(read_keeper_file(at.config), coordinator::Begin::Again);
+        coordinator::ServerSettings set =
+            process_settings(read_keeper_file(at.config), coordinator::StartMode::Resume);
         asked.settings.cluster = set.cluster, asked.settings.keys = set.keys;
-        for (const raft::Member& member : set.members) asked.addresses.push_back(member.address);
+        for (const raft::Member& member : set.initial_members) asked.addresses.push_back(member.address);
         return asked;
     }
     auto address = parse_address(at.ask);
@@ -58,16 +58,16 @@
 
 struct Told {
     std::string address;
-    wire::StatusIs status;
+    wire::StatusResponse status;
 };
 std::vector<Told> statuses(const Asked& asked) {
-    wire::Ask ask;
+    wire::Request ask;
     ask.set_call(1);
     ask.mutable_status();
     std::vector<Told> all;
-    auto answers = coordinator::ask_each(asked.settings, asked.addresses, ask.SerializeAsString());
+    auto answers = coordinator::send_to_each(asked.settings, asked.addresses, ask.SerializeAsString());
     for (const std::string& address : asked.addresses) {
-        wire::Answer answer;
+        wire::Response answer;
         if (auto found = answers.find(address);
             found != answers.end() && answer.ParseFromString(found->second))
             all.push_back({address, answer.status()});
@@ -85,36 +85,42 @@
 }
 
 json::object as_json(const Told& told) {
-    const wire::StatusIs& is = told.status;
-    json::object one{{"number", is.self()},       {"address", told.address}, {"role", is.role()},
-                     {"term", is.term()},         {"leader", is.leader()},   {"applied", is.applied()},
-                     {"snapshot", is.snapshot()}, {"trusted", is.trusted()}};
+    const wire::StatusResponse& is = told.status;
+    json::object one{{"number", is.self()},
+                     {"address", told.address},
+                     {"role", is.role()},
+                     {"term", is.term()},
+                     {"leader", is.leader()},
+                     {"applied", is.applied_index()},
+                     {"snapshot", is.snapshot_index()},
+                     {"trusted", is.trusted()}};
     json::array members, sessions, kinds;
     for (const wire::Member& member : is.members())
         members.push_back(
             json::object{{"number", member.id()}, {"address", member.address()}, {"voter", member.voter()}});
-    for (const wire::Session& session : is.sessions())
+    for (const wire::SessionRecord& session : is.sessions())
         sessions.push_back(json::object{{"id", session.id()},
                                         {"name", session.name()},
                                         {"zone", session.zone()},
                                         {"lease_ms", session.lease_ms()},
                                         {"release", session.release()},
-                                        {"schema_least", session.schema_least()},
-                                        {"schema_most", session.schema_most()}});
-    for (const std::string& kind : is.kinds()) kinds.push_back(json::string(kind));
+                                        {"schema_least", session.min_schema()},
+                                        {"schema_most", session.max_schema()}});
+    for (const std::string& kind : is.state_machines()) kinds.push_back(json::string(kind));
     one["members"] = std::move(members), one["sessions"] = std::move(sessions),
     one["machines"] = std::move(kinds);
     return one;
 }
 
 /// Asks whoever leads, for as long as an election may take. Nothing: none that leads was found.
-std::optional<wire::Answer> ask_leader(Asked& asked, wire::Ask ask) {
+std::optional<wire::Response> ask_leader(Asked& asked, wire::Request ask) {
     ask.set_call(1);
     for (int i = 0; i < kLooks / 10; ++i) {
         std::vector<Told> all = statuses(asked);
         if (const Told* found = leader(all)) {
-            auto answers = coordinator::ask_each(asked.settings, {found->address}, ask.SerializeAsString());
-            wire::Answer answer;
+            auto answers =
+                coordinator::send_to_each(asked.settings, {found->address}, ask.SerializeAsString());
+            wire::Response answer;
             if (!answers.empty() && answer.ParseFromString(answers.begin()->second) &&
                 coordinator::Error(answer.error()) != coordinator::Error::NotLeader)
                 return answer;
@@ -138,7 +144,7 @@
 
 /// Until the leader's status says that it is done.
 template <class Done>
-int change(const KeepersAt& at, const wire::Ask& ask, const std::string& about, Done done) {
+int change(const KeepersAt& at, const wire::Request& ask, const std::string& about, Done done) {
     Asked asked = whom(at);
     auto answer = ask_leader(asked, ask);
     if (!answer) return refused(coordinator::Error::Unreachable, about);
@@ -155,7 +161,7 @@
                    about + " has begun, and is not done yet: `ochrehub fleet keepers` shows when it is");
 }
 
-const wire::Member* member(const wire::StatusIs& status, int number) {
+const wire::Member* member(const wire::StatusResponse& status, int number) {
     for (const wire::Member& one : status.members())
         if (int(one.id()) == number) return &one;
     return nullptr;
@@ -163,7 +169,7 @@
 
 }  // namespace
 
-std::optional<wire::Answer> ask_leader(const KeepersAt& at, const wire::Ask& ask) {
+std::optional<wire::Response> ask_leader(const KeepersAt& at, const wire::Request& ask) {
     Asked asked = whom(at);
     return ask_leader(asked, ask);
 }
@@ -190,11 +196,11 @@
             std::printf("%-7s %-21s %s\n", "-", address.c_str(), "no answer");
             continue;
         }
-        const wire::StatusIs& is = one->status;
+        const wire::StatusResponse& is = one->status;
         std::printf("%-7u %-21s %-13s %8llu %7u %10llu %10llu  %s\n", is.self(), address.c_str(),
                     is.role().c_str(), static_cast<unsigned long long>(is.term()), is.leader(),
-                    static_cast<unsigned long long>(is.applied()),
-                    static_cast<unsigned long long>(is.snapshot()),
+                    static_cast<unsigned long long>(is.applied_index()),
+                    static_cast<unsigned long long>(is.snapshot_index()),
                     is.trusted() ? "" : "not trusted: it neither votes nor counts yet");
     }
     if (!leads) {
@@ -205,23 +211,24 @@
     for (const wire::Member& one : leads->status.members())
         std::printf("%-7u %-21s %s\n", one.id(), one.address().c_str(), one.voter() ? "votes" : "learns");
     std::printf("\n%-8s %-20s %-11s %8s %8s %s\n", "SESSION", "NAME", "ZONE", "LEASE", "RELEASE", "SCHEMAS");
-    for (const wire::Session& one : leads->status.sessions())
+    for (const wire::SessionRecord& one : leads->status.sessions())
         std::printf("%-8llu %-20s %-11s %5.1f s %8u %u to %u\n", static_cast<unsigned long long>(one.id()),
                     one.name().c_str(), one.zone().c_str(), one.lease_ms() / 1000.0, one.release(),
-                    one.schema_least(), one.schema_most());
+                    one.min_schema(), one.max_schema());
     return 0;
 }
 
 int fleet_keeper_add(const KeepersAt& at, int number, const std::string& address) {
     if (auto parsed = parse_address(address); !parsed || parsed->port() == 0)
         throw ConfigError("--address: not an address a.b.c.d:port: '" + address + "'");
-    wire::Ask ask;
+    wire::Request ask;
     ask.mutable_change()->set_member(std::uint32_t(number)), ask.mutable_change()->set_add(true),
         ask.mutable_change()->set_address(address);
-    return change(at, ask, "keeper " + std::to_string(number) + " votes", [&](const wire::StatusIs& is) {
-        const wire::Member* one = member(is, number);
-        return one && one->voter();
-    });
+    return change(at, ask, "keeper " + std::to_string(number) + " votes",
+                  [&](const wire::StatusResponse& is) {
+                      const wire::Member* one = member(is, number);
+                      return one && one->voter();
+                  });
 }
 
 int fleet_keeper_remove(const KeepersAt& at, int number) {
@@ -233,17 +240,17 @@
                 fleet_keeper_lead(at, int(other.id()));
                 break;
             }
-    wire::Ask ask;
+    wire::Request ask;
     ask.mutable_change()->set_member(std::uint32_t(number)), ask.mutable_change()->set_add(false);
     return change(at, ask, "keeper " + std::to_string(number) + " is no member",
-                  [&](const wire::StatusIs& is) { return !member(is, number); });
+                  [&](const wire::StatusResponse& is) { return !member(is, number); });
 }
 
 int fleet_keeper_lead(const KeepersAt& at, int number) {
-    wire::Ask ask;
+    wire::Request ask;
     ask.mutable_transfer()->set_to(std::uint32_t(number));
     return change(at, ask, "keeper " + std::to_string(number) + " leads",
-                  [&](const wire::StatusIs& is) { return int(is.self()) == number; });
+                  [&](const wire::StatusResponse& is) { return int(is.self()) == number; });
 }
 
 }  // namespace ochrehub::app
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -10,8 +10,8 @@
 namespace ochrehub::app {
 
 // Their order is the same at every keeper; a new one goes to the end.
-coordinator::Machines machines() {
-    coordinator::Machines all;
+coordinator::StateMachines machines() {
+    coordinator::StateMachines all;
     all.push_back(std::make_unique<leadership::Duties>());
     all.push_back(std::make_unique<shards::Views>(shards::Views::Settings{}));
     all.push_back(std::make_unique<leadership::list::Machine>());
--- a/src/app/machines.h
+++ b/src/app/machines.h
@@ -1,10 +1,10 @@
 // The machines that the keepers of this release hold: a line for each room that has one.
 #pragma once
 
-#include "fleet/coordinator/state.h"
+#include "fleet/coordinator/replicated_state.h"
 
 namespace ochrehub::app {
 
-coordinator::Machines machines();
+coordinator::StateMachines machines();
 
 }  // namespace ochrehub::app
--- a/src/app/migrate.cpp
+++ b/src/app/migrate.cpp
@@ -33,7 +33,7 @@
     return 1;
 }
 
-std::optional<coordinator::wire::Answer> leader_says(const KeepersAt& at, coordinator::wire::Ask ask) {
+std::optional<coordinator::wire::Response> leader_says(const KeepersAt& at, coordinator::wire::Request ask) {
     auto answer = ask_leader(at, ask);
     if (!answer || answer->error() != 0) {
         say(answer ? coordinator::Error(answer->error()) : coordinator::Error::Unreachable, "migration");
@@ -42,8 +42,8 @@
     return answer;
 }
 std::optional<wire::Machine> look(const KeepersAt& at) {
-    coordinator::wire::Ask ask;
-    ask.mutable_look()->set_kind("migration");
+    coordinator::wire::Request ask;
+    ask.mutable_query()->set_kind("migration");
     auto answer = leader_says(at, std::move(ask));
     wire::Machine machine;
     if (!answer) return std::nullopt;
@@ -54,9 +54,9 @@
     return machine;
 }
 int command(const KeepersAt& at, const wire::Command& command, const std::string& about) {
-    coordinator::wire::Ask ask;
-    ask.mutable_do_()->set_kind("migration");
-    ask.mutable_do_()->set_body(command.SerializeAsString());
+    coordinator::wire::Request ask;
+    ask.mutable_command()->set_kind("migration");
+    ask.mutable_command()->set_body(command.SerializeAsString());
     auto asked = leader_says(at, std::move(ask));
     if (!asked) return 1;
     wire::Answer answer;
--- a/src/app/quota_command.cpp
+++ b/src/app/quota_command.cpp
@@ -125,8 +125,8 @@
 
 /// What the machine answered. Nothing: told already why not.
 std::optional<quota::MachineReply> ask_machine(const KeepersAt& at, std::string body) {
-    coordinator::wire::Ask ask;
-    ask.mutable_do_()->set_kind("quota"), ask.mutable_do_()->set_body(std::move(body));
+    coordinator::wire::Request ask;
+    ask.mutable_command()->set_kind("quota"), ask.mutable_command()->set_body(std::move(body));
     auto answer = ask_leader(at, ask);
     if (!answer || answer->error() != 0) {
         refused(
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -84,10 +84,10 @@
           changed(document, acted);
       }),
       ends_(io) {
-    coordinator::SideSettings set;
-    set.session.keepers = told.ask, set.session.name = name, set.session.zone = zone,
+    coordinator::SessionThreadSettings set;
+    set.session.coordinators = told.ask, set.session.name = name, set.session.zone = zone,
     set.session.lease = told.lease;
-    set.session.release = 1, set.session.schema_least = set.session.schema_most = 1;
+    set.session.release = 1, set.session.min_schema = set.session.max_schema = 1;
     set.cluster = told.cluster, set.keys = told.keys;
     session_.emplace(std::move(set), clock);
     side_.emplace(*session_, clock, told.folder, acting_,
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -17,7 +17,7 @@
 #include "config/table.h"
 #include "engine/types.h"
 #include "fleet/config_distribution/side.h"
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "ochrehub/balancer.h"
 #include "rewrite/rewrites.h"
 
@@ -54,7 +54,7 @@
     void own_rewrites(const rewrite::Rewrites& own);
     /// What stands for them all: whoever applies it goes by what counts at that moment.
     std::shared_ptr<const rewrite::Rewrites> rewrites();
-    void use(const std::vector<std::string>& keys) { session_->use(keys); }
+    void use(const std::vector<std::string>& keys) { session_->set_keys(keys); }
 
     /// From any thread.
     std::string figures() const { return side_->figures(); }
@@ -78,7 +78,7 @@
     rewrite::Rewrites own_;
     std::shared_ptr<const rewrite::Rewrites> joined_;
     std::optional<config_distribution::Side> side_;
-    std::optional<coordinator::SessionSide> session_;
+    std::optional<coordinator::SessionThread> session_;
 };
 
 }  // namespace ochrehub::app
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -28,7 +28,7 @@
     std::string about;
 };
 
-config_distribution::Answer asked(const KeepersAt& at, const coordinator::wire::Ask& ask) {
+config_distribution::Answer asked(const KeepersAt& at, const coordinator::wire::Request& ask) {
     auto answer = ask_leader(at, ask);
     if (!answer) throw Refused{coordinator::row(coordinator::Error::Unreachable), "keepers"};
     if (answer->error() != 0) throw Refused{coordinator::row(coordinator::Error(answer->error())), "rules"};
@@ -39,13 +39,13 @@
     return *read;
 }
 config_distribution::Answer look(const KeepersAt& at, const std::string& name) {
-    coordinator::wire::Ask ask;
-    ask.mutable_look()->set_kind("rules"), ask.mutable_look()->set_body(question(name));
+    coordinator::wire::Request ask;
+    ask.mutable_query()->set_kind("rules"), ask.mutable_query()->set_body(question(name));
     return asked(at, ask);
 }
 config_distribution::Answer command(const KeepersAt& at, std::string body) {
-    coordinator::wire::Ask ask;
-    ask.mutable_do_()->set_kind("rules"), ask.mutable_do_()->set_body(std::move(body));
+    coordinator::wire::Request ask;
+    ask.mutable_command()->set_kind("rules"), ask.mutable_command()->set_body(std::move(body));
     return asked(at, ask);
 }
 
--- a/src/fleet/config_distribution/holder.h
+++ b/src/fleet/config_distribution/holder.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "fleet/config_distribution/document.h"
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 
 namespace ochrehub::config_distribution {
 
--- a/src/fleet/config_distribution/machine.cpp
+++ b/src/fleet/config_distribution/machine.cpp
@@ -55,7 +55,7 @@
     return written(answer, false).SerializeAsString();
 }
 
-std::string Agreement::read(std::string_view question) const {
+std::string Agreement::query(std::string_view question) const {
     wire::Question in;
     if (!in.ParseFromArray(question.data(), int(question.size())))
         return written(failed(Error::Malformed, "a question"), false).SerializeAsString();
@@ -323,13 +323,13 @@
 
 // ---- Sessions and times
 
-void Agreement::session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) {
+void Agreement::session_opened(coordinator::SessionId session, std::string_view name, std::string_view zone) {
     ++revision_;
     sessions_[session] = {std::string(name.substr(0, kNameMost)), std::string(zone.substr(0, kNameMost)),
                           false};
 }
 
-void Agreement::session_over(coordinator::SessionId session) {
+void Agreement::session_ended(coordinator::SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto& [name, state] : documents_) {
@@ -340,21 +340,21 @@
     }
 }
 
-void Agreement::armed(std::vector<coordinator::Armed>& armed) const {
+void Agreement::timeouts(std::vector<coordinator::Timeout>& armed) const {
     for (const auto& [name, state] : documents_)
         if (state.phase != Phase::None)
             armed.push_back({state.key, state.armed_revision,
                              state.phase == Phase::Canary ? state.next.scope->length : state.stage});
 }
 
-std::string Agreement::over(std::uint64_t key, std::uint64_t revision) const {
+std::string Agreement::on_timeout(std::uint64_t key, std::uint64_t revision) const {
     wire::Command out;
     out.mutable_time_over()->set_key(key);
     out.mutable_time_over()->set_revision(revision);
     return out.SerializeAsString();
 }
 
-std::string Agreement::news(coordinator::SessionId id) const {
+std::string Agreement::session_update(coordinator::SessionId id) const {
     auto session = sessions_.find(id);
     if (session == sessions_.end() || !session->second.attends) return {};
     wire::News out;
--- a/src/fleet/config_distribution/machine.h
+++ b/src/fleet/config_distribution/machine.h
@@ -1,6 +1,6 @@
 // What the keepers agree on about documents: which version is in force, which is on its way, who has said
-// what of it and who may still act on an older one. A machine of theirs (fleet/coordinator/machine.h), so it
-// knows no time.
+// what of it and who may still act on an older one. A machine of theirs (fleet/coordinator/state_machine.h),
+// so it knows no time.
 //
 // A proposal is made on a version in force; another that was made on the same one is told that it came
 // second. It is staged: each live session has its octets and says yes or no. A `quick` one is in force then.
@@ -24,7 +24,7 @@
 #include <vector>
 
 #include "fleet/config_distribution/document.h"
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 
 namespace ochrehub::config_distribution {
 
@@ -92,17 +92,18 @@
 };
 std::optional<Answer> read_answer(std::string_view octets);
 
-class Agreement : public coordinator::Machine {
+class Agreement : public coordinator::StateMachine {
 public:
     std::string_view kind() const override { return "rules"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    std::string read(std::string_view question) const override;
-    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(coordinator::SessionId session) override;
-    std::string news(coordinator::SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>& armed) const override;
-    std::string over(std::uint64_t key, std::uint64_t revision) const override;
+    std::string query(std::string_view question) const override;
+    void session_opened(coordinator::SessionId session, std::string_view name,
+                        std::string_view zone) override;
+    void session_ended(coordinator::SessionId session) override;
+    std::string session_update(coordinator::SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>& armed) const override;
+    std::string on_timeout(std::uint64_t key, std::uint64_t revision) const override;
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/config_distribution/side.cpp
+++ b/src/fleet/config_distribution/side.cpp
@@ -50,7 +50,7 @@
         if (!one.ended) next_ = std::min({next_, one.permit.until, one.permit.most});
 }
 
-Side::Side(coordinator::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls)
+Side::Side(coordinator::SessionThread& session, Clock clock, std::string folder, Acting& acting, Calls calls)
     : session_(session),
       clock_(clock),
       acting_(acting),
@@ -74,7 +74,7 @@
     Actions actions;
     holder_.emplace(HolderSettings{}, std::move(kept), clock_.now(), actions);
     asio::post(io_, [this, actions = std::move(actions)]() mutable { carry_out(std::move(actions)); });
-    session_.listen([this](const coordinator::SessionSide::Told& what) { told(what); });
+    session_.add_listener([this](const coordinator::SessionThread::Notification& what) { told(what); });
     thread_ = side_thread(io_, [](const std::exception& bad) {
         log(LogLevel::Error, "rules:", {{"fault", bad.what()}});
     });
@@ -87,12 +87,12 @@
 
 /// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
 /// next one.
-void Side::told(const coordinator::SessionSide::Told& what) {
-    if (const auto* held = std::get_if<coordinator::Held>(&what)) {
+void Side::told(const coordinator::SessionThread::Notification& what) {
+    if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
         if (!held_ || held_->session != held->session || !had_news_) renewed(*held, {});
         held_ = *held;
         had_news_ = false;
-    } else if (const auto* news = std::get_if<coordinator::News>(&what)) {
+    } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&what)) {
         if (news->kind != "rules" || !held_) return;
         had_news_ = true;
         renewed(*held_, news->bytes);
@@ -102,7 +102,7 @@
     }
 }
 
-void Side::renewed(const coordinator::Held& held, std::string news) {
+void Side::renewed(const coordinator::SessionRenewed& held, std::string news) {
     asio::post(io_, [this, held, news = std::move(news)] {
         handle(Renewed{held.session, held.until, news});
     });
--- a/src/fleet/config_distribution/side.h
+++ b/src/fleet/config_distribution/side.h
@@ -17,7 +17,7 @@
 
 #include "base/clock.h"
 #include "fleet/config_distribution/holder.h"
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "fleet/store/files.h"
 
 namespace ochrehub::config_distribution {
@@ -63,7 +63,7 @@
     };
     /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not
     /// have been started.
-    Side(coordinator::SessionSide& session, Clock clock, std::string folder, Acting& acting, Calls calls);
+    Side(coordinator::SessionThread& session, Clock clock, std::string folder, Acting& acting, Calls calls);
     ~Side() { stop(); }
     /// Waits for its thread's end; nothing is said on the session any more. To be called before the session
     /// goes, which goes before this.
@@ -74,18 +74,18 @@
     std::string figures() const;
 
 private:
-    void told(const coordinator::SessionSide::Told& told);
-    void renewed(const coordinator::Held& held, std::string news);
+    void told(const coordinator::SessionThread::Notification& told);
+    void renewed(const coordinator::SessionRenewed& held, std::string news);
     void handle(const Event& event);
     void carry_out(Actions actions);
 
-    coordinator::SessionSide& session_;
+    coordinator::SessionThread& session_;
     Clock clock_;
     Acting& acting_;
     Calls calls_;
     std::unique_ptr<store::Files> files_;
     // On the session's thread.
-    std::optional<coordinator::Held> held_;
+    std::optional<coordinator::SessionRenewed> held_;
     bool had_news_ = false;
     // On the side's.
     boost::asio::io_context io_{1};
--- a/src/fleet/coordinator/asking.cpp
+++ b/src/fleet/coordinator/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/coordinator/asking.h"
+#include "fleet/coordinator/admin_client.h"
 
 #include <boost/asio/io_context.hpp>
 #include <random>
@@ -8,9 +8,9 @@
 
 namespace ochrehub::coordinator {
 
-std::map<std::string, std::string> ask_each(const AskSettings& settings,
-                                            const std::vector<std::string>& addresses,
-                                            const std::string& ask) {
+std::map<std::string, std::string> send_to_each(const AdminClientSettings& settings,
+                                                const std::vector<std::string>& addresses,
+                                                const std::string& ask) {
     boost::asio::io_context io{1};
     AsioScheduler scheduler(io);
     std::random_device device;
@@ -39,7 +39,7 @@
         for (const auto& [each, times] : failed) settled += times >= 2 && !answers.contains(each);
         if (settled >= addresses.size()) io.stop();
     };
-    scheduler.call_at(scheduler.now() + settings.patience, [&io] { io.stop(); });
+    scheduler.call_at(scheduler.now() + settings.timeout, [&io] { io.stop(); });
     for (const std::string& address : addresses) mesh.dial(address);
     io.run();
     mesh.close();
--- a/src/fleet/coordinator/storing.cpp
+++ b/src/fleet/coordinator/durable_storage.cpp
@@ -1,4 +1,4 @@
-#include "fleet/coordinator/storing.h"
+#include "fleet/coordinator/durable_storage.h"
 
 #include <coordinator.pb.h>
 #include <pthread.h>
@@ -42,12 +42,13 @@
 
 }  // namespace
 
-std::uint64_t folder_cluster(std::string_view cluster) {
+std::uint64_t storage_cluster_id(std::string_view cluster) {
     return std::uint64_t(fleet::fingerprint(cluster)) << 32 |
            fleet::fingerprint(std::string(cluster) + " keepers");
 }
 
-Storing::Storing(std::unique_ptr<store::Files> files, const Settings& settings) : files_(std::move(files)) {
+DurableStorage::DurableStorage(std::unique_ptr<store::Files> files, const Settings& settings)
+    : files_(std::move(files)) {
     if (store::Error why = files_->lock())
         throw store::StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock"
                                                    : std::string("the lock: ") + std::strerror(why));
@@ -58,25 +59,27 @@
         return name.starts_with("log-") || name.starts_with("snapshot-");
     });
     if (!first) {
-        if (logs) throw FolderError(Error::Untrusted, "a part of the folder is missing");
-        if (settings.begin == Begin::Again) throw FolderError(Error::Untrusted, "the folder");
+        if (logs) throw DataDirectoryError(Error::Untrusted, "a part of the folder is missing");
+        if (settings.start_mode == StartMode::Resume)
+            throw DataDirectoryError(Error::Untrusted, "the folder");
         // One that has promised something must not take the place of one that has not: so this is written
         // down first.
         files_->remove(kFirstFresh);
-        must(files_->append(kFirstFresh,
-                            stored(settings.begin == Begin::Join ? raft::Members{} : settings.members,
-                                   settings.begin == Begin::Lost ? "lost" : "")),
+        must(files_->append(
+                 kFirstFresh,
+                 stored(settings.start_mode == StartMode::JoinCluster ? raft::Members{} : settings.members,
+                        settings.start_mode == StartMode::DataLost ? "lost" : "")),
              kFirst);
         must(files_->sync(kFirstFresh), kFirst);
         must(files_->rename(kFirstFresh, kFirst), kFirst);
         must(files_->sync_names(), kFirst);
-    } else if (settings.begin != Begin::Again) {
-        throw FolderError(Error::Begun, "the folder");
+    } else if (settings.start_mode != StartMode::Resume) {
+        throw DataDirectoryError(Error::Begun, "the folder");
     }
     std::string bytes;
     must(files_->read(kFirst, bytes), kFirst);
     auto told = read_stored(bytes);
-    if (!told) throw FolderError(Error::Untrusted, "the file `first` cannot be read");
+    if (!told) throw DataDirectoryError(Error::Untrusted, "the file `first` cannot be read");
     members_ = std::move(told->first);
     log_ = std::make_unique<store::Log>(*files_, settings.log);
     // Begun, and nothing is left of it; or its number's earlier folder is gone, and it has had nothing from
@@ -85,10 +88,10 @@
     bool gone = (first && log_->found() == store::Found::Empty) || (bare && told->second == "lost");
     if (gone && !log_->lose()) throw store::StoreError(std::strerror(log_->why()));
     if (log_->snapshot() && !read_stored(log_->snapshot()->data))
-        throw FolderError(Error::Behind, "the snapshot");
+        throw DataDirectoryError(Error::Behind, "the snapshot");
 }
 
-Storing::~Storing() {
+DurableStorage::~DurableStorage() {
     {
         std::lock_guard lock(mutex_);
         ends_ = true;
@@ -97,7 +100,7 @@
     if (thread_.joinable()) thread_.join();
 }
 
-raft::Disk Storing::disk() const {
+raft::Disk DurableStorage::disk() const {
     raft::Disk disk;
     const store::Log& log = *log_;
     disk.vote.term = log.vote().term;
@@ -119,7 +122,7 @@
     return disk;
 }
 
-void Storing::start(std::function<void(std::uint64_t)> written, std::function<void(int)> failed) {
+void DurableStorage::start(std::function<void(std::uint64_t)> written, std::function<void(int)> failed) {
     written_ = std::move(written), failed_ = std::move(failed);
     sigset_t all, before;
     sigfillset(&all);
@@ -128,7 +131,7 @@
     pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-void Storing::write(raft::Write write) {
+void DurableStorage::write(raft::Write write) {
     {
         std::lock_guard lock(mutex_);
         waiting_.push_back(std::move(write));
@@ -136,7 +139,7 @@
     wakes_.notify_one();
 }
 
-void Storing::run() {
+void DurableStorage::run() {
     while (true) {
         std::vector<raft::Write> batch;
         {
@@ -154,7 +157,7 @@
     }
 }
 
-bool Storing::carry_out(raft::Write& write) {
+bool DurableStorage::carry_out(raft::Write& write) {
     store::Log& log = *log_;
     if (write.vote) log.vote({write.vote->term, write.vote->who == 0 ? "" : std::to_string(write.vote->who)});
     if (write.cut) log.cut(*write.cut);
--- a/src/fleet/coordinator/storing.h
+++ b/src/fleet/coordinator/durable_storage.h
@@ -21,38 +21,38 @@
 namespace ochrehub::coordinator {
 
 /// How a keeper begins.
-enum class Begin {
-    Again,  ///< from its folder, which must not be empty
-    New,    ///< with its cluster: its number has never run, and its folder is empty
-    Join,   ///< one more in a cluster that runs, under a number that never ran: a member once the others have
-            ///< added it
-    Lost,  ///< its number ran, and its folder is gone: it neither votes nor counts until all others have told
-           ///< what they know
+enum class StartMode {
+    Resume,       ///< from its data directory, which must not be empty
+    NewCluster,   ///< together with its cluster: this id never ran, and its data directory is empty
+    JoinCluster,  ///< an additional member of a running cluster, under an id that never ran; the cluster adds
+                  ///< it by a membership change
+    DataLost,  ///< this id ran before and its data directory is gone: it neither votes nor counts towards a
+               ///< quorum until every other voter has told the leader what it knows
 };
 
 /// What a folder bears of its cluster's name.
-std::uint64_t folder_cluster(std::string_view cluster);
+std::uint64_t storage_cluster_id(std::string_view cluster);
 
 /// A folder that is not to be used: what() begins with its error's code.
-struct FolderError : std::runtime_error {
-    FolderError(Error why, const std::string& about)
+struct DataDirectoryError : std::runtime_error {
+    DataDirectoryError(Error why, const std::string& about)
         : std::runtime_error(fleet::sentence(row(why), about)), error(why) {}
     Error error;
 };
 
 /// Opens the folder, or begins it as it is told to. `members`: those of the cluster's beginning, kept in the
-/// folder from then on, so that a file of settings that has changed since means nothing. Throws FolderError,
-/// store::StoreError, std::system_error.
-class Storing {
+/// folder from then on, so that a file of settings that has changed since means nothing. Throws
+/// DataDirectoryError, store::StoreError, std::system_error.
+class DurableStorage {
 public:
     struct Settings {
         store::Log::Settings log;
-        Begin begin = Begin::Again;
+        StartMode start_mode = StartMode::Resume;
         raft::Members members;
     };
-    Storing(std::unique_ptr<store::Files> files, const Settings& settings);
+    DurableStorage(std::unique_ptr<store::Files> files, const Settings& settings);
     /// Ends behind the batch that is being written; what still waits is not.
-    ~Storing();
+    ~DurableStorage();
 
     /// Before `start`.
     raft::Disk disk() const;
--- a/src/fleet/coordinator/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -63,10 +63,11 @@
 
 }  // namespace
 
-Replica::Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree, const raft::Disk& disk)
+Replica::Replica(const ReplicaSettings& settings, StateMachineFactory machines, RaftHandler agree,
+                 const raft::Disk& disk)
     : set_(settings),
       agree_(std::move(agree)),
-      state_(settings.bounds, std::move(machines)),
+      state_(settings.limits, std::move(machines)),
       trusted_(disk.trusted) {
     members_ = disk.snapshot ? disk.snapshot->members : disk.members;
 }
@@ -80,15 +81,15 @@
     // Before anything else: while this one stood still nobody could renew.
     if (leads() && wake_ != TimePoint::max() && now - wake_ > kLate)
         sessions_.put_off(now - wake_), armed_.put_off(now - wake_);
-    std::visit(Overloaded{[&](const Woken&) {
+    std::visit(Overloaded{[&](const TimerFired&) {
                               if (now_ >= raft_wake_) raft_wake_ = TimePoint::max();
                               raft(raft::Woken{});
                           },
-                          [&](const FromKeeper& from) {
+                          [&](const RaftMessageReceived& from) {
                               raft(raft::Received{from.from, from.message});
                           },
-                          [&](const Written& written) { raft(raft::Written{written.number}); },
-                          [&](const Asked& ask) { asked(ask); }},
+                          [&](const WriteCompleted& written) { raft(raft::Written{written.number}); },
+                          [&](const RequestReceived& ask) { asked(ask); }},
                event);
     work_off();
     if (!stopped_ && leads()) {
@@ -116,7 +117,7 @@
         if (const auto* change = std::get_if<raft::Change>(&event)) {
             auto found = waiting_.find(change->id);
             if (found == waiting_.end()) continue;
-            wire::Answer begun;
+            wire::Response begun;
             begun.set_call(found->second.call);
             add_members(members_, begun);
             answer(found->second.who, begun);
@@ -168,12 +169,12 @@
                action);
 }
 
-void Replica::answer(std::uint64_t who, const wire::Answer& answer) {
-    if (who != 0) out_->push_back(Answer{who, answer.SerializeAsString()});
+void Replica::answer(std::uint64_t who, const wire::Response& answer) {
+    if (who != 0) out_->push_back(SendResponse{who, answer.SerializeAsString()});
 }
 
 void Replica::refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint) {
-    wire::Answer no;
+    wire::Response no;
     no.set_call(call), no.set_error(std::uint32_t(error));
     if (error == Error::NotLeader) {
         no.set_leader(hint);
@@ -195,88 +196,91 @@
     raft(raft::Read{id});
 }
 
-void Replica::asked(const Asked& ask) {
+void Replica::asked(const RequestReceived& ask) {
     using What = Waiting::What;
-    wire::Ask what;
+    wire::Request what;
     if (!what.ParseFromString(ask.body)) return refuse(ask.who, 0, Error::Malformed);
     auto no = [&](Error error) { refuse(ask.who, what.call(), error, leader_); };
-    if (what.what_case() == wire::Ask::kStatus) {
-        wire::Answer told;
+    if (what.body_case() == wire::Request::kStatus) {
+        wire::Response told;
         told.set_call(what.call());
-        wire::StatusIs& status = *told.mutable_status();
+        wire::StatusResponse& status = *told.mutable_status();
         status.set_self(set_.self), status.set_role(std::string(name(role_))), status.set_term(term_),
             status.set_leader(leader_);
-        status.set_applied(applied_), status.set_trusted(trusted_), status.set_snapshot(snapshot_at_);
+        status.set_applied_index(applied_), status.set_trusted(trusted_),
+            status.set_snapshot_index(snapshot_at_);
         add_members(members_, status);
         state_.each_session([&](const SessionInfo& info) {
             if (status.sessions_size() >= kSessionsTold) return;
-            wire::Session& one = *status.add_sessions();
+            wire::SessionRecord& one = *status.add_sessions();
             one.set_id(info.id), one.set_name(info.name), one.set_zone(info.zone),
                 one.set_instance(info.instance);
             one.set_lease_ms(info.lease_ms), one.set_release(info.release);
-            one.set_schema_least(info.schema_least), one.set_schema_most(info.schema_most);
+            one.set_min_schema(info.min_schema), one.set_max_schema(info.max_schema);
         });
-        for (const auto& machine : state_.machines()) status.add_kinds(std::string(machine->kind()));
+        for (const auto& machine : state_.machines()) status.add_state_machines(std::string(machine->kind()));
         return answer(ask.who, told);
     }
     if (!leads()) return no(Error::NotLeader);
-    if (waiting_.size() >= set_.asked) return no(Error::Busy);
+    if (waiting_.size() >= set_.max_pending_requests) return no(Error::Busy);
     Waiting waiting{
         .who = ask.who, .call = what.call(), .what = What::Open, .session = 0, .kind = {}, .body = {}};
-    wire::Entry entry;
-    switch (what.what_case()) {
-        case wire::Ask::kOpen: {
-            const wire::Open& open = what.open();
+    wire::LogEntry entry;
+    switch (what.body_case()) {
+        case wire::Request::kOpen: {
+            const wire::OpenSession& open = what.open();
             Duration lease{double(open.lease_ms())};
-            if (open.name().size() > set_.bounds.name || open.zone().size() > set_.bounds.name)
+            if (open.name().size() > set_.limits.max_name_bytes ||
+                open.zone().size() > set_.limits.max_name_bytes)
                 return no(Error::TooLong);
-            if (open.name().empty() || lease < set_.lease_least || lease > set_.lease_most)
+            if (open.name().empty() || lease < set_.min_lease || lease > set_.max_lease)
                 return no(Error::Malformed);
             *entry.mutable_open() = open;
             return propose(entry.SerializeAsString(), waiting);
         }
-        case wire::Ask::kRenew:
+        case wire::Request::kRenew:
             waiting.what = What::Renew, waiting.session = what.renew().session();
             return read(std::move(waiting));
-        case wire::Ask::kClose:
+        case wire::Request::kClose:
             waiting.what = What::Close;
             *entry.mutable_close() = what.close();
             return propose(entry.SerializeAsString(), waiting);
-        case wire::Ask::kDo: {
+        case wire::Request::kCommand: {
             waiting.what = What::Do;
             // What was decided stays so, whoever leads.
-            if (auto before = state_.answered(what.do_().session(), what.do_().number()))
+            if (auto before = state_.answered(what.command().session(), what.command().sequence()))
                 return outcome(waiting, *before);
-            Error wrong = what.do_().body().size() > set_.bounds.body ? Error::TooLong
-                          : state_.machine(what.do_().kind())         ? Error::None
-                                                                      : Error::UnknownKind;
-            if (wrong != Error::None && what.do_().session() == 0) return no(wrong);
-            *entry.mutable_do_() = what.do_();
-            entry.mutable_do_()->set_refused(std::uint32_t(wrong));
+            Error wrong = what.command().body().size() > set_.limits.max_command_bytes ? Error::TooLong
+                          : state_.machine(what.command().kind())                      ? Error::None
+                                                                                       : Error::UnknownKind;
+            if (wrong != Error::None && what.command().session() == 0) return no(wrong);
+            *entry.mutable_command() = what.command();
+            entry.mutable_command()->set_rejected_with(std::uint32_t(wrong));
             // Its number is taken all the same: an earlier leader, of another release, may have carried it
             // out.
-            if (wrong != Error::None) entry.mutable_do_()->clear_kind(), entry.mutable_do_()->clear_body();
+            if (wrong != Error::None)
+                entry.mutable_command()->clear_kind(), entry.mutable_command()->clear_body();
             return propose(entry.SerializeAsString(), waiting);
         }
-        case wire::Ask::kLook:
-            if (!state_.machine(what.look().kind())) return no(Error::UnknownKind);
-            waiting.what = What::Look, waiting.kind = what.look().kind(), waiting.body = what.look().body();
+        case wire::Request::kQuery:
+            if (!state_.machine(what.query().kind())) return no(Error::UnknownKind);
+            waiting.what = What::Look, waiting.kind = what.query().kind(), waiting.body = what.query().body();
             return read(std::move(waiting));
-        case wire::Ask::kChange: {
+        case wire::Request::kChange: {
             waiting.what = What::Change;
             std::uint64_t id = next_id_++;
             waiting_.emplace(id, std::move(waiting));
             return raft(
                 raft::Change{id, what.change().member(), what.change().add(), what.change().address()});
         }
-        case wire::Ask::kTransfer: {
+        case wire::Request::kTransfer: {
             raft(raft::Transfer{what.transfer().to()});
-            wire::Answer begun;
+            wire::Response begun;
             begun.set_call(what.call());
             return answer(ask.who, begun);
         }
-        case wire::Ask::kStatus:
-        case wire::Ask::WHAT_NOT_SET:
+        case wire::Request::kStatus:
+        case wire::Request::BODY_NOT_SET:
             break;
     }
     no(Error::Malformed);
@@ -306,7 +310,7 @@
         return armed_.erase({std::size_t(waiting.session), waiting.key});  // still armed: it begins anew
     if (waiting.what == What::SessionOver) return sessions_.erase(waiting.session);
     if (is.error != Error::None) return refuse(waiting.who, waiting.call, is.error, leader_);
-    wire::Answer done;
+    wire::Response done;
     done.set_call(waiting.call);
     if (waiting.what == What::Open) {
         // One that is about to be ended, and is opened again by an ask that came late, is ended all the same.
@@ -321,7 +325,7 @@
 }
 
 void Replica::ready(const Waiting& waiting) {
-    wire::Answer done;
+    wire::Response done;
     done.set_call(waiting.call);
     if (waiting.what == Waiting::What::Renew) {
         const auto* count = sessions_.find(waiting.session);
@@ -330,9 +334,9 @@
         count_session(waiting.session);
         add_news(waiting.session, done);
     } else {
-        const Machine* machine = state_.machine(waiting.kind);
+        const StateMachine* machine = state_.machine(waiting.kind);
         if (!machine) return refuse(waiting.who, waiting.call, Error::UnknownKind);
-        done.set_result(machine->read(waiting.body));
+        done.set_result(machine->query(waiting.body));
     }
     answer(waiting.who, done);
 }
@@ -353,13 +357,13 @@
     }
 }
 
-void Replica::add_news(SessionId id, wire::Answer& to) const {
+void Replica::add_news(SessionId id, wire::Response& to) const {
     to.set_session(id);
     add_members(members_, to);
     for (const auto& machine : state_.machines()) {
-        std::string bytes = machine->news(id);
+        std::string bytes = machine->session_update(id);
         if (bytes.empty()) continue;
-        wire::News* one = to.add_news();
+        wire::SessionUpdate* one = to.add_updates();
         one->set_kind(std::string(machine->kind())), one->set_bytes(std::move(bytes));
     }
 }
@@ -377,13 +381,13 @@
 
 void Replica::look_at_armed() {
     look_due_ = false;
-    look_at_ = now_ + set_.look;
+    look_at_ = now_ + set_.timeout_scan_interval;
     std::set<ArmedKey> there;
-    std::vector<Armed> armed;
+    std::vector<Timeout> armed;
     for (std::size_t i = 0; i < state_.machines().size(); ++i) {
         armed.clear();
-        state_.machines()[i]->armed(armed);
-        for (const Armed& one : armed) {
+        state_.machines()[i]->timeouts(armed);
+        for (const Timeout& one : armed) {
             ArmedKey key{i, one.key};
             there.insert(key);
             const auto* known = armed_.find(key);
@@ -403,8 +407,8 @@
         }
         sessions_.ending(id);
         ++ended_;
-        wire::Entry entry;
-        entry.mutable_session_over()->set_session(id);
+        wire::LogEntry entry;
+        entry.mutable_session_expired()->set_session(id);
         Waiting waiting{};
         waiting.what = What::SessionOver, waiting.session = id;
         propose(entry.SerializeAsString(), std::move(waiting));
@@ -413,8 +417,8 @@
         ArmedKey key = armed_.first();
         std::uint64_t revision = armed_.find(key)->revision;
         armed_.ending(key);
-        wire::Entry entry;
-        wire::Over& over = *entry.mutable_over();
+        wire::LogEntry entry;
+        wire::TimeoutExpired& over = *entry.mutable_timeout_expired();
         over.set_kind(std::string(state_.machines()[key.first]->kind())), over.set_key(key.second),
             over.set_revision(revision);
         Waiting waiting{};
@@ -426,7 +430,7 @@
 
 void Replica::snapshot_if_due() {
     if (applied_ - snapshot_at_ < set_.snapshot_entries &&
-        octets_ < std::max(set_.snapshot_octets, snapshot_size_))
+        octets_ < std::max(set_.snapshot_bytes, snapshot_size_))
         return;
     std::string state = state_.snapshot();
     snapshot_size_ = state.size(), octets_ = 0, snapshot_at_ = applied_;
--- a/src/fleet/coordinator/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -20,48 +20,48 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/coordinator/state.h"
+#include "fleet/coordinator/replicated_state.h"
 #include "fleet/raft/raft.h"
 
 namespace ochrehub::coordinator {
 
 namespace wire {
-class Answer;
+class Response;
 }
 
 struct ReplicaSettings {
     raft::KeeperId self = 0;
-    Bounds bounds;
-    Duration lease_least{500}, lease_most{60'000};
+    Limits limits;
+    Duration min_lease{500}, max_lease{60'000};
     std::uint64_t snapshot_entries = 20'000;  ///< a snapshot after so many entries ...
-    std::size_t snapshot_octets =
-        16 << 20;              ///< ... or so many octets, or as many as the last one had, if that is more
-    std::size_t asked = 4096;  ///< asks that wait for their answer; more are told Busy
-    Duration look{20};         ///< least time between two looks at what machines have armed
+    std::size_t snapshot_bytes =
+        16 << 20;  ///< ... or so many octets, or as many as the last one had, if that is more
+    std::size_t max_pending_requests = 4096;  ///< asks that wait for their answer; more are told Busy
+    Duration timeout_scan_interval{20};       ///< least time between two looks at what machines have armed
 };
 
 /// Raft as this one runs it. In a test something that errs on purpose may stand between.
-using Agree = std::function<void(TimePoint, const raft::Event&, raft::Actions&)>;
+using RaftHandler = std::function<void(TimePoint, const raft::Event&, raft::Actions&)>;
 
 // ---- What happens
-struct Woken {};
-struct FromKeeper {
+struct TimerFired {};
+struct RaftMessageReceived {
     raft::KeeperId from = 0;
     raft::Message message;
 };
-struct Written {
+struct WriteCompleted {
     std::uint64_t number = 0;
 };
-struct Asked {              ///< by a process or a command
+struct RequestReceived {    ///< by a process or a command
     std::uint64_t who = 0;  ///< its connection, for the answer
-    std::string body;       ///< wire::Ask
+    std::string body;       ///< wire::Request
 };
-using ReplicaEvent = std::variant<Woken, FromKeeper, Written, Asked>;
+using ReplicaEvent = std::variant<TimerFired, RaftMessageReceived, WriteCompleted, RequestReceived>;
 
 // ---- What is to be done about it
-struct Answer {
+struct SendResponse {
     std::uint64_t who = 0;
-    std::string body;  ///< wire::Answer
+    std::string body;  ///< wire::Response
 };
 struct Stop {  ///< nothing else is to be done: this keeper can't go on
     Error error{};
@@ -69,7 +69,7 @@
 };
 /// Of raft's: Send, Write, Became, MembersAre.
 using ReplicaAction =
-    std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, Answer, Stop>;
+    std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, SendResponse, Stop>;
 using ReplicaActions = std::vector<ReplicaAction>;
 
 /// What the leader counts, by key. What is being ended is in it without a time.
@@ -129,12 +129,13 @@
 
 class Replica {
 public:
-    /// Begins with Woken. What is on the disk raft hands on.
-    Replica(const ReplicaSettings& settings, MakeMachines machines, Agree agree, const raft::Disk& disk);
+    /// Begins with TimerFired. What is on the disk raft hands on.
+    Replica(const ReplicaSettings& settings, StateMachineFactory machines, RaftHandler agree,
+            const raft::Disk& disk);
 
     void handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions);
 
-    const State& state() const { return state_; }
+    const ReplicatedState& state() const { return state_; }
     raft::Role role() const { return role_; }
     std::uint64_t applied() const { return applied_; }
     std::uint64_t commands() const { return commands_; }    ///< of processes and operators, applied here
@@ -151,7 +152,7 @@
     };
     using ArmedKey = std::pair<std::size_t, std::uint64_t>;  // machine, key
 
-    void asked(const Asked& ask);
+    void asked(const RequestReceived& ask);
     void refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint = 0);
     void propose(std::string entry, Waiting waiting);
     void read(Waiting waiting);
@@ -162,8 +163,8 @@
     void outcome(const Waiting& waiting, const Outcome& outcome);
     void ready(const Waiting& waiting);
     void rejected(const raft::Rejected& rejected);
-    void answer(std::uint64_t who, const wire::Answer& answer);
-    void add_news(SessionId id, wire::Answer& to) const;
+    void answer(std::uint64_t who, const wire::Response& answer);
+    void add_news(SessionId id, wire::Response& to) const;
     void count_anew();
     void count_session(SessionId id);
     void look_at_armed();
@@ -173,8 +174,8 @@
     bool leads() const { return role_ == raft::Role::Leader; }
 
     ReplicaSettings set_;
-    Agree agree_;
-    State state_;
+    RaftHandler agree_;
+    ReplicatedState state_;
     bool stopped_ = false;
 
     TimePoint now_{};
--- a/src/fleet/coordinator/state.cpp
+++ b/src/fleet/coordinator/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "fleet/coordinator/state.h"
+#include "fleet/coordinator/replicated_state.h"
 
 #include <coordinator.pb.h>
 
@@ -13,25 +13,25 @@
 
 }  // namespace
 
-State::State(const Bounds& bounds, MakeMachines make)
-    : bounds_(bounds), make_(std::move(make)), machines_(make_()) {}
+ReplicatedState::ReplicatedState(const Limits& limits, StateMachineFactory make)
+    : limits_(limits), make_(std::move(make)), machines_(make_()) {}
 
-Machine* State::find(std::string_view kind) const {
+StateMachine* ReplicatedState::find(std::string_view kind) const {
     for (const auto& machine : machines_)
         if (machine->kind() == kind) return machine.get();
     return nullptr;
 }
 
-const Machine* State::machine(std::string_view kind) const {
+const StateMachine* ReplicatedState::machine(std::string_view kind) const {
     return find(kind);
 }
 
-const SessionInfo* State::session(SessionId id) const {
+const SessionInfo* ReplicatedState::session(SessionId id) const {
     auto found = sessions_.find(id);
     return found == sessions_.end() ? nullptr : &found->second.info;
 }
 
-std::optional<Outcome> State::answered(SessionId session, std::uint64_t number) const {
+std::optional<Outcome> ReplicatedState::answered(SessionId session, std::uint64_t number) const {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return std::nullopt;
     auto kept = found->second.kept.find(number);
@@ -40,25 +40,25 @@
         .error = kept->second.error, .session = session, .result = kept->second.result, .again = true};
 }
 
-void State::end(SessionId id) {
+void ReplicatedState::end(SessionId id) {
     if (sessions_.erase(id) == 0) return;
-    for (const auto& machine : machines_) machine->session_over(id);
+    for (const auto& machine : machines_) machine->session_ended(id);
 }
 
-Outcome State::carry_out(SessionId session, std::string_view kind, std::string_view body) {
+Outcome ReplicatedState::carry_out(SessionId session, std::string_view kind, std::string_view body) {
     // A leader proposes nothing that it does not know. What another release's has put into the log cannot be
     // passed over: the others have carried it out.
-    Machine* machine = find(kind);
+    StateMachine* machine = find(kind);
     if (!machine) return failed(Error::Behind);
     return {.error = Error::None, .session = session, .result = machine->apply({session, body})};
 }
 
-Outcome State::apply(std::string_view bytes) {
-    wire::Entry entry;
+Outcome ReplicatedState::apply(std::string_view bytes) {
+    wire::LogEntry entry;
     if (!entry.ParseFromArray(bytes.data(), int(bytes.size()))) return failed(Error::Behind);
-    switch (entry.what_case()) {
-        case wire::Entry::kOpen: {
-            const wire::Open& open = entry.open();
+    switch (entry.body_case()) {
+        case wire::LogEntry::kOpen: {
+            const wire::OpenSession& open = entry.open();
             SessionId before = 0;
             for (const auto& [id, one] : sessions_)
                 if (one.info.instance == open.instance() && one.info.name == open.name()) before = id;
@@ -69,7 +69,7 @@
                 return failed(Error::Forgotten);
             // The same process opens another: it says that it holds nothing of the one before.
             if (before != 0) end(before);
-            if (sessions_.size() >= bounds_.sessions) return failed(Error::TooMany);
+            if (sessions_.size() >= limits_.max_sessions) return failed(Error::TooMany);
             SessionId id = next_++;
             SessionInfo info{id,
                              open.name(),
@@ -78,100 +78,101 @@
                              open.attempt(),
                              open.lease_ms(),
                              open.release(),
-                             open.schema_least(),
-                             open.schema_most()};
+                             open.min_schema(),
+                             open.max_schema()};
             sessions_[id].info = info;
-            for (const auto& machine : machines_) machine->session_began(id, info.name, info.zone);
+            for (const auto& machine : machines_) machine->session_opened(id, info.name, info.zone);
             return {.session = id};
         }
-        case wire::Entry::kClose:
+        case wire::LogEntry::kClose:
             end(entry.close().session());
             return {};
-        case wire::Entry::kSessionOver:
-            end(entry.session_over().session());
+        case wire::LogEntry::kSessionExpired:
+            end(entry.session_expired().session());
             return {};
-        case wire::Entry::kOver: {
-            const wire::Over& over = entry.over();
-            Machine* machine = find(over.kind());
+        case wire::LogEntry::kTimeoutExpired: {
+            const wire::TimeoutExpired& over = entry.timeout_expired();
+            StateMachine* machine = find(over.kind());
             if (!machine) return failed(Error::Behind);
-            machine->apply({0, machine->over(over.key(), over.revision())});
+            machine->apply({0, machine->on_timeout(over.key(), over.revision())});
             return {};
         }
-        case wire::Entry::kDo: {
-            const wire::Do& what = entry.do_();
+        case wire::LogEntry::kCommand: {
+            const wire::Command& what = entry.command();
             if (what.session() == 0) return carry_out(0, what.kind(), what.body());
             auto found = sessions_.find(what.session());
             if (found == sessions_.end()) return failed(Error::NoSession);
             One& one = found->second;
-            if (what.number() <= one.last) {
-                if (auto kept = answered(what.session(), what.number())) return *kept;
+            if (what.sequence() <= one.last) {
+                if (auto kept = answered(what.session(), what.sequence())) return *kept;
                 return failed(Error::Forgotten);
             }
-            if (what.number() != one.last + 1) return failed(Error::OutOfOrder);
-            one.kept.erase(one.kept.begin(), one.kept.upper_bound(what.settled()));
-            if (one.kept.size() >= bounds_.window)
+            if (what.sequence() != one.last + 1) return failed(Error::OutOfOrder);
+            one.kept.erase(one.kept.begin(), one.kept.upper_bound(what.acknowledged()));
+            if (one.kept.size() >= limits_.max_cached_responses)
                 return failed(Error::Busy);  // more than it may leave unsettled
-            Outcome outcome = what.refused() != 0 ? failed(Error(what.refused()))
-                                                  : carry_out(what.session(), what.kind(), what.body());
+            Outcome outcome = what.rejected_with() != 0 ? failed(Error(what.rejected_with()))
+                                                        : carry_out(what.session(), what.kind(), what.body());
             if (outcome.fatal) return outcome;
-            one.last = what.number();
-            one.kept[what.number()] = {outcome.error, outcome.result};
+            one.last = what.sequence();
+            one.kept[what.sequence()] = {outcome.error, outcome.result};
             return outcome;
         }
-        case wire::Entry::WHAT_NOT_SET:
+        case wire::LogEntry::BODY_NOT_SET:
             break;
     }
     return failed(Error::Behind);
 }
 
-std::string State::snapshot() const {
-    wire::State state;
+std::string ReplicatedState::snapshot() const {
+    wire::ReplicatedState state;
     state.set_version(kVersion);
     state.set_next_session(next_);
     for (const auto& [id, one] : sessions_) {
-        wire::Session* to = state.add_sessions();
+        wire::SessionRecord* to = state.add_sessions();
         to->set_id(id), to->set_name(one.info.name), to->set_zone(one.info.zone),
             to->set_instance(one.info.instance);
         to->set_attempt(one.info.attempt), to->set_lease_ms(one.info.lease_ms),
             to->set_release(one.info.release);
-        to->set_schema_least(one.info.schema_least), to->set_schema_most(one.info.schema_most),
-            to->set_last(one.last);
+        to->set_min_schema(one.info.min_schema), to->set_max_schema(one.info.max_schema),
+            to->set_last_sequence(one.last);
         for (const auto& [number, kept] : one.kept) {
-            wire::Kept* k = to->add_kept();
-            k->set_number(number), k->set_error(std::uint32_t(kept.error)), k->set_result(kept.result);
+            wire::CachedResponse* k = to->add_cached_responses();
+            k->set_sequence(number), k->set_error(std::uint32_t(kept.error)), k->set_result(kept.result);
         }
     }
     for (const auto& machine : machines_) {
-        wire::MachineState* to = state.add_machines();
+        wire::StateMachineSnapshot* to = state.add_state_machines();
         to->set_kind(std::string(machine->kind())), to->set_schema(machine->schema()),
             to->set_bytes(machine->snapshot());
     }
     return state.SerializeAsString();
 }
 
-bool State::restore(std::string_view bytes) {
-    wire::State state;
+bool ReplicatedState::restore(std::string_view bytes) {
+    wire::ReplicatedState state;
     if (!state.ParseFromArray(bytes.data(), int(bytes.size())) || state.version() != kVersion) return false;
     sessions_.clear();
     machines_ = make_();
     next_ = state.next_session();
-    for (const wire::Session& from : state.sessions()) {
+    for (const wire::SessionRecord& from : state.sessions()) {
         One& one = sessions_[from.id()];
-        one.info = {from.id(),       from.name(),    from.zone(),         from.instance(),   from.attempt(),
-                    from.lease_ms(), from.release(), from.schema_least(), from.schema_most()};
-        one.last = from.last();
-        for (const wire::Kept& kept : from.kept())
-            one.kept[kept.number()] = {Error(kept.error()), kept.result()};
+        one.info = {from.id(),       from.name(),    from.zone(),       from.instance(),  from.attempt(),
+                    from.lease_ms(), from.release(), from.min_schema(), from.max_schema()};
+        one.last = from.last_sequence();
+        for (const wire::CachedResponse& kept : from.cached_responses())
+            one.kept[kept.sequence()] = {Error(kept.error()), kept.result()};
     }
-    for (const wire::MachineState& from : state.machines()) {
-        Machine* machine = find(from.kind());
+    for (const wire::StateMachineSnapshot& from : state.state_machines()) {
+        StateMachine* machine = find(from.kind());
         if (!machine || !machine->restore(from.schema(), from.bytes())) return false;
     }
     for (const auto& machine : machines_) {
         bool there = false;
-        for (const wire::MachineState& from : state.machines()) there |= from.kind() == machine->kind();
+        for (const wire::StateMachineSnapshot& from : state.state_machines())
+            there |= from.kind() == machine->kind();
         if (there) continue;
-        for (const auto& [id, one] : sessions_) machine->session_began(id, one.info.name, one.info.zone);
+        for (const auto& [id, one] : sessions_) machine->session_opened(id, one.info.name, one.info.zone);
     }
     return true;
 }
--- a/src/fleet/coordinator/state.h
+++ b/src/fleet/coordinator/replicated_state.h
@@ -13,28 +13,28 @@
 #include <vector>
 
 #include "fleet/coordinator/error.h"
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 
 namespace ochrehub::coordinator {
 
-using Machines =
-    std::vector<std::unique_ptr<Machine>>;  ///< each kind once, in the same order at every keeper
+using StateMachines =
+    std::vector<std::unique_ptr<StateMachine>>;  ///< each kind once, in the same order at every keeper
 /// All of them, empty. A machine that is in no snapshot, as one of a newer release is, begins with the
 /// sessions that there are.
-using MakeMachines = std::function<Machines()>;
+using StateMachineFactory = std::function<StateMachines()>;
 
-struct Bounds {
-    std::size_t sessions = 10'000;
-    std::size_t name = 128;        ///< octets of a session's name and zone
-    std::size_t body = 768 << 10;  ///< octets of a command
-    std::size_t window = 64;       ///< answers of one session that are kept
+struct Limits {
+    std::size_t max_sessions = 10'000;
+    std::size_t max_name_bytes = 128;           ///< octets of a session's name and zone
+    std::size_t max_command_bytes = 768 << 10;  ///< octets of a command
+    std::size_t max_cached_responses = 64;      ///< answers of one session that are kept
 };
 
 struct SessionInfo {
     SessionId id = 0;
     std::string name, zone;
     std::uint64_t instance = 0, attempt = 0;
-    std::uint32_t lease_ms = 0, release = 0, schema_least = 0, schema_most = 0;
+    std::uint32_t lease_ms = 0, release = 0, min_schema = 0, max_schema = 0;
     friend bool operator==(const SessionInfo&, const SessionInfo&) = default;
 };
 
@@ -47,9 +47,9 @@
     bool again = false;     ///< a command that had been carried out before
 };
 
-class State {
+class ReplicatedState {
 public:
-    State(const Bounds& bounds, MakeMachines make);
+    ReplicatedState(const Limits& limits, StateMachineFactory make);
 
     Outcome apply(std::string_view entry);
     std::string snapshot() const;
@@ -66,8 +66,8 @@
     std::size_t sessions() const { return sessions_.size(); }
     /// The answer that was given to this command, where it is kept.
     std::optional<Outcome> answered(SessionId session, std::uint64_t number) const;
-    const Machine* machine(std::string_view kind) const;
-    const Machines& machines() const { return machines_; }
+    const StateMachine* machine(std::string_view kind) const;
+    const StateMachines& machines() const { return machines_; }
 
 private:
     struct Kept {
@@ -79,13 +79,13 @@
         std::uint64_t last = 0;
         std::map<std::uint64_t, Kept> kept;
     };
-    Machine* find(std::string_view kind) const;
+    StateMachine* find(std::string_view kind) const;
     void end(SessionId id);
     Outcome carry_out(SessionId session, std::string_view kind, std::string_view body);
 
-    Bounds bounds_;
-    MakeMachines make_;
-    Machines machines_;
+    Limits limits_;
+    StateMachineFactory make_;
+    StateMachines machines_;
     SessionId next_ = 1;
     std::map<SessionId, One> sessions_;
 };
--- a/src/fleet/coordinator/process.cpp
+++ b/src/fleet/coordinator/server.cpp
@@ -1,4 +1,4 @@
-#include "fleet/coordinator/process.h"
+#include "fleet/coordinator/server.h"
 
 #include <boost/asio/post.hpp>
 #include <cstring>
@@ -35,7 +35,8 @@
 
 }  // namespace
 
-channel::MeshSettings KeeperProcess::mesh_settings(const ProcessSettings& settings, std::uint64_t instance) {
+channel::MeshSettings CoordinatorServer::mesh_settings(const ServerSettings& settings,
+                                                       std::uint64_t instance) {
     channel::MeshSettings mesh;
     mesh.channel.self = {settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
@@ -44,18 +45,19 @@
     mesh.dial.first = settings.raft.heartbeat;
     mesh.dial.most = settings.raft.election;
     mesh.dial.limit = settings.raft.election * 2;
-    mesh.accepted = settings.asking;
+    mesh.accepted = settings.max_client_connections;
     return mesh;
 }
 
-KeeperProcess::KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler,
-                             const ProcessSettings& settings, MakeMachines machines)
+CoordinatorServer::CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler,
+                                     const ServerSettings& settings, StateMachineFactory machines)
     : io_(io),
       scheduler_(scheduler),
       set_(settings),
-      storing_(std::make_unique<Storing>(
-          std::make_unique<store::PosixFiles>(settings.folder),
-          Storing::Settings{{folder_cluster(settings.cluster)}, settings.begin, settings.members})),
+      storing_(std::make_unique<DurableStorage>(
+          std::make_unique<store::PosixFiles>(settings.data_directory),
+          DurableStorage::Settings{
+              {storage_cluster_id(settings.cluster)}, settings.start_mode, settings.initial_members})),
       disk_(storing_->disk()),
       raft_(settings.raft, disk_, draw()),
       replica_(
@@ -69,7 +71,7 @@
         log(LogLevel::Warn,
             "keeper: something that was promised is not in the folder: it does not vote until others have "
             "told what they know",
-            {{"folder", set_.folder}});
+            {{"folder", set_.data_directory}});
     disk_ = {};
     mesh_.up = [this](const channel::Peer& peer) {
         if (peer.keeper != 0) instances_[peer.keeper] = peer.instance;
@@ -79,42 +81,44 @@
         if (found != instances_.end() && found->second == peer.instance) instances_.erase(found);
     };
     mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
-        if (kind == channel::Kind::Ask) return handle(Asked{peer.instance, std::move(body)});
+        if (kind == channel::Kind::Ask) return handle(RequestReceived{peer.instance, std::move(body)});
         if (kind != channel::Kind::Raft || peer.keeper == 0 || peer.keeper == set_.raft.self) return;
-        if (auto message = raft::decode(body)) handle(FromKeeper{peer.keeper, std::move(*message)});
+        if (auto message = raft::decode(body)) handle(RaftMessageReceived{peer.keeper, std::move(*message)});
     };
 }
 
-KeeperProcess::~KeeperProcess() {
+CoordinatorServer::~CoordinatorServer() {
     *alive_ = false;
     scheduler_.cancel(timer_);
     storing_.reset();
     mesh_.close();
 }
 
-void KeeperProcess::start() {
+void CoordinatorServer::start() {
     auto on_loop = [this, alive = alive_](auto what) {
         boost::asio::post(io_, [alive, what] {
             if (*alive) what();
         });
     };
     storing_->start(
-        [this, on_loop](std::uint64_t number) { on_loop([this, number] { handle(Written{number}); }); },
+        [this, on_loop](std::uint64_t number) {
+            on_loop([this, number] { handle(WriteCompleted{number}); });
+        },
         [this, on_loop](int why) {
-            on_loop([this, why] { stop(Error::Broken, set_.folder + ": " + std::strerror(why)); });
+            on_loop([this, why] { stop(Error::Broken, set_.data_directory + ": " + std::strerror(why)); });
         });
-    meet(raft_.members().empty() ? set_.members : raft_.members());
-    handle(Woken{});
+    meet(raft_.members().empty() ? set_.initial_members : raft_.members());
+    handle(TimerFired{});
 }
 
-void KeeperProcess::handle(const ReplicaEvent& event) {
+void CoordinatorServer::handle(const ReplicaEvent& event) {
     if (stopped_) return;
     ReplicaActions actions;
     replica_.handle(scheduler_.now(), event, actions);
     for (ReplicaAction& action : actions) carry_out(action);
 }
 
-void KeeperProcess::carry_out(ReplicaAction& action) {
+void CoordinatorServer::carry_out(ReplicaAction& action) {
     if (stopped_) return;
     if (const auto* send = std::get_if<raft::Send>(&action)) {
         // What is not sent is as good as lost: Raft sends again.
@@ -122,7 +126,7 @@
             mesh_.send(found->second, channel::Kind::Raft, raft::encode(send->message));
     } else if (auto* write = std::get_if<raft::Write>(&action)) {
         storing_->write(std::move(*write));
-    } else if (auto* answer = std::get_if<Answer>(&action)) {
+    } else if (auto* answer = std::get_if<SendResponse>(&action)) {
         mesh_.send(answer->who, channel::Kind::Answer, std::move(answer->body));
     } else if (const auto* became = std::get_if<raft::Became>(&action)) {
         log(became->role == raft::Role::Leader ? LogLevel::Info : LogLevel::Debug, "keeper: this one now",
@@ -133,21 +137,21 @@
         scheduler_.cancel(timer_);
         timer_ = scheduler_.call_at(wake->at, [this] {
             timer_ = 0;
-            handle(Woken{});
+            handle(TimerFired{});
         });
     } else if (const auto* over = std::get_if<Stop>(&action)) {
         stop(over->error, over->about);
     }
 }
 
-void KeeperProcess::meet(const raft::Members& members) {
+void CoordinatorServer::meet(const raft::Members& members) {
     std::map<raft::KeeperId, std::string> wanted;
     bool among = false;
     for (const raft::Member& member : members) {
         among |= member.id == set_.raft.self;
         if (member.id == set_.raft.self) continue;
-        auto reach = set_.reach.find(member.id);
-        wanted[member.id] = reach == set_.reach.end() ? member.address : reach->second;
+        auto reach = set_.dial_addresses.find(member.id);
+        wanted[member.id] = reach == set_.dial_addresses.end() ? member.address : reach->second;
     }
     if (!among) log(LogLevel::Info, "keeper: not among the members", {{"number", set_.raft.self}});
     for (const auto& [id, address] : dialled_)
@@ -160,7 +164,7 @@
     dialled_ = std::move(wanted);
 }
 
-void KeeperProcess::stop(Error error, const std::string& about) {
+void CoordinatorServer::stop(Error error, const std::string& about) {
     if (std::exchange(stopped_, true)) return;
     log_line(LogLevel::Error, "%s", fleet::sentence(row(error), about).c_str());
     if (stopped) stopped(error, about);
--- a/src/fleet/coordinator/process.h
+++ b/src/fleet/coordinator/server.h
@@ -12,32 +12,33 @@
 
 #include "base/scheduler.h"
 #include "fleet/channel/mesh.h"
+#include "fleet/coordinator/durable_storage.h"
 #include "fleet/coordinator/replica.h"
-#include "fleet/coordinator/storing.h"
 #include "fleet/raft/raft.h"
 
 namespace ochrehub::coordinator {
 
-struct ProcessSettings {
+struct ServerSettings {
     raft::Settings raft;  ///< its `self` is this keeper's number
     ReplicaSettings replica;
     channel::Mesh::Endpoint listen;
-    std::string name, zone, cluster, folder;
+    std::string name, zone, cluster, data_directory;
     std::vector<std::string> keys;
-    std::map<raft::KeeperId, std::string> reach;  ///< where others are dialled, instead of where they say
-    raft::Members members;                        ///< of the cluster's beginning
-    Begin begin = Begin::Again;
+    std::map<raft::KeeperId, std::string>
+        dial_addresses;             ///< where others are dialled, instead of where they say
+    raft::Members initial_members;  ///< of a new cluster
+    StartMode start_mode = StartMode::Resume;
     std::uint32_t release = 0;
-    std::size_t asking = 4096;  ///< connections of processes
+    std::size_t max_client_connections = 4096;  ///< connections of processes
 };
 
-class KeeperProcess {
+class CoordinatorServer {
 public:
-    /// Opens its folder and listens. Throws what Storing and Mesh throw.
-    KeeperProcess(boost::asio::io_context& io, Scheduler& scheduler, const ProcessSettings& settings,
-                  MakeMachines machines);
-    ~KeeperProcess();
-    KeeperProcess(const KeeperProcess&) = delete;
+    /// Opens its folder and listens. Throws what DurableStorage and Mesh throw.
+    CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler, const ServerSettings& settings,
+                      StateMachineFactory machines);
+    ~CoordinatorServer();
+    CoordinatorServer(const CoordinatorServer&) = delete;
 
     void start();
     /// It can't go on: its disk failed, or others have written what it does not know. Called once; end the
@@ -48,7 +49,7 @@
     const Replica& replica() const { return replica_; }
 
 private:
-    static channel::MeshSettings mesh_settings(const ProcessSettings& settings, std::uint64_t instance);
+    static channel::MeshSettings mesh_settings(const ServerSettings& settings, std::uint64_t instance);
     void handle(const ReplicaEvent& event);
     void carry_out(ReplicaAction& action);
     void meet(const raft::Members& members);
@@ -56,8 +57,8 @@
 
     boost::asio::io_context& io_;
     Scheduler& scheduler_;
-    ProcessSettings set_;
-    std::unique_ptr<Storing> storing_;
+    ServerSettings set_;
+    std::unique_ptr<DurableStorage> storing_;
     raft::Disk disk_;
     raft::Raft raft_;
     Replica replica_;
--- a/src/fleet/coordinator/session.cpp
+++ b/src/fleet/coordinator/session.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Session::Session(const SessionSettings& settings)
-    : set_(settings), random_(settings.seed), keepers_(settings.keepers) {
+    : set_(settings), random_(settings.seed), keepers_(settings.coordinators) {
     if (!keepers_.empty()) target_ = keepers_[std::size_t(uniform() * double(keepers_.size()))];
 }
 
@@ -25,16 +25,16 @@
     now_ = now, out_ = &actions;
     // The clock before anything: a process that stood still holds nothing, whatever has arrived since.
     if (session_ != 0 && now_ >= until_) lose();
-    if (const auto* one = std::get_if<Heard>(&event)) {
+    if (const auto* one = std::get_if<ResponseReceived>(&event)) {
         heard(*one);
-    } else if (const auto* cut = std::get_if<Cut>(&event)) {
+    } else if (const auto* cut = std::get_if<Disconnected>(&event)) {
         if (cut->from == target_) not_there(true, {});
-    } else if (const auto* submit = std::get_if<Submit>(&event)) {
+    } else if (const auto* submit = std::get_if<CommandRequested>(&event)) {
         if (session_ == 0)
-            out_->push_back(Answered{submit->call, Error::NoSession, {}});
-        else if (waiting() >= set_.waiting || submit->body.size() > set_.body)
-            out_->push_back(
-                Answered{submit->call, waiting() >= set_.waiting ? Error::Busy : Error::TooLong, {}});
+            out_->push_back(CallCompleted{submit->call, Error::NoSession, {}});
+        else if (waiting() >= set_.max_pending_calls || submit->body.size() > set_.max_command_bytes)
+            out_->push_back(CallCompleted{
+                submit->call, waiting() >= set_.max_pending_calls ? Error::Busy : Error::TooLong, {}});
         else
             commands_.push_back({submit->call,
                                  next_call_++,
@@ -45,9 +45,9 @@
                                  false,
                                  {},
                                  {}});
-    } else if (const auto* question = std::get_if<Question>(&event)) {
-        if (closed_ || waiting() >= set_.waiting)
-            out_->push_back(Answered{question->call, closed_ ? Error::NoSession : Error::Busy, {}});
+    } else if (const auto* question = std::get_if<QueryRequested>(&event)) {
+        if (closed_ || waiting() >= set_.max_pending_calls)
+            out_->push_back(CallCompleted{question->call, closed_ ? Error::NoSession : Error::Busy, {}});
         else
             questions_.push_back({question->call,
                                   next_call_++,
@@ -57,11 +57,11 @@
                                   false,
                                   false,
                                   {},
-                                  now_ + set_.question});
-    } else if (std::holds_alternative<CloseSession>(event) && !closed_) {
+                                  now_ + set_.query_timeout});
+    } else if (std::holds_alternative<CloseRequested>(event) && !closed_) {
         closed_ = true;
         if (session_ != 0) {
-            wire::Ask ask;
+            wire::Request ask;
             ask.set_call(next_call_++);
             ask.mutable_close()->set_session(session_);
             if (found_) say(ask);
@@ -69,7 +69,7 @@
         }
         probe_.out = false;
     }
-    if (probe_.out && now_ >= probe_.asked + set_.patience) not_there(true, {});
+    if (probe_.out && now_ >= probe_.asked + set_.response_timeout) not_there(true, {});
     end_questions();
     if (!closed_ && !probe_.out && now_ >= try_at_ && !keepers_.empty()) probe();
     if (!closed_ && found_) send_waiting();
@@ -77,13 +77,13 @@
     out_ = nullptr;
 }
 
-void Session::say(const wire::Ask& ask) {
-    out_->push_back(Say{target_, ask.SerializeAsString()});
+void Session::say(const wire::Request& ask) {
+    out_->push_back(SendRequest{target_, ask.SerializeAsString()});
 }
 
 Duration Session::backoff() {
-    double most = std::min(set_.backoff_most.count(),
-                           set_.backoff_least.count() * double(1 << std::min(failures_, 10)));
+    double most =
+        std::min(set_.max_backoff.count(), set_.min_backoff.count() * double(1 << std::min(failures_, 10)));
     ++failures_;
     return Duration{most * (0.5 + 0.5 * uniform())};
 }
@@ -109,15 +109,15 @@
 }
 
 void Session::probe() {
-    wire::Ask ask;
+    wire::Request ask;
     probe_ = {next_call_++, now_, true, session_ == 0};
     ask.set_call(probe_.call);
     if (session_ == 0) {
-        wire::Open& open = *ask.mutable_open();
+        wire::OpenSession& open = *ask.mutable_open();
         open.set_name(set_.name), open.set_zone(set_.zone), open.set_instance(set_.instance),
             open.set_attempt(attempt_);
         open.set_lease_ms(std::uint32_t(set_.lease.count())), open.set_release(set_.release);
-        open.set_schema_least(set_.schema_least), open.set_schema_most(set_.schema_most);
+        open.set_min_schema(set_.min_schema), open.set_max_schema(set_.max_schema);
     } else {
         ask.mutable_renew()->set_session(session_);
     }
@@ -130,23 +130,23 @@
     ++attempt_;
     next_number_ = 1;
     probe_.out = false, try_at_ = now_;
-    out_->push_back(Lost{was});
+    out_->push_back(SessionLost{was});
     for (Sending& one : std::exchange(commands_, {}))
-        out_->push_back(Answered{one.call, one.ever ? Error::Uncertain : Error::NoSession, {}});
+        out_->push_back(CallCompleted{one.call, one.ever ? Error::Uncertain : Error::NoSession, {}});
 }
 
-void Session::learn(const wire::Answer& answer) {
+void Session::learn(const wire::Response& answer) {
     std::vector<std::string> now;
     for (const wire::Member& member : answer.members())
         if (!member.address().empty()) now.push_back(member.address());
     if (now.empty()) return;
-    for (const std::string& told : set_.keepers)
+    for (const std::string& told : set_.coordinators)
         if (std::find(now.begin(), now.end(), told) == now.end()) now.push_back(told);
     keepers_ = std::move(now);
 }
 
-void Session::heard(const Heard& heard) {
-    wire::Answer answer;
+void Session::heard(const ResponseReceived& heard) {
+    wire::Response answer;
     if (!answer.ParseFromString(heard.body)) return;
     if (probe_.out && answer.call() == probe_.call) return answered_probe(heard.from, answer);
     auto is = [&](const Sending& one) { return one.ours == answer.call(); };
@@ -154,7 +154,7 @@
     if (std::any_of(questions_.begin(), questions_.end(), is)) answered_question(heard.from, answer);
 }
 
-void Session::answered_probe(const std::string& from, const wire::Answer& answer) {
+void Session::answered_probe(const std::string& from, const wire::Response& answer) {
     auto error = Error(answer.error());
     if (error == Error::NoSession && !probe_.open) return lose();
     if (error == Error::NotLeader) return not_there(false, answer.leader_address());
@@ -178,11 +178,12 @@
     ++renewals_;
     try_at_ = probe_.asked + set_.lease / 3;
     learn(answer);
-    out_->push_back(Held{session_, until_});
-    for (const wire::News& news : answer.news()) out_->push_back(News{news.kind(), news.bytes()});
+    out_->push_back(SessionRenewed{session_, until_});
+    for (const wire::SessionUpdate& news : answer.updates())
+        out_->push_back(SessionUpdate{news.kind(), news.bytes()});
 }
 
-void Session::not_accepted(const std::string& from, const wire::Answer& answer) {
+void Session::not_accepted(const std::string& from, const wire::Response& answer) {
     if (from != target_) return;  // of one that was left meanwhile
     if (Error(answer.error()) == Error::NotLeader) {
         if (found_) not_there(false, answer.leader_address());
@@ -191,7 +192,7 @@
     resend_at_ = std::max(resend_at_, now_ + backoff());
 }
 
-void Session::answered_command(const std::string& from, const wire::Answer& answer) {
+void Session::answered_command(const std::string& from, const wire::Response& answer) {
     auto at = std::find_if(commands_.begin(), commands_.end(),
                            [&](const Sending& one) { return one.ours == answer.call(); });
     switch (auto error = Error(answer.error())) {
@@ -205,13 +206,13 @@
             return not_accepted(from, answer);
         default:
             failures_ = 0;
-            out_->push_back(Answered{at->call, error, answer.result()});
+            out_->push_back(CallCompleted{at->call, error, answer.result()});
             // Answers may overtake each other; what is settled goes up to the first that has none.
             commands_.erase(at);
     }
 }
 
-void Session::answered_question(const std::string& from, const wire::Answer& answer) {
+void Session::answered_question(const std::string& from, const wire::Response& answer) {
     auto at = std::find_if(questions_.begin(), questions_.end(),
                            [&](const Sending& one) { return one.ours == answer.call(); });
     auto error = Error(answer.error());
@@ -219,7 +220,7 @@
         at->sent = false;
         return not_accepted(from, answer);
     }
-    out_->push_back(Answered{at->call, error, answer.result()});
+    out_->push_back(CallCompleted{at->call, error, answer.result()});
     questions_.erase(at);
 }
 
@@ -229,7 +230,7 @@
             ++at;
             continue;
         }
-        out_->push_back(Answered{at->call, Error::Unreachable, {}});
+        out_->push_back(CallCompleted{at->call, Error::Unreachable, {}});
         at = questions_.erase(at);
     }
 }
@@ -238,27 +239,27 @@
     if (now_ < resend_at_) return;
     if (session_ != 0 && !commands_.empty()) {
         // A first one without an answer for long: all behind it go again too.
-        if (commands_.front().sent && now_ - commands_.front().at >= set_.resend)
+        if (commands_.front().sent && now_ - commands_.front().at >= set_.resend_interval)
             for (Sending& one : commands_) one.sent = false;
         std::uint64_t settled = commands_.front().number - 1;
         for (Sending& one : commands_) {
-            if (one.number > settled + set_.window) break;
+            if (one.number > settled + set_.max_inflight_commands) break;
             if (one.sent) continue;
             one.sent = one.ever = true, one.at = now_;
-            wire::Ask ask;
+            wire::Request ask;
             ask.set_call(one.ours);
-            wire::Do& what = *ask.mutable_do_();
-            what.set_session(session_), what.set_number(one.number), what.set_settled(settled);
+            wire::Command& what = *ask.mutable_command();
+            what.set_session(session_), what.set_sequence(one.number), what.set_acknowledged(settled);
             what.set_kind(one.kind), what.set_body(one.body);
             say(ask);
         }
     }
     for (Sending& one : questions_) {
-        if (one.sent && now_ - one.at < set_.resend) continue;
+        if (one.sent && now_ - one.at < set_.resend_interval) continue;
         one.sent = true, one.at = now_;
-        wire::Ask ask;
+        wire::Request ask;
         ask.set_call(one.ours);
-        ask.mutable_look()->set_kind(one.kind), ask.mutable_look()->set_body(one.body);
+        ask.mutable_query()->set_kind(one.kind), ask.mutable_query()->set_body(one.body);
         say(ask);
     }
 }
@@ -267,10 +268,10 @@
     TimePoint at = TimePoint::max();
     auto sooner = [&](TimePoint t) { at = std::min(at, t); };
     if (session_ != 0) sooner(until_);
-    if (!closed_ && !keepers_.empty()) sooner(probe_.out ? probe_.asked + set_.patience : try_at_);
+    if (!closed_ && !keepers_.empty()) sooner(probe_.out ? probe_.asked + set_.response_timeout : try_at_);
     bool unsent = false;
     auto waits = [&](const Sending& one) {
-        if (one.sent) return sooner(std::max(one.at + set_.resend, resend_at_));
+        if (one.sent) return sooner(std::max(one.at + set_.resend_interval, resend_at_));
         unsent = true;
     };
     if (found_ && !commands_.empty()) waits(commands_.front());
@@ -279,11 +280,11 @@
         if (found_) waits(one);
     }
     for (const Sending& one : commands_)
-        unsent |= !one.sent && one.number < commands_.front().number + set_.window;
+        unsent |= !one.sent && one.number < commands_.front().number + set_.max_inflight_commands;
     if (found_ && unsent && resend_at_ > now_) sooner(resend_at_);
     if (at == wake_ && now_ < wake_) return;
     wake_ = at;
-    if (at != TimePoint::max()) out_->push_back(SessionWakeAt{at});
+    if (at != TimePoint::max()) out_->push_back(SetSessionTimer{at});
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/session.h
+++ b/src/fleet/coordinator/session.h
@@ -3,9 +3,9 @@
 // again, so that each is carried out once. Not for two threads; it never makes anybody wait.
 //
 // The lease is counted from before it was asked for, on the process's own clock, and ends a margin early (a
-// hundredth and 50 ms). Whatever happens, the clock is looked at first: behind a pause `Lost` is the first
-// that its owner hears. Whoever acts on a session compares `until` with the clock himself before each act;
-// `Lost` only tells him sooner.
+// hundredth and 50 ms). Whatever happens, the clock is looked at first: behind a pause `SessionLost` is the
+// first that its owner hears. Whoever acts on a session compares `until` with the clock himself before each
+// act; `SessionLost` only tells him sooner.
 #pragma once
 
 #include <cstdint>
@@ -16,79 +16,81 @@
 #include <vector>
 
 #include "fleet/coordinator/error.h"
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "ochrehub/balancer.h"
 
 namespace ochrehub::coordinator {
 
 namespace wire {
-class Answer;
-class Ask;
+class Response;
+class Request;
 }  // namespace wire
 
 struct SessionSettings {
-    std::vector<std::string> keepers;  ///< addresses of some; others are learnt from answers
+    std::vector<std::string> coordinators;  ///< addresses of some; others are learnt from answers
     std::string name, zone;
     std::uint64_t instance = 0;  ///< drawn at the process's start
-    std::uint32_t release = 0, schema_least = 0, schema_most = 0;
+    std::uint32_t release = 0, min_schema = 0, max_schema = 0;
     Duration lease{3000};
-    Duration patience{400};  ///< with one keeper that does not answer
-    Duration backoff_least{50}, backoff_most{300};
-    Duration resend{1000};         ///< a command or question without an answer goes out again
-    Duration question{5000};       ///< after which a question is told Unreachable
-    std::size_t window = 32;       ///< commands on their way; keepers keep the answers of 64
-    std::size_t waiting = 4096;    ///< commands and questions not answered; more are told Busy
-    std::size_t body = 768 << 10;  ///< octets of a command
+    Duration response_timeout{400};  ///< with one keeper that does not answer
+    Duration min_backoff{50}, max_backoff{300};
+    Duration resend_interval{1000};             ///< a command or question without an answer goes out again
+    Duration query_timeout{5000};               ///< after which a question is told Unreachable
+    std::size_t max_inflight_commands = 32;     ///< commands on their way; keepers keep the answers of 64
+    std::size_t max_pending_calls = 4096;       ///< commands and questions not answered; more are told Busy
+    std::size_t max_command_bytes = 768 << 10;  ///< octets of a command
     std::uint64_t seed = 1;
 };
 
 // ---- What happens
-struct SessionWoken {};
-struct Heard {
-    std::string from, body;  ///< an address; wire::Answer
+struct SessionTimerFired {};
+struct ResponseReceived {
+    std::string from, body;  ///< an address; wire::Response
 };
-struct Cut {  ///< the connection to this address is gone, or there was none to be had
+struct Disconnected {  ///< the connection to this address is gone, or there was none to be had
     std::string from;
 };
-struct Submit {              ///< a command for a machine, under the session that is held
-    std::uint64_t call = 0;  ///< chosen by whoever asks; comes back in Answered, once
+struct CommandRequested {    ///< a command for a machine, under the session that is held
+    std::uint64_t call = 0;  ///< chosen by whoever asks; comes back in CallCompleted, once
     std::string kind, body;
 };
-struct Question {  ///< Machine::read at the leader; needs no session
+struct QueryRequested {  ///< StateMachine::read at the leader; needs no session
     std::uint64_t call = 0;
     std::string kind, body;
 };
-struct CloseSession {};  ///< hand it back; nothing is opened any more
-using SessionEvent = std::variant<SessionWoken, Heard, Cut, Submit, Question, CloseSession>;
+struct CloseRequested {};  ///< hand it back; nothing is opened any more
+using SessionEvent = std::variant<SessionTimerFired, ResponseReceived, Disconnected, CommandRequested,
+                                  QueryRequested, CloseRequested>;
 
 // ---- What is to be done about it
-struct Say {  ///< connecting first where there is no connection
+struct SendRequest {  ///< connecting first where there is no connection
     std::string to, body;
 };
-struct Held {  ///< from now on, or longer
+struct SessionRenewed {  ///< from now on, or longer
     SessionId session = 0;
     TimePoint until;
 };
-struct Lost {  ///< nothing may be done under it any more
+struct SessionLost {  ///< nothing may be done under it any more
     SessionId session = 0;
 };
-struct News {  ///< as of the last renewal; each kind that has any, each time
+struct SessionUpdate {  ///< as of the last renewal; each kind that has any, each time
     std::string kind, bytes;
 };
-struct Answered {
+struct CallCompleted {
     std::uint64_t call = 0;
     Error error = Error::None;  ///< NoSession: never sent; Uncertain: sent, and the session is over since
     std::string result;
 };
-struct SessionWakeAt {  ///< replaces what was asked for before
+struct SetSessionTimer {  ///< replaces what was asked for before
     TimePoint at;
 };
-using SessionAction = std::variant<Say, Held, Lost, News, Answered, SessionWakeAt>;
+using SessionAction =
+    std::variant<SendRequest, SessionRenewed, SessionLost, SessionUpdate, CallCompleted, SetSessionTimer>;
 using SessionActions = std::vector<SessionAction>;
 
 class Session {
 public:
-    /// Begins with SessionWoken.
+    /// Begins with SessionTimerFired.
     explicit Session(const SessionSettings& settings);
 
     void handle(TimePoint now, const SessionEvent& event, SessionActions& actions);
@@ -116,18 +118,18 @@
         bool out = false, open = false;
     };
 
-    void heard(const Heard& heard);
-    void answered_probe(const std::string& from, const wire::Answer& answer);
-    void answered_command(const std::string& from, const wire::Answer& answer);
-    void answered_question(const std::string& from, const wire::Answer& answer);
-    void not_accepted(const std::string& from, const wire::Answer& answer);
+    void heard(const ResponseReceived& heard);
+    void answered_probe(const std::string& from, const wire::Response& answer);
+    void answered_command(const std::string& from, const wire::Response& answer);
+    void answered_question(const std::string& from, const wire::Response& answer);
+    void not_accepted(const std::string& from, const wire::Response& answer);
     void lose();
     void not_there(bool silent, const std::string& hint);
     void probe();
     void end_questions();
     void send_waiting();
-    void say(const wire::Ask& ask);
-    void learn(const wire::Answer& answer);
+    void say(const wire::Request& ask);
+    void learn(const wire::Response& answer);
     void wake();
     Duration backoff();
     double uniform() { return double(random_() >> 11) * 0x1p-53; }
--- a/src/fleet/coordinator/session_side.cpp
+++ b/src/fleet/coordinator/session_thread.cpp
@@ -1,4 +1,4 @@
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 
 #include <boost/asio/post.hpp>
 #include <random>
@@ -21,19 +21,19 @@
 
 }  // namespace
 
-SideSettings SessionSide::drawn(SideSettings settings) {
+SessionThreadSettings SessionThread::drawn(SessionThreadSettings settings) {
     if (settings.session.instance == 0) settings.session.instance = draw();
     if (settings.session.seed <= 1) settings.session.seed = draw();
     return settings;
 }
 
-channel::MeshSettings SessionSide::mesh_settings(const SideSettings& settings) {
+channel::MeshSettings SessionThread::mesh_settings(const SessionThreadSettings& settings) {
     channel::MeshSettings mesh;
     channel::Peer& self = mesh.channel.self;
     self.name = settings.session.name, self.zone = settings.session.zone,
     self.instance = settings.session.instance;
-    self.release = settings.session.release, self.schema_least = settings.session.schema_least,
-    self.schema_most = settings.session.schema_most;
+    self.release = settings.session.release, self.schema_least = settings.session.min_schema,
+    self.schema_most = settings.session.max_schema;
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
     mesh.channel.keys = settings.keys;
     mesh.channel.idle = settings.session.lease / 6, mesh.channel.dead = settings.session.lease / 2;
@@ -44,7 +44,7 @@
     return mesh;
 }
 
-SessionSide::SessionSide(SideSettings settings, Clock clock)
+SessionThread::SessionThread(SessionThreadSettings settings, Clock clock)
     : set_(drawn(std::move(settings))),
       clock_(clock),
       work_(io_.get_executor()),
@@ -56,20 +56,20 @@
         std::vector<std::string> gone;
         for (const auto& [address, instance] : instances_)
             if (instance == peer.instance) gone.push_back(address);
-        for (const std::string& address : gone) instances_.erase(address), handle(Cut{address});
+        for (const std::string& address : gone) instances_.erase(address), handle(Disconnected{address});
     };
     mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind != channel::Kind::Answer) return;
         for (const auto& [address, instance] : instances_)
-            if (instance == peer.instance) return handle(Heard{address, std::move(body)});
+            if (instance == peer.instance) return handle(ResponseReceived{address, std::move(body)});
     };
     mesh_.unreached = [this](const std::string& address, channel::Error) {
         unsent_.erase(address);
-        handle(Cut{address});
+        handle(Disconnected{address});
     };
 }
 
-SessionSide::~SessionSide() {
+SessionThread::~SessionThread() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
     // What was asked and not looked at yet is answered too, and what still hangs on the mesh ends.
@@ -77,47 +77,47 @@
     io_.poll();
     mesh_.close();
     io_.poll();
-    for (auto& [call, done] : std::exchange(done_, {})) done(Error::Uncertain, {});
+    for (auto& [call, callback] : std::exchange(callbacks_, {})) callback(Error::Uncertain, {});
 }
 
-void SessionSide::start() {
+void SessionThread::start() {
     thread_ = side_thread(io_, [](const std::exception& error) {
         log_line(LogLevel::Error, "keepers: %s: this process has no session any more", error.what());
     });
     boost::asio::post(io_, [this] {
-        for (const std::string& address : set_.session.keepers)
+        for (const std::string& address : set_.session.coordinators)
             if (!mesh_.dial(address)) log(LogLevel::Error, "no address of a keeper:", {{"address", address}});
-        handle(SessionWoken{});
+        handle(SessionTimerFired{});
     });
 }
 
 template <class Event>
-void SessionSide::ask(std::string kind, std::string body, Done done) {
-    boost::asio::post(
-        io_, [this, kind = std::move(kind), body = std::move(body), done = std::move(done)]() mutable {
-            std::uint64_t call = next_call_++;
-            done_.emplace(call, std::move(done));
-            handle(Event{call, std::move(kind), std::move(body)});
-        });
+void SessionThread::ask(std::string kind, std::string body, Callback callback) {
+    boost::asio::post(io_, [this, kind = std::move(kind), body = std::move(body),
+                            callback = std::move(callback)]() mutable {
+        std::uint64_t call = next_call_++;
+        callbacks_.emplace(call, std::move(callback));
+        handle(Event{call, std::move(kind), std::move(body)});
+    });
 }
 
-void SessionSide::submit(std::string kind, std::string body, Done done) {
-    ask<Submit>(std::move(kind), std::move(body), std::move(done));
+void SessionThread::submit(std::string kind, std::string body, Callback callback) {
+    ask<CommandRequested>(std::move(kind), std::move(body), std::move(callback));
 }
 
-void SessionSide::question(std::string kind, std::string body, Done done) {
-    ask<Question>(std::move(kind), std::move(body), std::move(done));
+void SessionThread::query(std::string kind, std::string body, Callback callback) {
+    ask<QueryRequested>(std::move(kind), std::move(body), std::move(callback));
 }
 
-void SessionSide::close() {
-    boost::asio::post(io_, [this] { handle(CloseSession{}); });
+void SessionThread::close() {
+    boost::asio::post(io_, [this] { handle(CloseRequested{}); });
 }
 
-void SessionSide::use(std::vector<std::string> keys) {
+void SessionThread::set_keys(std::vector<std::string> keys) {
     boost::asio::post(io_, [this, keys = std::move(keys)]() mutable { mesh_.use(std::move(keys)); });
 }
 
-void SessionSide::handle(const SessionEvent& event) {
+void SessionThread::handle(const SessionEvent& event) {
     SessionActions actions;
     core_.handle(scheduler_.now(), event, actions);
     for (SessionAction& action : actions) carry_out(action);
@@ -126,34 +126,34 @@
     lost_.store(core_.lost(), std::memory_order_relaxed);
 }
 
-void SessionSide::carry_out(SessionAction& action) {
-    auto tell = [this](const Told& told) {
+void SessionThread::carry_out(SessionAction& action) {
+    auto tell = [this](const Notification& told) {
         for (const Listener& listener : listeners_) listener(told);
     };
-    if (auto* out = std::get_if<Say>(&action)) {
+    if (auto* out = std::get_if<SendRequest>(&action)) {
         say(out->to, std::move(out->body));
-    } else if (const auto* held = std::get_if<Held>(&action)) {
+    } else if (const auto* held = std::get_if<SessionRenewed>(&action)) {
         tell(*held);
-    } else if (const auto* lost = std::get_if<Lost>(&action)) {
+    } else if (const auto* lost = std::get_if<SessionLost>(&action)) {
         tell(*lost);
-    } else if (const auto* news = std::get_if<News>(&action)) {
+    } else if (const auto* news = std::get_if<SessionUpdate>(&action)) {
         tell(*news);
-    } else if (auto* answered = std::get_if<Answered>(&action)) {
-        auto found = done_.find(answered->call);
-        if (found == done_.end()) return;
-        Done done = std::move(found->second);
-        done_.erase(found);
-        done(answered->error, std::move(answered->result));
-    } else if (const auto* wake = std::get_if<SessionWakeAt>(&action)) {
+    } else if (auto* answered = std::get_if<CallCompleted>(&action)) {
+        auto found = callbacks_.find(answered->call);
+        if (found == callbacks_.end()) return;
+        Callback callback = std::move(found->second);
+        callbacks_.erase(found);
+        callback(answered->error, std::move(answered->result));
+    } else if (const auto* wake = std::get_if<SetSessionTimer>(&action)) {
         scheduler_.cancel(timer_);
         timer_ = scheduler_.call_at(wake->at, [this] {
             timer_ = 0;
-            handle(SessionWoken{});
+            handle(SessionTimerFired{});
         });
     }
 }
 
-void SessionSide::say(const std::string& to, std::string body) {
+void SessionThread::say(const std::string& to, std::string body) {
     if (auto found = instances_.find(to); found != instances_.end()) {
         // What does not fit goes again by itself.
         mesh_.send(found->second, channel::Kind::Ask, std::move(body));
@@ -169,10 +169,10 @@
     if (waiting.size() < kUnsent) waiting.push_back(std::move(body));
 }
 
-void SessionSide::up(std::uint64_t instance) {
+void SessionThread::up(std::uint64_t instance) {
     for (const auto& [address, waiting] : unsent_)
         if (mesh_.instance_at(address) == instance) instances_[address] = instance;
-    for (const std::string& address : set_.session.keepers)
+    for (const std::string& address : set_.session.coordinators)
         if (mesh_.instance_at(address) == instance) instances_[address] = instance;
     for (const auto& [address, there] : instances_) {
         if (there != instance) continue;
--- a/src/fleet/coordinator/session_side.h
+++ b/src/fleet/coordinator/session_thread.h
@@ -21,52 +21,52 @@
 
 namespace ochrehub::coordinator {
 
-struct SideSettings {
+struct SessionThreadSettings {
     SessionSettings session;        ///< its instance and seed are drawn where they are zero
     std::string cluster;            ///< its name
     std::vector<std::string> keys;  ///< the fleet's
     channel::DialSettings dial;
 };
 
-class SessionSide {
+class SessionThread {
 public:
-    using Told = std::variant<Held, Lost, News>;
+    using Notification = std::variant<SessionRenewed, SessionLost, SessionUpdate>;
     /// On the side's own thread; must not block, and post what it has to its own loop.
-    using Listener = std::function<void(const Told&)>;
+    using Listener = std::function<void(const Notification&)>;
     /// Once, on the side's own thread; from the destructor, Uncertain, where no answer came.
-    using Done = std::function<void(Error, std::string result)>;
+    using Callback = std::function<void(Error, std::string result)>;
 
-    /// `clock`: a copy of the one that its listeners compare `Held::until` with. Nothing is sent before
-    /// `start`.
-    SessionSide(SideSettings settings, Clock clock);
+    /// `clock`: a copy of the one that its listeners compare `SessionRenewed::until` with. Nothing is sent
+    /// before `start`.
+    SessionThread(SessionThreadSettings settings, Clock clock);
     /// Waits for its thread's end. The session is not handed back by that alone: `close` it before, and wait
-    /// for Lost.
-    ~SessionSide();
+    /// for SessionLost.
+    ~SessionThread();
 
     /// Before `start`. All are told all; each picks its machines' news.
-    void listen(Listener listener) { listeners_.push_back(std::move(listener)); }
+    void add_listener(Listener listener) { listeners_.push_back(std::move(listener)); }
     void start();
 
     // From any thread:
-    void submit(std::string kind, std::string body, Done done);
-    void question(std::string kind, std::string body, Done done);
+    void submit(std::string kind, std::string body, Callback callback);
+    void query(std::string kind, std::string body, Callback callback);
     void close();
-    void use(std::vector<std::string> keys);
+    void set_keys(std::vector<std::string> keys);
     SessionId session() const { return session_.load(std::memory_order_relaxed); }
     std::uint64_t renewals() const { return renewals_.load(std::memory_order_relaxed); }
     std::uint64_t lost() const { return lost_.load(std::memory_order_relaxed); }
 
 private:
-    static SideSettings drawn(SideSettings settings);
-    static channel::MeshSettings mesh_settings(const SideSettings& settings);
+    static SessionThreadSettings drawn(SessionThreadSettings settings);
+    static channel::MeshSettings mesh_settings(const SessionThreadSettings& settings);
     void handle(const SessionEvent& event);
     void carry_out(SessionAction& action);
     void say(const std::string& to, std::string body);
     void up(std::uint64_t instance);
     template <class Event>
-    void ask(std::string kind, std::string body, Done done);
+    void ask(std::string kind, std::string body, Callback callback);
 
-    SideSettings set_;
+    SessionThreadSettings set_;
     Clock clock_;
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
@@ -76,7 +76,7 @@
     std::vector<Listener> listeners_;
     std::map<std::string, std::uint64_t> instances_;          // by address, while connected
     std::map<std::string, std::vector<std::string>> unsent_;  // until the connection is up
-    std::map<std::uint64_t, Done> done_;
+    std::map<std::uint64_t, Callback> callbacks_;
     std::uint64_t next_call_ = 1;
     TimerId timer_ = 0;
     std::atomic<SessionId> session_{0};
--- a/src/fleet/coordinator/machine.h
+++ b/src/fleet/coordinator/state_machine.h
@@ -28,33 +28,33 @@
 
 /// A time that the leader counts. The same (key, revision) goes on being counted; another revision begins
 /// anew.
-struct Armed {
+struct Timeout {
     std::uint64_t key = 0, revision = 0;
     Duration length{};
 };
 
-class Machine {
+class StateMachine {
 public:
-    virtual ~Machine() = default;
+    virtual ~StateMachine() = default;
 
     virtual std::string_view kind() const = 0;  ///< its name in commands, snapshots and figures
     virtual std::uint32_t schema() const = 0;   ///< of its snapshots and commands
 
     /// Never throws for what a command says: a command that is wrong has an answer that says so.
     virtual std::string apply(const Command& command) = 0;
-    /// Answers a question without changing anything. Asked at the leader, with all in it that was answered
-    /// before the question.
-    virtual std::string read(std::string_view /*question*/) const { return {}; }
-    virtual void session_began(SessionId session, std::string_view name, std::string_view zone) = 0;
+    /// Answers a question without changing anything. RequestReceived at the leader, with all in it that was
+    /// answered before the question.
+    virtual std::string query(std::string_view /*question*/) const { return {}; }
+    virtual void session_opened(SessionId session, std::string_view name, std::string_view zone) = 0;
     /// Whoever had it holds nothing any more.
-    virtual void session_over(SessionId session) = 0;
+    virtual void session_ended(SessionId session) = 0;
     /// What the process of this session must know by now: rides on each renewal's answer. Empty: nothing.
-    virtual std::string news(SessionId session) const = 0;
+    virtual std::string session_update(SessionId session) const = 0;
 
     /// Appends what is to be counted now.
-    virtual void armed(std::vector<Armed>& armed) const = 0;
+    virtual void timeouts(std::vector<Timeout>& armed) const = 0;
     /// The command to propose when one is over. It must be harmless where the revision has changed meanwhile.
-    virtual std::string over(std::uint64_t key, std::uint64_t revision) const = 0;
+    virtual std::string on_timeout(std::uint64_t key, std::uint64_t revision) const = 0;
 
     virtual std::string snapshot() const = 0;
     /// False: not one of a schema that it reads; nothing was taken.
--- a/src/fleet/leadership/list.cpp
+++ b/src/fleet/leadership/list.cpp
@@ -163,7 +163,7 @@
     return std::nullopt;
 }
 
-std::string Machine::read(std::string_view) const {
+std::string Machine::query(std::string_view) const {
     wire::Whole out;
     out.set_version(version_), out.set_digest(digest_), out.set_revision(revision_);
     for (const auto& [id, body] : entries_) {
@@ -173,7 +173,7 @@
     return out.SerializeAsString();
 }
 
-std::string Machine::news(coordinator::SessionId) const {
+std::string Machine::session_update(coordinator::SessionId) const {
     wire::News out;
     out.set_version(version_), out.set_digest(digest_), out.set_round(round_), out.set_confirmed(confirmed_);
     std::size_t octets = 0, first = kept_.size();
@@ -192,7 +192,7 @@
 std::string Machine::snapshot() const {
     wire::Snapshot out;
     out.set_epoch(epoch_), out.set_round(round_), out.set_confirmed(confirmed_);
-    out.mutable_list()->ParseFromString(read({}));
+    out.mutable_list()->ParseFromString(query({}));
     for (const Kept& kept : kept_) {
         wire::Kept& one = *out.add_kept();
         one.set_round(kept.round);
--- a/src/fleet/leadership/list.h
+++ b/src/fleet/leadership/list.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/error/error.h"
 
 namespace ochrehub::leadership::list {
@@ -81,19 +81,19 @@
 };
 std::optional<Whole> read_whole(std::string_view bytes);
 
-class Machine : public coordinator::Machine {
+class Machine : public coordinator::StateMachine {
 public:
     explicit Machine(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "list"; }
     std::uint32_t schema() const override { return kSchema; }
     std::string apply(const coordinator::Command& command) override;
-    std::string read(std::string_view question) const override;  ///< the whole list, whatever is asked
-    void session_began(coordinator::SessionId, std::string_view, std::string_view) override {}
-    void session_over(coordinator::SessionId) override {}
-    std::string news(coordinator::SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string query(std::string_view question) const override;  ///< the whole list, whatever is asked
+    void session_opened(coordinator::SessionId, std::string_view, std::string_view) override {}
+    void session_ended(coordinator::SessionId) override {}
+    std::string session_update(coordinator::SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/leadership/machine.cpp
+++ b/src/fleet/leadership/machine.cpp
@@ -285,11 +285,11 @@
     return std::next(it);
 }
 
-void Duties::session_began(SessionId session, std::string_view, std::string_view) {
+void Duties::session_opened(SessionId session, std::string_view, std::string_view) {
     sessions_.try_emplace(session);
 }
 
-void Duties::session_over(SessionId session) {
+void Duties::session_ended(SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto it = duties_.begin(); it != duties_.end();) {
@@ -304,7 +304,7 @@
     balance();
 }
 
-std::string Duties::news(SessionId session) const {
+std::string Duties::session_update(SessionId session) const {
     wire::News news;
     news.set_revision(revision_);
     auto known = sessions_.find(session);
--- a/src/fleet/leadership/machine.h
+++ b/src/fleet/leadership/machine.h
@@ -19,7 +19,7 @@
 #include <optional>
 #include <set>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/leadership/error.h"
 
 namespace ochrehub::leadership {
@@ -66,19 +66,19 @@
 };
 std::optional<News> read_news(std::string_view bytes);
 
-class Duties : public coordinator::Machine {
+class Duties : public coordinator::StateMachine {
 public:
     explicit Duties(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "duty"; }
     std::uint32_t schema() const override { return kSchema; }
     std::string apply(const coordinator::Command& command) override;
-    void session_began(SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(SessionId session) override;
+    void session_opened(SessionId session, std::string_view name, std::string_view zone) override;
+    void session_ended(SessionId session) override;
     /// Never empty: that nothing is owned is news too.
-    std::string news(SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string session_update(SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/quota/machine.cpp
+++ b/src/fleet/quota/machine.cpp
@@ -215,7 +215,7 @@
     }
 }
 
-std::string Quotas::read(std::string_view question) const {
+std::string Quotas::query(std::string_view question) const {
     wire::Command from;
     wire::Reply reply;
     reply.set_epoch(epoch_), reply.set_version(version_);
@@ -226,15 +226,15 @@
     return reply.SerializeAsString();
 }
 
-void Quotas::session_began(coordinator::SessionId session, std::string_view name, std::string_view) {
+void Quotas::session_opened(coordinator::SessionId session, std::string_view name, std::string_view) {
     sessions_[session] = name;
 }
-void Quotas::session_over(coordinator::SessionId session) {
+void Quotas::session_ended(coordinator::SessionId session) {
     sessions_.erase(session);
     if (owner_ == session) owner_ = 0;
 }
 
-std::string Quotas::news(coordinator::SessionId session) const {
+std::string Quotas::session_update(coordinator::SessionId session) const {
     wire::News news;
     news.set_epoch(epoch_), news.set_version(version_), news.set_orders(orders_);
     news.set_owner(session != 0 && session == owner_);
--- a/src/fleet/quota/machine.h
+++ b/src/fleet/quota/machine.h
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/quota/lender.h"
 
 namespace ochrehub::quota {
@@ -57,7 +57,7 @@
 };
 std::optional<MachineNews> decode_news(std::string_view octets);
 
-class Quotas : public coordinator::Machine {
+class Quotas : public coordinator::StateMachine {
 public:
     /// `sites`: what floors may name, none: any; `timing`: what budgets are checked against.
     explicit Quotas(std::vector<std::string> sites = {}, const Timing& timing = {});
@@ -66,12 +66,13 @@
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
     /// To command_get.
-    std::string read(std::string_view question) const override;
-    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(coordinator::SessionId session) override;
-    std::string news(coordinator::SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string query(std::string_view question) const override;
+    void session_opened(coordinator::SessionId session, std::string_view name,
+                        std::string_view zone) override;
+    void session_ended(coordinator::SessionId session) override;
+    std::string session_update(coordinator::SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/schema_migration/machine.cpp
+++ b/src/fleet/schema_migration/machine.cpp
@@ -79,13 +79,14 @@
     return answer.SerializeAsString();
 }
 
-void Migrations::session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) {
+void Migrations::session_opened(coordinator::SessionId session, std::string_view name,
+                                std::string_view zone) {
     Live& live = sessions_[session];
     live = {};
     live.name = name, live.zone = zone;
 }
 
-void Migrations::session_over(coordinator::SessionId session) {
+void Migrations::session_ended(coordinator::SessionId session) {
     sessions_.erase(session);
     if (now_.owner() == session) now_.set_owner(0);
     advance();
@@ -333,13 +334,13 @@
     news.set_about(live.about);
 }
 
-std::string Migrations::news(coordinator::SessionId session) const {
+std::string Migrations::session_update(coordinator::SessionId session) const {
     wire::News news;
     fill(news, session);
     return news.SerializeAsString();
 }
 
-std::string Migrations::read(std::string_view) const {
+std::string Migrations::query(std::string_view) const {
     return snapshot();
 }
 
--- a/src/fleet/schema_migration/machine.h
+++ b/src/fleet/schema_migration/machine.h
@@ -14,12 +14,12 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/schema_migration/error.h"
 
 namespace ochrehub::schema_migration {
 
-class Migrations : public coordinator::Machine {
+class Migrations : public coordinator::StateMachine {
 public:
     using Levels = std::array<schema::Number, schema::kKinds>;
     /// Of a fleet that has never migrated. Keepers of two releases begin alike: this is never changed.
@@ -34,13 +34,14 @@
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
     /// Whatever is asked: all of it, as wire::Machine.
-    std::string read(std::string_view question) const override;
-    void session_began(coordinator::SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(coordinator::SessionId session) override;
-    std::string news(coordinator::SessionId session) const override;
+    std::string query(std::string_view question) const override;
+    void session_opened(coordinator::SessionId session, std::string_view name,
+                        std::string_view zone) override;
+    void session_ended(coordinator::SessionId session) override;
+    std::string session_update(coordinator::SessionId session) const override;
     /// Nothing here ends by time: an owner is lost with its session.
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/shards/holder.h
+++ b/src/fleet/shards/holder.h
@@ -48,8 +48,8 @@
     // ---- What happens
     struct Renewed {  ///< the session stands
         SessionId session = 0;
-        TimePoint
-            until{};  ///< counted from before it was asked for, to a margin before its end: coordinator::Held
+        TimePoint until{};      ///< counted from before it was asked for, to a margin before its end:
+                                ///< coordinator::SessionRenewed
         std::string_view news;  ///< the machine's; empty: none came with it
     };
     struct SessionOver {
--- a/src/fleet/shards/side.cpp
+++ b/src/fleet/shards/side.cpp
@@ -68,7 +68,7 @@
     std::thread thread;
 };
 
-Side::Side(SideSettings settings, Clock clock, coordinator::SessionSide& keepers)
+Side::Side(SideSettings settings, Clock clock, coordinator::SessionThread& keepers)
     : set_(agreed(std::move(settings))),
       clock_(clock),
       keepers_(keepers),
@@ -86,7 +86,7 @@
         holder.part = i, holder.parts = set_.threads;
         workers_.push_back(std::make_unique<Worker>(*this, holder, table_, clock_));
     }
-    keepers_.listen([this](const coordinator::SessionSide::Told& what) {
+    keepers_.add_listener([this](const coordinator::SessionThread::Notification& what) {
         boost::asio::post(io_, [this, what] { told(what); });
     });
 }
@@ -128,17 +128,17 @@
     for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(Holder::Leave{}); });
 }
 
-void Side::told(const coordinator::SessionSide::Told& what) {
-    if (const auto* held = std::get_if<coordinator::Held>(&what)) {
+void Side::told(const coordinator::SessionThread::Notification& what) {
+    if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
         session_ = held->session, until_ = held->until;
         for (auto& worker : workers_)
             worker->post([w = worker.get(), s = session_, until = until_] {
                 w->handle(Holder::Renewed{s, until, {}});
             });
-    } else if (const auto* lost = std::get_if<coordinator::Lost>(&what)) {
+    } else if (const auto* lost = std::get_if<coordinator::SessionLost>(&what)) {
         if (lost->session == session_) session_ = 0;
         for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(Holder::SessionOver{}); });
-    } else if (const auto& one = std::get<coordinator::News>(what); one.kind == "views") {
+    } else if (const auto& one = std::get<coordinator::SessionUpdate>(what); one.kind == "views") {
         news(one.bytes);
     }
 }
@@ -165,7 +165,7 @@
 
 void Side::ask_news() {
     if (std::exchange(asking_news_, true)) return;
-    keepers_.question("views", {}, [this](coordinator::Error error, std::string map) {
+    keepers_.query("views", {}, [this](coordinator::Error error, std::string map) {
         boost::asio::post(io_, [this, error, map = std::move(map)] {
             asking_news_ = false;
             if (error == coordinator::Error::None && !map.empty()) news(map);
--- a/src/fleet/shards/side.h
+++ b/src/fleet/shards/side.h
@@ -19,7 +19,7 @@
 #include "base/asio_scheduler.h"
 #include "base/clock.h"
 #include "fleet/channel/mesh.h"
-#include "fleet/coordinator/session_side.h"
+#include "fleet/coordinator/session_thread.h"
 #include "fleet/shards/client.h"
 #include "fleet/shards/holder.h"
 
@@ -40,7 +40,7 @@
     using Done = std::function<void(const Client::Done&)>;
 
     /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
-    Side(SideSettings settings, Clock clock, coordinator::SessionSide& keepers);
+    Side(SideSettings settings, Clock clock, coordinator::SessionThread& keepers);
     ~Side();
     Side(const Side&) = delete;
     void start();
@@ -60,7 +60,7 @@
 
 private:
     struct Worker;
-    void told(const coordinator::SessionSide::Told& told);
+    void told(const coordinator::SessionThread::Notification& told);
     void news(const std::string& map);
     void ask_news();
     void deliver(std::uint64_t from, const std::string& body);
@@ -71,7 +71,7 @@
 
     SideSettings set_;
     Clock clock_;
-    coordinator::SessionSide& keepers_;
+    coordinator::SessionThread& keepers_;
     Table table_;
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
--- a/src/fleet/shards/views.cpp
+++ b/src/fleet/shards/views.cpp
@@ -148,11 +148,11 @@
     return reply(map_.number, error);
 }
 
-void Views::session_began(SessionId session, std::string_view name, std::string_view zone) {
+void Views::session_opened(SessionId session, std::string_view name, std::string_view zone) {
     sessions_[session] = {std::string(name), std::string(zone)};
 }
 
-void Views::session_over(SessionId session) {
+void Views::session_ended(SessionId session) {
     sessions_.erase(session);
     if (map_.holders.erase(session) == 0) return;
     ++map_.number;
@@ -292,7 +292,7 @@
     return false;
 }
 
-std::string Views::news(SessionId) const {
+std::string Views::session_update(SessionId) const {
     if (news_number_ != map_.number) {
         news_ = encode(map_);
         news_number_ = map_.number;
--- a/src/fleet/shards/views.h
+++ b/src/fleet/shards/views.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/shards/error.h"
 
 namespace ochrehub::shards {
@@ -46,7 +46,7 @@
 /// False: octets that are no map; nothing was taken.
 bool decode(std::string_view octets, ViewMap& map);
 
-class Views : public coordinator::Machine {
+class Views : public coordinator::StateMachine {
 public:
     struct Settings {
         std::size_t shards = 256;
@@ -60,13 +60,13 @@
     std::string_view kind() const override { return "views"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    void session_began(SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(SessionId session) override;
+    void session_opened(SessionId session, std::string_view name, std::string_view zone) override;
+    void session_ended(SessionId session) override;
     /// The whole map, for everybody: 256 shards are about 4 kB.
-    std::string news(SessionId session) const override;
-    std::string read(std::string_view) const override { return news(0); }  ///< the same, sooner
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string session_update(SessionId session) const override;
+    std::string query(std::string_view) const override { return session_update(0); }  ///< the same, sooner
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/tests/fleet/config_distribution_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -253,23 +253,23 @@
         return {std::move(name), 0, std::move(content), mode, Choice::Caution, "ann", 1'700'000'000, {}, 0};
     }
     void join(coordinator::SessionId id, const std::string& name, const std::string& zone) {
-        machine.session_began(id, name, zone);
+        machine.session_opened(id, name, zone);
         EXPECT_TRUE(is(ask(said("rates", 1, true, ""), id).failure, Error::Unknown));  // not one that attends
-        EXPECT_EQ(machine.news(id), "");
+        EXPECT_EQ(machine.session_update(id), "");
         ask(attend(), id);
     }
     Answer look(const std::string& name) {
-        return read_answer(machine.read(question(name))).value_or(Answer{});
+        return read_answer(machine.query(question(name))).value_or(Answer{});
     }
     DocumentStatus status(const std::string& name = "rates") {
         auto answer = look(name);
         return answer.documents.empty() ? DocumentStatus{} : answer.documents.front();
     }
     void over(Duration = {}) {
-        std::vector<coordinator::Armed> armed;
-        machine.armed(armed);
+        std::vector<coordinator::Timeout> armed;
+        machine.timeouts(armed);
         ASSERT_EQ(armed.size(), 1u);
-        ask(machine.over(armed[0].key, armed[0].revision));
+        ask(machine.on_timeout(armed[0].key, armed[0].revision));
     }
     Failure ended(const std::string& name = "rates") { return status(name).ended.back().why; }
 };
@@ -290,7 +290,7 @@
     EXPECT_TRUE(is(k.ask(gave_back("rates", 1), 2).failure, Error::Unknown));  // of another version
     EXPECT_EQ(k.machine.in_force("rates"), 1u);
     EXPECT_TRUE(k.status().nodes[1].holds_up);
-    k.machine.session_over(2);
+    k.machine.session_ended(2);
     EXPECT_EQ(k.machine.in_force("rates"), 2u);
     // Back: a new version with the old content, known by where it is from.
     Proposal as{Keepers::as(limits(0, 0)), 2, 0, true, 30s};
@@ -324,7 +324,7 @@
     EXPECT_TRUE(is(k.ask(said("rates", 1, true, ""), 1).failure, Error::Unknown));
     for (int i = 0; i < 63; ++i)
         EXPECT_FALSE(k.propose(Headers{}, 0, Mode::Strict, "d" + std::to_string(i)).version == 0);
-    k.machine.session_over(1);
+    k.machine.session_ended(1);
     EXPECT_TRUE(is(k.propose(Headers{}, 0, Mode::Strict, "one more").failure, Error::Malformed));
     EXPECT_TRUE(is(k.propose(Headers{}, 0, Mode::Strict, "one-more").failure, Error::Full));
 }
@@ -384,11 +384,11 @@
     EXPECT_EQ(k.status().phase, Phase::Staging);
     k.ask(said("rates", 2, true, ""), 1);
     EXPECT_EQ(k.status().phase, Phase::Canary);
-    std::vector<coordinator::Armed> armed;
-    k.machine.armed(armed);
+    std::vector<coordinator::Timeout> armed;
+    k.machine.timeouts(armed);
     EXPECT_EQ(armed.at(0).length, 60s);
     EXPECT_EQ(k.machine.in_force("rates"), 1u);
-    EXPECT_EQ(k.machine.news(1).find("\x18\x02"), std::string::npos);  // contents have come
+    EXPECT_EQ(k.machine.session_update(1).find("\x18\x02"), std::string::npos);  // contents have come
     k.over();
     EXPECT_EQ(k.status().phase, Phase::None);
 }
@@ -426,7 +426,7 @@
         carry_out();
     }
     void renew(coordinator::SessionId session, Duration lease = 2920ms) {
-        handle(Renewed{session, now + lease, keepers.machine.news(session)});
+        handle(Renewed{session, now + lease, keepers.machine.session_update(session)});
     }
     void carry_out() {
         while (!actions.empty()) {
@@ -482,7 +482,7 @@
     n.keepers.propose(limits(400, 600), 0);
     n.renew(1), n.renew(1);
     n.confirms = false;
-    std::string old = n.keepers.machine.news(1);
+    std::string old = n.keepers.machine.session_update(1);
     n.keepers.propose(limits(500, 500), 1);
     n.renew(1);
     EXPECT_EQ(n.at().how, How::Version);
