--- a/tests/fleet/coordinator_test.cpp
+++ b/tests/fleet/coordinator_test.cpp
@@ -12,9 +12,9 @@
 #include <optional>
 #include <set>
 
+#include "fleet/coordinator/durable_storage.h"
 #include "fleet/coordinator/replica.h"
 #include "fleet/coordinator/session.h"
-#include "fleet/coordinator/storing.h"
 #include "fleet/store/posix_files.h"
 
 namespace ochrehub::coordinator {
@@ -25,7 +25,7 @@
 }
 
 /// Adds what it is told to a sum; `arm N` arms a time of N ms under a new revision.
-struct Adder : Machine {
+struct Adder : StateMachine {
     std::int64_t sum = 0;
     std::uint64_t revision = 0, length = 0;
     std::set<SessionId> live;
@@ -40,16 +40,18 @@
             sum += std::stoll(std::string(c.body));
         return std::to_string(sum);
     }
-    std::string read(std::string_view) const override { return std::to_string(sum); }
-    void session_began(SessionId id, std::string_view, std::string_view) override { live.insert(id); }
-    void session_over(SessionId id) override { live.erase(id); }
-    std::string news(SessionId id) const override {
+    std::string query(std::string_view) const override { return std::to_string(sum); }
+    void session_opened(SessionId id, std::string_view, std::string_view) override { live.insert(id); }
+    void session_ended(SessionId id) override { live.erase(id); }
+    std::string session_update(SessionId id) const override {
         return live.contains(id) ? "sum " + std::to_string(sum) : "";
     }
-    void armed(std::vector<Armed>& out) const override {
+    void timeouts(std::vector<Timeout>& out) const override {
         if (length > 0) out.push_back({7, revision, Duration{double(length)}});
     }
-    std::string over(std::uint64_t, std::uint64_t r) const override { return "over " + std::to_string(r); }
+    std::string on_timeout(std::uint64_t, std::uint64_t r) const override {
+        return "over " + std::to_string(r);
+    }
     std::string snapshot() const override { return std::to_string(sum); }
     bool restore(std::uint32_t schema, std::string_view bytes) override {
         if (schema != 3) return false;
@@ -57,14 +59,14 @@
         return true;
     }
 };
-Machines adders() {
-    Machines m;
+StateMachines adders() {
+    StateMachines m;
     m.push_back(std::make_unique<Adder>());
     return m;
 }
 
 std::string open(std::uint64_t instance, std::uint64_t attempt, const std::string& name = "a") {
-    wire::Entry e;
+    wire::LogEntry e;
     e.mutable_open()->set_name(name), e.mutable_open()->set_instance(instance),
         e.mutable_open()->set_attempt(attempt);
     e.mutable_open()->set_lease_ms(3000);
@@ -72,14 +74,15 @@
 }
 std::string add(SessionId session, std::uint64_t number, const std::string& body, std::uint64_t settled = 0,
                 const std::string& kind = "adder") {
-    wire::Entry e;
-    wire::Do& d = *e.mutable_do_();
-    d.set_session(session), d.set_number(number), d.set_settled(settled), d.set_kind(kind), d.set_body(body);
+    wire::LogEntry e;
+    wire::Command& d = *e.mutable_command();
+    d.set_session(session), d.set_sequence(number), d.set_acknowledged(settled), d.set_kind(kind),
+        d.set_body(body);
     return e.SerializeAsString();
 }
 
 TEST(KeeperState, CarriesEachCommandOutOnceAndAnswersItAsTheFirstTime) {
-    State state({}, adders);
+    ReplicatedState state({}, adders);
     SessionId id = state.apply(open(9, 1)).session;
     ASSERT_EQ(id, 1u);
     EXPECT_EQ(state.apply(add(id, 1, "5")).result, "5");
@@ -91,11 +94,11 @@
     EXPECT_EQ(state.apply(add(id, 3, "1", 2)).result, "11");
     EXPECT_EQ(state.apply(add(id, 1, "5")).error, Error::Forgotten);
     EXPECT_EQ(state.apply(add(77, 1, "5")).error, Error::NoSession);
-    EXPECT_EQ(state.machine("adder")->read(""), "11");
+    EXPECT_EQ(state.machine("adder")->query(""), "11");
 }
 
 TEST(KeeperState, OpensTheSameAttemptOnceAndEndsWhatItsProcessHadBefore) {
-    State state({}, adders);
+    ReplicatedState state({}, adders);
     SessionId first = state.apply(open(9, 1)).session;
     EXPECT_EQ(state.apply(open(9, 1)).session, first);
     SessionId second = state.apply(open(9, 2)).session;
@@ -105,17 +108,17 @@
     EXPECT_TRUE(state.session(second));
     SessionId other = state.apply(open(10, 1)).session;  // the same name, started again
     EXPECT_TRUE(state.session(second));
-    wire::Entry over;
-    over.mutable_session_over()->set_session(other);
+    wire::LogEntry over;
+    over.mutable_session_expired()->set_session(other);
     state.apply(over.SerializeAsString());
     EXPECT_FALSE(state.session(other));
     EXPECT_GT(state.apply(open(10, 2)).session, other) << "no number is given twice";
 }
 
 TEST(KeeperState, HoldsNoMoreThanItsBoundsSay) {
-    Bounds bounds;
-    bounds.sessions = 2, bounds.window = 2;
-    State state(bounds, adders);
+    Limits bounds;
+    bounds.max_sessions = 2, bounds.max_cached_responses = 2;
+    ReplicatedState state(bounds, adders);
     SessionId id = state.apply(open(1, 1)).session;
     state.apply(open(2, 1));
     EXPECT_EQ(state.apply(open(3, 1)).error, Error::TooMany);
@@ -125,23 +128,23 @@
 }
 
 TEST(KeeperState, IsWholeBehindASnapshotAndTakesNoOther) {
-    State state({}, adders);
+    ReplicatedState state({}, adders);
     SessionId id = state.apply(open(9, 1)).session;
     state.apply(add(id, 1, "5"));
-    State other({}, adders);
+    ReplicatedState other({}, adders);
     ASSERT_TRUE(other.restore(state.snapshot()));
     EXPECT_EQ(other.snapshot(), state.snapshot());
     EXPECT_EQ(other.apply(add(id, 1, "5")).result, "5");
     EXPECT_EQ(other.apply(add(id, 2, "5")).result, "10");
-    wire::State changed;
+    wire::ReplicatedState changed;
     ASSERT_TRUE(changed.ParseFromString(state.snapshot()));
-    changed.mutable_machines(0)->set_schema(4);
+    changed.mutable_state_machines(0)->set_schema(4);
     EXPECT_FALSE(other.restore(changed.SerializeAsString()));
     EXPECT_FALSE(other.restore("no snapshot"));
 }
 
 TEST(KeeperState, DoesNotPassOverWhatOnlyANewerReleaseKnows) {
-    State state({}, adders);
+    ReplicatedState state({}, adders);
     SessionId id = state.apply(open(9, 1)).session;
     EXPECT_TRUE(state.apply(add(id, 1, "5", 0, "shards")).fatal);
     EXPECT_TRUE(state.apply("\xff\xff").fatal);
@@ -179,7 +182,7 @@
     explicit OneKeeper(ReplicaSettings set = settings())
         : replica(set, adders, [this](TimePoint t, const raft::Event& e, raft::Actions& a) { raft(t, e, a); },
                   {}) {
-        go(at(0), Woken{});
+        go(at(0), TimerFired{});
     }
     static ReplicaSettings settings() {
         ReplicaSettings set;
@@ -191,31 +194,31 @@
         replica.handle(now, event, out);
         return out;
     }
-    wire::Answer ask(TimePoint now, const wire::Ask& ask) {
-        for (const ReplicaAction& a : go(now, Asked{5, ask.SerializeAsString()}))
-            if (const auto* answer = std::get_if<Answer>(&a)) {
-                wire::Answer is;
+    wire::Response ask(TimePoint now, const wire::Request& ask) {
+        for (const ReplicaAction& a : go(now, RequestReceived{5, ask.SerializeAsString()}))
+            if (const auto* answer = std::get_if<SendResponse>(&a)) {
+                wire::Response is;
                 EXPECT_TRUE(is.ParseFromString(answer->body));
                 return is;
             }
         return {};
     }
     SessionId opened(TimePoint now, std::uint64_t instance = 9) {
-        wire::Ask open;
+        wire::Request open;
         open.mutable_open()->set_name("a"), open.mutable_open()->set_instance(instance),
             open.mutable_open()->set_lease_ms(3000);
         return ask(now, open).session();
     }
     Error renewed(TimePoint now, SessionId id) {
-        wire::Ask renew;
+        wire::Request renew;
         renew.mutable_renew()->set_session(id);
         return Error(ask(now, renew).error());
     }
-    wire::Answer done(TimePoint now, SessionId id, std::uint64_t number, const std::string& body,
-                      const std::string& kind = "adder") {
-        wire::Ask what;
-        what.mutable_do_()->set_session(id), what.mutable_do_()->set_number(number);
-        what.mutable_do_()->set_kind(kind), what.mutable_do_()->set_body(body);
+    wire::Response done(TimePoint now, SessionId id, std::uint64_t number, const std::string& body,
+                        const std::string& kind = "adder") {
+        wire::Request what;
+        what.mutable_command()->set_session(id), what.mutable_command()->set_sequence(number);
+        what.mutable_command()->set_kind(kind), what.mutable_command()->set_body(body);
         return ask(now, what);
     }
 };
@@ -224,9 +227,9 @@
     OneKeeper keeper;
     SessionId id = keeper.opened(at(100));
     EXPECT_EQ(keeper.renewed(at(2000), id), Error::None);
-    keeper.go(at(4900), Woken{});
+    keeper.go(at(4900), TimerFired{});
     EXPECT_TRUE(keeper.replica.state().session(id));
-    keeper.go(at(5000), Woken{});
+    keeper.go(at(5000), TimerFired{});
     EXPECT_FALSE(keeper.replica.state().session(id));
     EXPECT_EQ(keeper.renewed(at(5001), id), Error::NoSession);
 }
@@ -234,14 +237,14 @@
 TEST(Replica, RenewsNothingThatIsAboutToBeEnded) {
     OneKeeper keeper;
     SessionId id = keeper.opened(at(0));
-    keeper.go(at(30), Woken{});
+    keeper.go(at(30), TimerFired{});
     keeper.raft.holds = true;
-    keeper.go(at(3010), Woken{});
+    keeper.go(at(3010), TimerFired{});
     ASSERT_EQ(keeper.raft.held.size(), 1u);
     EXPECT_TRUE(keeper.replica.state().session(id));
     EXPECT_EQ(keeper.renewed(at(3020), id), Error::NoSession);
     EXPECT_EQ(Error([&] {
-                  wire::Ask again;
+                  wire::Request again;
                   again.mutable_open()->set_name("a"), again.mutable_open()->set_instance(9),
                       again.mutable_open()->set_lease_ms(3000);
                   keeper.raft.holds = false;
@@ -253,7 +256,7 @@
 TEST(Replica, GivesEverythingItsWholeLengthAgainWhereItStoodStill) {
     OneKeeper keeper;
     SessionId id = keeper.opened(at(0));
-    keeper.go(at(9000), Woken{});  // woken 6 s late
+    keeper.go(at(9000), TimerFired{});  // woken 6 s late
     EXPECT_TRUE(keeper.replica.state().session(id));
     EXPECT_EQ(keeper.renewed(at(9001), id), Error::None);
 }
@@ -263,12 +266,12 @@
     auto length = [&] { return static_cast<const Adder*>(keeper.replica.state().machine("adder"))->length; };
     SessionId id = keeper.opened(at(0));
     keeper.done(at(10), id, 1, "arm 500");
-    keeper.go(at(30), Woken{});
+    keeper.go(at(30), TimerFired{});
     keeper.done(at(400), id, 2, "arm 500");
-    keeper.go(at(420), Woken{});
-    keeper.go(at(600), Woken{});
+    keeper.go(at(420), TimerFired{});
+    keeper.go(at(600), TimerFired{});
     EXPECT_EQ(length(), 500u);
-    keeper.go(at(930), Woken{});
+    keeper.go(at(930), TimerFired{});
     EXPECT_EQ(length(), 0u);
 }
 
@@ -281,7 +284,7 @@
     EXPECT_EQ(Error(keeper.done(at(1), 0, 0, "5", "nothing").error()), Error::UnknownKind);
     EXPECT_EQ(Error(keeper.done(at(1), 99, 1, "5").error()), Error::NoSession);
     EXPECT_EQ(Error(keeper.ask(at(1), {}).error()), Error::Malformed);
-    wire::Ask change;
+    wire::Request change;
     change.mutable_change()->set_member(2);
     for (auto [theirs, ours] :
          {std::pair(raft::Error::Unknown, Error::UnknownMember),
@@ -294,24 +297,24 @@
     keeper.raft.refuses.reset();
     EXPECT_EQ(keeper.ask(at(1), change).members_size(), 1);
     ReplicaSettings few = OneKeeper::settings();
-    few.asked = 0;
+    few.max_pending_requests = 0;
     OneKeeper busy(few);
     EXPECT_EQ(Error(busy.done(at(1), 0, 0, "5").error()), Error::Busy);
     EXPECT_EQ(Error([&] {
                   ReplicaActions out;
-                  keeper.replica.handle(at(1), Asked{1, "\xff"}, out);
-                  wire::Answer is;
-                  is.ParseFromString(std::get<Answer>(out.at(0)).body);
+                  keeper.replica.handle(at(1), RequestReceived{1, "\xff"}, out);
+                  wire::Response is;
+                  is.ParseFromString(std::get<SendResponse>(out.at(0)).body);
                   return is.error();
               }()),
               Error::Malformed);
     Replica follower(OneKeeper::settings(), adders, [](TimePoint, const raft::Event&, raft::Actions&) {}, {});
     ReplicaActions out;
-    wire::Ask renew;
+    wire::Request renew;
     renew.mutable_renew()->set_session(id);
-    follower.handle(at(1), Asked{1, renew.SerializeAsString()}, out);
-    wire::Answer no;
-    ASSERT_TRUE(no.ParseFromString(std::get<Answer>(out.at(0)).body));
+    follower.handle(at(1), RequestReceived{1, renew.SerializeAsString()}, out);
+    wire::Response no;
+    ASSERT_TRUE(no.ParseFromString(std::get<SendResponse>(out.at(0)).body));
     EXPECT_EQ(Error(no.error()), Error::NotLeader);
     for (int e = 0; e <= int(Error::Begun); ++e) EXPECT_TRUE(row(Error(e)).code.starts_with("keeper."));
 }
@@ -323,7 +326,7 @@
     SessionId id = keeper.opened(at(0));
     for (std::uint64_t i = 1; i <= 9; ++i) keeper.done(at(1), id, i, "1");
     ASSERT_EQ(keeper.raft.snapshots.size(), 2u);
-    State state({}, adders);
+    ReplicatedState state({}, adders);
     ASSERT_TRUE(state.restore(keeper.raft.snapshots[1].state));
     EXPECT_TRUE(state.session(id));
 }
@@ -334,15 +337,16 @@
         (std::filesystem::temp_directory_path() / ("ochrehub_keeper_test_" + std::to_string(getpid())))
             .string();
     ~Folder() { std::filesystem::remove_all(path); }
-    std::unique_ptr<Storing> open(Begin begin) const {
-        return std::make_unique<Storing>(
+    std::unique_ptr<DurableStorage> open(StartMode begin) const {
+        return std::make_unique<DurableStorage>(
             std::make_unique<store::PosixFiles>(path),
-            Storing::Settings{{folder_cluster("test")}, begin, {{1, true, "k1"}, {2, true, "k2"}}});
+            DurableStorage::Settings{
+                {storage_cluster_id("test")}, begin, {{1, true, "k1"}, {2, true, "k2"}}});
     }
-    Error refused(Begin begin) const {
+    Error refused(StartMode begin) const {
         try {
             open(begin);
-        } catch (const FolderError& error) {
+        } catch (const DataDirectoryError& error) {
             EXPECT_TRUE(std::string_view(error.what()).starts_with(row(error.error).code));
             return error.error;
         }
@@ -350,31 +354,31 @@
     }
 };
 
-TEST(Storing, TakesNoEmptyFolderForANewOneAndNoneThatHasBegun) {
+TEST(DurableStorage, TakesNoEmptyFolderForANewOneAndNoneThatHasBegun) {
     Folder folder;
-    EXPECT_EQ(folder.refused(Begin::Again), Error::Untrusted);
-    EXPECT_EQ(folder.refused(Begin::New), Error::None);
-    EXPECT_EQ(folder.refused(Begin::New), Error::Begun);
-    EXPECT_EQ(folder.open(Begin::Again)->disk().members.size(), 2u);
+    EXPECT_EQ(folder.refused(StartMode::Resume), Error::Untrusted);
+    EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::None);
+    EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::Begun);
+    EXPECT_EQ(folder.open(StartMode::Resume)->disk().members.size(), 2u);
     std::filesystem::remove(folder.path + "/first");
-    EXPECT_EQ(folder.refused(Begin::Again), Error::Untrusted) << "a part of it is missing";
-    EXPECT_EQ(folder.refused(Begin::New), Error::Untrusted);
+    EXPECT_EQ(folder.refused(StartMode::Resume), Error::Untrusted) << "a part of it is missing";
+    EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::Untrusted);
 }
 
-TEST(Storing, KeepsTheDoubtOfALostFolderOverRestarts) {
+TEST(DurableStorage, KeepsTheDoubtOfALostFolderOverRestarts) {
     Folder folder;
-    EXPECT_FALSE(folder.open(Begin::Lost)->disk().trusted);
-    EXPECT_FALSE(folder.open(Begin::Again)->disk().trusted);
+    EXPECT_FALSE(folder.open(StartMode::DataLost)->disk().trusted);
+    EXPECT_FALSE(folder.open(StartMode::Resume)->disk().trusted);
     Folder joins;
     std::filesystem::remove_all(joins.path);
-    EXPECT_TRUE(joins.open(Begin::Join)->disk().members.empty());
-    EXPECT_TRUE(joins.open(Begin::Again)->disk().members.empty()) << "whatever its file names by now";
+    EXPECT_TRUE(joins.open(StartMode::JoinCluster)->disk().members.empty());
+    EXPECT_TRUE(joins.open(StartMode::Resume)->disk().members.empty()) << "whatever its file names by now";
     for (const auto& entry : std::filesystem::directory_iterator(joins.path))
         if (entry.path().filename().string().starts_with("log-")) std::filesystem::remove(entry.path());
-    EXPECT_FALSE(joins.open(Begin::Again)->disk().trusted) << "begun, and nothing is left of it";
+    EXPECT_FALSE(joins.open(StartMode::Resume)->disk().trusted) << "begun, and nothing is left of it";
 }
 
-TEST(Storing, FindsAgainWhatItSaidWasWritten) {
+TEST(DurableStorage, FindsAgainWhatItSaidWasWritten) {
     Folder folder;
     raft::Write write;
     write.number = 1, write.vote = raft::Vote{3, 2};
@@ -385,7 +389,7 @@
     more.number = 2, more.cut = 3, more.append = {{4, raft::Entry::Kind::Change, "c"}};
     more.snapshot = raft::Snapshot{2, 3, {{1, true, "k1"}, {4, false, "k4"}}, "state"};
     {
-        auto storing = folder.open(Begin::New);
+        auto storing = folder.open(StartMode::NewCluster);
         std::promise<void> done;
         storing->start(
             [&](std::uint64_t number) {
@@ -395,7 +399,7 @@
         storing->write(write), storing->write(more);
         done.get_future().wait();
     }
-    raft::Disk disk = folder.open(Begin::Again)->disk();
+    raft::Disk disk = folder.open(StartMode::Resume)->disk();
     EXPECT_EQ(disk.vote, (raft::Vote{3, 2}));
     EXPECT_EQ(disk.snapshot, more.snapshot);
     EXPECT_EQ(disk.first, 3u);
@@ -404,7 +408,7 @@
     EXPECT_TRUE(disk.trusted);
 }
 
-TEST(Storing, TellsOnceThatItsDiskHasFailedAndWritesNothingMore) {
+TEST(DurableStorage, TellsOnceThatItsDiskHasFailedAndWritesNothingMore) {
     struct Full : store::PosixFiles {
         using PosixFiles::PosixFiles;
         bool full = false;
@@ -415,45 +419,45 @@
     Folder folder;
     auto files = std::make_unique<Full>(folder.path);
     Full* disk = files.get();
-    Storing storing(std::move(files), {{1}, Begin::New, {}});
+    DurableStorage storing(std::move(files), {{1}, StartMode::NewCluster, {}});
     disk->full = true;
     std::promise<int> why;
     storing.start([](std::uint64_t) { ADD_FAILURE(); }, [&](int error) { why.set_value(error); });
     raft::Write write;
     write.number = 1, write.vote = raft::Vote{1, 1};
     storing.write(write);
-    EXPECT_EQ(why.get_future().get(), ENOSPC);  // what KeeperProcess tells as Error::Broken
+    EXPECT_EQ(why.get_future().get(), ENOSPC);  // what CoordinatorServer tells as Error::Broken
     storing.write(write);
 }
 
 // ---- A process's side
 struct OneSession {
     Session session;
-    std::vector<wire::Ask> said;
+    std::vector<wire::Request> said;
     std::vector<std::string> to;
     std::vector<SessionAction> told;
     explicit OneSession(std::vector<std::string> keepers = {"k1"}) : session(settings(std::move(keepers))) {}
     static SessionSettings settings(std::vector<std::string> keepers) {
         SessionSettings set;
-        set.keepers = std::move(keepers), set.name = "a", set.instance = 4;
+        set.coordinators = std::move(keepers), set.name = "a", set.instance = 4;
         return set;
     }
-    void go(TimePoint now, const SessionEvent& event = SessionWoken{}) {
+    void go(TimePoint now, const SessionEvent& event = SessionTimerFired{}) {
         SessionActions out;
         session.handle(now, event, out);
         for (SessionAction& a : out)
-            if (const auto* say = std::get_if<Say>(&a)) {
-                wire::Ask ask;
+            if (const auto* say = std::get_if<SendRequest>(&a)) {
+                wire::Request ask;
                 EXPECT_TRUE(ask.ParseFromString(say->body));
                 said.push_back(ask), to.push_back(say->to);
-            } else if (!std::holds_alternative<SessionWakeAt>(a)) {
+            } else if (!std::holds_alternative<SetSessionTimer>(a)) {
                 told.push_back(std::move(a));
             }
     }
-    void answer(TimePoint now, const wire::Ask& ask, wire::Answer is = {}) {
+    void answer(TimePoint now, const wire::Request& ask, wire::Response is = {}) {
         is.set_call(ask.call());
         if (ask.has_open() && is.error() == 0) is.set_session(11);
-        go(now, Heard{session.leader(), is.SerializeAsString()});
+        go(now, ResponseReceived{session.leader(), is.SerializeAsString()});
     }
     template <class T>
     std::vector<T> of() const {
@@ -469,13 +473,13 @@
     one.go(at(0));
     ASSERT_EQ(one.said.size(), 1u);
     one.answer(at(300), one.said[0]);
-    ASSERT_EQ(one.of<Held>().size(), 1u);
-    EXPECT_EQ(one.of<Held>()[0].until, at(3000 * 0.99 - 50));
+    ASSERT_EQ(one.of<SessionRenewed>().size(), 1u);
+    EXPECT_EQ(one.of<SessionRenewed>()[0].until, at(3000 * 0.99 - 50));
     one.go(at(1000));
     ASSERT_EQ(one.said.size(), 2u);
     EXPECT_TRUE(one.said[1].has_renew());
     one.answer(at(1200), one.said[1]);
-    EXPECT_EQ(one.of<Held>().back().until, at(1000 + 3000 * 0.99 - 50));
+    EXPECT_EQ(one.of<SessionRenewed>().back().until, at(1000 + 3000 * 0.99 - 50));
 }
 
 TEST(Session, LooksAtTheClockFirstBehindAPause) {
@@ -483,12 +487,12 @@
     one.go(at(0));
     one.answer(at(1), one.said[0]);
     one.go(at(1000));
-    one.go(at(1001), Submit{1, "adder", "5"});
+    one.go(at(1001), CommandRequested{1, "adder", "5"});
     one.answer(at(30'000), one.said[1]);  // the renewal's answer had waited
-    ASSERT_EQ(one.of<Lost>().size(), 1u);
-    ASSERT_EQ(one.of<Answered>().size(), 1u);
-    EXPECT_EQ(one.of<Answered>()[0].error, Error::Uncertain);
-    EXPECT_EQ(one.of<Held>().size(), 1u);
+    ASSERT_EQ(one.of<SessionLost>().size(), 1u);
+    ASSERT_EQ(one.of<CallCompleted>().size(), 1u);
+    EXPECT_EQ(one.of<CallCompleted>()[0].error, Error::Uncertain);
+    EXPECT_EQ(one.of<SessionRenewed>().size(), 1u);
     EXPECT_TRUE(one.said.back().has_open());
     EXPECT_EQ(one.said.back().open().attempt(), 2u);
 }
@@ -497,24 +501,24 @@
     OneSession one({"k1", "k2"});
     one.go(at(0));
     one.answer(at(1), one.said[0]);
-    one.go(at(2), Submit{1, "adder", "5"});
-    one.go(at(3), Submit{2, "adder", "6"});
+    one.go(at(2), CommandRequested{1, "adder", "5"});
+    one.go(at(3), CommandRequested{2, "adder", "6"});
     ASSERT_EQ(one.said.size(), 3u);
     std::string first = one.session.leader();
-    one.go(at(4), Cut{first});
+    one.go(at(4), Disconnected{first});
     EXPECT_NE(one.session.leader(), first);
     one.go(at(60));
     ASSERT_TRUE(one.said.back().has_renew()) << "whether the next one leads is asked by what does no harm";
     one.answer(at(61), one.said.back());
     ASSERT_EQ(one.said.size(), 6u);
-    EXPECT_EQ(one.said[4].do_().number(), 1u);
-    EXPECT_EQ(one.said[5].do_().number(), 2u);
+    EXPECT_EQ(one.said[4].command().sequence(), 1u);
+    EXPECT_EQ(one.said[5].command().sequence(), 2u);
     EXPECT_EQ(one.said[4].call(), one.said[1].call());
-    wire::Answer result;
+    wire::Response result;
     result.set_result("5");
     one.answer(at(70), one.said[4], result);
-    one.go(at(71), Submit{3, "adder", "7"});
-    EXPECT_EQ(one.said.back().do_().settled(), 1u);
+    one.go(at(71), CommandRequested{3, "adder", "7"});
+    EXPECT_EQ(one.said.back().command().acknowledged(), 1u);
 }
 
 TEST(Session, FollowsAHintButNotToOneThatWasSilent) {
@@ -525,7 +529,7 @@
     one.go(at(460));
     std::string next = one.session.leader();
     EXPECT_NE(next, silent);
-    wire::Answer no;
+    wire::Response no;
     no.set_error(std::uint32_t(Error::NotLeader)), no.set_leader_address(silent);
     one.answer(at(470), one.said.back(), no);
     EXPECT_NE(one.session.leader(), silent);
@@ -539,17 +543,17 @@
 TEST(Session, TellsWhatItDoesNotTake) {
     OneSession one;
     one.go(at(0));
-    one.go(at(1), Submit{1, "adder", "5"});
-    EXPECT_EQ(one.of<Answered>().back().error, Error::NoSession);
-    one.go(at(1), Question{2, "adder", ""});
+    one.go(at(1), CommandRequested{1, "adder", "5"});
+    EXPECT_EQ(one.of<CallCompleted>().back().error, Error::NoSession);
+    one.go(at(1), QueryRequested{2, "adder", ""});
     one.go(at(5001));
-    EXPECT_EQ(one.of<Answered>().back().error, Error::Unreachable);
+    EXPECT_EQ(one.of<CallCompleted>().back().error, Error::Unreachable);
     one.go(at(5400));
     one.answer(at(5410), one.said.back());
-    one.go(at(5411), Submit{3, "adder", std::string(1 << 20, 'x')});
-    EXPECT_EQ(one.of<Answered>().back().error, Error::TooLong);
-    one.go(at(5420), CloseSession{});
-    EXPECT_EQ(one.of<Lost>().size(), 1u);
+    one.go(at(5411), CommandRequested{3, "adder", std::string(1 << 20, 'x')});
+    EXPECT_EQ(one.of<CallCompleted>().back().error, Error::TooLong);
+    one.go(at(5420), CloseRequested{});
+    EXPECT_EQ(one.of<SessionLost>().size(), 1u);
     EXPECT_TRUE(one.said.back().has_close());
     std::size_t said = one.said.size();
     one.go(at(9000));
--- a/tests/fleet/leadership_list_test.cpp
+++ b/tests/fleet/leadership_list_test.cpp
@@ -17,7 +17,7 @@
     return read_answer(machine.apply({1, body})).value();
 }
 News told(const Machine& machine) {
-    return read_news(machine.news(1)).value();
+    return read_news(machine.session_update(1)).value();
 }
 Listing whole(std::uint64_t revision, Entries entries) {
     return {revision, true, std::move(entries), {}};
@@ -77,7 +77,7 @@
     for (int i = 0; i < 20; ++i) reports(machine, 1, {2, false, {}, {}});
     EXPECT_EQ(machine.version(), 2u);  // nothing new is no version
     EXPECT_TRUE(told(machine).changes.empty());
-    Whole all = read_whole(machine.read("")).value();
+    Whole all = read_whole(machine.query("")).value();
     EXPECT_EQ(all.entries, machine.entries());
     EXPECT_EQ(all.digest, told(machine).digest);
     Machine again;
@@ -99,14 +99,14 @@
     EXPECT_TRUE(told(machine).changes.empty());
     Follower node({}, at(0));
     FollowerActions out;
-    node.handle(at(1000), Heard{at(999), machine.news(1)}, out);
+    node.handle(at(1000), Heard{at(999), machine.session_update(1)}, out);
     EXPECT_EQ(count<Fetch>(out), 1u);
     reports(machine, 1, {1, false, {}, {}});
     out.clear();
-    node.handle(at(2000), HeardWhole{machine.read("")}, out);
+    node.handle(at(2000), HeardWhole{machine.query("")}, out);
     EXPECT_EQ(count<UseWhole>(out), 0u);  // as of which moment is not known yet
     reports(machine, 1, {1, false, {}, {}});
-    node.handle(at(2001), Heard{at(2000), machine.news(1)}, out);
+    node.handle(at(2001), Heard{at(2000), machine.session_update(1)}, out);
     ASSERT_EQ(count<UseWhole>(out), 1u);
     EXPECT_EQ(node.version(), 1u);
     EXPECT_EQ(node.fresh(), at(999));
@@ -120,7 +120,7 @@
     FollowerActions out;
     auto hear = [&](double asked, double now) {
         out.clear();
-        node.handle(at(now), Heard{at(asked), machine.news(1)}, out);
+        node.handle(at(now), Heard{at(asked), machine.session_update(1)}, out);
     };
     hear(1000, 1010);
     EXPECT_EQ(node.fresh(), at(0));  // the round that was open then is not closed
@@ -160,7 +160,7 @@
     auto round = [&] {
         reports(machine, 1, {1, false, {}, {}});
         out.clear();
-        node.handle(at(t), Heard{at(t - 1), machine.news(1)}, out);
+        node.handle(at(t), Heard{at(t - 1), machine.session_update(1)}, out);
         t += 1000;
     };
     round(), round();
--- a/tests/fleet/leadership_test.cpp
+++ b/tests/fleet/leadership_test.cpp
@@ -15,7 +15,7 @@
     return read_answer(machine.apply({session, body})).value();
 }
 std::vector<Owned> owned(const Duties& machine, SessionId session) {
-    return read_news(machine.news(session))->owned;
+    return read_news(machine.session_update(session))->owned;
 }
 SessionId owner(const Duties& machine, std::string_view name) {
     auto it = machine.duties().find(name);
@@ -23,7 +23,7 @@
 }
 Duties with_sessions(SessionId most, const Limits& limits = {}) {
     Duties machine(limits);
-    for (SessionId s = 1; s <= most; ++s) machine.session_began(s, "p", "z");
+    for (SessionId s = 1; s <= most; ++s) machine.session_opened(s, "p", "z");
     return machine;
 }
 
@@ -36,7 +36,7 @@
     EXPECT_FALSE(say(machine, 2, give_up("list", 1)).error);
     EXPECT_EQ(owned(machine, 3), (std::vector<Owned>{{"list", 2, false}}));
     EXPECT_EQ(say(machine, 2, give_up("list", 1)).error, Error::NotOwner);  // said twice
-    machine.session_over(3);
+    machine.session_ended(3);
     EXPECT_TRUE(machine.duties().empty());
     // Nobody wanted it for a while: its epoch goes on all the same, over a restart too.
     Duties again;
@@ -97,7 +97,7 @@
     EXPECT_FALSE(say(machine, 2, end_job("move/1", 1)).error);
     // Its owner dies before all receivers know: the next one is told that nothing is to be done of it.
     say(machine, 1, want("move/1"));
-    machine.session_over(2);
+    machine.session_ended(2);
     EXPECT_EQ(owned(machine, 1), (std::vector<Owned>{{"move/1", 2, false, true}}));
     EXPECT_FALSE(say(machine, 1, over_for_good("move/1", 2)).error);
     EXPECT_EQ(say(machine, 1, want("move/1")).error, Error::Over);
@@ -188,8 +188,8 @@
             auto it = machine.duties().find(name);
             Epoch epoch = it == machine.duties().end() ? 1 : it->second.epoch;
             if (it != machine.duties().end() && it->second.owner && what >= 6) session = it->second.owner;
-            if (what == 0) machine.session_began(++next, "p", "z");
-            if (what == 1 && i % 3 == 0) machine.session_over(session);
+            if (what == 0) machine.session_opened(++next, "p", "z");
+            if (what == 1 && i % 3 == 0) machine.session_ended(session);
             if (what >= 2 && what <= 5) machine.apply({session, want(name, std::uint32_t(1 + i % 3))});
             if (what == 6) machine.apply({session, give_up(name, epoch, i % 2 == 0)});
             if (what == 7) machine.apply({session, unwant(name)});
@@ -267,7 +267,7 @@
     p.handle(1, SessionHeld{1, at(3000)});
     p.deliver(2, machine);
     EXPECT_FALSE(p.core.may(at(3), "list"));
-    p.handle(3, Heard{1, machine.news(1)});
+    p.handle(3, Heard{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"begin list 1"}));
     EXPECT_EQ(std::get<WakeAt>(p.out.back()).at, at(2920));
     EXPECT_EQ(p.core.may(at(2919), "list"), Epoch(1));
@@ -276,10 +276,10 @@
     EXPECT_EQ(p.log, (Log{"stop list 1 lease"}));
     // A renewal that comes late holds it again, once it is at rest and the keepers say so.
     p.handle(2930, SessionHeld{1, at(5000)});
-    p.handle(2931, Heard{1, machine.news(1)});
+    p.handle(2931, Heard{1, machine.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     p.handle(2940, Stopped{"list", 1});
-    p.handle(2950, Heard{1, machine.news(1)});
+    p.handle(2950, Heard{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"begin list 1"}));
 }
 
@@ -289,15 +289,15 @@
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"list"});
     p.deliver(1, machine);
-    p.handle(2, Heard{1, machine.news(1)});
+    p.handle(2, Heard{1, machine.session_update(1)});
     // 30 s later the first thing it is handed is news that says that it owns another one too.
     p.handle(2, WantDuty{"other"});
     p.deliver(2, machine);
-    p.handle(30'000, Heard{1, machine.news(1)});
+    p.handle(30'000, Heard{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"stop list 1 lease"}));
     // Nor does a renewal that was answered long ago help.
     p.handle(30'001, SessionHeld{1, at(4000)});
-    p.handle(30'002, Heard{1, machine.news(1)});
+    p.handle(30'002, Heard{1, machine.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     EXPECT_FALSE(p.core.may(at(30'002), "other"));
 }
@@ -310,23 +310,23 @@
         one->handle(0, SessionHeld{s, at(3000)});
         one->handle(0, WantDuty{"list"});
         one->deliver(1, machine);
-        one->handle(2, Heard{s, machine.news(s)});
+        one->handle(2, Heard{s, machine.session_update(s)});
     }
     say(machine, 0, move_away("list"));
-    p.handle(10, Heard{1, machine.news(1)});
+    p.handle(10, Heard{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"stop list 1 give back"}));
     EXPECT_TRUE(p.says.empty());
-    q.handle(11, Heard{2, machine.news(2)});
+    q.handle(11, Heard{2, machine.session_update(2)});
     EXPECT_TRUE(q.log.empty());
     p.handle(12, Stopped{"list", 1});
     auto given = p.says;
     p.deliver(13, machine);
-    q.handle(14, Heard{2, machine.news(2)});
+    q.handle(14, Heard{2, machine.session_update(2)});
     EXPECT_EQ(q.log, (Log{"begin list 2"}));
     // What was said of it before does not begin it again.
     Duties old = with_sessions(1);
     say(old, 1, want("list"));
-    p.handle(15, Heard{1, old.news(1)});
+    p.handle(15, Heard{1, old.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     // It still wants it: where the other leaves, it is its again.
     q.handle(20, Leave{});
@@ -334,7 +334,7 @@
     q.handle(21, Stopped{"list", 2});
     q.deliver(22, machine);
     EXPECT_EQ(q.log, (Log{"left"}));
-    p.handle(23, Heard{1, machine.news(1)});
+    p.handle(23, Heard{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"begin list 3"}));
 }
 
@@ -350,21 +350,21 @@
     ASSERT_EQ(p.says.size(), 1u);
     EXPECT_EQ(p.says[0].number, first.number);
     p.deliver(501, machine);
-    p.handle(502, Heard{1, machine.news(1)});
+    p.handle(502, Heard{1, machine.session_update(1)});
     p.handle(600, SessionLost{});
     EXPECT_EQ(p.log, (Log{"stop list 1 lost"}));
     p.handle(601, SessionHeld{1, at(9000)});  // an answer from the old one
     EXPECT_EQ(p.core.session(), 0u);
-    machine.session_over(1);
+    machine.session_ended(1);
     p.handle(700, SessionHeld{2, at(4000)});
     ASSERT_EQ(p.says.size(), 1u);
     p.deliver(701, machine);
-    p.handle(702, Heard{1, machine.news(2)});  // not this one's
+    p.handle(702, Heard{1, machine.session_update(2)});  // not this one's
     EXPECT_TRUE(p.log.empty());
-    p.handle(703, Heard{2, machine.news(2)});
+    p.handle(703, Heard{2, machine.session_update(2)});
     EXPECT_TRUE(p.log.empty());  // the old work is not at rest yet
     p.handle(704, Stopped{"list", 1});
-    p.handle(705, Heard{2, machine.news(2)});
+    p.handle(705, Heard{2, machine.session_update(2)});
     EXPECT_EQ(p.log, (Log{"begin list 2"}));
 }
 
@@ -378,8 +378,8 @@
         one->handle(0, WantDuty{"move/1"});
         one->deliver(1, machine);
     }
-    p.handle(2, Heard{1, machine.news(1)});
-    std::string old = machine.news(1);
+    p.handle(2, Heard{1, machine.session_update(1)});
+    std::string old = machine.session_update(1);
     p.handle(2, Told{"move/1", 1});  // of nothing
     EXPECT_TRUE(p.says.empty());
     p.handle(3, JobDone{"move/1", 1});
@@ -392,8 +392,8 @@
     p.deliver(601, machine);
     EXPECT_EQ(p.log, (Log{"retire move/1 1"}));
     // It dies with half of the receivers told: the next owner tells them, and does nothing.
-    machine.session_over(1);
-    q.handle(700, Heard{2, machine.news(2)});
+    machine.session_ended(1);
+    q.handle(700, Heard{2, machine.session_update(2)});
     EXPECT_EQ(q.log, (Log{"retire move/1 2"}));
     EXPECT_FALSE(q.core.may(at(701), "move/1"));
     q.handle(702, Told{"move/1", 2});
@@ -411,13 +411,13 @@
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"move/1"});
     p.deliver(1, machine);
-    p.handle(2, Heard{1, machine.news(1)});
+    p.handle(2, Heard{1, machine.session_update(1)});
     p.handle(3, JobDone{"move/1", 1});
     Say end = p.says.at(0);
     p.handle(2920, leadership::Woken{});
     p.handle(2921, Stopped{"move/1", 1});
     p.handle(2930, SessionHeld{1, at(6000)});
-    p.handle(2931, Heard{1, machine.news(1)});  // the keepers do not know of its end yet
+    p.handle(2931, Heard{1, machine.session_update(1)});  // the keepers do not know of its end yet
     EXPECT_EQ(p.log, (Log{"begin move/1 1"}));
     p.handle(2940, Answered{end.number, machine.apply({1, end.command})});
     EXPECT_EQ(p.log, (Log{"retire move/1 1"}));
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -412,15 +412,15 @@
 
 TEST(QuotaMachine, OneOwnerAtATimeAndNoRecordOfAnOlderOne) {
     Keepers keepers;
-    keepers.machine.session_began(1, "a", "");
-    keepers.machine.session_began(2, "b", "");
+    keepers.machine.session_opened(1, "a", "");
+    keepers.machine.session_opened(2, "b", "");
     EXPECT_EQ(keepers.say(3, command_own()).error, Error::NotOwner);
     MachineReply first = keepers.say(1, command_own());
     EXPECT_EQ(first.epoch, 1u);
     EXPECT_EQ(keepers.say(2, command_own()).error, Error::NotOwner);
     Book book{{"p", false}, "n1", 11, 12, 100, 40, 10, false};
     EXPECT_FALSE(keepers.say(1, command_record(1, {book})).error);
-    keepers.machine.session_over(1);
+    keepers.machine.session_ended(1);
     MachineReply second = keepers.say(2, command_own());
     EXPECT_EQ(second.epoch, 2u);
     ASSERT_TRUE(second.state);
@@ -428,8 +428,8 @@
     EXPECT_EQ(second.state->owner_name, "b");
     EXPECT_EQ(keepers.say(1, command_record(1, {book})).error, Error::NotOwner);
     EXPECT_EQ(keepers.say(2, command_record(1, {book})).error, Error::Stale);
-    EXPECT_TRUE(decode_news(keepers.machine.news(2))->owner);
-    EXPECT_FALSE(decode_news(keepers.machine.news(1))->owner);
+    EXPECT_TRUE(decode_news(keepers.machine.session_update(2))->owner);
+    EXPECT_FALSE(decode_news(keepers.machine.session_update(1))->owner);
     book.closed = true;
     EXPECT_FALSE(keepers.say(2, command_record(2, {book})).error);
     EXPECT_EQ(keepers.machine.books(), 0u);
@@ -450,9 +450,9 @@
     EXPECT_EQ(keepers.say(0, command_order({Ordered::What::Freeze, "nobody", "", 0})).error, Error::Unknown);
     EXPECT_FALSE(keepers.say(0, command_order({Ordered::What::Freeze, "p", "", 0})).error);
     EXPECT_FALSE(keepers.say(0, command_order({Ordered::What::Lend, "p", "north", 5})).error);
-    keepers.machine.session_began(4, "a", "");
+    keepers.machine.session_opened(4, "a", "");
     keepers.say(4, command_own());
-    auto news = decode_news(keepers.machine.news(4));
+    auto news = decode_news(keepers.machine.session_update(4));
     EXPECT_EQ(news->frozen, std::vector<std::string>{"p"});
     ASSERT_EQ(news->last.size(), 2u);
     EXPECT_EQ(news->last[1].order.amount, 5);
@@ -464,8 +464,8 @@
     Budget b = budget("p", 100, 100);
     b.costs = {{"order", 5}}, b.floors = {{"north", 1, 2}}, b.weights = {{"south", 3}};
     keepers.say(0, command_set(0, {b}));
-    keepers.machine.session_began(1, "a", "");
-    keepers.machine.session_began(2, "b", "");
+    keepers.machine.session_opened(1, "a", "");
+    keepers.machine.session_opened(2, "b", "");
     keepers.say(1, command_own());
     keepers.say(1, command_record(1, {{{"p", true}, "n1", 11, 12, 100, 40, 10, false}}));
     keepers.say(0, command_order({Ordered::What::Freeze, "p", "", 0}));
@@ -475,7 +475,7 @@
     EXPECT_EQ(other.machine.snapshot(), octets);
     EXPECT_FALSE(other.machine.restore(2, octets));
     for (std::size_t cut = 0; cut < octets.size(); cut += 3) (void)Quotas().restore(1, octets.substr(0, cut));
-    keepers.machine.session_over(1), other.machine.session_over(1);
+    keepers.machine.session_ended(1), other.machine.session_ended(1);
     EXPECT_EQ(keepers.say(2, command_own()).epoch, other.say(2, command_own()).epoch);
     EXPECT_EQ(other.machine.snapshot(), keepers.machine.snapshot());
 }
--- a/tests/fleet/schema_migration_test.cpp
+++ b/tests/fleet/schema_migration_test.cpp
@@ -51,7 +51,7 @@
         return say(session, command);
     }
     wire::Answer join(coordinator::SessionId session, schema::Number least, schema::Number most) {
-        machine.session_began(session, "node " + std::to_string(session), "z");
+        machine.session_opened(session, "node " + std::to_string(session), "z");
         return says(session, least, most);
     }
     wire::Answer start(schema::Number to, std::uint64_t refusals = 5, bool narrows = false) {
@@ -85,7 +85,7 @@
     }
     wire::News news(coordinator::SessionId session) {
         wire::News news;
-        EXPECT_TRUE(news.ParseFromString(machine.news(session)));
+        EXPECT_TRUE(news.ParseFromString(machine.session_update(session)));
         return news;
     }
 };
@@ -142,8 +142,8 @@
     Fleet fleet;
     fleet.join(1, 3, 4), fleet.join(2, 2, 3);
     EXPECT_EQ(error(fleet.start(4)), "old-process");
-    fleet.machine.session_over(2);
-    fleet.machine.session_began(3, "silent", "z");
+    fleet.machine.session_ended(2);
+    fleet.machine.session_opened(3, "silent", "z");
     EXPECT_EQ(error(fleet.start(4)), "silent");
     EXPECT_EQ(error(fleet.says(3, 3, 4)), "");
     EXPECT_EQ(error(fleet.start(4)), "");
@@ -156,16 +156,16 @@
     fleet.pass(1);
     EXPECT_EQ(fleet.machine.stage(), Stage::Convert);
     EXPECT_EQ(error(fleet.steer(wire::GO_ON)), "old-process");
-    fleet.machine.session_over(4);
+    fleet.machine.session_ended(4);
     EXPECT_EQ(error(fleet.steer(wire::GO_ON)), "");
     EXPECT_EQ(fleet.machine.stage(), Stage::Convert);
     fleet.pass(1);
     // One that has not said what it reads is waited for.
-    fleet.machine.session_began(5, "silent", "z");
+    fleet.machine.session_opened(5, "silent", "z");
     fleet.pass(1);
     EXPECT_EQ(fleet.machine.stage(), Stage::Compare);
     EXPECT_EQ(error(fleet.want(5)), "silent");
-    fleet.machine.session_over(5);
+    fleet.machine.session_ended(5);
     EXPECT_EQ(fleet.machine.stage(), Stage::Switch);
 }
 
@@ -214,7 +214,7 @@
     fleet.join(1, 3, 4), fleet.join(2, 3, 4);
     fleet.start(4), fleet.want(1);
     wire::Command late = fleet.did(0);
-    fleet.machine.session_over(1);
+    fleet.machine.session_ended(1);
     EXPECT_TRUE(fleet.news(2).asked());
     EXPECT_EQ(error(fleet.want(2)), "");
     EXPECT_EQ(fleet.machine.migration().epoch(), 2u);
@@ -277,12 +277,12 @@
         switch (draw(9)) {
             case 0:
                 if (live.size() < 4)
-                    fleet.machine.session_began(next, "p" + std::to_string(next), "z"), live.insert(next),
+                    fleet.machine.session_opened(next, "p" + std::to_string(next), "z"), live.insert(next),
                         ++next;
                 break;
             case 1:
                 if (draw(3) == 0 && live.contains(who))
-                    fleet.machine.session_over(who), live.erase(who), said.erase(who);
+                    fleet.machine.session_ended(who), live.erase(who), said.erase(who);
                 break;
             case 2:
                 for (coordinator::SessionId one : live) {
--- a/tests/fleet/shards_test.cpp
+++ b/tests/fleet/shards_test.cpp
@@ -26,7 +26,7 @@
     return Error(reply.error());
 }
 void join(Views& views, SessionId session, const std::string& zone) {
-    views.session_began(session, "holder" + std::to_string(session), zone);
+    views.session_opened(session, "holder" + std::to_string(session), zone);
     EXPECT_FALSE(apply(views, session, Views::offer("127.0.0.1:" + std::to_string(session))));
 }
 struct Steps {
@@ -102,7 +102,7 @@
     for (SessionId s = 1; s <= 3; ++s) join(views, s, "z" + std::to_string(s));
     drive(views);
     std::vector<Entry> before = views.map().entries;
-    views.session_over(1);
+    views.session_ended(1);
     for (std::size_t n = 0; n < before.size(); ++n) {
         const Entry& is = views.map().entries[n];
         EXPECT_EQ(is.first, before[n].first == 1 ? before[n].second : before[n].first);
@@ -113,7 +113,7 @@
         }
     }
     std::vector<Entry> between = views.map().entries;  // nothing is filled yet
-    views.session_over(2);
+    views.session_ended(2);
     for (std::size_t n = 0; n < between.size(); ++n) {
         const Entry& is = views.map().entries[n];
         EXPECT_EQ(is.first, 3u);
@@ -121,7 +121,7 @@
         EXPECT_EQ(is.lost, !had);
         EXPECT_EQ(is.origin == is.view, !had);
     }
-    views.session_over(3);
+    views.session_ended(3);
     for (const Entry& e : views.map().entries) EXPECT_EQ(e.first, 0u);
     join(views, 4, "z");
     for (const Entry& e : views.map().entries) EXPECT_TRUE(e.first == 4 && e.lost);
@@ -161,7 +161,7 @@
     one.holders = 1;
     Views full(one);
     join(full, 1, "a");
-    full.session_began(2, "b", "b");
+    full.session_opened(2, "b", "b");
     EXPECT_EQ(apply(full, 2, Views::offer("x")), Error::Full);
     EXPECT_EQ(views.map().entries[0], e);
 }
@@ -184,7 +184,7 @@
                 live.push_back(next++);
             } else if (draw == 1) {
                 std::size_t who = random() % live.size();
-                views.session_over(live[who]);
+                views.session_ended(live[who]);
                 live.erase(live.begin() + std::ptrdiff_t(who));
             } else if (draw == 2) {
                 apply(views, 0, Views::leave(live[random() % live.size()]));
@@ -209,7 +209,7 @@
             }
             ASSERT_TRUE(twin.restore(1, views.snapshot()));
             ASSERT_EQ(twin.snapshot(), views.snapshot());
-            ASSERT_EQ(twin.news(1), views.news(1));
+            ASSERT_EQ(twin.session_update(1), views.session_update(1));
         }
         EXPECT_TRUE(drive(views).ended) << "seed " << seed;
     }
@@ -226,7 +226,7 @@
     wrong.mutable_map()->mutable_entries(7)->set_second(99);  // who is that
     EXPECT_FALSE(other.restore(1, wrong.SerializeAsString()));
     EXPECT_EQ(other.map().number, 0u);
-    EXPECT_LE(views.news(1).size(), 8192u);
+    EXPECT_LE(views.session_update(1).size(), 8192u);
 }
 
 // ---- A holder, and who asks it
