--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -86,7 +86,7 @@
                 write(*to_write);
                 events.emplace_back(coordinator::WriteCompleted{to_write->number});
             } else if (auto* answer = std::get_if<coordinator::SendResponse>(&action)) {
-                net_.send(self_, answer->who, tagged('w', answer->body));
+                net_.send(self_, answer->connection, tagged('w', answer->body));
             } else if (auto* wake = std::get_if<raft::WakeAt>(&action)) {
                 net_.wake_at(self_, asked_ = wake->at);
             } else if (auto* stop = std::get_if<coordinator::Stop>(&action)) {
@@ -109,7 +109,7 @@
 }
 
 const config_distribution::Agreement* KeeperProcess::machine() const {
-    return replica_ ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().machine("rules"))
+    return replica_ ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().state_machine("rules"))
                     : nullptr;
 }
 
--- a/lab/coordinator/world.cpp
+++ b/lab/coordinator/world.cpp
@@ -220,8 +220,8 @@
                 k.disk.pending.push_back({done, std::move(*write)});
             } else if (auto* answer = std::get_if<SendResponse>(&action)) {
                 // A connection ends with its process: the next one is not answered what another asked.
-                std::size_t to = std::size_t(answer->who % kProcesses);
-                if (processes_[to - keepers_.size()].instance == answer->who / kProcesses)
+                std::size_t to = std::size_t(answer->connection % kProcesses);
+                if (processes_[to - keepers_.size()].instance == answer->connection / kProcesses)
                     net_.send(at, to, marked('N', answer->body));
             } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
                 k.wake = TimePoint{wake->at.time_since_epoch() / rate};
@@ -322,8 +322,8 @@
         if (found == one.calls.end()) return judge_.wrong("a call was answered twice");
         Call call = found->second;
         one.calls.erase(found);
-        verdict_.uncertain += answered.error == Error::Uncertain;
-        bool expected = answered.error == Error::None || answered.error == Error::Uncertain ||
+        verdict_.uncertain += answered.error == Error::PossiblyExecuted;
+        bool expected = answered.error == Error::None || answered.error == Error::PossiblyExecuted ||
                         answered.error == Error::NoSession || answered.error == Error::Unreachable ||
                         answered.error == Error::Busy;
         if (!expected) judge_.wrong("a command was answered " + std::string(row(answered.error).code));
@@ -413,7 +413,7 @@
         if (ask.ParseFromString(m.substr(space + 1)) && ask.has_command())
             verdict_.again += keepers_[to]
                                   .replica->state()
-                                  .answered(ask.command().session(), ask.command().sequence())
+                                  .cached_outcome(ask.command().session(), ask.command().sequence())
                                   .has_value();
         to_keeper(to, own, RequestReceived{who, m.substr(space + 1)});
     }
--- a/lab/leadership/replicas.cpp
+++ b/lab/leadership/replicas.cpp
@@ -77,7 +77,7 @@
             if (!me.pending.empty()) done = std::max(done, me.pending.back().done);
             me.pending.push_back({done, std::move(*write)});
         } else if (auto* answer = std::get_if<coordinator::SendResponse>(&action)) {
-            if (answer->who == kOperator) {
+            if (answer->connection == kOperator) {
                 coordinator::wire::Response said;
                 if (said.ParseFromString(answer->body) && said.error() == 0)
                     answers_.push_back(said.result());
@@ -86,7 +86,7 @@
             Message m;
             m.kind = Message::Kind::Answered;
             m.body = answer->body;
-            net_->send(self, std::size_t(answer->who - 1), m);
+            net_->send(self, std::size_t(answer->connection - 1), m);
         } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
             me.wake = wake->at;
         }
@@ -138,7 +138,7 @@
     for (const Each& one : each_)
         if (one.replica && (!furthest || one.replica->applied() > furthest->applied()))
             furthest = one.replica.get();
-    return furthest ? furthest->state().machine(kind) : nullptr;
+    return furthest ? furthest->state().state_machine(kind) : nullptr;
 }
 
 void Replicas::operate(std::string_view kind, std::string_view body) {
--- a/lab/tests/coordinator_processes_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -120,9 +120,9 @@
 
     // A majority is killed: nothing is granted until it is back.
     rig.kill(0), rig.kill(1);
-    std::size_t before = client.answered();
+    std::size_t before = client.cached_outcome();
     client.want(20);
-    EXPECT_EQ(client.answered(), before);
+    EXPECT_EQ(client.cached_outcome(), before);
     rig.start(0), rig.start(1);
     ASSERT_TRUE(client.await_answers());
 
--- a/src/app/keeper.cpp
+++ b/src/app/keeper.cpp
@@ -31,8 +31,8 @@
     AsioScheduler scheduler(io);
     int status = 0;
     try {
-        coordinator::CoordinatorServer process(io, scheduler, process_settings(told, begin), machines);
-        process.stopped = [&](coordinator::Error, const std::string&) {
+        coordinator::CoordinatorServer server(io, scheduler, process_settings(told, begin), machines);
+        server.on_stopped = [&](coordinator::Error, const std::string&) {
             status = 1;
             io.stop();
         };
@@ -40,9 +40,9 @@
         stop.async_wait([&](boost::system::error_code error, int) {
             if (!error) io.stop();
         });
-        process.start();
+        server.start();
         std::ostringstream listen;
-        listen << process.at();
+        listen << server.listen_address();
         log(LogLevel::Info, "keeper: serves",
             {{"number", told.keeper.number}, {"listen", listen.str()}, {"folder", told.keeper.folder}});
         io.run();
--- a/src/fleet/coordinator/admin_client.cpp
+++ b/src/fleet/coordinator/admin_client.cpp
@@ -1,51 +1,91 @@
 #include "fleet/coordinator/admin_client.h"
 
+#include <algorithm>
 #include <boost/asio/io_context.hpp>
-#include <random>
+#include <utility>
 
 #include "base/asio_scheduler.h"
 #include "fleet/channel/mesh.h"
+#include "fleet/coordinator/random_id.h"
 
 namespace ochrehub::coordinator {
+namespace {
+
+/// Connection attempts that fail before a coordinator counts as unreachable.
+constexpr int kMaxFailedAttempts = 2;
+
+channel::MeshSettings mesh_settings(const AdminClientSettings& settings) {
+    channel::MeshSettings mesh;
+    mesh.channel.self.name = "command";
+    mesh.channel.self.instance = random_id();
+    mesh.channel.cluster = fleet::fingerprint(settings.cluster);
+    mesh.channel.keys = settings.keys;
+    return mesh;
+}
+
+/// The request, until each address has responded or is unreachable.
+class Broadcast {
+public:
+    Broadcast(const AdminClientSettings& settings, const std::vector<std::string>& addresses,
+              const std::string& request)
+        : addresses_(addresses),
+          request_(request),
+          scheduler_(io_),
+          mesh_(io_, scheduler_, std::nullopt, mesh_settings(settings), random_id()) {
+        mesh_.up = [this](const channel::Peer& peer) {
+            mesh_.send(peer.instance, channel::Kind::Ask, request_);
+        };
+        mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
+            if (kind == channel::Kind::Answer) receive(peer.instance, std::move(body));
+        };
+        mesh_.unreached = [this](const std::string& address, channel::Error) {
+            ++failed_attempts_[address];
+            stop_if_complete();
+        };
+        scheduler_.call_at(scheduler_.now() + settings.timeout, [this] { io_.stop(); });
+    }
+
+    std::map<std::string, std::string> run() {
+        for (const std::string& address : addresses_) mesh_.dial(address);
+        io_.run();
+        mesh_.close();
+        io_.restart();
+        io_.poll();
+        return std::move(responses_);
+    }
+
+private:
+    void receive(std::uint64_t instance, std::string body) {
+        auto from = std::find_if(addresses_.begin(), addresses_.end(), [&](const std::string& address) {
+            return mesh_.instance_at(address) == instance;
+        });
+        if (from == addresses_.end()) return;
+        responses_[*from] = std::move(body);
+        stop_if_complete();
+    }
+
+    void stop_if_complete() {
+        std::size_t completed = responses_.size();
+        for (const auto& [address, attempts] : failed_attempts_)
+            if (attempts >= kMaxFailedAttempts && !responses_.contains(address)) ++completed;
+        if (completed >= addresses_.size()) io_.stop();
+    }
+
+    const std::vector<std::string>& addresses_;
+    const std::string& request_;
+    boost::asio::io_context io_{1};
+    AsioScheduler scheduler_;
+    channel::Mesh mesh_;
+    std::map<std::string, std::string> responses_;  // by address
+    std::map<std::string, int> failed_attempts_;    // by address
+};
+
+}  // namespace
 
 std::map<std::string, std::string> send_to_each(const AdminClientSettings& settings,
                                                 const std::vector<std::string>& addresses,
-                                                const std::string& ask) {
-    boost::asio::io_context io{1};
-    AsioScheduler scheduler(io);
-    std::random_device device;
-    channel::MeshSettings mesh_settings;
-    mesh_settings.channel.self.name = "command";
-    mesh_settings.channel.self.instance = (std::uint64_t(device()) << 32 | device()) | 1;
-    mesh_settings.channel.cluster = fleet::fingerprint(settings.cluster);
-    mesh_settings.channel.keys = settings.keys;
-    channel::Mesh mesh(io, scheduler, std::nullopt, mesh_settings, device());
-    std::map<std::string, std::string> answers;
-    auto answered = [&](const std::string& address, std::string body) {
-        answers[address] = std::move(body);
-        if (answers.size() >= addresses.size()) io.stop();
-    };
-    mesh.up = [&](const channel::Peer& peer) { mesh.send(peer.instance, channel::Kind::Ask, ask); };
-    mesh.deliver = [&](const channel::Peer& peer, channel::Kind kind, std::string body) {
-        if (kind != channel::Kind::Answer) return;
-        for (const std::string& address : addresses)
-            if (mesh.instance_at(address) == peer.instance) return answered(address, std::move(body));
-    };
-    std::map<std::string, int> failed;
-    mesh.unreached = [&](const std::string& address, channel::Error) {
-        ++failed[address];  // it is dialled again; a command waits no longer than for a second refusal of
-                            // each
-        std::size_t settled = answers.size();
-        for (const auto& [each, times] : failed) settled += times >= 2 && !answers.contains(each);
-        if (settled >= addresses.size()) io.stop();
-    };
-    scheduler.call_at(scheduler.now() + settings.timeout, [&io] { io.stop(); });
-    for (const std::string& address : addresses) mesh.dial(address);
-    io.run();
-    mesh.close();
-    io.restart();
-    io.poll();
-    return answers;
+                                                const std::string& request) {
+    return Broadcast(settings, addresses, request).run();
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/durable_storage.cpp
+++ b/src/fleet/coordinator/durable_storage.cpp
@@ -7,136 +7,174 @@
 #include <cerrno>
 #include <csignal>
 #include <cstring>
+#include <optional>
 #include <utility>
 
+#include "fleet/coordinator/wire_codec.h"
 #include "fleet/keys/keys.h"
 
 namespace ochrehub::coordinator {
 namespace {
 
-const std::string kFirst = "first", kFirstFresh = "first.fresh";
+/// Written before anything else: its presence means that the directory has been initialized.
+const std::string kIdentityFile = "first";
+const std::string kIdentityFileNew = "first.fresh";
+/// In the identity file of StartMode::DataLost.
+const std::string kDataLostMark = "lost";
+
+/// What a snapshot's data and the identity file hold.
+struct StoredSnapshot {
+    raft::Members members;
+    std::string state;
+};
+
+std::string encode(const raft::Members& members, const std::string& state) {
+    wire::StoredSnapshot message;
+    add_members(members, message);
+    message.set_state(state);
+    return message.SerializeAsString();
+}
 
-std::string stored(const raft::Members& members, const std::string& state) {
-    wire::StoredSnapshot out;
-    for (const raft::Member& member : members) {
-        wire::Member* one = out.add_members();
-        one->set_id(member.id), one->set_voter(member.voter), one->set_address(member.address);
-    }
-    out.set_state(state);
-    return out.SerializeAsString();
+std::optional<StoredSnapshot> decode(const std::string& bytes) {
+    wire::StoredSnapshot message;
+    if (!message.ParseFromString(bytes)) return std::nullopt;
+    StoredSnapshot snapshot;
+    for (const wire::Member& member : message.members())
+        snapshot.members.push_back({member.id(), member.voter(), member.address()});
+    snapshot.state = std::move(*message.mutable_state());
+    return snapshot;
+}
+
+/// The kind of a Raft entry is the first byte of its data in the log; an entry of a new term has no data.
+std::string encode(raft::Entry& entry) {
+    return char(entry.kind) + std::move(entry.data);
 }
 
-std::optional<std::pair<raft::Members, std::string>> read_stored(const std::string& bytes) {
-    wire::StoredSnapshot from;
-    if (!from.ParseFromString(bytes)) return std::nullopt;
-    std::pair<raft::Members, std::string> out;
-    for (const wire::Member& one : from.members())
-        out.first.push_back({one.id(), one.voter(), one.address()});
-    out.second = std::move(*from.mutable_state());
-    return out;
+raft::Entry decode(const store::Entry& stored) {
+    raft::Entry entry{stored.term, raft::Entry::Kind::Term, {}};
+    if (stored.data.empty()) return entry;
+    entry.kind = raft::Entry::Kind(stored.data[0]);
+    entry.data = stored.data.substr(1);
+    return entry;
 }
 
-void must(store::Error error, const std::string& what) {
+void throw_on_error(store::Error error, const std::string& what) {
     if (error != 0) throw store::StoreError(what + ": " + std::strerror(error));
 }
 
+bool contains_log(const std::vector<std::string>& names) {
+    return std::any_of(names.begin(), names.end(), [](const std::string& name) {
+        return name.starts_with("log-") || name.starts_with("snapshot-");
+    });
+}
+
 }  // namespace
 
 std::uint64_t storage_cluster_id(std::string_view cluster) {
-    return std::uint64_t(fleet::fingerprint(cluster)) << 32 |
-           fleet::fingerprint(std::string(cluster) + " keepers");
+    const std::uint64_t high = fleet::fingerprint(cluster);
+    return high << 32 | fleet::fingerprint(std::string(cluster) + " keepers");
 }
 
 DurableStorage::DurableStorage(std::unique_ptr<store::Files> files, const Settings& settings)
     : files_(std::move(files)) {
-    if (store::Error why = files_->lock())
-        throw store::StoreError(why == EWOULDBLOCK ? "the folder is another process's: it holds the lock"
-                                                   : std::string("the lock: ") + std::strerror(why));
+    lock_directory();
     std::vector<std::string> names;
-    must(files_->list(names), "the folder");
-    bool first = std::find(names.begin(), names.end(), kFirst) != names.end();
-    bool logs = std::any_of(names.begin(), names.end(), [](const std::string& name) {
-        return name.starts_with("log-") || name.starts_with("snapshot-");
-    });
-    if (!first) {
-        if (logs) throw DataDirectoryError(Error::Untrusted, "a part of the folder is missing");
-        if (settings.start_mode == StartMode::Resume)
-            throw DataDirectoryError(Error::Untrusted, "the folder");
-        // One that has promised something must not take the place of one that has not: so this is written
-        // down first.
-        files_->remove(kFirstFresh);
-        must(files_->append(
-                 kFirstFresh,
-                 stored(settings.start_mode == StartMode::JoinCluster ? raft::Members{} : settings.members,
-                        settings.start_mode == StartMode::DataLost ? "lost" : "")),
-             kFirst);
-        must(files_->sync(kFirstFresh), kFirst);
-        must(files_->rename(kFirstFresh, kFirst), kFirst);
-        must(files_->sync_names(), kFirst);
-    } else if (settings.start_mode != StartMode::Resume) {
-        throw DataDirectoryError(Error::Begun, "the folder");
-    }
+    throw_on_error(files_->list(names), "the folder");
+    const bool was_initialized = std::find(names.begin(), names.end(), kIdentityFile) != names.end();
+    check_start_mode(settings.start_mode, was_initialized, contains_log(names));
+    if (!was_initialized) initialize_directory(settings);
     std::string bytes;
-    must(files_->read(kFirst, bytes), kFirst);
-    auto told = read_stored(bytes);
-    if (!told) throw DataDirectoryError(Error::Untrusted, "the file `first` cannot be read");
-    members_ = std::move(told->first);
-    log_ = std::make_unique<store::Log>(*files_, settings.log);
-    // Begun, and nothing is left of it; or its number's earlier folder is gone, and it has had nothing from
-    // others yet.
-    bool bare = log_->last() == 0 && !log_->snapshot();
-    bool gone = (first && log_->found() == store::Found::Empty) || (bare && told->second == "lost");
-    if (gone && !log_->lose()) throw store::StoreError(std::strerror(log_->why()));
-    if (log_->snapshot() && !read_stored(log_->snapshot()->data))
-        throw DataDirectoryError(Error::Behind, "the snapshot");
+    throw_on_error(files_->read(kIdentityFile, bytes), kIdentityFile);
+    auto identity = decode(bytes);
+    if (!identity) throw DataDirectoryError(Error::Untrusted, "the file `first` cannot be read");
+    members_ = std::move(identity->members);
+    open_log(settings.log, was_initialized, identity->state == kDataLostMark);
+}
+
+void DurableStorage::lock_directory() {
+    const store::Error error = files_->lock();
+    if (error == EWOULDBLOCK) throw store::StoreError("the folder is locked by another process");
+    throw_on_error(error, "the lock");
+}
+
+void DurableStorage::check_start_mode(StartMode mode, bool was_initialized, bool has_log) {
+    if (was_initialized) {
+        if (mode != StartMode::Resume) throw DataDirectoryError(Error::AlreadyInitialized, "the folder");
+        return;
+    }
+    if (has_log) throw DataDirectoryError(Error::Untrusted, "a part of the folder is missing");
+    if (mode == StartMode::Resume) throw DataDirectoryError(Error::Untrusted, "the folder");
+}
+
+void DurableStorage::initialize_directory(const Settings& settings) {
+    const bool joins = settings.start_mode == StartMode::JoinCluster;
+    const bool data_lost = settings.start_mode == StartMode::DataLost;
+    const std::string identity =
+        encode(joins ? raft::Members{} : settings.members, data_lost ? kDataLostMark : "");
+    files_->remove(kIdentityFileNew);
+    throw_on_error(files_->append(kIdentityFileNew, identity), kIdentityFile);
+    throw_on_error(files_->sync(kIdentityFileNew), kIdentityFile);
+    throw_on_error(files_->rename(kIdentityFileNew, kIdentityFile), kIdentityFile);
+    throw_on_error(files_->sync_names(), kIdentityFile);
+}
+
+void DurableStorage::open_log(const store::Log::Settings& settings, bool was_initialized, bool data_lost) {
+    log_ = std::make_unique<store::Log>(*files_, settings);
+    // Votes and acknowledged entries are gone if the directory was initialized and its log is, or if it was
+    // initialized for lost data and nothing has been received from the others yet.
+    const bool is_empty = log_->last() == 0 && !log_->snapshot();
+    const bool log_is_gone = was_initialized && log_->found() == store::Found::Empty;
+    if ((log_is_gone || (is_empty && data_lost)) && !log_->lose())
+        throw store::StoreError(std::strerror(log_->why()));
+    if (log_->snapshot() && !decode(log_->snapshot()->data))
+        throw DataDirectoryError(Error::UnknownEntry, "the snapshot");
 }
 
 DurableStorage::~DurableStorage() {
     {
         std::lock_guard lock(mutex_);
-        ends_ = true;
+        stopping_ = true;
     }
-    wakes_.notify_one();
+    wake_.notify_one();
     if (thread_.joinable()) thread_.join();
 }
 
 raft::Disk DurableStorage::disk() const {
     raft::Disk disk;
-    const store::Log& log = *log_;
-    disk.vote.term = log.vote().term;
-    disk.vote.who = log.vote().who.empty() ? 0 : raft::KeeperId(std::stoul(log.vote().who));
-    if (log.snapshot()) {
-        auto [members, state] = *read_stored(log.snapshot()->data);
-        disk.snapshot =
-            raft::Snapshot{log.snapshot()->index, log.snapshot()->term, std::move(members), std::move(state)};
-    }
-    disk.first = log.first();
-    for (std::uint64_t i = log.first(); i <= log.last(); ++i) {
-        const store::Entry& entry = log.entry(i);
-        raft::Entry one{entry.term, raft::Entry::Kind::Term, {}};
-        if (!entry.data.empty()) one.kind = raft::Entry::Kind(entry.data[0]), one.data = entry.data.substr(1);
-        disk.entries.push_back(std::move(one));
+    const store::Vote& vote = log_->vote();
+    disk.vote.term = vote.term;
+    disk.vote.who = vote.who.empty() ? 0 : raft::KeeperId(std::stoul(vote.who));
+    if (const auto& stored = log_->snapshot()) {
+        StoredSnapshot snapshot = *decode(stored->data);
+        disk.snapshot = raft::Snapshot{stored->index, stored->term, std::move(snapshot.members),
+                                       std::move(snapshot.state)};
     }
+    disk.first = log_->first();
+    for (std::uint64_t i = log_->first(); i <= log_->last(); ++i)
+        disk.entries.push_back(decode(log_->entry(i)));
     disk.members = members_;
-    disk.trusted = log.found() != store::Found::Lost;
+    disk.trusted = log_->found() != store::Found::Lost;
     return disk;
 }
 
 void DurableStorage::start(std::function<void(std::uint64_t)> written, std::function<void(int)> failed) {
-    written_ = std::move(written), failed_ = std::move(failed);
-    sigset_t all, before;
+    written_ = std::move(written);
+    failed_ = std::move(failed);
+    // The new thread inherits a mask that blocks all signals: they are the event loop's.
+    sigset_t all;
+    sigset_t previous;
     sigfillset(&all);
-    pthread_sigmask(SIG_SETMASK, &all, &before);  // signals are the loop's
+    pthread_sigmask(SIG_SETMASK, &all, &previous);
     thread_ = std::thread([this] { run(); });
-    pthread_sigmask(SIG_SETMASK, &before, nullptr);
+    pthread_sigmask(SIG_SETMASK, &previous, nullptr);
 }
 
 void DurableStorage::write(raft::Write write) {
     {
         std::lock_guard lock(mutex_);
-        waiting_.push_back(std::move(write));
+        queue_.push_back(std::move(write));
     }
-    wakes_.notify_one();
+    wake_.notify_one();
 }
 
 void DurableStorage::run() {
@@ -144,28 +182,34 @@
         std::vector<raft::Write> batch;
         {
             std::unique_lock lock(mutex_);
-            wakes_.wait(lock, [this] { return ends_ || !waiting_.empty(); });
-            if (ends_) return;
-            batch.swap(waiting_);
+            wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+            if (stopping_) return;
+            batch.swap(queue_);
         }
-        bool good = true;
-        for (raft::Write& write : batch) good = good && carry_out(write);
-        if (!good || !log_->sync()) return failed_(log_->why());
-        writes_.fetch_add(batch.size(), std::memory_order_relaxed);
-        syncs_.fetch_add(1, std::memory_order_relaxed);
+        if (!write_batch(batch)) return failed_(log_->why());
         written_(batch.back().number);
     }
 }
 
-bool DurableStorage::carry_out(raft::Write& write) {
+bool DurableStorage::write_batch(std::vector<raft::Write>& batch) {
+    for (raft::Write& write : batch)
+        if (!append_to_log(write)) return false;
+    if (!log_->sync()) return false;
+    writes_.fetch_add(batch.size(), std::memory_order_relaxed);
+    syncs_.fetch_add(1, std::memory_order_relaxed);
+    return true;
+}
+
+bool DurableStorage::append_to_log(raft::Write& write) {
     store::Log& log = *log_;
     if (write.vote) log.vote({write.vote->term, write.vote->who == 0 ? "" : std::to_string(write.vote->who)});
     if (write.cut) log.cut(*write.cut);
-    for (raft::Entry& entry : write.append)
-        log.append({entry.term, char(entry.kind) + std::move(entry.data)});
-    if (write.snapshot && !log.save({write.snapshot->index, write.snapshot->term,
-                                     stored(write.snapshot->members, write.snapshot->state)}))
-        return false;
+    for (raft::Entry& entry : write.append) log.append({entry.term, encode(entry)});
+    if (write.snapshot) {
+        const raft::Snapshot& snapshot = *write.snapshot;
+        if (!log.save({snapshot.index, snapshot.term, encode(snapshot.members, snapshot.state)}))
+            return false;
+    }
     return !write.caught_up || log.caught_up();
 }
 
--- a/src/fleet/coordinator/error.h
+++ b/src/fleet/coordinator/error.h
@@ -1,4 +1,5 @@
-// What a keeper answers instead of what was asked for, and what a session meets on its way to one.
+// Errors of the coordination service: the ones in responses to clients and commands, and the ones that keep a
+// coordinator from starting or stop it. Their codes for operators are in error.cpp and docs/errors.md.
 #pragma once
 
 #include <cstdint>
@@ -7,29 +8,31 @@
 
 namespace ochrehub::coordinator {
 
-/// The numbers are in messages and in what is kept: never another's.
+/// The numbers are part of the wire and storage format: they are never reused.
 enum class Error : std::uint8_t {
     None = 0,
-    NotLeader = 1,    ///< the answer says who leads, where that is known
-    Busy = 2,         ///< too much waits
-    NoSession = 3,    ///< it is over, or was never opened
-    UnknownKind = 4,  ///< no machine of that kind here
-    Uncertain = 5,    ///< sent, and not known whether it was carried out
-    OutOfOrder = 6,   ///< a command before it is missing: send from that one on
-    Forgotten = 7,    ///< an answer that the session had called settled
-    TooLong = 8,      ///< a command or name that no keeper takes
-    Malformed = 9,    ///< no message of this version
-    Changing = 10,    ///< another change of members is under way
+    NotLeader = 1,            ///< the response names the leader, where it is known
+    Busy = 2,                 ///< too many requests are pending
+    NoSession = 3,            ///< the session has ended, or was never opened
+    UnknownKind = 4,          ///< there is no state machine of this kind
+    PossiblyExecuted = 5,     ///< the command was sent, and its outcome is unknown
+    OutOfOrder = 6,           ///< an earlier command of the session is missing: resend from that one on
+    ResponseDiscarded = 7,    ///< the client had acknowledged the response, so it is no longer cached
+    TooLong = 8,              ///< a command or a name is longer than the limit
+    Malformed = 9,            ///< not a message of this version
+    MembershipChanging = 10,  ///< another membership change is in progress
     UnknownMember = 11,
-    TooMany = 12,      ///< sessions
-    Unreachable = 13,  ///< no keeper that leads was found in time
-    // Of a keeper's own start and run.
-    Behind = 14,     ///< others have written what this release does not know
-    Untrusted = 15,  ///< its folder is empty, and it was told neither to begin a cluster nor to join one
-    Broken = 16,     ///< its disk failed
-    LastVoter = 17,  ///< to Change: without it nobody could decide anything
-    Begun = 18,      ///< it was told to begin, and its folder is not empty
+    TooManySessions = 12,
+    Unreachable = 13,  ///< no leader was found in time
+    // Of a coordinator's own start and operation.
+    UnknownEntry = 14,        ///< a newer release has written what this one can't read
+    Untrusted = 15,           ///< the data directory is empty or incomplete, and no start option allows that
+    StorageFailed = 16,       ///< the disk failed
+    LastVoter = 17,           ///< the membership change would leave no voter
+    AlreadyInitialized = 18,  ///< a start option is for an empty data directory, and this one isn't
 };
+
+/// Code, description and remedy, for logs, `--json` and docs/errors.md.
 const fleet::ErrorRow& row(Error error);
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -8,445 +8,157 @@
 namespace ochrehub::coordinator {
 namespace {
 
-constexpr Duration kLate{250};   // woken so much behind its time, the process stood still: nobody could renew
-constexpr Duration kAgain{100};  // after a proposal that found no room
-constexpr int kSessionsTold = 1000;
-
-template <class... F>
-struct Overloaded : F... {
-    using F::operator()...;
-};
-template <class... F>
-Overloaded(F...) -> Overloaded<F...>;
-
-std::string_view name(raft::Role role) {
-    switch (role) {
-        case raft::Role::Follower:
-            return "follower";
-        case raft::Role::PreCandidate:
-            return "pre-candidate";
-        case raft::Role::Candidate:
-            return "candidate";
-        case raft::Role::Leader:
-            return "leader";
-        case raft::Role::Learner:
-            return "learner";
-    }
-    return "";
-}
-
-template <class To>
-void add_members(const raft::Members& members, To& to) {
-    for (const raft::Member& member : members) {
-        wire::Member* one = to.add_members();
-        one->set_id(member.id), one->set_voter(member.voter), one->set_address(member.address);
-    }
-}
-
-Error translated(raft::Error error) {
-    switch (error) {
-        case raft::Error::NotLeader:
-            return Error::NotLeader;
-        case raft::Error::Busy:
-            return Error::Busy;
-        case raft::Error::Changing:
-            return Error::Changing;
-        case raft::Error::Lost:
-            return Error::Uncertain;
-        case raft::Error::Unknown:
-            return Error::UnknownMember;
-        case raft::Error::Last:
-            return Error::LastVoter;
-    }
-    return Error::Uncertain;
-}
+/// A timer that fires this much late means that the process was paused; no client could renew meanwhile.
+constexpr Duration kPauseThreshold{250};
+/// Of an entry in the log, beside its data.
+constexpr std::size_t kEntryOverheadBytes = 32;
 
 }  // namespace
 
-Replica::Replica(const ReplicaSettings& settings, StateMachineFactory machines, RaftHandler agree,
-                 const raft::Disk& disk)
-    : set_(settings),
-      agree_(std::move(agree)),
-      state_(settings.limits, std::move(machines)),
-      trusted_(disk.trusted) {
-    members_ = disk.snapshot ? disk.snapshot->members : disk.members;
-}
+Replica::Replica(const ReplicaSettings& settings, StateMachineFactory make_state_machines,
+                 RaftHandler raft_handler, const raft::Disk& disk)
+    : settings_(settings),
+      raft_handler_(std::move(raft_handler)),
+      state_(settings.limits, std::move(make_state_machines)),
+      members_(disk.snapshot ? disk.snapshot->members : disk.members),
+      trusted_(disk.trusted) {}
 
 void Replica::handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions) {
-    now_ = now, out_ = &actions;
+    now_ = now;
+    actions_ = &actions;
     if (stopped_) {
-        actions.push_back(Stop{Error::Behind, "the snapshot"});
+        actions.push_back(Stop{Error::UnknownEntry, "the snapshot"});
         return;
     }
-    // Before anything else: while this one stood still nobody could renew.
-    if (leads() && wake_ != TimePoint::max() && now - wake_ > kLate)
-        sessions_.put_off(now - wake_), armed_.put_off(now - wake_);
-    std::visit(Overloaded{[&](const TimerFired&) {
-                              if (now_ >= raft_wake_) raft_wake_ = TimePoint::max();
-                              raft(raft::Woken{});
-                          },
-                          [&](const RaftMessageReceived& from) {
-                              raft(raft::Received{from.from, from.message});
-                          },
-                          [&](const WriteCompleted& written) { raft(raft::Written{written.number}); },
-                          [&](const RequestReceived& ask) { asked(ask); }},
-               event);
-    work_off();
-    if (!stopped_ && leads()) {
-        if (look_due_ && now_ >= look_at_) look_at_armed();
-        end_what_is_over();
+    const bool was_paused = timer_ != TimePoint::max() && now - timer_ > kPauseThreshold;
+    if (is_leader() && was_paused) {
+        session_deadlines_.postpone_all(now - timer_);
+        timeout_deadlines_.postpone_all(now - timer_);
     }
-    if (!stopped_) snapshot_if_due();
-    work_off();
-    wake();
-    out_ = nullptr;
-}
-
-/// Each event's actions whole before the next event: writes keep their order.
-void Replica::work_off() {
-    while (!pending_.empty() && !stopped_) {
-        raft::Event event = std::move(pending_.front());
-        pending_.pop_front();
-        raft::Actions actions;
-        agree_(now_, event, actions);
-        for (raft::Action& action : actions) {
-            if (stopped_) return;
-            take(action);
-        }
-        // A change of members has no entry that comes back: what was not refused at once has begun.
-        if (const auto* change = std::get_if<raft::Change>(&event)) {
-            auto found = waiting_.find(change->id);
-            if (found == waiting_.end()) continue;
-            wire::Response begun;
-            begun.set_call(found->second.call);
-            add_members(members_, begun);
-            answer(found->second.who, begun);
-            waiting_.erase(found);
-        }
+    std::visit([this](const auto& each) { handle_event(each); }, event);
+    run_raft();
+    if (!stopped_ && is_leader()) {
+        if (timeout_scan_due_ && now_ >= next_timeout_scan_) scan_timeouts();
+        expire_sessions();
+        expire_timeouts();
     }
+    if (!stopped_) take_snapshot_if_due();
+    run_raft();
+    set_timer();
+    actions_ = nullptr;
 }
 
-void Replica::take(raft::Action& action) {
-    std::visit(Overloaded{[&](raft::Send& send) { out_->push_back(std::move(send)); },
-                          [&](raft::Write& write) {
-                              trusted_ |= write.caught_up;
-                              out_->push_back(std::move(write));
-                          },
-                          [&](raft::Applied& entry) { applied(entry); },
-                          [&](raft::Restore& restore) {
-                              if (!state_.restore(restore.snapshot.state)) {
-                                  stopped_ = true;
-                                  out_->push_back(Stop{Error::Behind, "a snapshot"});
-                                  return;
-                              }
-                              applied_ = snapshot_at_ = restore.snapshot.index;
-                              snapshot_size_ = restore.snapshot.state.size(), octets_ = 0;
-                          },
-                          [&](raft::ReadReady& ready_at) {
-                              auto found = waiting_.find(ready_at.id);
-                              if (found == waiting_.end()) return;
-                              Waiting waiting = std::move(found->second);
-                              waiting_.erase(found);
-                              // Behind the Applied of all up to its index, of which the last may be an entry
-                              // of Raft's own.
-                              ready(waiting);
-                          },
-                          [&](raft::Rejected& r) { rejected(r); },
-                          [&](raft::Became& became) {
-                              bool anew =
-                                  became.role == raft::Role::Leader && (!leads() || became.term != term_);
-                              bool down = leads() && became.role != raft::Role::Leader;
-                              role_ = became.role, term_ = became.term, leader_ = became.leader;
-                              if (anew) count_anew();
-                              if (down) sessions_.clear(), armed_.clear(), look_due_ = false;
-                              out_->push_back(became);
-                          },
-                          [&](raft::MembersAre& are) {
-                              members_ = are.members;
-                              out_->push_back(std::move(are));
-                          },
-                          [&](raft::WakeAt& at) { raft_wake_ = at.at; }},
-               action);
-}
-
-void Replica::answer(std::uint64_t who, const wire::Response& answer) {
-    if (who != 0) out_->push_back(SendResponse{who, answer.SerializeAsString()});
-}
-
-void Replica::refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint) {
-    wire::Response no;
-    no.set_call(call), no.set_error(std::uint32_t(error));
-    if (error == Error::NotLeader) {
-        no.set_leader(hint);
-        for (const raft::Member& member : members_)
-            if (member.id == hint) no.set_leader_address(member.address);
-    }
-    answer(who, no);
+void Replica::handle_event(const TimerFired&) {
+    if (now_ >= raft_timer_) raft_timer_ = TimePoint::max();
+    raft_events_.emplace_back(raft::Woken{});
 }
 
-void Replica::propose(std::string entry, Waiting waiting) {
-    std::uint64_t id = next_id_++;
-    waiting_.emplace(id, std::move(waiting));
-    raft(raft::Propose{id, std::move(entry)});
+void Replica::handle_event(const RaftMessageReceived& event) {
+    raft_events_.emplace_back(raft::Received{event.from, event.message});
 }
 
-void Replica::read(Waiting waiting) {
-    std::uint64_t id = next_id_++;
-    waiting_.emplace(id, std::move(waiting));
-    raft(raft::Read{id});
+void Replica::handle_event(const WriteCompleted& event) {
+    raft_events_.emplace_back(raft::Written{event.number});
 }
 
-void Replica::asked(const RequestReceived& ask) {
-    using What = Waiting::What;
-    wire::Request what;
-    if (!what.ParseFromString(ask.body)) return refuse(ask.who, 0, Error::Malformed);
-    auto no = [&](Error error) { refuse(ask.who, what.call(), error, leader_); };
-    if (what.body_case() == wire::Request::kStatus) {
-        wire::Response told;
-        told.set_call(what.call());
-        wire::StatusResponse& status = *told.mutable_status();
-        status.set_self(set_.self), status.set_role(std::string(name(role_))), status.set_term(term_),
-            status.set_leader(leader_);
-        status.set_applied_index(applied_), status.set_trusted(trusted_),
-            status.set_snapshot_index(snapshot_at_);
-        add_members(members_, status);
-        state_.each_session([&](const SessionInfo& info) {
-            if (status.sessions_size() >= kSessionsTold) return;
-            wire::SessionRecord& one = *status.add_sessions();
-            one.set_id(info.id), one.set_name(info.name), one.set_zone(info.zone),
-                one.set_instance(info.instance);
-            one.set_lease_ms(info.lease_ms), one.set_release(info.release);
-            one.set_min_schema(info.min_schema), one.set_max_schema(info.max_schema);
-        });
-        for (const auto& machine : state_.machines()) status.add_state_machines(std::string(machine->kind()));
-        return answer(ask.who, told);
-    }
-    if (!leads()) return no(Error::NotLeader);
-    if (waiting_.size() >= set_.max_pending_requests) return no(Error::Busy);
-    Waiting waiting{
-        .who = ask.who, .call = what.call(), .what = What::Open, .session = 0, .kind = {}, .body = {}};
-    wire::LogEntry entry;
-    switch (what.body_case()) {
-        case wire::Request::kOpen: {
-            const wire::OpenSession& open = what.open();
-            Duration lease{double(open.lease_ms())};
-            if (open.name().size() > set_.limits.max_name_bytes ||
-                open.zone().size() > set_.limits.max_name_bytes)
-                return no(Error::TooLong);
-            if (open.name().empty() || lease < set_.min_lease || lease > set_.max_lease)
-                return no(Error::Malformed);
-            *entry.mutable_open() = open;
-            return propose(entry.SerializeAsString(), waiting);
-        }
-        case wire::Request::kRenew:
-            waiting.what = What::Renew, waiting.session = what.renew().session();
-            return read(std::move(waiting));
-        case wire::Request::kClose:
-            waiting.what = What::Close;
-            *entry.mutable_close() = what.close();
-            return propose(entry.SerializeAsString(), waiting);
-        case wire::Request::kCommand: {
-            waiting.what = What::Do;
-            // What was decided stays so, whoever leads.
-            if (auto before = state_.answered(what.command().session(), what.command().sequence()))
-                return outcome(waiting, *before);
-            Error wrong = what.command().body().size() > set_.limits.max_command_bytes ? Error::TooLong
-                          : state_.machine(what.command().kind())                      ? Error::None
-                                                                                       : Error::UnknownKind;
-            if (wrong != Error::None && what.command().session() == 0) return no(wrong);
-            *entry.mutable_command() = what.command();
-            entry.mutable_command()->set_rejected_with(std::uint32_t(wrong));
-            // Its number is taken all the same: an earlier leader, of another release, may have carried it
-            // out.
-            if (wrong != Error::None)
-                entry.mutable_command()->clear_kind(), entry.mutable_command()->clear_body();
-            return propose(entry.SerializeAsString(), waiting);
-        }
-        case wire::Request::kQuery:
-            if (!state_.machine(what.query().kind())) return no(Error::UnknownKind);
-            waiting.what = What::Look, waiting.kind = what.query().kind(), waiting.body = what.query().body();
-            return read(std::move(waiting));
-        case wire::Request::kChange: {
-            waiting.what = What::Change;
-            std::uint64_t id = next_id_++;
-            waiting_.emplace(id, std::move(waiting));
-            return raft(
-                raft::Change{id, what.change().member(), what.change().add(), what.change().address()});
-        }
-        case wire::Request::kTransfer: {
-            raft(raft::Transfer{what.transfer().to()});
-            wire::Response begun;
-            begun.set_call(what.call());
-            return answer(ask.who, begun);
+/// Finishes the actions of each event before the next event, so that writes keep their order.
+void Replica::run_raft() {
+    while (!raft_events_.empty() && !stopped_) {
+        const raft::Event event = std::move(raft_events_.front());
+        raft_events_.pop_front();
+        raft::Actions actions;
+        raft_handler_(now_, event, actions);
+        for (raft::Action& action : actions) {
+            if (stopped_) return;
+            std::visit([this](auto& each) { handle_raft(each); }, action);
         }
-        case wire::Request::kStatus:
-        case wire::Request::BODY_NOT_SET:
-            break;
+        if (const auto* change = std::get_if<raft::Change>(&event)) confirm_membership_change(change->id);
     }
-    no(Error::Malformed);
 }
 
-void Replica::applied(const raft::Applied& entry) {
-    applied_ = entry.index;
-    octets_ += entry.data.size() + 32;
-    Outcome is = state_.apply(entry.data);
-    if (is.fatal) {
-        stopped_ = true;
-        out_->push_back(Stop{is.error, "entry " + std::to_string(entry.index)});
-        return;
-    }
-    if (leads() && !look_due_) look_due_ = true, look_at_ = std::max(now_, look_at_);
-    if (is.session != 0 && leads() && !sessions_.find(is.session)) count_session(is.session);
-    if (auto found = waiting_.find(entry.id); entry.id != 0 && found != waiting_.end()) {
-        Waiting waiting = std::move(found->second);
-        waiting_.erase(found);
-        outcome(waiting, is);
-    }
+void Replica::handle_raft(raft::Send& send) {
+    actions_->push_back(std::move(send));
 }
 
-void Replica::outcome(const Waiting& waiting, const Outcome& is) {
-    using What = Waiting::What;
-    if (waiting.what == What::Over)
-        return armed_.erase({std::size_t(waiting.session), waiting.key});  // still armed: it begins anew
-    if (waiting.what == What::SessionOver) return sessions_.erase(waiting.session);
-    if (is.error != Error::None) return refuse(waiting.who, waiting.call, is.error, leader_);
-    wire::Response done;
-    done.set_call(waiting.call);
-    if (waiting.what == What::Open) {
-        // One that is about to be ended, and is opened again by an ask that came late, is ended all the same.
-        const auto* count = sessions_.find(is.session);
-        if (count && count->ending) return refuse(waiting.who, waiting.call, Error::NoSession);
-        count_session(is.session);
-        done.set_session(is.session);
-        add_news(is.session, done);
-    }
-    if (waiting.what == What::Do) ++commands_, done.set_result(is.result);
-    answer(waiting.who, done);
+void Replica::handle_raft(raft::Write& write) {
+    trusted_ |= write.caught_up;
+    actions_->push_back(std::move(write));
 }
 
-void Replica::ready(const Waiting& waiting) {
-    wire::Response done;
-    done.set_call(waiting.call);
-    if (waiting.what == Waiting::What::Renew) {
-        const auto* count = sessions_.find(waiting.session);
-        if (!state_.session(waiting.session) || (count && count->ending))
-            return refuse(waiting.who, waiting.call, Error::NoSession);
-        count_session(waiting.session);
-        add_news(waiting.session, done);
-    } else {
-        const StateMachine* machine = state_.machine(waiting.kind);
-        if (!machine) return refuse(waiting.who, waiting.call, Error::UnknownKind);
-        done.set_result(machine->query(waiting.body));
+void Replica::handle_raft(raft::Applied& entry) {
+    applied_ = entry.index;
+    bytes_since_snapshot_ += entry.data.size() + kEntryOverheadBytes;
+    const Outcome outcome = state_.apply(entry.data);
+    if (outcome.is_fatal) return stop(outcome.error, "entry " + std::to_string(entry.index));
+    if (is_leader() && !timeout_scan_due_) {
+        timeout_scan_due_ = true;
+        next_timeout_scan_ = std::max(now_, next_timeout_scan_);
     }
-    answer(waiting.who, done);
+    if (outcome.session != 0 && is_leader() && !session_deadlines_.find(outcome.session))
+        start_lease(outcome.session);
+    if (entry.id == 0) return;
+    if (auto pending = take_pending(entry.id)) complete(*pending, outcome);
 }
 
-void Replica::rejected(const raft::Rejected& no) {
-    using What = Waiting::What;
-    auto found = waiting_.find(no.id);
-    if (found == waiting_.end()) return;
-    Waiting waiting = std::move(found->second);
-    waiting_.erase(found);
-    // Its own: once more where there was no room. Where another leads that one counts by itself.
-    if (waiting.what == What::SessionOver) {
-        if (leads()) sessions_.set(waiting.session, now_ + kAgain);
-    } else if (waiting.what == What::Over) {
-        if (leads()) armed_.set({std::size_t(waiting.session), waiting.key}, now_ + kAgain, waiting.revision);
-    } else {
-        refuse(waiting.who, waiting.call, translated(no.error), no.hint);
-    }
+void Replica::handle_raft(raft::Restore& restore) {
+    if (!state_.restore(restore.snapshot.state)) return stop(Error::UnknownEntry, "a snapshot");
+    applied_ = restore.snapshot.index;
+    snapshot_index_ = restore.snapshot.index;
+    snapshot_size_ = restore.snapshot.state.size();
+    bytes_since_snapshot_ = 0;
 }
 
-void Replica::add_news(SessionId id, wire::Response& to) const {
-    to.set_session(id);
-    add_members(members_, to);
-    for (const auto& machine : state_.machines()) {
-        std::string bytes = machine->session_update(id);
-        if (bytes.empty()) continue;
-        wire::SessionUpdate* one = to.add_updates();
-        one->set_kind(std::string(machine->kind())), one->set_bytes(std::move(bytes));
-    }
+/// All entries up to the read index are applied: Raft reports them first.
+void Replica::handle_raft(raft::ReadReady& ready) {
+    if (auto pending = take_pending(ready.id)) complete_read(*pending);
 }
 
-void Replica::count_anew() {
-    sessions_.clear(), armed_.clear();
-    state_.each_session([this](const SessionInfo& info) { count_session(info.id); });
-    look_at_armed();
+void Replica::handle_raft(raft::Became& became) {
+    const bool is_elected = became.role == raft::Role::Leader && (!is_leader() || became.term != term_);
+    const bool steps_down = is_leader() && became.role != raft::Role::Leader;
+    role_ = became.role;
+    term_ = became.term;
+    leader_ = became.leader;
+    if (is_elected) restart_deadlines();
+    if (steps_down) clear_deadlines();
+    actions_->push_back(became);
 }
 
-void Replica::count_session(SessionId id) {
-    if (const SessionInfo* info = state_.session(id); info && leads())
-        sessions_.set(id, now_ + Duration{double(info->lease_ms)});
+void Replica::handle_raft(raft::MembersAre& members) {
+    members_ = members.members;
+    actions_->push_back(std::move(members));
 }
 
-void Replica::look_at_armed() {
-    look_due_ = false;
-    look_at_ = now_ + set_.timeout_scan_interval;
-    std::set<ArmedKey> there;
-    std::vector<Timeout> armed;
-    for (std::size_t i = 0; i < state_.machines().size(); ++i) {
-        armed.clear();
-        state_.machines()[i]->timeouts(armed);
-        for (const Timeout& one : armed) {
-            ArmedKey key{i, one.key};
-            there.insert(key);
-            const auto* known = armed_.find(key);
-            if (!known || known->revision != one.revision) armed_.set(key, now_ + one.length, one.revision);
-        }
-    }
-    armed_.erase_if([&](const ArmedKey& key) { return !there.contains(key); });
+void Replica::handle_raft(raft::WakeAt& wake) {
+    raft_timer_ = wake.at;
 }
 
-void Replica::end_what_is_over() {
-    using What = Waiting::What;
-    while (sessions_.next() <= now_) {
-        SessionId id = sessions_.first();
-        if (!state_.session(id)) {
-            sessions_.erase(id);
-            continue;
-        }
-        sessions_.ending(id);
-        ++ended_;
-        wire::LogEntry entry;
-        entry.mutable_session_expired()->set_session(id);
-        Waiting waiting{};
-        waiting.what = What::SessionOver, waiting.session = id;
-        propose(entry.SerializeAsString(), std::move(waiting));
-    }
-    while (armed_.next() <= now_) {
-        ArmedKey key = armed_.first();
-        std::uint64_t revision = armed_.find(key)->revision;
-        armed_.ending(key);
-        wire::LogEntry entry;
-        wire::TimeoutExpired& over = *entry.mutable_timeout_expired();
-        over.set_kind(std::string(state_.machines()[key.first]->kind())), over.set_key(key.second),
-            over.set_revision(revision);
-        Waiting waiting{};
-        waiting.what = What::Over, waiting.session = key.first, waiting.key = key.second,
-        waiting.revision = revision;
-        propose(entry.SerializeAsString(), std::move(waiting));
-    }
+void Replica::stop(Error error, std::string about) {
+    stopped_ = true;
+    actions_->push_back(Stop{error, std::move(about)});
 }
 
-void Replica::snapshot_if_due() {
-    if (applied_ - snapshot_at_ < set_.snapshot_entries &&
-        octets_ < std::max(set_.snapshot_bytes, snapshot_size_))
-        return;
+void Replica::take_snapshot_if_due() {
+    const bool few_entries = applied_ - snapshot_index_ < settings_.snapshot_entries;
+    const bool few_bytes = bytes_since_snapshot_ < std::max(settings_.snapshot_bytes, snapshot_size_);
+    if (few_entries && few_bytes) return;
     std::string state = state_.snapshot();
-    snapshot_size_ = state.size(), octets_ = 0, snapshot_at_ = applied_;
+    snapshot_size_ = state.size();
+    bytes_since_snapshot_ = 0;
+    snapshot_index_ = applied_;
     ++snapshots_;
-    raft(raft::Snapshotted{applied_, std::move(state)});
+    raft_events_.emplace_back(raft::Snapshotted{applied_, std::move(state)});
 }
 
-void Replica::wake() {
-    TimePoint at = raft_wake_;
-    if (leads()) {
-        at = std::min({at, sessions_.next(), armed_.next()});
-        if (look_due_) at = std::min(at, look_at_);
+void Replica::set_timer() {
+    TimePoint at = raft_timer_;
+    if (is_leader()) {
+        at = std::min({at, session_deadlines_.next_at(), timeout_deadlines_.next_at()});
+        if (timeout_scan_due_) at = std::min(at, next_timeout_scan_);
     }
-    if (at == wake_ && now_ < wake_) return;
-    wake_ = at;
-    if (at != TimePoint::max()) out_->push_back(raft::WakeAt{at});
+    if (at == timer_ && now_ < timer_) return;
+    timer_ = at;
+    if (at != TimePoint::max()) actions_->push_back(raft::WakeAt{at});
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -1,200 +1,221 @@
-// One keeper without I/O: Raft, the state that all keepers hold alike, and the leader's own clock for what
-// ends. It is handed events with their time and returns what is to be sent, written and answered. Not for two
-// threads.
+// The core of one coordinator: gives client requests to Raft, applies committed entries to ReplicatedState,
+// and, while it leads, expires sessions and timeouts. It receives events with their time and returns actions;
+// it does no I/O, reads no clock, and is not thread safe.
 //
-// Time. The leader counts a session from after its last renewal, a machine's armed time from when it first
-// saw it, and both anew from when it became leader; it proposes their ends. A renewal writes nothing: it is
-// answered once the leader knows that it was still leader after it was asked (Raft's read index). So any
-// later leader came later than the process asked, and counts from there on. Whoever is about to be ended is
-// not renewed any more; and a leader hears of no read before all that leaders before it had proposed is
-// decided.
+// Lease renewals write nothing to the log. A renewal is answered after a Raft read index: the leader has then
+// confirmed that it still led after the request arrived, so any later leader was elected after the client
+// sent it, and counts the full lease from its election on. A session whose expiry is proposed is not renewed
+// any more.
+//
+//   request --> propose or read index --> committed or confirmed --> response
+//   deadline --> propose SessionExpired or TimeoutExpired --> committed --> deadline erased
+//
+// replica.cpp: events and Raft's actions; replica_requests.cpp: requests and responses;
+// replica_deadlines.cpp: what the leader counts.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
+#include "fleet/coordinator/deadline_map.h"
 #include "fleet/coordinator/replicated_state.h"
 #include "fleet/raft/raft.h"
 
 namespace ochrehub::coordinator {
 
 namespace wire {
+class ChangeMembership;
+class Command;
+class LogEntry;
+class OpenSession;
+class Request;
 class Response;
-}
+}  // namespace wire
 
 struct ReplicaSettings {
     raft::KeeperId self = 0;
     Limits limits;
-    Duration min_lease{500}, max_lease{60'000};
-    std::uint64_t snapshot_entries = 20'000;  ///< a snapshot after so many entries ...
-    std::size_t snapshot_bytes =
-        16 << 20;  ///< ... or so many octets, or as many as the last one had, if that is more
-    std::size_t max_pending_requests = 4096;  ///< asks that wait for their answer; more are told Busy
-    Duration timeout_scan_interval{20};       ///< least time between two looks at what machines have armed
+    Duration min_lease{500};  ///< of a session; a request outside of min_lease to max_lease is malformed
+    Duration max_lease{60'000};
+    std::uint64_t snapshot_entries = 20'000;  ///< log entries after which a snapshot is taken, ...
+    std::size_t snapshot_bytes = 16 << 20;    ///< ... or bytes of them; at least the last snapshot's size
+    std::size_t max_pending_requests = 4096;  ///< without a response; further ones are rejected as Busy
+    Duration timeout_scan_interval{20};       ///< min. time between two scans of the state machines' timeouts
 };
 
-/// Raft as this one runs it. In a test something that errs on purpose may stand between.
+/// Hands an event to Raft and appends its actions. A test can put a faulty implementation here.
 using RaftHandler = std::function<void(TimePoint, const raft::Event&, raft::Actions&)>;
 
-// ---- What happens
+// Events
+
 struct TimerFired {};
 struct RaftMessageReceived {
     raft::KeeperId from = 0;
     raft::Message message;
 };
+/// All writes up to this number are durable.
 struct WriteCompleted {
     std::uint64_t number = 0;
 };
-struct RequestReceived {    ///< by a process or a command
-    std::uint64_t who = 0;  ///< its connection, for the answer
-    std::string body;       ///< wire::Request
+/// A request of a client or of an operator's command.
+struct RequestReceived {
+    std::uint64_t connection = 0;  ///< for the response
+    std::string body;              ///< wire::Request
 };
 using ReplicaEvent = std::variant<TimerFired, RaftMessageReceived, WriteCompleted, RequestReceived>;
 
-// ---- What is to be done about it
+// Actions
+
 struct SendResponse {
-    std::uint64_t who = 0;
+    std::uint64_t connection = 0;
     std::string body;  ///< wire::Response
 };
-struct Stop {  ///< nothing else is to be done: this keeper can't go on
+/// This coordinator can't continue; it does nothing more.
+struct Stop {
     Error error{};
-    std::string about;
+    std::string about;  ///< what could not be applied
 };
-/// Of raft's: Send, Write, Became, MembersAre.
 using ReplicaAction =
     std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, SendResponse, Stop>;
 using ReplicaActions = std::vector<ReplicaAction>;
 
-/// What the leader counts, by key. What is being ended is in it without a time.
-template <class Key>
-class Deadlines {
-public:
-    struct One {
-        TimePoint at;
-        std::uint64_t revision = 0;
-        bool ending = false;
-    };
-    void set(const Key& key, TimePoint at, std::uint64_t revision = 0) {
-        erase(key);
-        by_key_[key] = {at, revision, false};
-        by_time_.emplace(at, key);
-    }
-    void erase(const Key& key) {
-        auto found = by_key_.find(key);
-        if (found == by_key_.end()) return;
-        by_time_.erase({found->second.at, key});
-        by_key_.erase(found);
-    }
-    const One* find(const Key& key) const {
-        auto found = by_key_.find(key);
-        return found == by_key_.end() ? nullptr : &found->second;
-    }
-    void ending(const Key& key) {
-        One& one = by_key_.at(key);
-        by_time_.erase({one.at, key});
-        one.ending = true;
-    }
-    void clear() { by_key_.clear(), by_time_.clear(); }
-    TimePoint next() const { return by_time_.empty() ? TimePoint::max() : by_time_.begin()->first; }
-    const Key& first() const { return by_time_.begin()->second; }
-    /// All a while later.
-    void put_off(Duration by) {
-        by_time_.clear();
-        for (auto& [key, one] : by_key_) {
-            one.at += by;
-            if (!one.ending) by_time_.emplace(one.at, key);
-        }
-    }
-    template <class Gone>
-    void erase_if(Gone&& gone) {
-        for (auto i = by_key_.begin(); i != by_key_.end();) {
-            auto each = i++;
-            if (!gone(each->first)) continue;
-            by_time_.erase({each->second.at, each->first});
-            by_key_.erase(each);
-        }
-    }
-
-private:
-    std::map<Key, One> by_key_;
-    std::set<std::pair<TimePoint, Key>> by_time_;
-};
-
 class Replica {
 public:
-    /// Begins with TimerFired. What is on the disk raft hands on.
-    Replica(const ReplicaSettings& settings, StateMachineFactory machines, RaftHandler agree,
-            const raft::Disk& disk);
+    /// The first event must be TimerFired. `disk`: what Raft was started from.
+    Replica(const ReplicaSettings& settings, StateMachineFactory make_state_machines,
+            RaftHandler raft_handler, const raft::Disk& disk);
 
     void handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions);
 
     const ReplicatedState& state() const { return state_; }
     raft::Role role() const { return role_; }
-    std::uint64_t applied() const { return applied_; }
-    std::uint64_t commands() const { return commands_; }    ///< of processes and operators, applied here
-    std::uint64_t ended() const { return ended_; }          ///< sessions whose end this one has proposed
-    std::uint64_t snapshots() const { return snapshots_; }  ///< taken here
+    std::uint64_t applied() const { return applied_; }                    ///< index of the last applied entry
+    std::uint64_t commands() const { return commands_; }                  ///< answered here as the leader
+    std::uint64_t sessions_expired() const { return sessions_expired_; }  ///< expiries proposed here
+    std::uint64_t snapshots() const { return snapshots_; }                ///< taken here
 
 private:
-    struct Waiting {  // for an entry to be applied, or for a read
-        std::uint64_t who = 0, call = 0;
-        enum class What { Open, Do, Close, Renew, Look, Status, Change, SessionOver, Over } what{};
-        SessionId session = 0;   // of Renew, SessionOver
-        std::string kind, body;  // of Look
-        std::uint64_t key = 0, revision = 0;
+    /// Where a response goes.
+    struct Caller {
+        std::uint64_t connection = 0;  // 0: the request is the leader's own and has no response
+        std::uint64_t call = 0;        // the client's id of it
+    };
+    enum class RequestKind {
+        Open,
+        Command,
+        Close,
+        Renew,
+        Query,
+        ChangeMembership,
+        ExpireSession,
+        ExpireTimeout
     };
-    using ArmedKey = std::pair<std::size_t, std::uint64_t>;  // machine, key
-
-    void asked(const RequestReceived& ask);
-    void refuse(std::uint64_t who, std::uint64_t call, Error error, raft::KeeperId hint = 0);
-    void propose(std::string entry, Waiting waiting);
-    void read(Waiting waiting);
-    void raft(raft::Event event) { pending_.push_back(std::move(event)); }
-    void work_off();
-    void take(raft::Action& action);
-    void applied(const raft::Applied& entry);
-    void outcome(const Waiting& waiting, const Outcome& outcome);
-    void ready(const Waiting& waiting);
-    void rejected(const raft::Rejected& rejected);
-    void answer(std::uint64_t who, const wire::Response& answer);
-    void add_news(SessionId id, wire::Response& to) const;
-    void count_anew();
-    void count_session(SessionId id);
-    void look_at_armed();
-    void end_what_is_over();
-    void snapshot_if_due();
-    void wake();
-    bool leads() const { return role_ == raft::Role::Leader; }
-
-    ReplicaSettings set_;
-    RaftHandler agree_;
+    struct TimeoutKey {
+        std::size_t machine = 0;  // position in ReplicatedState::state_machines
+        std::uint64_t key = 0;
+        friend auto operator<=>(const TimeoutKey&, const TimeoutKey&) = default;
+    };
+    /// Waits for its entry to be applied, or for its read index.
+    struct PendingRequest {
+        Caller caller;
+        RequestKind kind{};
+        SessionId session = 0;       // of Renew and ExpireSession
+        std::string query_kind;      // of Query
+        std::string query_body;      // of Query
+        TimeoutKey timeout;          // of ExpireTimeout
+        std::uint64_t revision = 0;  // of ExpireTimeout
+    };
+
+    // Events
+    void handle_event(const TimerFired& event);
+    void handle_event(const RaftMessageReceived& event);
+    void handle_event(const WriteCompleted& event);
+    void handle_event(const RequestReceived& event);
+
+    // Raft's actions
+    void run_raft();
+    void handle_raft(raft::Send& send);
+    void handle_raft(raft::Write& write);
+    void handle_raft(raft::Applied& entry);
+    void handle_raft(raft::Restore& restore);
+    void handle_raft(raft::ReadReady& ready);
+    void handle_raft(raft::Rejected& rejected);
+    void handle_raft(raft::Became& became);
+    void handle_raft(raft::MembersAre& members);
+    void handle_raft(raft::WakeAt& wake);
+    void stop(Error error, std::string about);
+    void take_snapshot_if_due();
+    void set_timer();
+
+    // Requests
+    void handle_leader_request(const wire::Request& request, PendingRequest pending);
+    void handle_open(const wire::OpenSession& open, PendingRequest pending);
+    void handle_command(const wire::Command& command, PendingRequest pending);
+    void change_membership(const wire::ChangeMembership& change, PendingRequest pending);
+    void report_status(Caller caller);
+    void confirm_membership_change(std::uint64_t id);
+    void propose(const wire::LogEntry& entry, PendingRequest pending);
+    void read(PendingRequest pending);
+    std::optional<PendingRequest> take_pending(std::uint64_t id);
+    void complete(const PendingRequest& pending, const Outcome& outcome);
+    void complete_read(const PendingRequest& pending);
+    void reject(Caller caller, Error error) { reject(caller, error, leader_); }
+    void reject(Caller caller, Error error, raft::KeeperId leader);
+    void respond(Caller caller, wire::Response response);
+    void add_session_state(SessionId id, wire::Response& response) const;
+
+    // Deadlines; the leader's only
+    void restart_deadlines();
+    void clear_deadlines();
+    void start_lease(SessionId id);
+    void scan_timeouts();
+    void expire_sessions();
+    void expire_timeouts();
+    bool is_leader() const { return role_ == raft::Role::Leader; }
+
+    const ReplicaSettings settings_;
+    const RaftHandler raft_handler_;
     ReplicatedState state_;
     bool stopped_ = false;
 
+    // During `handle` only
     TimePoint now_{};
-    ReplicaActions* out_ = nullptr;
+    ReplicaActions* actions_ = nullptr;
 
+    // As Raft last reported them
     raft::Role role_ = raft::Role::Follower;
     std::uint64_t term_ = 0;
-    raft::KeeperId leader_ = 0;
+    raft::KeeperId leader_ = 0;  // 0: not known
     raft::Members members_;
-    bool trusted_ = true;
-    std::uint64_t applied_ = 0, snapshot_at_ = 0, next_id_ = 1;
-    std::size_t octets_ = 0, snapshot_size_ = 0;
-    std::map<std::uint64_t, Waiting> waiting_;
-    Deadlines<SessionId> sessions_;
-    Deadlines<ArmedKey> armed_;
-    std::deque<raft::Event> pending_;
-    bool look_due_ = false;
-    TimePoint look_at_{}, raft_wake_ = TimePoint::max(), wake_ = TimePoint::max();
-    std::uint64_t commands_ = 0, ended_ = 0, snapshots_ = 0;
+    bool trusted_ = true;  // false: the disk may lack votes or entries that it has acknowledged
+    TimePoint raft_timer_ = TimePoint::max();
+
+    std::uint64_t applied_ = 0;         // index of the last entry in state_
+    std::uint64_t snapshot_index_ = 0;  // of the last snapshot
+    std::size_t snapshot_size_ = 0;     // bytes of the last snapshot
+    std::size_t bytes_since_snapshot_ = 0;
+
+    std::deque<raft::Event> raft_events_;  // not given to Raft yet
+    std::map<std::uint64_t, PendingRequest> pending_;
+    std::uint64_t next_pending_id_ = 1;
+
+    DeadlineMap<SessionId> session_deadlines_;
+    DeadlineMap<TimeoutKey> timeout_deadlines_;
+    bool timeout_scan_due_ = false;
+    TimePoint next_timeout_scan_{};  // not before
+    TimePoint timer_ = TimePoint::max();
+
+    std::uint64_t commands_ = 0;
+    std::uint64_t sessions_expired_ = 0;
+    std::uint64_t snapshots_ = 0;
 };
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/replicated_state.cpp
+++ b/src/fleet/coordinator/replicated_state.cpp
@@ -2,27 +2,33 @@
 
 #include <coordinator.pb.h>
 
+#include <algorithm>
+
+#include "fleet/coordinator/wire_codec.h"
+
 namespace ochrehub::coordinator {
 namespace {
 
-constexpr std::uint32_t kVersion = 1;  // of the snapshot's own form
+constexpr std::uint32_t kSnapshotVersion = 1;
 
 Outcome failed(Error error) {
-    return {.error = error, .session = 0, .result = {}, .fatal = error == Error::Behind};
+    return {.error = error, .session = 0, .result = {}, .is_fatal = error == Error::UnknownEntry};
 }
 
 }  // namespace
 
-ReplicatedState::ReplicatedState(const Limits& limits, StateMachineFactory make)
-    : limits_(limits), make_(std::move(make)), machines_(make_()) {}
+ReplicatedState::ReplicatedState(const Limits& limits, StateMachineFactory make_state_machines)
+    : limits_(limits),
+      make_state_machines_(std::move(make_state_machines)),
+      state_machines_(make_state_machines_()) {}
 
 StateMachine* ReplicatedState::find(std::string_view kind) const {
-    for (const auto& machine : machines_)
+    for (const auto& machine : state_machines_)
         if (machine->kind() == kind) return machine.get();
     return nullptr;
 }
 
-const StateMachine* ReplicatedState::machine(std::string_view kind) const {
+const StateMachine* ReplicatedState::state_machine(std::string_view kind) const {
     return find(kind);
 }
 
@@ -31,148 +37,173 @@
     return found == sessions_.end() ? nullptr : &found->second.info;
 }
 
-std::optional<Outcome> ReplicatedState::answered(SessionId session, std::uint64_t number) const {
+std::optional<Outcome> ReplicatedState::cached_outcome(SessionId session, std::uint64_t sequence) const {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return std::nullopt;
-    auto kept = found->second.kept.find(number);
-    if (kept == found->second.kept.end()) return std::nullopt;
-    return Outcome{
-        .error = kept->second.error, .session = session, .result = kept->second.result, .again = true};
-}
-
-void ReplicatedState::end(SessionId id) {
-    if (sessions_.erase(id) == 0) return;
-    for (const auto& machine : machines_) machine->session_ended(id);
-}
-
-Outcome ReplicatedState::carry_out(SessionId session, std::string_view kind, std::string_view body) {
-    // A leader proposes nothing that it does not know. What another release's has put into the log cannot be
-    // passed over: the others have carried it out.
-    StateMachine* machine = find(kind);
-    if (!machine) return failed(Error::Behind);
-    return {.error = Error::None, .session = session, .result = machine->apply({session, body})};
+    auto cached = found->second.cached_responses.find(sequence);
+    if (cached == found->second.cached_responses.end()) return std::nullopt;
+    return Outcome{.error = cached->second.error,
+                   .session = session,
+                   .result = cached->second.result,
+                   .is_duplicate = true};
 }
 
 Outcome ReplicatedState::apply(std::string_view bytes) {
     wire::LogEntry entry;
-    if (!entry.ParseFromArray(bytes.data(), int(bytes.size()))) return failed(Error::Behind);
+    if (!entry.ParseFromArray(bytes.data(), int(bytes.size()))) return failed(Error::UnknownEntry);
     switch (entry.body_case()) {
-        case wire::LogEntry::kOpen: {
-            const wire::OpenSession& open = entry.open();
-            SessionId before = 0;
-            for (const auto& [id, one] : sessions_)
-                if (one.info.instance == open.instance() && one.info.name == open.name()) before = id;
-            if (before != 0 && sessions_.at(before).info.attempt == open.attempt())
-                return {.session = before};
-            // An ask that was overtaken by a later one of the same process must not end what that has opened.
-            if (before != 0 && open.attempt() < sessions_.at(before).info.attempt)
-                return failed(Error::Forgotten);
-            // The same process opens another: it says that it holds nothing of the one before.
-            if (before != 0) end(before);
-            if (sessions_.size() >= limits_.max_sessions) return failed(Error::TooMany);
-            SessionId id = next_++;
-            SessionInfo info{id,
-                             open.name(),
-                             open.zone(),
-                             open.instance(),
-                             open.attempt(),
-                             open.lease_ms(),
-                             open.release(),
-                             open.min_schema(),
-                             open.max_schema()};
-            sessions_[id].info = info;
-            for (const auto& machine : machines_) machine->session_opened(id, info.name, info.zone);
-            return {.session = id};
-        }
+        case wire::LogEntry::kOpen:
+            return apply_open(entry.open());
         case wire::LogEntry::kClose:
-            end(entry.close().session());
+            end_session(entry.close().session());
             return {};
         case wire::LogEntry::kSessionExpired:
-            end(entry.session_expired().session());
-            return {};
-        case wire::LogEntry::kTimeoutExpired: {
-            const wire::TimeoutExpired& over = entry.timeout_expired();
-            StateMachine* machine = find(over.kind());
-            if (!machine) return failed(Error::Behind);
-            machine->apply({0, machine->on_timeout(over.key(), over.revision())});
+            end_session(entry.session_expired().session());
             return {};
-        }
-        case wire::LogEntry::kCommand: {
-            const wire::Command& what = entry.command();
-            if (what.session() == 0) return carry_out(0, what.kind(), what.body());
-            auto found = sessions_.find(what.session());
-            if (found == sessions_.end()) return failed(Error::NoSession);
-            One& one = found->second;
-            if (what.sequence() <= one.last) {
-                if (auto kept = answered(what.session(), what.sequence())) return *kept;
-                return failed(Error::Forgotten);
-            }
-            if (what.sequence() != one.last + 1) return failed(Error::OutOfOrder);
-            one.kept.erase(one.kept.begin(), one.kept.upper_bound(what.acknowledged()));
-            if (one.kept.size() >= limits_.max_cached_responses)
-                return failed(Error::Busy);  // more than it may leave unsettled
-            Outcome outcome = what.rejected_with() != 0 ? failed(Error(what.rejected_with()))
-                                                        : carry_out(what.session(), what.kind(), what.body());
-            if (outcome.fatal) return outcome;
-            one.last = what.sequence();
-            one.kept[what.sequence()] = {outcome.error, outcome.result};
-            return outcome;
-        }
+        case wire::LogEntry::kTimeoutExpired:
+            return apply_timeout(entry.timeout_expired());
+        case wire::LogEntry::kCommand:
+            return apply_command(entry.command());
         case wire::LogEntry::BODY_NOT_SET:
             break;
     }
-    return failed(Error::Behind);
+    return failed(Error::UnknownEntry);
+}
+
+SessionId ReplicatedState::find_session(std::uint64_t instance, const std::string& name) const {
+    SessionId last = 0;
+    for (const auto& [id, session] : sessions_)
+        if (session.info.instance == instance && session.info.name == name) last = id;
+    return last;
+}
+
+Outcome ReplicatedState::apply_open(const wire::OpenSession& open) {
+    const SessionId previous = find_session(open.instance(), open.name());
+    if (previous != 0) {
+        const std::uint64_t previous_attempt = sessions_.at(previous).info.attempt;
+        if (previous_attempt == open.attempt()) return {.session = previous};
+        // A delayed request must not end the session that a later one of the same process has opened.
+        if (open.attempt() < previous_attempt) return failed(Error::ResponseDiscarded);
+        // By opening another session the process says that it holds nothing under the previous one.
+        end_session(previous);
+    }
+    if (sessions_.size() >= limits_.max_sessions) return failed(Error::TooManySessions);
+    const SessionId id = next_session_++;
+    const SessionInfo info{.id = id,
+                           .name = open.name(),
+                           .zone = open.zone(),
+                           .instance = open.instance(),
+                           .attempt = open.attempt(),
+                           .lease_ms = open.lease_ms(),
+                           .release = open.release(),
+                           .min_schema = open.min_schema(),
+                           .max_schema = open.max_schema()};
+    sessions_[id].info = info;
+    for (const auto& machine : state_machines_) machine->session_opened(id, info.name, info.zone);
+    return {.session = id};
+}
+
+void ReplicatedState::end_session(SessionId id) {
+    if (sessions_.erase(id) == 0) return;
+    for (const auto& machine : state_machines_) machine->session_ended(id);
+}
+
+Outcome ReplicatedState::apply_timeout(const wire::TimeoutExpired& timeout) {
+    StateMachine* machine = find(timeout.kind());
+    if (!machine) return failed(Error::UnknownEntry);
+    machine->apply({0, machine->on_timeout(timeout.key(), timeout.revision())});
+    return {};
+}
+
+Outcome ReplicatedState::apply_command(const wire::Command& command) {
+    if (command.session() == 0) return run_command(0, command.kind(), command.body());
+    auto found = sessions_.find(command.session());
+    if (found == sessions_.end()) return failed(Error::NoSession);
+    Session& session = found->second;
+    const std::uint64_t sequence = command.sequence();
+    if (sequence <= session.last_sequence) {
+        if (auto cached = cached_outcome(command.session(), sequence)) return *cached;
+        return failed(Error::ResponseDiscarded);
+    }
+    if (sequence != session.last_sequence + 1) return failed(Error::OutOfOrder);
+    auto& responses = session.cached_responses;
+    responses.erase(responses.begin(), responses.upper_bound(command.acknowledged()));
+    if (responses.size() >= limits_.max_cached_responses) return failed(Error::Busy);
+    Outcome outcome = command.rejected_with() != 0
+                          ? failed(Error(command.rejected_with()))
+                          : run_command(command.session(), command.kind(), command.body());
+    if (outcome.is_fatal) return outcome;
+    session.last_sequence = sequence;
+    responses[sequence] = {outcome.error, outcome.result};
+    return outcome;
+}
+
+Outcome ReplicatedState::run_command(SessionId session, std::string_view kind, std::string_view body) {
+    // A leader proposes no command of an unknown kind. One that a leader of another release has committed
+    // can't be skipped: the other coordinators have applied it.
+    StateMachine* machine = find(kind);
+    if (!machine) return failed(Error::UnknownEntry);
+    return {.error = Error::None, .session = session, .result = machine->apply({session, body})};
 }
 
 std::string ReplicatedState::snapshot() const {
-    wire::ReplicatedState state;
-    state.set_version(kVersion);
-    state.set_next_session(next_);
-    for (const auto& [id, one] : sessions_) {
-        wire::SessionRecord* to = state.add_sessions();
-        to->set_id(id), to->set_name(one.info.name), to->set_zone(one.info.zone),
-            to->set_instance(one.info.instance);
-        to->set_attempt(one.info.attempt), to->set_lease_ms(one.info.lease_ms),
-            to->set_release(one.info.release);
-        to->set_min_schema(one.info.min_schema), to->set_max_schema(one.info.max_schema),
-            to->set_last_sequence(one.last);
-        for (const auto& [number, kept] : one.kept) {
-            wire::CachedResponse* k = to->add_cached_responses();
-            k->set_sequence(number), k->set_error(std::uint32_t(kept.error)), k->set_result(kept.result);
+    wire::ReplicatedState snapshot;
+    snapshot.set_version(kSnapshotVersion);
+    snapshot.set_next_session(next_session_);
+    for (const auto& [id, session] : sessions_) {
+        wire::SessionRecord& record = *snapshot.add_sessions();
+        encode_session(session.info, record);
+        record.set_attempt(session.info.attempt);
+        record.set_last_sequence(session.last_sequence);
+        for (const auto& [sequence, response] : session.cached_responses) {
+            wire::CachedResponse& cached = *record.add_cached_responses();
+            cached.set_sequence(sequence);
+            cached.set_error(std::uint32_t(response.error));
+            cached.set_result(response.result);
         }
     }
-    for (const auto& machine : machines_) {
-        wire::StateMachineSnapshot* to = state.add_state_machines();
-        to->set_kind(std::string(machine->kind())), to->set_schema(machine->schema()),
-            to->set_bytes(machine->snapshot());
+    for (const auto& machine : state_machines_) {
+        wire::StateMachineSnapshot& state = *snapshot.add_state_machines();
+        state.set_kind(std::string(machine->kind()));
+        state.set_schema(machine->schema());
+        state.set_bytes(machine->snapshot());
     }
-    return state.SerializeAsString();
+    return snapshot.SerializeAsString();
 }
 
 bool ReplicatedState::restore(std::string_view bytes) {
-    wire::ReplicatedState state;
-    if (!state.ParseFromArray(bytes.data(), int(bytes.size())) || state.version() != kVersion) return false;
+    wire::ReplicatedState snapshot;
+    const bool parsed = snapshot.ParseFromArray(bytes.data(), int(bytes.size()));
+    if (!parsed || snapshot.version() != kSnapshotVersion) return false;
+    restore_sessions(snapshot);
+    return restore_state_machines(snapshot);
+}
+
+void ReplicatedState::restore_sessions(const wire::ReplicatedState& snapshot) {
     sessions_.clear();
-    machines_ = make_();
-    next_ = state.next_session();
-    for (const wire::SessionRecord& from : state.sessions()) {
-        One& one = sessions_[from.id()];
-        one.info = {from.id(),       from.name(),    from.zone(),       from.instance(),  from.attempt(),
-                    from.lease_ms(), from.release(), from.min_schema(), from.max_schema()};
-        one.last = from.last_sequence();
-        for (const wire::CachedResponse& kept : from.cached_responses())
-            one.kept[kept.sequence()] = {Error(kept.error()), kept.result()};
+    next_session_ = snapshot.next_session();
+    for (const wire::SessionRecord& record : snapshot.sessions()) {
+        Session& session = sessions_[record.id()];
+        session.info = decode_session(record);
+        session.last_sequence = record.last_sequence();
+        for (const wire::CachedResponse& cached : record.cached_responses())
+            session.cached_responses[cached.sequence()] = {Error(cached.error()), cached.result()};
     }
-    for (const wire::StateMachineSnapshot& from : state.state_machines()) {
-        StateMachine* machine = find(from.kind());
-        if (!machine || !machine->restore(from.schema(), from.bytes())) return false;
+}
+
+bool ReplicatedState::restore_state_machines(const wire::ReplicatedState& snapshot) {
+    state_machines_ = make_state_machines_();
+    for (const wire::StateMachineSnapshot& state : snapshot.state_machines()) {
+        StateMachine* machine = find(state.kind());
+        if (!machine || !machine->restore(state.schema(), state.bytes())) return false;
     }
-    for (const auto& machine : machines_) {
-        bool there = false;
-        for (const wire::StateMachineSnapshot& from : state.state_machines())
-            there |= from.kind() == machine->kind();
-        if (there) continue;
-        for (const auto& [id, one] : sessions_) machine->session_opened(id, one.info.name, one.info.zone);
+    for (const auto& machine : state_machines_) {
+        const bool restored = std::any_of(
+            snapshot.state_machines().begin(), snapshot.state_machines().end(),
+            [&](const wire::StateMachineSnapshot& state) { return state.kind() == machine->kind(); });
+        if (restored) continue;
+        for (const auto& [id, session] : sessions_)
+            machine->session_opened(id, session.info.name, session.info.zone);
     }
     return true;
 }
--- a/src/fleet/coordinator/server.cpp
+++ b/src/fleet/coordinator/server.cpp
@@ -2,172 +2,182 @@
 
 #include <boost/asio/post.hpp>
 #include <cstring>
-#include <random>
 #include <utility>
 
 #include "base/log.h"
+#include "fleet/coordinator/random_id.h"
+#include "fleet/coordinator/role_name.h"
 #include "fleet/store/posix_files.h"
 
 namespace ochrehub::coordinator {
-namespace {
-
-std::uint64_t draw() {
-    std::random_device device;
-    std::uint64_t number = std::uint64_t(device()) << 32 | device();
-    return number == 0 ? 1 : number;
-}
-
-const char* worded(raft::Role role) {
-    switch (role) {
-        case raft::Role::Follower:
-            return "follows";
-        case raft::Role::PreCandidate:
-            return "asks whether it might lead";
-        case raft::Role::Candidate:
-            return "asks for votes";
-        case raft::Role::Leader:
-            return "leads";
-        case raft::Role::Learner:
-            return "learns";
-    }
-    return "";
-}
-
-}  // namespace
 
 channel::MeshSettings CoordinatorServer::mesh_settings(const ServerSettings& settings,
                                                        std::uint64_t instance) {
+    const Duration election_timeout = settings.raft.election;
     channel::MeshSettings mesh;
     mesh.channel.self = {settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
     mesh.channel.keys = settings.keys;
-    mesh.channel.idle = settings.raft.election, mesh.channel.dead = settings.raft.election * 3;
+    mesh.channel.idle = election_timeout;
+    mesh.channel.dead = election_timeout * 3;
     mesh.dial.first = settings.raft.heartbeat;
-    mesh.dial.most = settings.raft.election;
-    mesh.dial.limit = settings.raft.election * 2;
+    mesh.dial.most = election_timeout;
+    mesh.dial.limit = election_timeout * 2;
     mesh.accepted = settings.max_client_connections;
     return mesh;
 }
 
 CoordinatorServer::CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler,
-                                     const ServerSettings& settings, StateMachineFactory machines)
+                                     const ServerSettings& settings, StateMachineFactory make_state_machines)
     : io_(io),
       scheduler_(scheduler),
-      set_(settings),
-      storing_(std::make_unique<DurableStorage>(
+      settings_(settings),
+      storage_(std::make_unique<DurableStorage>(
           std::make_unique<store::PosixFiles>(settings.data_directory),
           DurableStorage::Settings{
               {storage_cluster_id(settings.cluster)}, settings.start_mode, settings.initial_members})),
-      disk_(storing_->disk()),
-      raft_(settings.raft, disk_, draw()),
+      disk_(storage_->disk()),
+      raft_(settings.raft, disk_, random_id()),
       replica_(
-          settings.replica, std::move(machines),
+          settings.replica, std::move(make_state_machines),
           [this](TimePoint now, const raft::Event& event, raft::Actions& actions) {
               raft_.handle(now, event, actions);
           },
           disk_),
-      mesh_(io, scheduler, settings.listen, mesh_settings(settings, draw()), draw()) {
+      mesh_(io, scheduler, settings.listen, mesh_settings(settings, random_id()), random_id()) {
     if (!disk_.trusted)
         log(LogLevel::Warn,
-            "keeper: something that was promised is not in the folder: it does not vote until others have "
-            "told what they know",
-            {{"folder", set_.data_directory}});
+            "coordinator: acknowledged entries or votes are missing from the data directory; it does not "
+            "vote "
+            "until every other voter has responded",
+            {{"folder", settings_.data_directory}});
     disk_ = {};
+    connect_mesh();
+}
+
+CoordinatorServer::~CoordinatorServer() {
+    *alive_ = false;
+    scheduler_.cancel(timer_);
+    storage_.reset();
+    mesh_.close();
+}
+
+void CoordinatorServer::connect_mesh() {
     mesh_.up = [this](const channel::Peer& peer) {
-        if (peer.keeper != 0) instances_[peer.keeper] = peer.instance;
+        if (peer.keeper != 0) connections_[peer.keeper] = peer.instance;
     };
     mesh_.down = [this](const channel::Peer& peer, channel::Error) {
-        auto found = instances_.find(peer.keeper);
-        if (found != instances_.end() && found->second == peer.instance) instances_.erase(found);
+        auto found = connections_.find(peer.keeper);
+        if (found != connections_.end() && found->second == peer.instance) connections_.erase(found);
     };
     mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind == channel::Kind::Ask) return handle(RequestReceived{peer.instance, std::move(body)});
-        if (kind != channel::Kind::Raft || peer.keeper == 0 || peer.keeper == set_.raft.self) return;
+        if (kind != channel::Kind::Raft || peer.keeper == 0 || peer.keeper == settings_.raft.self) return;
         if (auto message = raft::decode(body)) handle(RaftMessageReceived{peer.keeper, std::move(*message)});
     };
 }
 
-CoordinatorServer::~CoordinatorServer() {
-    *alive_ = false;
-    scheduler_.cancel(timer_);
-    storing_.reset();
-    mesh_.close();
-}
-
 void CoordinatorServer::start() {
-    auto on_loop = [this, alive = alive_](auto what) {
-        boost::asio::post(io_, [alive, what] {
-            if (*alive) what();
+    storage_->start(
+        [this](std::uint64_t number) { post([this, number] { handle(WriteCompleted{number}); }); },
+        [this](int error) {
+            post([this, error] {
+                stop(Error::StorageFailed, settings_.data_directory + ": " + std::strerror(error));
+            });
         });
-    };
-    storing_->start(
-        [this, on_loop](std::uint64_t number) {
-            on_loop([this, number] { handle(WriteCompleted{number}); });
-        },
-        [this, on_loop](int why) {
-            on_loop([this, why] { stop(Error::Broken, set_.data_directory + ": " + std::strerror(why)); });
-        });
-    meet(raft_.members().empty() ? set_.initial_members : raft_.members());
+    dial_members(raft_.members().empty() ? settings_.initial_members : raft_.members());
     handle(TimerFired{});
 }
 
+/// From any thread: runs the task on the loop, unless this object is gone by then.
+void CoordinatorServer::post(std::function<void()> task) {
+    boost::asio::post(io_, [alive = alive_, task = std::move(task)] {
+        if (*alive) task();
+    });
+}
+
 void CoordinatorServer::handle(const ReplicaEvent& event) {
     if (stopped_) return;
     ReplicaActions actions;
     replica_.handle(scheduler_.now(), event, actions);
-    for (ReplicaAction& action : actions) carry_out(action);
+    for (ReplicaAction& action : actions) {
+        if (stopped_) return;
+        std::visit([this](auto& each) { perform(each); }, action);
+    }
 }
 
-void CoordinatorServer::carry_out(ReplicaAction& action) {
-    if (stopped_) return;
-    if (const auto* send = std::get_if<raft::Send>(&action)) {
-        // What is not sent is as good as lost: Raft sends again.
-        if (auto found = instances_.find(send->to); found != instances_.end())
-            mesh_.send(found->second, channel::Kind::Raft, raft::encode(send->message));
-    } else if (auto* write = std::get_if<raft::Write>(&action)) {
-        storing_->write(std::move(*write));
-    } else if (auto* answer = std::get_if<SendResponse>(&action)) {
-        mesh_.send(answer->who, channel::Kind::Answer, std::move(answer->body));
-    } else if (const auto* became = std::get_if<raft::Became>(&action)) {
-        log(became->role == raft::Role::Leader ? LogLevel::Info : LogLevel::Debug, "keeper: this one now",
-            {{"role", worded(became->role)}, {"term", became->term}, {"leader", became->leader}});
-    } else if (const auto* are = std::get_if<raft::MembersAre>(&action)) {
-        meet(are->members);
-    } else if (const auto* wake = std::get_if<raft::WakeAt>(&action)) {
-        scheduler_.cancel(timer_);
-        timer_ = scheduler_.call_at(wake->at, [this] {
-            timer_ = 0;
-            handle(TimerFired{});
-        });
-    } else if (const auto* over = std::get_if<Stop>(&action)) {
-        stop(over->error, over->about);
+void CoordinatorServer::perform(raft::Send& action) {
+    // A message without a connection is lost; Raft sends again.
+    auto found = connections_.find(action.to);
+    if (found == connections_.end()) return;
+    mesh_.send(found->second, channel::Kind::Raft, raft::encode(action.message));
+}
+
+void CoordinatorServer::perform(raft::Write& action) {
+    storage_->write(std::move(action));
+}
+
+void CoordinatorServer::perform(raft::Became& action) {
+    const LogLevel level = action.role == raft::Role::Leader ? LogLevel::Info : LogLevel::Debug;
+    log(level, "coordinator: role changed",
+        {{"role", role_name(action.role)}, {"term", action.term}, {"leader", action.leader}});
+}
+
+void CoordinatorServer::perform(raft::MembersAre& action) {
+    dial_members(action.members);
+}
+
+void CoordinatorServer::perform(raft::WakeAt& action) {
+    scheduler_.cancel(timer_);
+    timer_ = scheduler_.call_at(action.at, [this] {
+        timer_ = 0;
+        handle(TimerFired{});
+    });
+}
+
+void CoordinatorServer::perform(SendResponse& action) {
+    mesh_.send(action.connection, channel::Kind::Answer, std::move(action.body));
+}
+
+void CoordinatorServer::perform(Stop& action) {
+    stop(action.error, action.about);
+}
+
+void CoordinatorServer::dial_members(const raft::Members& members) {
+    bool is_member = false;
+    for (const raft::Member& member : members) is_member |= member.id == settings_.raft.self;
+    if (!is_member) log(LogLevel::Info, "coordinator: not a member", {{"number", settings_.raft.self}});
+    std::map<raft::KeeperId, std::string> wanted = addresses_of_others(members);
+    for (const auto& [id, address] : dialed_) {
+        auto found = wanted.find(id);
+        if (found == wanted.end() || found->second != address) mesh_.drop(address);
+    }
+    for (const auto& [id, address] : wanted) {
+        auto found = dialed_.find(id);
+        if (found != dialed_.end() && found->second == address) continue;
+        if (!mesh_.dial(address))
+            log(LogLevel::Error, "coordinator: invalid member address",
+                {{"number", id}, {"address", address}});
     }
+    dialed_ = std::move(wanted);
 }
 
-void CoordinatorServer::meet(const raft::Members& members) {
-    std::map<raft::KeeperId, std::string> wanted;
-    bool among = false;
+std::map<raft::KeeperId, std::string> CoordinatorServer::addresses_of_others(
+    const raft::Members& members) const {
+    std::map<raft::KeeperId, std::string> addresses;
     for (const raft::Member& member : members) {
-        among |= member.id == set_.raft.self;
-        if (member.id == set_.raft.self) continue;
-        auto reach = set_.dial_addresses.find(member.id);
-        wanted[member.id] = reach == set_.dial_addresses.end() ? member.address : reach->second;
+        if (member.id == settings_.raft.self) continue;
+        auto configured = settings_.dial_addresses.find(member.id);
+        addresses[member.id] =
+            configured == settings_.dial_addresses.end() ? member.address : configured->second;
     }
-    if (!among) log(LogLevel::Info, "keeper: not among the members", {{"number", set_.raft.self}});
-    for (const auto& [id, address] : dialled_)
-        if (auto still = wanted.find(id); still == wanted.end() || still->second != address)
-            mesh_.drop(address);
-    for (const auto& [id, address] : wanted)
-        if (auto was = dialled_.find(id); was == dialled_.end() || was->second != address)
-            if (!mesh_.dial(address))
-                log(LogLevel::Error, "keeper: no address:", {{"number", id}, {"address", address}});
-    dialled_ = std::move(wanted);
+    return addresses;
 }
 
 void CoordinatorServer::stop(Error error, const std::string& about) {
     if (std::exchange(stopped_, true)) return;
     log_line(LogLevel::Error, "%s", fleet::sentence(row(error), about).c_str());
-    if (stopped) stopped(error, about);
+    if (on_stopped) on_stopped(error, about);
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/server.h
+++ b/src/fleet/coordinator/server.h
@@ -1,5 +1,6 @@
-// A keeper as a process runs it: Replica over Raft, the folder on a thread of its own, connections to the
-// other keepers and to whoever asks. On its loop's thread; it decides nothing.
+// A coordinator as a process runs it: the Replica over Raft, the data directory on its own thread, and the
+// connections to the other coordinators and to clients. Runs on its event loop's thread; it turns I/O into
+// events and actions into I/O, and decides nothing.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,55 +20,68 @@
 namespace ochrehub::coordinator {
 
 struct ServerSettings {
-    raft::Settings raft;  ///< its `self` is this keeper's number
+    raft::Settings raft;  ///< `self`: this coordinator's id
     ReplicaSettings replica;
     channel::Mesh::Endpoint listen;
-    std::string name, zone, cluster, data_directory;
-    std::vector<std::string> keys;
-    std::map<raft::KeeperId, std::string>
-        dial_addresses;             ///< where others are dialled, instead of where they say
+    std::string name;
+    std::string zone;
+    std::string cluster;  ///< the cluster's name
+    std::string data_directory;
+    std::vector<std::string> keys;  ///< of the fleet; empty: connections aren't signed
+    /// Where to dial other coordinators, in place of the addresses that the members have.
+    std::map<raft::KeeperId, std::string> dial_addresses;
     raft::Members initial_members;  ///< of a new cluster
     StartMode start_mode = StartMode::Resume;
     std::uint32_t release = 0;
-    std::size_t max_client_connections = 4096;  ///< connections of processes
+    std::size_t max_client_connections = 4096;
 };
 
 class CoordinatorServer {
 public:
-    /// Opens its folder and listens. Throws what DurableStorage and Mesh throw.
+    /// Opens the data directory and listens. Throws what DurableStorage and Mesh throw.
     CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler, const ServerSettings& settings,
-                      StateMachineFactory machines);
+                      StateMachineFactory make_state_machines);
     ~CoordinatorServer();
     CoordinatorServer(const CoordinatorServer&) = delete;
+    CoordinatorServer& operator=(const CoordinatorServer&) = delete;
 
     void start();
-    /// It can't go on: its disk failed, or others have written what it does not know. Called once; end the
-    /// process then.
-    std::function<void(Error, const std::string& about)> stopped;
+    /// Called once, when it can't continue: its disk failed, or a newer release has written what it can't
+    /// read. The process should end then.
+    std::function<void(Error, const std::string& about)> on_stopped;
 
-    channel::Mesh::Endpoint at() const { return mesh_.at(); }
+    channel::Mesh::Endpoint listen_address() const { return mesh_.at(); }
     const Replica& replica() const { return replica_; }
 
 private:
     static channel::MeshSettings mesh_settings(const ServerSettings& settings, std::uint64_t instance);
+    void connect_mesh();
+    void post(std::function<void()> task);
     void handle(const ReplicaEvent& event);
-    void carry_out(ReplicaAction& action);
-    void meet(const raft::Members& members);
+    void perform(raft::Send& action);
+    void perform(raft::Write& action);
+    void perform(raft::Became& action);
+    void perform(raft::MembersAre& action);
+    void perform(raft::WakeAt& action);
+    void perform(SendResponse& action);
+    void perform(Stop& action);
+    void dial_members(const raft::Members& members);
+    std::map<raft::KeeperId, std::string> addresses_of_others(const raft::Members& members) const;
     void stop(Error error, const std::string& about);
 
     boost::asio::io_context& io_;
     Scheduler& scheduler_;
-    ServerSettings set_;
-    std::unique_ptr<DurableStorage> storing_;
-    raft::Disk disk_;
+    const ServerSettings settings_;
+    std::unique_ptr<DurableStorage> storage_;
+    raft::Disk disk_;  // for Raft's start; empty afterwards
     raft::Raft raft_;
     Replica replica_;
     channel::Mesh mesh_;
-    std::map<raft::KeeperId, std::uint64_t> instances_;
-    std::map<raft::KeeperId, std::string> dialled_;
+    std::map<raft::KeeperId, std::uint64_t> connections_;  // instances of the connected coordinators
+    std::map<raft::KeeperId, std::string> dialed_;
     TimerId timer_ = 0;
     bool stopped_ = false;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once this object is gone
 };
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/session_thread.h
+++ b/src/fleet/coordinator/session_thread.h
@@ -1,6 +1,6 @@
-// A process's session with the keepers on a thread and a loop of its own: posts to its listeners what the
-// session becomes, takes commands from any thread, and makes nobody wait. The shell of `Session`; it decides
-// nothing.
+// A client's session on a thread and an event loop of its own: the shell of `Session`. Passes on to its
+// listeners what becomes of the session, and takes commands and queries from any thread without blocking.
+// Decides nothing.
 #pragma once
 
 #include <atomic>
@@ -22,28 +22,29 @@
 namespace ochrehub::coordinator {
 
 struct SessionThreadSettings {
-    SessionSettings session;        ///< its instance and seed are drawn where they are zero
-    std::string cluster;            ///< its name
-    std::vector<std::string> keys;  ///< the fleet's
+    SessionSettings session;        ///< `instance` and `seed` are random where they aren't set
+    std::string cluster;            ///< the cluster's name
+    std::vector<std::string> keys;  ///< of the fleet; empty: connections aren't signed
     channel::DialSettings dial;
 };
 
 class SessionThread {
 public:
     using Notification = std::variant<SessionRenewed, SessionLost, SessionUpdate>;
-    /// On the side's own thread; must not block, and post what it has to its own loop.
+    /// Called on the session's thread. Must not block; posts to its own event loop what takes time.
     using Listener = std::function<void(const Notification&)>;
-    /// Once, on the side's own thread; from the destructor, Uncertain, where no answer came.
+    /// Called once, on the session's thread, or with PossiblyExecuted from the destructor.
     using Callback = std::function<void(Error, std::string result)>;
 
-    /// `clock`: a copy of the one that its listeners compare `SessionRenewed::until` with. Nothing is sent
-    /// before `start`.
+    /// `clock`: a copy of the clock that listeners compare `SessionRenewed::until` with. Sends nothing before
+    /// `start`.
     SessionThread(SessionThreadSettings settings, Clock clock);
-    /// Waits for its thread's end. The session is not handed back by that alone: `close` it before, and wait
-    /// for SessionLost.
+    /// Joins the thread. Does not close the session: call `close` and wait for SessionLost before.
     ~SessionThread();
+    SessionThread(const SessionThread&) = delete;
+    SessionThread& operator=(const SessionThread&) = delete;
 
-    /// Before `start`. All are told all; each picks its machines' news.
+    /// Before `start`. Each listener receives every notification, and picks the updates of its kind.
     void add_listener(Listener listener) { listeners_.push_back(std::move(listener)); }
     void start();
 
@@ -54,19 +55,26 @@
     void set_keys(std::vector<std::string> keys);
     SessionId session() const { return session_.load(std::memory_order_relaxed); }
     std::uint64_t renewals() const { return renewals_.load(std::memory_order_relaxed); }
-    std::uint64_t lost() const { return lost_.load(std::memory_order_relaxed); }
+    std::uint64_t sessions_lost() const { return sessions_lost_.load(std::memory_order_relaxed); }
 
 private:
-    static SessionThreadSettings drawn(SessionThreadSettings settings);
+    static SessionThreadSettings with_random_ids(SessionThreadSettings settings);
     static channel::MeshSettings mesh_settings(const SessionThreadSettings& settings);
+    void connect_mesh();
     void handle(const SessionEvent& event);
-    void carry_out(SessionAction& action);
-    void say(const std::string& to, std::string body);
-    void up(std::uint64_t instance);
+    void perform(SendRequest& action);
+    void perform(SessionRenewed& action) { notify(action); }
+    void perform(SessionLost& action) { notify(action); }
+    void perform(SessionUpdate& action) { notify(action); }
+    void perform(CallCompleted& action);
+    void perform(SetSessionTimer& action);
+    void notify(const Notification& notification);
+    void on_connected(std::uint64_t instance);
+    void on_disconnected(std::uint64_t instance);
     template <class Event>
-    void ask(std::string kind, std::string body, Callback callback);
+    void post_call(std::string kind, std::string body, Callback callback);
 
-    SessionThreadSettings set_;
+    const SessionThreadSettings settings_;
     Clock clock_;
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
@@ -74,13 +82,15 @@
     channel::Mesh mesh_;
     Session core_;
     std::vector<Listener> listeners_;
-    std::map<std::string, std::uint64_t> instances_;          // by address, while connected
-    std::map<std::string, std::vector<std::string>> unsent_;  // until the connection is up
-    std::map<std::uint64_t, Callback> callbacks_;
+    std::map<std::string, std::uint64_t> connections_;        // instance by address, while connected
+    std::map<std::string, std::vector<std::string>> unsent_;  // requests by address, until it is connected
+    std::map<std::uint64_t, Callback> callbacks_;             // by call
     std::uint64_t next_call_ = 1;
     TimerId timer_ = 0;
+    // Copies of the core's, for other threads
     std::atomic<SessionId> session_{0};
-    std::atomic<std::uint64_t> renewals_{0}, lost_{0};
+    std::atomic<std::uint64_t> renewals_{0};
+    std::atomic<std::uint64_t> sessions_lost_{0};
     std::thread thread_;
 };
 
--- a/tests/fleet/coordinator_test.cpp
+++ b/tests/fleet/coordinator_test.cpp
@@ -89,12 +89,12 @@
     EXPECT_EQ(state.apply(add(id, 2, "5")).result, "10");
     Outcome again = state.apply(add(id, 1, "5"));
     EXPECT_EQ(again.result, "5");
-    EXPECT_TRUE(again.again);
+    EXPECT_TRUE(again.is_duplicate);
     EXPECT_EQ(state.apply(add(id, 4, "5")).error, Error::OutOfOrder);
     EXPECT_EQ(state.apply(add(id, 3, "1", 2)).result, "11");
-    EXPECT_EQ(state.apply(add(id, 1, "5")).error, Error::Forgotten);
+    EXPECT_EQ(state.apply(add(id, 1, "5")).error, Error::ResponseDiscarded);
     EXPECT_EQ(state.apply(add(77, 1, "5")).error, Error::NoSession);
-    EXPECT_EQ(state.machine("adder")->query(""), "11");
+    EXPECT_EQ(state.state_machine("adder")->query(""), "11");
 }
 
 TEST(KeeperState, OpensTheSameAttemptOnceAndEndsWhatItsProcessHadBefore) {
@@ -103,8 +103,8 @@
     EXPECT_EQ(state.apply(open(9, 1)).session, first);
     SessionId second = state.apply(open(9, 2)).session;
     EXPECT_GT(second, first);
-    EXPECT_EQ(state.sessions(), 1u);
-    EXPECT_EQ(state.apply(open(9, 1)).error, Error::Forgotten) << "one that was overtaken ends nothing";
+    EXPECT_EQ(state.session_count(), 1u);
+    EXPECT_EQ(state.apply(open(9, 1)).error, Error::ResponseDiscarded) << "one that was overtaken ends nothing";
     EXPECT_TRUE(state.session(second));
     SessionId other = state.apply(open(10, 1)).session;  // the same name, started again
     EXPECT_TRUE(state.session(second));
@@ -121,7 +121,7 @@
     ReplicatedState state(bounds, adders);
     SessionId id = state.apply(open(1, 1)).session;
     state.apply(open(2, 1));
-    EXPECT_EQ(state.apply(open(3, 1)).error, Error::TooMany);
+    EXPECT_EQ(state.apply(open(3, 1)).error, Error::TooManySessions);
     state.apply(add(id, 1, "1")), state.apply(add(id, 2, "1"));
     EXPECT_EQ(state.apply(add(id, 3, "1")).error, Error::Busy);
     EXPECT_EQ(state.apply(add(id, 3, "1", 1)).result, "3");
@@ -146,9 +146,9 @@
 TEST(KeeperState, DoesNotPassOverWhatOnlyANewerReleaseKnows) {
     ReplicatedState state({}, adders);
     SessionId id = state.apply(open(9, 1)).session;
-    EXPECT_TRUE(state.apply(add(id, 1, "5", 0, "shards")).fatal);
-    EXPECT_TRUE(state.apply("\xff\xff").fatal);
-    EXPECT_EQ(state.apply("\xff\xff").error, Error::Behind);
+    EXPECT_TRUE(state.apply(add(id, 1, "5", 0, "shards")).is_fatal);
+    EXPECT_TRUE(state.apply("\xff\xff").is_fatal);
+    EXPECT_EQ(state.apply("\xff\xff").error, Error::UnknownEntry);
 }
 
 /// An agreement of one: all that is proposed is applied at once.
@@ -263,7 +263,7 @@
 
 TEST(Replica, CountsWhatMachinesArmAndBeginsAnewWithEachRevision) {
     OneKeeper keeper;
-    auto length = [&] { return static_cast<const Adder*>(keeper.replica.state().machine("adder"))->length; };
+    auto length = [&] { return static_cast<const Adder*>(keeper.replica.state().state_machine("adder"))->length; };
     SessionId id = keeper.opened(at(0));
     keeper.done(at(10), id, 1, "arm 500");
     keeper.go(at(30), TimerFired{});
@@ -288,8 +288,8 @@
     change.mutable_change()->set_member(2);
     for (auto [theirs, ours] :
          {std::pair(raft::Error::Unknown, Error::UnknownMember),
-          std::pair(raft::Error::Changing, Error::Changing), std::pair(raft::Error::Last, Error::LastVoter),
-          std::pair(raft::Error::NotLeader, Error::NotLeader), std::pair(raft::Error::Lost, Error::Uncertain),
+          std::pair(raft::Error::Changing, Error::MembershipChanging), std::pair(raft::Error::Last, Error::LastVoter),
+          std::pair(raft::Error::NotLeader, Error::NotLeader), std::pair(raft::Error::Lost, Error::PossiblyExecuted),
           std::pair(raft::Error::Busy, Error::Busy)}) {
         keeper.raft.refuses = theirs;
         EXPECT_EQ(Error(keeper.ask(at(1), change).error()), ours);
@@ -316,7 +316,7 @@
     wire::Response no;
     ASSERT_TRUE(no.ParseFromString(std::get<SendResponse>(out.at(0)).body));
     EXPECT_EQ(Error(no.error()), Error::NotLeader);
-    for (int e = 0; e <= int(Error::Begun); ++e) EXPECT_TRUE(row(Error(e)).code.starts_with("keeper."));
+    for (int e = 0; e <= int(Error::AlreadyInitialized); ++e) EXPECT_TRUE(row(Error(e)).code.starts_with("keeper."));
 }
 
 TEST(Replica, TakesASnapshotAfterSoManyEntries) {
@@ -358,7 +358,7 @@
     Folder folder;
     EXPECT_EQ(folder.refused(StartMode::Resume), Error::Untrusted);
     EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::None);
-    EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::Begun);
+    EXPECT_EQ(folder.refused(StartMode::NewCluster), Error::AlreadyInitialized);
     EXPECT_EQ(folder.open(StartMode::Resume)->disk().members.size(), 2u);
     std::filesystem::remove(folder.path + "/first");
     EXPECT_EQ(folder.refused(StartMode::Resume), Error::Untrusted) << "a part of it is missing";
@@ -426,7 +426,7 @@
     raft::Write write;
     write.number = 1, write.vote = raft::Vote{1, 1};
     storing.write(write);
-    EXPECT_EQ(why.get_future().get(), ENOSPC);  // what CoordinatorServer tells as Error::Broken
+    EXPECT_EQ(why.get_future().get(), ENOSPC);  // what CoordinatorServer tells as Error::StorageFailed
     storing.write(write);
 }
 
@@ -491,7 +491,7 @@
     one.answer(at(30'000), one.said[1]);  // the renewal's answer had waited
     ASSERT_EQ(one.of<SessionLost>().size(), 1u);
     ASSERT_EQ(one.of<CallCompleted>().size(), 1u);
-    EXPECT_EQ(one.of<CallCompleted>()[0].error, Error::Uncertain);
+    EXPECT_EQ(one.of<CallCompleted>()[0].error, Error::PossiblyExecuted);
     EXPECT_EQ(one.of<SessionRenewed>().size(), 1u);
     EXPECT_TRUE(one.said.back().has_open());
     EXPECT_EQ(one.said.back().open().attempt(), 2u);
