--- a/src/fleet/coordinator/deadline_map.h
+++ b/src/fleet/coordinator/deadline_map.h
@@ -79,6 +79,7 @@
     struct Entry {
         TimePoint at;
         Key key;
+        // NOLINTNEXTLINE(modernize-use-nullptr): false alarm on a defaulted <=>
         friend auto operator<=>(const Entry&, const Entry&) = default;
     };
     std::map<Key, Deadline> by_key_;
--- a/src/fleet/coordinator/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -121,6 +121,7 @@
     struct TimeoutKey {
         std::size_t machine = 0;  // position in ReplicatedState::state_machines
         std::uint64_t key = 0;
+        // NOLINTNEXTLINE(modernize-use-nullptr): false alarm on a defaulted <=>
         friend auto operator<=>(const TimeoutKey&, const TimeoutKey&) = default;
     };
     /// Waits for its entry to be applied, or for its read index.
--- a/src/fleet/coordinator/session_thread.cpp
+++ b/src/fleet/coordinator/session_thread.cpp
@@ -55,6 +55,7 @@
     connect_mesh();
 }
 
+// NOLINTNEXTLINE(bugprone-exception-escape): a callback must not throw; one that does ends the process.
 SessionThread::~SessionThread() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
--- a/src/fleet/coordinator/session_thread.h
+++ b/src/fleet/coordinator/session_thread.h
@@ -40,6 +40,7 @@
     /// `start`.
     SessionThread(SessionThreadSettings settings, Clock clock);
     /// Joins the thread. Does not close the session: call `close` and wait for SessionLost before.
+    // NOLINTNEXTLINE(bugprone-exception-escape): see its definition
     ~SessionThread();
     SessionThread(const SessionThread&) = delete;
     SessionThread& operator=(const SessionThread&) = delete;
