--- a/lab/tests/coordinator_processes_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -1,71 +1,80 @@
-// Three real keepers, relays between them, and a process with a session: what is killed, stopped, cut and
-// emptied. Events are awaited; nothing is asserted on how long they took.
+// Three coordinators as processes, relays between them, and a client with a session, while coordinators are
+// killed, paused, cut off and lose their data. The test waits for events, and asserts nothing on how long
+// they take.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
-#include <atomic>
+#include <chrono>
 #include <condition_variable>
 #include <filesystem>
 #include <mutex>
+#include <string>
+#include <vector>
 
 #include "fleet/leadership/machine.h"
-#include "lab/coordinator/rig.h"
+#include "lab/coordinator/testbed.h"
 
 namespace ochrehub::lab {
 namespace {
 
-/// A process with a session, that wants duties of ever new names: each grant bears the next epoch of one
-/// counter.
+constexpr std::chrono::seconds kWaitTimeout{40};
+
+/// A client that acquires leadership of ever new names. Each grant carries the next epoch of one counter.
 struct Client {
-    std::mutex mutex;
-    std::condition_variable told;
-    std::vector<std::uint64_t> epochs;  // in the order of answers
+    std::mutex mutex;  // guards all but `thread`
+    std::condition_variable changed;
+    std::vector<std::uint64_t> epochs;  // in the order of responses
     std::vector<coordinator::Error> errors;
-    std::size_t asked = 0;
-    coordinator::SessionId first = 0;
+    std::size_t requested = 0;
+    coordinator::SessionId session = 0;
     std::uint64_t sessions = 0;
-    coordinator::SessionThread side;
+    coordinator::SessionThread thread;
 
-    explicit Client(const std::vector<std::string>& keepers) : side(settings(keepers), Clock()) {
-        side.add_listener([this](const coordinator::SessionThread::Notification& what) {
+    explicit Client(const std::vector<std::string>& coordinators) : thread(settings(coordinators), Clock()) {
+        thread.add_listener([this](const coordinator::SessionThread::Notification& notification) {
             std::lock_guard lock(mutex);
-            if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what);
-                held && held->session != first)
-                first = held->session, ++sessions;
-            told.notify_all();
+            const auto* renewed = std::get_if<coordinator::SessionRenewed>(&notification);
+            if (renewed && renewed->session != session) {
+                session = renewed->session;
+                ++sessions;
+            }
+            changed.notify_all();
         });
-        side.start();
+        thread.start();
     }
-    static coordinator::SessionThreadSettings settings(const std::vector<std::string>& keepers) {
-        coordinator::SessionThreadSettings set;
-        set.session.coordinators = keepers, set.session.name = "client", set.cluster = "rig";
-        set.session.lease = Duration{30'000};  // so that a machine that is busy ends nothing
-        set.session.response_timeout = Duration{500};
-        return set;
+    static coordinator::SessionThreadSettings settings(const std::vector<std::string>& coordinators) {
+        coordinator::SessionThreadSettings settings;
+        settings.session.coordinators = coordinators;
+        settings.session.name = "client";
+        settings.session.lease = Duration{30'000};  // long enough for a busy machine
+        settings.session.response_timeout = Duration{500};
+        settings.cluster = "rig";
+        return settings;
     }
-    bool await(auto what) {
+    bool wait_until(auto condition) {
         std::unique_lock lock(mutex);
-        return told.wait_for(lock, std::chrono::seconds(40), what);
+        return changed.wait_for(lock, kWaitTimeout, condition);
     }
-    void want(std::size_t many) {
-        for (std::size_t i = 0; i < many; ++i) {
+    void acquire(std::size_t count) {
+        for (std::size_t i = 0; i < count; ++i) {
             std::string name("d");
-            name += std::to_string(++asked);
-            side.submit("duty", leadership::want(name), [this](coordinator::Error error, std::string bytes) {
-                std::lock_guard lock(mutex);
-                auto answer = leadership::read_answer(bytes);
-                if (error != coordinator::Error::None || !answer || answer->error)
-                    errors.push_back(error);
-                else
-                    epochs.push_back(answer->epoch);
-                told.notify_all();
-            });
+            name += std::to_string(++requested);
+            thread.submit("duty", leadership::want(name),
+                          [this](coordinator::Error error, const std::string& bytes) {
+                              std::lock_guard lock(mutex);
+                              const auto answer = leadership::read_answer(bytes);
+                              if (error != coordinator::Error::None || !answer || answer->error)
+                                  errors.push_back(error);
+                              else
+                                  epochs.push_back(answer->epoch);
+                              changed.notify_all();
+                          });
         }
     }
-    bool await_answers() {
-        return await([this] { return epochs.size() + errors.size() >= asked; });
+    bool wait_for_all_responses() {
+        return wait_until([this] { return epochs.size() + errors.size() >= requested; });
     }
-    std::size_t answered() {
+    std::size_t responses() {
         std::lock_guard lock(mutex);
         return epochs.size() + errors.size();
     }
@@ -74,77 +83,83 @@
 struct Folder {
     std::string path =
         (std::filesystem::temp_directory_path() / ("ochrehub_keepers_" + std::to_string(getpid()))).string();
+    Folder() = default;
     ~Folder() {
         if (!testing::Test::HasFailure()) std::filesystem::remove_all(path);
     }
+    Folder(const Folder&) = delete;
+    Folder& operator=(const Folder&) = delete;
 };
 
-TEST(Keepers, ServeOnceAndInOrderThroughDeathsStopsCutsAndLostFolders) {
+TEST(CoordinatorProcesses, ApplyEachCommandOnceInOrderUnderCrashesPausesCutsAndDataLoss) {
     Folder folder;
-    KeeperRig rig({OCHREHUB_NODE, folder.path});
-    for (std::size_t i = 0; i < 3; ++i) rig.start(i, "--new");
-    Client client(rig.addresses());
-    ASSERT_TRUE(client.await([&] { return client.sessions > 0; }));
-    client.want(100);
-    ASSERT_TRUE(client.await_answers());
+    CoordinatorTestbed testbed({OCHREHUB_NODE, folder.path});
+    for (std::size_t i = 0; i < 3; ++i) testbed.start(i, "--new");
+    Client client(testbed.addresses());
+    ASSERT_TRUE(client.wait_until([&] { return client.sessions > 0; }));
+    client.acquire(100);
+    ASSERT_TRUE(client.wait_for_all_responses());
 
-    // The leader is killed, and comes back.
-    std::size_t leader = rig.await_leader();
+    // The leader is killed and restarted.
+    std::size_t leader = testbed.await_leader();
     ASSERT_LT(leader, 3u);
-    rig.kill(leader);
-    client.want(50);
-    ASSERT_TRUE(client.await_answers());
-    rig.start(leader);
+    testbed.kill(leader);
+    client.acquire(50);
+    ASSERT_TRUE(client.wait_for_all_responses());
+    testbed.start(leader);
 
-    // ... stopped, and let go once another leads.
-    leader = rig.await_leader();
+    // The leader is paused, and resumes once another leads.
+    leader = testbed.await_leader();
     ASSERT_LT(leader, 3u);
-    rig.stop(leader);
-    client.want(50);
-    ASSERT_LT(rig.await_leader(leader), 3u);
-    ASSERT_TRUE(client.await_answers());
-    rig.go_on(leader);
-    client.want(20);
-    ASSERT_TRUE(client.await_answers());
+    testbed.pause(leader);
+    client.acquire(50);
+    ASSERT_LT(testbed.await_leader(leader), 3u);
+    ASSERT_TRUE(client.wait_for_all_responses());
+    testbed.resume(leader);
+    client.acquire(20);
+    ASSERT_TRUE(client.wait_for_all_responses());
 
-    // ... cut one way: it hears, and is not heard.
-    leader = rig.await_leader();
+    // The leader is cut off one way: it receives, and what it sends is lost.
+    leader = testbed.await_leader();
     ASSERT_LT(leader, 3u);
-    rig.mute(leader, true);
-    client.want(50);
-    ASSERT_LT(rig.await_leader(leader), 3u);
-    ASSERT_TRUE(client.await_answers());
-    rig.mute(leader, false);
-    client.want(20);
-    ASSERT_TRUE(client.await_answers());
+    testbed.cut_outgoing(leader, true);
+    client.acquire(50);
+    ASSERT_LT(testbed.await_leader(leader), 3u);
+    ASSERT_TRUE(client.wait_for_all_responses());
+    testbed.cut_outgoing(leader, false);
+    client.acquire(20);
+    ASSERT_TRUE(client.wait_for_all_responses());
 
-    // A majority is killed: nothing is granted until it is back.
-    rig.kill(0), rig.kill(1);
-    std::size_t before = client.cached_outcome();
-    client.want(20);
-    EXPECT_EQ(client.cached_outcome(), before);
-    rig.start(0), rig.start(1);
-    ASSERT_TRUE(client.await_answers());
+    // A majority is killed: nothing is granted until it is restarted.
+    testbed.kill(0);
+    testbed.kill(1);
+    std::size_t before = client.responses();
+    client.acquire(20);
+    EXPECT_EQ(client.responses(), before);
+    testbed.start(0);
+    testbed.start(1);
+    ASSERT_TRUE(client.wait_for_all_responses());
 
-    // ... and one of it comes back without its folder, which is not taken for a new one.
-    rig.kill(0), rig.kill(1);
-    rig.empty_folder(1);
-    rig.start(1);
-    EXPECT_EQ(rig.ended(1), 2);
-    rig.start(0);
-    client.want(20);
-    ASSERT_TRUE(client.await_answers());
-    rig.start(1, "--lost");
-    for (int i = 0; i < 400 && !rig.trusted(1); ++i) usleep(20'000);
-    EXPECT_TRUE(rig.trusted(1));
-    client.want(20);
-    ASSERT_TRUE(client.await_answers());
+    // One of a majority loses its folder: it refuses to start without --lost.
+    testbed.kill(0);
+    testbed.kill(1);
+    testbed.remove_data(1);
+    testbed.start(1);
+    EXPECT_EQ(testbed.wait_for_exit(1), 2);
+    testbed.start(0);
+    client.acquire(20);
+    ASSERT_TRUE(client.wait_for_all_responses());
+    testbed.start(1, "--lost");
+    for (int i = 0; i < 400 && !testbed.is_trusted(1); ++i) usleep(20'000);
+    EXPECT_TRUE(testbed.is_trusted(1));
+    client.acquire(20);
+    ASSERT_TRUE(client.wait_for_all_responses());
 
     std::lock_guard lock(client.mutex);
     EXPECT_TRUE(client.errors.empty());
-    EXPECT_EQ(client.sessions, 1u) << "the session outlives it all";
-    ASSERT_EQ(client.epochs.size(), client.asked);
-    for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(rig.end(i), 0);
+    EXPECT_EQ(client.sessions, 1u) << "no session was lost";
+    ASSERT_EQ(client.epochs.size(), client.requested);
+    for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(testbed.terminate(i), 0);
     for (std::size_t i = 0; i < client.epochs.size(); ++i)
         ASSERT_EQ(client.epochs[i], i + 1) << "each command once, in order";
 }
--- a/lab/tests/coordinator_test.cpp
+++ b/lab/tests/coordinator_test.cpp
@@ -1,81 +1,99 @@
-// Keepers and sessions in virtual time, under all faults, and whether the judge finds what it should.
+// The simulation of coordinators and clients: the invariants hold under all faults, and the invariant checker
+// finds each known-faulty implementation.
 #include <gtest/gtest.h>
 
-#include "lab/coordinator/world.h"
+#include <string>
+
+#include "lab/coordinator/simulation.h"
 
 namespace ochrehub::lab {
 namespace {
 
-TEST(KeeperWorld, KeepsItsPromisesUnderAllFaults) {
-    KeeperVerdict sum;
+TEST(CoordinatorSimulation, KeepsItsInvariantsUnderAllFaults) {
+    CoordinatorSimulationResult sum;
     for (std::uint64_t seed = 1; seed <= 14; ++seed) {
-        KeeperWorldSettings set;
-        set.seed = seed, set.keepers = seed % 4 == 0 ? 5 : 3;
-        KeeperVerdict is = run(set);
-        ASSERT_TRUE(is.wrong.empty()) << "seed " << seed << ": " << is.wrong[0];
-        sum.commands += is.commands, sum.again += is.again, sum.ended += is.ended,
-            sum.armed_over += is.armed_over, sum.leaders += is.leaders;
-        sum.snapshots += is.snapshots, sum.uncertain += is.uncertain;
+        CoordinatorSimulationSettings settings;
+        settings.seed = seed;
+        settings.coordinators = seed % 4 == 0 ? 5 : 3;
+        const CoordinatorSimulationResult result = run(settings);
+        ASSERT_TRUE(result.violations.empty()) << "seed " << seed << ": " << result.violations[0];
+        sum.commands += result.commands;
+        sum.duplicates += result.duplicates;
+        sum.sessions_ended += result.sessions_ended;
+        sum.timeouts_expired += result.timeouts_expired;
+        sum.leaders += result.leaders;
+        sum.snapshots += result.snapshots;
+        sum.possibly_executed += result.possibly_executed;
     }
-    // What was to be judged has happened.
+    // The runs have exercised what the invariants are about.
     EXPECT_GT(sum.commands, 1000u);
-    EXPECT_GT(sum.again, 5u);
-    EXPECT_GT(sum.ended, 50u);
-    EXPECT_GT(sum.armed_over, 50u);
+    EXPECT_GT(sum.duplicates, 5u);
+    EXPECT_GT(sum.sessions_ended, 50u);
+    EXPECT_GT(sum.timeouts_expired, 50u);
     EXPECT_GT(sum.leaders, 60u);
     EXPECT_GT(sum.snapshots, 100u);
-    EXPECT_GT(sum.uncertain, 20u);
+    EXPECT_GT(sum.possibly_executed, 20u);
 }
 
-TEST(KeeperWorld, OutlivesACrashAtAnyEvent) {
-    KeeperWorldSettings set;
-    set.quiet = true, set.lease = Duration{3000}, set.processes = 2, set.faults = Duration{2500},
-    set.settles = Duration{6000}, set.snapshot_entries = 15;
-    KeeperVerdict whole = run(set);
-    ASSERT_TRUE(whole.wrong.empty()) << whole.wrong[0];
+TEST(CoordinatorSimulation, LosesNoSessionInACrashAtAnyEvent) {
+    constexpr std::uint64_t kStride = 83;  // every event: ochrehub_keeper_seeds crash 3
+    CoordinatorSimulationSettings settings;
+    settings.no_random_faults = true;
+    settings.lease = Duration{3000};
+    settings.clients = 2;
+    settings.fault_phase = Duration{2500};
+    settings.settle_phase = Duration{6000};
+    settings.snapshot_entries = 15;
+    const CoordinatorSimulationResult undisturbed = run(settings);
+    ASSERT_TRUE(undisturbed.violations.empty()) << undisturbed.violations[0];
     std::uint64_t crashes = 0;
-    for (std::uint64_t at = 1; at < whole.events; at += 83) {  // each of them: ochrehub_keeper_seeds crash 3
-        set.crash_at = at, set.crash_who = crashes++ % 3;
-        KeeperVerdict is = run(set);
-        ASSERT_TRUE(is.wrong.empty())
-            << "crash of keeper " << set.crash_who + 1 << " at " << at << ": " << is.wrong[0];
-        ASSERT_EQ(is.ended, 0u) << "crash of keeper " << set.crash_who + 1 << " at " << at
-                                << ": one crash is shorter than a lease";
+    for (std::uint64_t event = 1; event < undisturbed.events; event += kStride) {
+        settings.crash_at_event = event;
+        settings.crashed_coordinator = crashes++ % 3;
+        const CoordinatorSimulationResult result = run(settings);
+        const std::string crash = "crash of coordinator " + std::to_string(settings.crashed_coordinator + 1) +
+                                  " at event " + std::to_string(event);
+        ASSERT_TRUE(result.violations.empty()) << crash << ": " << result.violations[0];
+        ASSERT_EQ(result.sessions_ended, 0u) << crash << ": one crash is shorter than a lease";
     }
     EXPECT_GT(crashes, 20u);
 }
 
-struct Planted {
-    KeeperSaboteur saboteur;
-    std::uint64_t first, last;  ///< seeds of which one shows it
-    double answers_late = 0;
+/// A known-faulty implementation, and seeds of which at least one shows its fault.
+struct MutantCase {
+    CoordinatorMutant mutant;
+    std::uint64_t first_seed;
+    std::uint64_t last_seed;
+    double max_response_delay_ms = 0;
 };
-class KeeperSaboteurs : public testing::TestWithParam<Planted> {};
+class CoordinatorMutants : public testing::TestWithParam<MutantCase> {};
 
-TEST_P(KeeperSaboteurs, IsFound) {
-    bool found = false;
-    for (std::uint64_t seed = GetParam().first; seed <= GetParam().last && !found; ++seed) {
-        KeeperWorldSettings set;
-        set.seed = seed, set.saboteur = GetParam().saboteur,
-        set.answers_late = Duration{GetParam().answers_late};
-        found = !run(set).wrong.empty();
+TEST_P(CoordinatorMutants, IsFoundByTheInvariantChecker) {
+    bool is_found = false;
+    for (std::uint64_t seed = GetParam().first_seed; seed <= GetParam().last_seed && !is_found; ++seed) {
+        CoordinatorSimulationSettings settings;
+        settings.seed = seed;
+        settings.mutant = GetParam().mutant;
+        settings.max_response_delay = Duration{GetParam().max_response_delay_ms};
+        is_found = !run(settings).violations.empty();
     }
-    EXPECT_TRUE(found) << name(GetParam().saboteur);
+    EXPECT_TRUE(is_found) << name(GetParam().mutant);
 }
-INSTANTIATE_TEST_SUITE_P(Each, KeeperSaboteurs,
-                         testing::Values(Planted{KeeperSaboteur::LeaseFromAnswer, 1, 40, 190},
-                                         Planted{KeeperSaboteur::PauseUnseen, 1, 20},
-                                         Planted{KeeperSaboteur::NoMargin, 1, 60},
-                                         Planted{KeeperSaboteur::OldDeadlines, 1, 10},
-                                         Planted{KeeperSaboteur::FastLeader, 1, 4},
-                                         Planted{KeeperSaboteur::TwiceApplied, 1, 10},
-                                         Planted{KeeperSaboteur::ForgetsSessions, 1, 10},
-                                         Planted{KeeperSaboteur::ForgetsNumbers, 1, 10},
-                                         Planted{KeeperSaboteur::ForgetsMachines, 1, 10},
-                                         Planted{KeeperSaboteur::WrittenTooSoon, 15, 80},
-                                         Planted{KeeperSaboteur::ReadUnconfirmed, 134, 260}),
+
+INSTANTIATE_TEST_SUITE_P(Each, CoordinatorMutants,
+                         testing::Values(MutantCase{CoordinatorMutant::LeaseFromResponse, 1, 40, 190},
+                                         MutantCase{CoordinatorMutant::PauseUnnoticed, 1, 20},
+                                         MutantCase{CoordinatorMutant::NoMargin, 1, 60},
+                                         MutantCase{CoordinatorMutant::OldDeadlines, 1, 10},
+                                         MutantCase{CoordinatorMutant::FastLeader, 1, 4},
+                                         MutantCase{CoordinatorMutant::AppliedTwice, 1, 10},
+                                         MutantCase{CoordinatorMutant::SnapshotNoSessions, 1, 10},
+                                         MutantCase{CoordinatorMutant::SnapshotNoSequences, 1, 10},
+                                         MutantCase{CoordinatorMutant::SnapshotNoMachines, 1, 10},
+                                         MutantCase{CoordinatorMutant::WriteReportedEarly, 15, 80},
+                                         MutantCase{CoordinatorMutant::ReadUnconfirmed, 134, 260}),
                          [](const auto& one) {
-                             std::string text = name(one.param.saboteur);
+                             std::string text = name(one.param.mutant);
                              std::erase(text, '-');
                              return text;
                          });
