--- a/lab/coordinator/measure.cpp
+++ b/lab/coordinator/measure.cpp
@@ -16,7 +16,7 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/coordinator/rig.h"
 
 using namespace ochrehub;
@@ -72,7 +72,7 @@
         if (ends) return;
         std::string duty_name = name;
         duty_name.append(".").append(std::to_string(i));
-        side.submit("duty", want ? leadership::want(duty_name) : leadership::unwant(duty_name),
+        side.submit("duty", want ? leadership::add_candidacy_command(duty_name) : leadership::withdraw_candidacy_command(duty_name),
                     [this, i, want](coordinator::Error error, std::string) {
                         if (error != coordinator::Error::None) {
                             ++errors;  // a session anew begins anew
--- a/lab/leadership/keepers.h
+++ b/lab/leadership/keepers.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "fleet/coordinator/machine.h"
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/leadership/message.h"
 #include "lab/swarm/net.h"
 
--- a/lab/leadership/list_world.cpp
+++ b/lab/leadership/list_world.cpp
@@ -4,13 +4,13 @@
 
 #include <algorithm>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/leadership/replicas.h"
 
 namespace ochrehub::lab::leadership {
 
 namespace core = ochrehub::leadership;
-namespace list = ochrehub::leadership::list;
+namespace list = ochrehub::leadership::endpoint_list;
 
 std::string_view name(ListSaboteur saboteur) {
     constexpr std::string_view kNames[kListSaboteurs] = {"none",
@@ -26,8 +26,8 @@
 
 Keepers::Machines machines() {
     Keepers::Machines all;
-    all.push_back(std::make_unique<core::Duties>());
-    all.push_back(std::make_unique<list::Machine>());
+    all.push_back(std::make_unique<core::LeaseStateMachine>());
+    all.push_back(std::make_unique<list::StateMachine>());
     return all;
 }
 
--- a/lab/leadership/list_world.h
+++ b/lab/leadership/list_world.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <vector>
 
-#include "fleet/leadership/list_follower.h"
-#include "fleet/leadership/list_owner.h"
-#include "fleet/leadership/owner.h"
+#include "fleet/leadership/endpoint_list_follower.h"
+#include "fleet/leadership/endpoint_list_publisher.h"
+#include "fleet/leadership/lease_holder.h"
 #include "lab/leadership/keepers.h"
 #include "lab/leadership/process.h"
 
--- a/lab/leadership/trial.cpp
+++ b/lab/leadership/trial.cpp
@@ -125,7 +125,7 @@
         auto who = world.working();
         if (!who) continue;
         if (change == Change::Move) {
-            world.keepers().operate("duty", ochrehub::leadership::move_away("duty0"));
+            world.keepers().operate("duty", ochrehub::leadership::transfer_lease_command("duty0"));
         } else {
             Blow blow = change == Change::Kill   ? Blow::Kill
                         : change == Change::Stop ? Blow::Stop
--- a/lab/leadership/world.cpp
+++ b/lab/leadership/world.cpp
@@ -36,13 +36,15 @@
 namespace {
 
 /// A machine that names the next owner before the old one is at rest.
-class Hasty : public core::Duties {
+class Hasty : public core::LeaseStateMachine {
 public:
     std::string apply(const coordinator::Command& command) override {
-        std::string answer = Duties::apply(command);
+        std::string answer = LeaseStateMachine::apply(command);
         if (command.session == 0)
             for (auto [duty, state] : std::map(duties().begin(), duties().end()))
-                if (state.give_back) Duties::apply({state.owner, core::give_up(duty, state.epoch, true)});
+                if (state.give_back)
+                    LeaseStateMachine::apply(
+                        {state.owner, core::release_lease_command(duty, state.epoch, true)});
         return answer;
     }
 };
@@ -52,7 +54,7 @@
     if (saboteur == Saboteur::GrantsBeforeRest)
         all.push_back(std::make_unique<Hasty>());
     else
-        all.push_back(std::make_unique<core::Duties>());
+        all.push_back(std::make_unique<core::LeaseStateMachine>());
     return all;
 }
 
@@ -408,9 +410,9 @@
             jobs_.push_back("duty" + std::to_string(i));
             continue;
         }
-        keepers_->operate("duty", core::open_job("job", 0));
+        keepers_->operate("duty", core::create_job_command("job", 0));
         while (keepers_->answers().empty()) net_.run_to(net_.now() + Duration{10});
-        jobs_.push_back(core::read_answer(keepers_->answers().back())->name);
+        jobs_.push_back(core::decode_command_response(keepers_->answers().back())->name);
         keepers_->answers().clear();
     }
     for (std::size_t i = set_.keepers; i < net_.size(); ++i) restart(i);
@@ -500,7 +502,7 @@
         heal_due();
         if (set_.move_at && !moved_ && net_.now() >= begun_ + *set_.move_at) {
             moved_ = true;
-            keepers_->operate("duty", core::move_away(jobs_.front()));
+            keepers_->operate("duty", core::transfer_lease_command(jobs_.front()));
         }
     }
 }
@@ -508,7 +510,7 @@
 bool World::all_over() {
     const auto* machine = keepers_->look("duty");
     if (!machine) return false;
-    const auto& duties = static_cast<const core::Duties*>(machine)->duties();
+    const auto& duties = static_cast<const core::LeaseStateMachine*>(machine)->duties();
     return std::none_of(jobs_.begin(), jobs_.end(),
                         [&](const std::string& job) { return duties.contains(job); });
 }
--- a/lab/leadership/world.h
+++ b/lab/leadership/world.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <set>
 
-#include "fleet/leadership/owner.h"
+#include "fleet/leadership/lease_holder.h"
 #include "lab/leadership/keepers.h"
 #include "lab/leadership/process.h"
 #include "lab/leadership/record.h"
--- a/lab/tests/coordinator_processes_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <mutex>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/coordinator/rig.h"
 
 namespace ochrehub::lab {
@@ -50,9 +50,9 @@
         for (std::size_t i = 0; i < many; ++i) {
             std::string name("d");
             name += std::to_string(++asked);
-            side.submit("duty", leadership::want(name), [this](coordinator::Error error, std::string bytes) {
+            side.submit("duty", leadership::add_candidacy_command(name), [this](coordinator::Error error, std::string bytes) {
                 std::lock_guard lock(mutex);
-                auto answer = leadership::read_answer(bytes);
+                auto answer = leadership::decode_command_response(bytes);
                 if (error != coordinator::Error::None || !answer || answer->error)
                     errors.push_back(error);
                 else
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -1,8 +1,8 @@
 #include "app/machines.h"
 
 #include "fleet/config_distribution/machine.h"
-#include "fleet/leadership/list.h"
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/endpoint_list.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "fleet/quota/machine.h"
 #include "fleet/schema_migration/machine.h"
 #include "fleet/shards/views.h"
@@ -12,9 +12,9 @@
 // Their order is the same at every keeper; a new one goes to the end.
 coordinator::Machines machines() {
     coordinator::Machines all;
-    all.push_back(std::make_unique<leadership::Duties>());
+    all.push_back(std::make_unique<leadership::LeaseStateMachine>());
     all.push_back(std::make_unique<shards::Views>(shards::Views::Settings{}));
-    all.push_back(std::make_unique<leadership::list::Machine>());
+    all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
     all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
     all.push_back(std::make_unique<config_distribution::Agreement>());
     all.push_back(std::make_unique<quota::Quotas>());
--- a/src/fleet/leadership/list.cpp
+++ b/src/fleet/leadership/endpoint_list.cpp
@@ -1,10 +1,10 @@
-#include "fleet/leadership/list.h"
+#include "fleet/leadership/endpoint_list.h"
 
 #include <list.pb.h>
 
 #include "ochrehub/hash.h"
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 namespace wire = ochrehub::list::wire;
 
@@ -104,7 +104,7 @@
     return read(in);
 }
 
-std::string Machine::apply(const coordinator::Command& command) {
+std::string StateMachine::apply(const coordinator::Command& command) {
     wire::Command in;
     std::optional<Error> error;
     if (!parse(in, command.body) || (!in.has_open() && !in.has_report())) {
@@ -128,8 +128,8 @@
     return out.SerializeAsString();
 }
 
-std::optional<Error> Machine::take(Epoch epoch, std::uint64_t version, std::uint64_t round,
-                                   const Listing& listing) {
+std::optional<Error> StateMachine::take(Epoch epoch, std::uint64_t version, std::uint64_t round,
+                                        const Listing& listing) {
     if (epoch < epoch_) return Error::Stale;
     if (epoch > epoch_) return Error::NotOpen;
     if (round != round_) return Error::Round;
@@ -163,7 +163,7 @@
     return std::nullopt;
 }
 
-std::string Machine::read(std::string_view) const {
+std::string StateMachine::read(std::string_view) const {
     wire::Whole out;
     out.set_version(version_), out.set_digest(digest_), out.set_revision(revision_);
     for (const auto& [id, body] : entries_) {
@@ -173,7 +173,7 @@
     return out.SerializeAsString();
 }
 
-std::string Machine::news(coordinator::SessionId) const {
+std::string StateMachine::news(coordinator::SessionId) const {
     wire::News out;
     out.set_version(version_), out.set_digest(digest_), out.set_round(round_), out.set_confirmed(confirmed_);
     std::size_t octets = 0, first = kept_.size();
@@ -189,7 +189,7 @@
     return out.SerializeAsString();
 }
 
-std::string Machine::snapshot() const {
+std::string StateMachine::snapshot() const {
     wire::Snapshot out;
     out.set_epoch(epoch_), out.set_round(round_), out.set_confirmed(confirmed_);
     out.mutable_list()->ParseFromString(read({}));
@@ -201,17 +201,17 @@
     return out.SerializeAsString();
 }
 
-bool Machine::restore(std::uint32_t schema, std::string_view bytes) {
+bool StateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::Snapshot in;
     if (schema != kSchema || !parse(in, bytes) || in.round() <= in.confirmed()) return false;
-    std::optional<Whole> whole = list::read(in.list());
+    std::optional<Whole> whole = endpoint_list::read(in.list());
     if (!whole) return false;
     epoch_ = in.epoch(), round_ = in.round(), confirmed_ = in.confirmed();
     version_ = whole->version, revision_ = whole->revision, digest_ = whole->digest;
     entries_ = std::move(whole->entries);
     kept_.clear();
-    for (const wire::Kept& one : in.kept()) kept_.push_back({one.round(), list::read(one.change())});
+    for (const wire::Kept& one : in.kept()) kept_.push_back({one.round(), endpoint_list::read(one.change())});
     return true;
 }
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/list.h
+++ b/src/fleet/leadership/endpoint_list.h
@@ -18,7 +18,7 @@
 #include "fleet/coordinator/machine.h"
 #include "fleet/error/error.h"
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 using coordinator::Epoch;
 
@@ -81,9 +81,9 @@
 };
 std::optional<Whole> read_whole(std::string_view bytes);
 
-class Machine : public coordinator::Machine {
+class StateMachine : public coordinator::Machine {
 public:
-    explicit Machine(const Limits& limits = {}) : limits_(limits) {}
+    explicit StateMachine(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "list"; }
     std::uint32_t schema() const override { return kSchema; }
@@ -115,4 +115,4 @@
     std::deque<Kept> kept_;
 };
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/list_follower.cpp
+++ b/src/fleet/leadership/endpoint_list_follower.cpp
@@ -1,8 +1,8 @@
-#include "fleet/leadership/list_follower.h"
+#include "fleet/leadership/endpoint_list_follower.h"
 
 #include <algorithm>
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 void Follower::handle(TimePoint now, const FollowerEvent& event, FollowerActions& actions) {
     if (auto* news = std::get_if<Heard>(&event)) {
@@ -72,4 +72,4 @@
     actions.push_back(UseWhole{entries_});
 }
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/list_follower.h
+++ b/src/fleet/leadership/endpoint_list_follower.h
@@ -11,9 +11,9 @@
 
 #include <variant>
 
-#include "fleet/leadership/list.h"
+#include "fleet/leadership/endpoint_list.h"
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 struct FollowerSettings {
     Duration silence{6000};
@@ -22,11 +22,11 @@
 };
 
 // ---- What happens
-struct Heard {  ///< Machine::news, and when the renewal that it answers was asked for
+struct Heard {  ///< StateMachine::news, and when the renewal that it answers was asked for
     TimePoint asked{};
     std::string news;
 };
-struct HeardWhole {  ///< Machine::read
+struct HeardWhole {  ///< StateMachine::read
     std::string whole;
 };
 struct OwnTold {
@@ -42,7 +42,7 @@
     Entries put;
     std::vector<std::string> gone;
 };
-struct Fetch {};    ///< Machine::read, at the keepers
+struct Fetch {};    ///< StateMachine::read, at the keepers
 struct AskSelf {};  ///< a watch of the node's own, until LetBe
 struct LetBe {};    ///< none after the one that is out, whose answer still counts
 struct FollowerWakeAt {
@@ -78,4 +78,4 @@
         rounds_;  // when a renewal was asked for that told this round as open
 };
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/list_owner.cpp
+++ b/src/fleet/leadership/endpoint_list_publisher.cpp
@@ -1,9 +1,9 @@
-#include "fleet/leadership/list_owner.h"
+#include "fleet/leadership/endpoint_list_publisher.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 void Owner::handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions) {
     if (auto* began = std::get_if<Began>(&event)) {
@@ -90,4 +90,4 @@
     ask(now, actions);
 }
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/list_owner.h
+++ b/src/fleet/leadership/endpoint_list_publisher.h
@@ -6,9 +6,9 @@
 
 #include <variant>
 
-#include "fleet/leadership/list.h"
+#include "fleet/leadership/endpoint_list.h"
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 
 struct OwnerSettings {
     Duration wait{2000};  ///< what a watch asks for: so often nodes hear that the list still stands
@@ -86,4 +86,4 @@
     TimePoint due_{}, heard_{};  ///< of what is out; when discovery last answered
 };
 
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/owner.cpp
+++ b/src/fleet/leadership/lease_holder.cpp
@@ -1,4 +1,4 @@
-#include "fleet/leadership/owner.h"
+#include "fleet/leadership/lease_holder.h"
 
 #include <algorithm>
 #include <utility>
@@ -111,16 +111,16 @@
 
 void Owner::heard(TimePoint now, const Heard& event, OwnerActions& actions) {
     if (event.session != session_ || !lease(now)) return;
-    std::optional<News> news = read_news(event.news);
+    std::optional<SessionUpdate> news = decode_session_update(event.news);
     if (!news || news->revision < revision_) return;
     revision_ = news->revision;
     for (auto it = works_.begin(); it != works_.end(); ++it) {
-        bool mine = std::any_of(news->owned.begin(), news->owned.end(), [&](const Owned& one) {
+        bool mine = std::any_of(news->owned.begin(), news->owned.end(), [&](const HeldLease& one) {
             return one.name == it->first && one.epoch == it->second.epoch;
         });
         if (!mine) stop(it, Why::Taken, actions);
     }
-    for (const Owned& one : news->owned) {
+    for (const HeldLease& one : news->owned) {
         auto given = given_up_.find(one.name);
         if (given != given_up_.end() && given->second >= one.epoch) continue;
         auto it = works_.find(one.name);
@@ -138,7 +138,12 @@
                 actions.push_back(Begin{one.name, one.epoch});
         } else {  // nothing of it ever ran here, or it has come to rest
             given_up_[one.name] = one.epoch;
-            say(now, {give_up(one.name, one.epoch, wished), one.name, Waiting::Kind::GiveUp, one.epoch, {}},
+            say(now,
+                {release_lease_command(one.name, one.epoch, wished),
+                 one.name,
+                 Waiting::Kind::GiveUp,
+                 one.epoch,
+                 {}},
                 actions);
         }
     }
@@ -152,7 +157,12 @@
     bool wished = wishes_.contains(event.name);
     if (session_ == 0 || (!work.give_up && wished)) return;
     given_up_[event.name] = work.epoch;
-    say(now, {give_up(event.name, work.epoch, wished), event.name, Waiting::Kind::GiveUp, work.epoch, {}},
+    say(now,
+        {release_lease_command(event.name, work.epoch, wished),
+         event.name,
+         Waiting::Kind::GiveUp,
+         work.epoch,
+         {}},
         actions);
 }
 
@@ -162,7 +172,8 @@
     auto it = works_.find(event.name);
     if (it == works_.end() || it->second.epoch != event.epoch || it->second.stopping || session_ == 0) return;
     if (std::exchange(it->second.ended, true)) return;
-    say(now, {end_job(event.name, event.epoch), event.name, Waiting::Kind::End, event.epoch, {}}, actions);
+    say(now, {complete_job_command(event.name, event.epoch), event.name, Waiting::Kind::End, event.epoch, {}},
+        actions);
 }
 
 void Owner::told(TimePoint now, const Told& event, OwnerActions& actions) {
@@ -172,7 +183,7 @@
         return;
     works_.erase(it);
     given_up_[event.name] = event.epoch;
-    say(now, {over_for_good(event.name, event.epoch), event.name, Waiting::Kind::Over, event.epoch, {}},
+    say(now, {remove_job_command(event.name, event.epoch), event.name, Waiting::Kind::Over, event.epoch, {}},
         actions);
 }
 
@@ -186,7 +197,7 @@
         it->second.give_up = session_ != 0;
         stop(it, Why::Unwanted, actions);
     } else if (session_ != 0) {
-        say(now, {leadership::unwant(own), own, Waiting::Kind::Unwant, 0, {}}, actions);
+        say(now, {leadership::withdraw_candidacy_command(own), own, Waiting::Kind::Unwant, 0, {}}, actions);
     }
 }
 
@@ -194,7 +205,8 @@
     if (!lease(now)) return;
     for (auto& [duty, mine] : wishes_)
         if (!std::exchange(mine.told, true))
-            say(now, {leadership::want(duty, mine.weight), duty, Waiting::Kind::Want, 0, {}}, actions);
+            say(now, {leadership::add_candidacy_command(duty, mine.weight), duty, Waiting::Kind::Want, 0, {}},
+                actions);
 }
 
 void Owner::say(TimePoint now, Waiting waiting, OwnerActions& actions) {
@@ -205,7 +217,7 @@
 
 void Owner::answered(TimePoint now, const Answered& event, OwnerActions& actions) {
     auto asked = waiting_.find(event.number);
-    std::optional<Answer> answer = read_answer(event.answer);
+    std::optional<CommandResponse> answer = decode_command_response(event.answer);
     if (asked == waiting_.end() || !answer) return;
     Waiting waiting = std::move(asked->second);
     waiting_.erase(asked);
--- a/src/fleet/leadership/owner.h
+++ b/src/fleet/leadership/lease_holder.h
@@ -15,7 +15,7 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 
 namespace ochrehub::leadership {
 
@@ -41,7 +41,7 @@
     TimePoint until{};
 };
 struct SessionLost {};
-struct Heard {  ///< what Duties::news said to this session; it may be late, doubled, out of order
+struct Heard {  ///< what LeaseStateMachine::news said to this session; it may be late, doubled, out of order
     SessionId session = 0;
     std::string news;
 };
--- a/src/fleet/leadership/machine.cpp
+++ b/src/fleet/leadership/lease_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 
 #include <leadership.pb.h>
 
@@ -21,58 +21,58 @@
 
 }  // namespace
 
-std::string want(std::string_view name, std::uint32_t weight) {
+std::string add_candidacy_command(std::string_view name, std::uint32_t weight) {
     wire::Command command;
     command.mutable_want()->set_name(std::string(name));
     command.mutable_want()->set_weight(weight);
     return octets(command);
 }
-std::string open_job(std::string_view kind, std::uint64_t token) {
+std::string create_job_command(std::string_view kind, std::uint64_t token) {
     wire::Command command;
     command.mutable_open()->set_kind(std::string(kind));
     command.mutable_open()->set_token(token);
     return octets(command);
 }
-std::string unwant(std::string_view name) {
+std::string withdraw_candidacy_command(std::string_view name) {
     wire::Command command;
     command.mutable_unwant()->set_name(std::string(name));
     return octets(command);
 }
-std::string give_up(std::string_view name, Epoch epoch, bool keep_want) {
+std::string release_lease_command(std::string_view name, Epoch epoch, bool keep_want) {
     wire::Command command;
     auto& said = *command.mutable_give_up();
     said.set_name(std::string(name)), said.set_epoch(epoch), said.set_keep_want(keep_want);
     return octets(command);
 }
-std::string end_job(std::string_view name, Epoch epoch) {
+std::string complete_job_command(std::string_view name, Epoch epoch) {
     wire::Command command;
     command.mutable_end()->set_name(std::string(name));
     command.mutable_end()->set_epoch(epoch);
     return octets(command);
 }
-std::string over_for_good(std::string_view name, Epoch epoch) {
+std::string remove_job_command(std::string_view name, Epoch epoch) {
     wire::Command command;
     command.mutable_over()->set_name(std::string(name));
     command.mutable_over()->set_epoch(epoch);
     return octets(command);
 }
-std::string move_away(std::string_view name) {
+std::string transfer_lease_command(std::string_view name) {
     wire::Command command;
     command.mutable_move()->set_name(std::string(name));
     return octets(command);
 }
 
-std::optional<Answer> read_answer(std::string_view bytes) {
+std::optional<CommandResponse> decode_command_response(std::string_view bytes) {
     wire::Answer in;
     if (!parse(in, bytes) || in.error() > kErrors) return std::nullopt;
-    Answer answer{std::nullopt, in.name(), in.epoch()};
+    CommandResponse answer{std::nullopt, in.name(), in.epoch()};
     if (in.error() > 0) answer.error = Error(in.error() - 1);
     return answer;
 }
-std::optional<News> read_news(std::string_view bytes) {
+std::optional<SessionUpdate> decode_session_update(std::string_view bytes) {
     wire::News in;
     if (!parse(in, bytes)) return std::nullopt;
-    News news{in.revision(), {}};
+    SessionUpdate news{in.revision(), {}};
     for (const wire::Owned& one : in.owned()) {
         if (one.epoch() == 0 || one.name().empty()) return std::nullopt;
         news.owned.push_back({one.name(), one.epoch(), one.give_back(), one.ended()});
@@ -82,8 +82,8 @@
 
 // ---- Commands
 
-std::string Duties::apply(const coordinator::Command& command) {
-    Answer answer = decide(command);
+std::string LeaseStateMachine::apply(const coordinator::Command& command) {
+    CommandResponse answer = decide(command);
     wire::Answer out;
     out.set_error(answer.error ? 1 + std::uint32_t(*answer.error) : 0);
     out.set_name(answer.name);
@@ -91,14 +91,14 @@
     return out.SerializeAsString();
 }
 
-bool Duties::named(std::string_view name, bool job) const {
+bool LeaseStateMachine::named(std::string_view name, bool job) const {
     if (name.empty() || name.size() > limits_.name) return false;
     return std::all_of(name.begin(), name.end(), [job](char c) {
         return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.' || (job && c == '/');
     });
 }
 
-Answer Duties::decide(const coordinator::Command& command) {
+CommandResponse LeaseStateMachine::decide(const coordinator::Command& command) {
     wire::Command in;
     if (command.body.size() > 4096 || !parse(in, command.body)) return {Error::Malformed, {}, 0};
     if (command.session != 0 && !sessions_.contains(command.session)) return {Error::Session, {}, 0};
@@ -115,7 +115,7 @@
     auto it = duties_.find(*name);
     if (it == duties_.end()) return {is_job(*name) ? Error::Over : Error::Unknown, *name, 0};
     Duty& duty = it->second;
-    Answer answer{std::nullopt, *name, duty.epoch};
+    CommandResponse answer{std::nullopt, *name, duty.epoch};
 
     if (in.has_move()) {
         if (duty.owner != 0 && !duty.give_back) ask_back(duty);
@@ -167,7 +167,8 @@
     return answer;
 }
 
-Answer Duties::decide_want(SessionId session, std::string_view name, std::uint32_t weight) {
+CommandResponse LeaseStateMachine::decide_want(SessionId session, std::string_view name,
+                                               std::uint32_t weight) {
     if (session == 0) return {Error::Session, std::string(name), 0};
     if (!named(name, true)) return {Error::Name, std::string(name), 0};
     if (weight == 0 || weight > kWeightMost) return {Error::Weight, std::string(name), 0};
@@ -193,7 +194,8 @@
     return {std::nullopt, std::string(name), duty.epoch};
 }
 
-Answer Duties::decide_open(SessionId session, std::string_view kind, std::uint64_t token) {
+CommandResponse LeaseStateMachine::decide_open(SessionId session, std::string_view kind,
+                                               std::uint64_t token) {
     auto asks = sessions_.find(session);
     if (asks != sessions_.end() && token != 0 && asks->second.token == token)
         return {std::nullopt, asks->second.opened, 0};
@@ -208,7 +210,7 @@
 
 // ---- Owners
 
-void Duties::take_from_owner(std::string_view name, Duty& duty) {
+void LeaseStateMachine::take_from_owner(std::string_view name, Duty& duty) {
     auto had = sessions_.find(duty.owner);
     if (had != sessions_.end()) {
         auto owned = had->second.owned.find(name);
@@ -219,13 +221,13 @@
     duty.give_back = false;
 }
 
-void Duties::ask_back(Duty& duty) {
+void LeaseStateMachine::ask_back(Duty& duty) {
     duty.give_back = true;
     ++sessions_.at(duty.owner).giving;
     ++revision_;
 }
 
-void Duties::grant(std::string_view name, Duty& duty) {
+void LeaseStateMachine::grant(std::string_view name, Duty& duty) {
     SessionId best = 0;
     std::uint64_t best_would = 0, best_weight = 1;
     for (auto [session, weight] : duty.wanted) {  // by session: the older one first
@@ -241,7 +243,7 @@
     sessions_.at(best).owned.emplace(name);
 }
 
-bool Duties::worth_moving(const Duty& duty, SessionId other, std::uint32_t weight) const {
+bool LeaseStateMachine::worth_moving(const Duty& duty, SessionId other, std::uint32_t weight) const {
     auto mine = duty.wanted.find(duty.owner);
     auto owner = sessions_.find(duty.owner), known = sessions_.find(other);
     if (mine == duty.wanted.end() || owner == sessions_.end() || known == sessions_.end()) return false;
@@ -252,7 +254,7 @@
     return would * mine->second <= least * weight;
 }
 
-void Duties::balance() {
+void LeaseStateMachine::balance() {
     for (auto& [name, duty] : duties_)
         for (auto [other, weight] : duty.wanted)
             if (worth_moving(duty, other, weight)) {
@@ -262,14 +264,14 @@
 }
 
 // Who has one less: may it have another's?
-void Duties::offer(SessionId freed) {
+void LeaseStateMachine::offer(SessionId freed) {
     for (auto& [name, duty] : duties_) {
         auto wants = duty.wanted.find(freed);
         if (wants != duty.wanted.end() && worth_moving(duty, freed, wants->second)) return ask_back(duty);
     }
 }
 // Who has one more: may another have one of its?
-void Duties::relieve(SessionId owner) {
+void LeaseStateMachine::relieve(SessionId owner) {
     auto known = sessions_.find(owner);
     if (known == sessions_.end()) return;
     for (const std::string& name : known->second.owned) {
@@ -280,16 +282,16 @@
 }
 
 // Epochs are not a duty's own, so nothing is lost with one that nobody wants. A job stays until it is over.
-Duties::Table::iterator Duties::drop_if_idle(Table::iterator it) {
+LeaseStateMachine::Table::iterator LeaseStateMachine::drop_if_idle(Table::iterator it) {
     if (it->second.owner == 0 && it->second.wanted.empty() && !is_job(it->first)) return duties_.erase(it);
     return std::next(it);
 }
 
-void Duties::session_began(SessionId session, std::string_view, std::string_view) {
+void LeaseStateMachine::session_began(SessionId session, std::string_view, std::string_view) {
     sessions_.try_emplace(session);
 }
 
-void Duties::session_over(SessionId session) {
+void LeaseStateMachine::session_over(SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto it = duties_.begin(); it != duties_.end();) {
@@ -304,7 +306,7 @@
     balance();
 }
 
-std::string Duties::news(SessionId session) const {
+std::string LeaseStateMachine::news(SessionId session) const {
     wire::News news;
     news.set_revision(revision_);
     auto known = sessions_.find(session);
@@ -320,7 +322,7 @@
 
 // ---- Snapshots
 
-std::string Duties::snapshot() const {
+std::string LeaseStateMachine::snapshot() const {
     wire::Snapshot out;
     out.set_revision(revision_), out.set_epochs(epochs_), out.set_jobs(jobs_);
     for (const auto& [id, session] : sessions_) {
@@ -339,7 +341,7 @@
     return out.SerializeAsString();
 }
 
-bool Duties::restore(std::uint32_t schema, std::string_view bytes) {
+bool LeaseStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::Snapshot in;
     if (schema != kSchema || !parse(in, bytes)) return false;
     std::map<SessionId, Session> sessions;
--- a/src/fleet/leadership/machine.h
+++ b/src/fleet/leadership/lease_state_machine.h
@@ -37,38 +37,38 @@
     std::size_t name = 64;            ///< octets, the fence's too
 };
 
-// Commands as octets. Answers and news are read by `read_answer` and `read_news`.
-std::string want(std::string_view name, std::uint32_t weight = 1);
-std::string open_job(std::string_view kind, std::uint64_t token);
-std::string unwant(std::string_view name);
-std::string give_up(std::string_view name, Epoch epoch, bool keep_want = false);
-std::string end_job(std::string_view name, Epoch epoch);
-std::string over_for_good(std::string_view name, Epoch epoch);
-std::string move_away(std::string_view name);
+// Commands as octets. Answers and news are read by `decode_command_response` and `decode_session_update`.
+std::string add_candidacy_command(std::string_view name, std::uint32_t weight = 1);
+std::string create_job_command(std::string_view kind, std::uint64_t token);
+std::string withdraw_candidacy_command(std::string_view name);
+std::string release_lease_command(std::string_view name, Epoch epoch, bool keep_want = false);
+std::string complete_job_command(std::string_view name, Epoch epoch);
+std::string remove_job_command(std::string_view name, Epoch epoch);
+std::string transfer_lease_command(std::string_view name);
 
-struct Answer {
+struct CommandResponse {
     std::optional<Error> error;
     std::string name;  ///< Open: the job's
     Epoch epoch = 0;   ///< that stands, where the duty is there
 };
-std::optional<Answer> read_answer(std::string_view bytes);
+std::optional<CommandResponse> decode_command_response(std::string_view bytes);
 
-struct Owned {
+struct HeldLease {
     std::string name;
     Epoch epoch = 0;
     bool give_back = false;
     bool ended = false;  ///< a job: nothing of it is to be done, but receivers may not know yet
-    friend bool operator==(const Owned&, const Owned&) = default;
+    friend bool operator==(const HeldLease&, const HeldLease&) = default;
 };
-struct News {
-    std::uint64_t revision = 0;  ///< of the machine: older news is none
-    std::vector<Owned> owned;    ///< all of it, by name
+struct SessionUpdate {
+    std::uint64_t revision = 0;    ///< of the machine: older news is none
+    std::vector<HeldLease> owned;  ///< all of it, by name
 };
-std::optional<News> read_news(std::string_view bytes);
+std::optional<SessionUpdate> decode_session_update(std::string_view bytes);
 
-class Duties : public coordinator::Machine {
+class LeaseStateMachine : public coordinator::Machine {
 public:
-    explicit Duties(const Limits& limits = {}) : limits_(limits) {}
+    explicit LeaseStateMachine(const Limits& limits = {}) : limits_(limits) {}
 
     std::string_view kind() const override { return "duty"; }
     std::uint32_t schema() const override { return kSchema; }
@@ -101,9 +101,9 @@
         std::uint64_t token = 0;  ///< of its last Open, and the job's name
         std::string opened;
     };
-    Answer decide(const coordinator::Command& command);
-    Answer decide_want(SessionId session, std::string_view name, std::uint32_t weight);
-    Answer decide_open(SessionId session, std::string_view kind, std::uint64_t token);
+    CommandResponse decide(const coordinator::Command& command);
+    CommandResponse decide_want(SessionId session, std::string_view name, std::uint32_t weight);
+    CommandResponse decide_open(SessionId session, std::string_view kind, std::uint64_t token);
     void grant(std::string_view name, Duty& duty);
     void take_from_owner(std::string_view name, Duty& duty);
     void ask_back(Duty& duty);
--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -15,8 +15,8 @@
 #include "fleet/config_distribution/error.h"
 #include "fleet/coordinator/error.h"
 #include "fleet/error/rows.h"
+#include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/error.h"
-#include "fleet/leadership/list.h"
 #include "fleet/quota/budget.h"
 #include "fleet/raft/raft.h"
 #include "fleet/schema/schema.h"
@@ -40,11 +40,16 @@
 }
 /// A room that has errors is a line here.
 const std::vector<Room> kRooms{
-    room<channel::Error>("channel"), room<schema::Error>("schema"),
-    room<raft::Error>("raft"),       room<coordinator::Error>("keeper"),
-    room<leadership::Error>("duty"), room<leadership::list::Error>("list", "duty"),
-    room<shards::Error>("shards"),   room<config_distribution::Error>("agreement"),
-    room<quota::Error>("quota"),     room<schema_migration::Error>("migration"),
+    room<channel::Error>("channel"),
+    room<schema::Error>("schema"),
+    room<raft::Error>("raft"),
+    room<coordinator::Error>("keeper", "coordinator"),
+    room<leadership::Error>("duty", "leadership"),
+    room<leadership::endpoint_list::Error>("list", "leadership"),
+    room<shards::Error>("shards"),
+    room<config_distribution::Error>("agreement", "config_distribution"),
+    room<quota::Error>("quota"),
+    room<schema_migration::Error>("migration", "schema_migration"),
 };
 
 std::string contents(const std::filesystem::path& path) {
--- a/tests/fleet/leadership_list_test.cpp
+++ b/tests/fleet/leadership_list_test.cpp
@@ -4,26 +4,26 @@
 #include <algorithm>
 #include <set>
 
-#include "fleet/leadership/list_follower.h"
-#include "fleet/leadership/list_owner.h"
+#include "fleet/leadership/endpoint_list_follower.h"
+#include "fleet/leadership/endpoint_list_publisher.h"
 
-namespace ochrehub::leadership::list {
+namespace ochrehub::leadership::endpoint_list {
 namespace {
 
 TimePoint at(double ms) {
     return TimePoint{Duration{ms}};
 }
-Answer say(Machine& machine, const std::string& body) {
+Answer say(StateMachine& machine, const std::string& body) {
     return read_answer(machine.apply({1, body})).value();
 }
-News told(const Machine& machine) {
+News told(const StateMachine& machine) {
     return read_news(machine.news(1)).value();
 }
 Listing whole(std::uint64_t revision, Entries entries) {
     return {revision, true, std::move(entries), {}};
 }
 /// As an owner does: what it reports belongs to the round that it knows to be open.
-Answer reports(Machine& machine, Epoch epoch, const Listing& listing) {
+Answer reports(StateMachine& machine, Epoch epoch, const Listing& listing) {
     News now = told(machine);
     return say(machine, report(epoch, now.version, now.round, listing));
 }
@@ -36,7 +36,7 @@
 TEST(ListMachine, TakesReportsOfTheNewestOwnerAloneEachOnceAndInItsRound) {
     Limits few;
     few.servers = 2;
-    Machine machine(few);
+    StateMachine machine(few);
     std::set<Error> seen;
     auto wrong = [&](const std::string& body, Error error) {
         std::string before = machine.snapshot();
@@ -65,7 +65,7 @@
 }
 
 TEST(ListMachine, TellsChangesForAWhileAndTheWholeListToWhoeverAsks) {
-    Machine machine;
+    StateMachine machine;
     say(machine, open(1));
     reports(machine, 1, whole(1, {{"a", "ready"}, {"b", "ready"}}));
     reports(machine, 1, {2, false, {{"a", "drain"}}, {"b"}});
@@ -80,7 +80,7 @@
     Whole all = read_whole(machine.read("")).value();
     EXPECT_EQ(all.entries, machine.entries());
     EXPECT_EQ(all.digest, told(machine).digest);
-    Machine again;
+    StateMachine again;
     ASSERT_TRUE(again.restore(kSchema, machine.snapshot()));
     EXPECT_EQ(again.snapshot(), machine.snapshot());
     EXPECT_FALSE(again.restore(kSchema + 1, machine.snapshot()));
@@ -91,7 +91,7 @@
 TEST(ListMachine, MoreThanFitsIntoNewsIsAskedFor) {
     Limits small;
     small.news = 100;
-    Machine machine(small);
+    StateMachine machine(small);
     say(machine, open(1));
     Entries many;
     for (int i = 0; i < 50; ++i) many["server" + std::to_string(i)] = "ready";
@@ -113,7 +113,7 @@
 }
 
 TEST(ListFollower, KnowsAsOfWhenItsListStands) {
-    Machine machine;
+    StateMachine machine;
     say(machine, open(1));
     reports(machine, 1, whole(1, {{"a", "ready"}}));
     Follower node({}, at(0));
@@ -145,7 +145,7 @@
 }
 
 TEST(ListFollower, AsksByItselfAndComesBackOnceTheAgreedListIsTheNewerOne) {
-    Machine machine;
+    StateMachine machine;
     say(machine, open(1));
     reports(machine, 1, whole(1, {{"a", "ready"}}));
     FollowerSettings settings;
@@ -177,7 +177,7 @@
 }
 
 TEST(ListOwner, AsksOnceItKnowsTheRoundReportsAndHandsBackWhatItCannotDo) {
-    Machine machine;
+    StateMachine machine;
     Owner owner;
     OwnerActions out;
     auto handle = [&](double now, const OwnerEvent& event) {
@@ -234,4 +234,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::leadership::list
+}  // namespace ochrehub::leadership::endpoint_list
--- a/tests/fleet/leadership_test.cpp
+++ b/tests/fleet/leadership_test.cpp
@@ -1,63 +1,64 @@
-// Duties as the keepers hold them, and as an owner's process holds them: by hand, and by drawn commands.
+// LeaseStateMachine as the keepers hold them, and as an owner's process holds them: by hand, and by drawn
+// commands.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <algorithm>
 #include <set>
 
-#include "fleet/leadership/machine.h"
-#include "fleet/leadership/owner.h"
+#include "fleet/leadership/lease_holder.h"
+#include "fleet/leadership/lease_state_machine.h"
 
 namespace ochrehub::leadership {
 namespace {
 
-Answer say(Duties& machine, SessionId session, const std::string& body) {
-    return read_answer(machine.apply({session, body})).value();
+CommandResponse say(LeaseStateMachine& machine, SessionId session, const std::string& body) {
+    return decode_command_response(machine.apply({session, body})).value();
 }
-std::vector<Owned> owned(const Duties& machine, SessionId session) {
-    return read_news(machine.news(session))->owned;
+std::vector<HeldLease> owned(const LeaseStateMachine& machine, SessionId session) {
+    return decode_session_update(machine.news(session))->owned;
 }
-SessionId owner(const Duties& machine, std::string_view name) {
+SessionId owner(const LeaseStateMachine& machine, std::string_view name) {
     auto it = machine.duties().find(name);
     return it == machine.duties().end() ? 0 : it->second.owner;
 }
-Duties with_sessions(SessionId most, const Limits& limits = {}) {
-    Duties machine(limits);
+LeaseStateMachine with_sessions(SessionId most, const Limits& limits = {}) {
+    LeaseStateMachine machine(limits);
     for (SessionId s = 1; s <= most; ++s) machine.session_began(s, "p", "z");
     return machine;
 }
 
-TEST(Duties, OneOwnerAtATimeUnderEpochsThatRiseForEver) {
-    Duties machine = with_sessions(3);
-    EXPECT_EQ(say(machine, 2, want("list")).epoch, 1u);
-    say(machine, 3, want("list"));
+TEST(LeaseStateMachine, OneOwnerAtATimeUnderEpochsThatRiseForEver) {
+    LeaseStateMachine machine = with_sessions(3);
+    EXPECT_EQ(say(machine, 2, add_candidacy_command("list")).epoch, 1u);
+    say(machine, 3, add_candidacy_command("list"));
     EXPECT_EQ(owner(machine, "list"), 2u);
-    EXPECT_EQ(say(machine, 3, give_up("list", 1)).error, Error::NotOwner);
-    EXPECT_FALSE(say(machine, 2, give_up("list", 1)).error);
-    EXPECT_EQ(owned(machine, 3), (std::vector<Owned>{{"list", 2, false}}));
-    EXPECT_EQ(say(machine, 2, give_up("list", 1)).error, Error::NotOwner);  // said twice
+    EXPECT_EQ(say(machine, 3, release_lease_command("list", 1)).error, Error::NotOwner);
+    EXPECT_FALSE(say(machine, 2, release_lease_command("list", 1)).error);
+    EXPECT_EQ(owned(machine, 3), (std::vector<HeldLease>{{"list", 2, false}}));
+    EXPECT_EQ(say(machine, 2, release_lease_command("list", 1)).error, Error::NotOwner);  // said twice
     machine.session_over(3);
     EXPECT_TRUE(machine.duties().empty());
     // Nobody wanted it for a while: its epoch goes on all the same, over a restart too.
-    Duties again;
+    LeaseStateMachine again;
     ASSERT_TRUE(again.restore(kSchema, machine.snapshot()));
-    say(again, 2, want("list"));
-    EXPECT_EQ(owned(again, 2), (std::vector<Owned>{{"list", 3, false}}));
+    say(again, 2, add_candidacy_command("list"));
+    EXPECT_EQ(owned(again, 2), (std::vector<HeldLease>{{"list", 3, false}}));
 }
 
-TEST(Duties, AreSpreadByWeightAndAskedBackForWhoComesLater) {
-    Duties machine = with_sessions(4);
+TEST(LeaseStateMachine, AreSpreadByWeightAndAskedBackForWhoComesLater) {
+    LeaseStateMachine machine = with_sessions(4);
     for (int i = 0; i < 6; ++i)
-        for (SessionId s : {1, 2, 3}) say(machine, s, want("d" + std::to_string(i)));
+        for (SessionId s : {1, 2, 3}) say(machine, s, add_candidacy_command("d" + std::to_string(i)));
     auto settle = [&] {  // each owner does what it is asked for
         for (int round = 0; round < 50; ++round)
             for (SessionId s = 1; s <= 4; ++s)
-                for (const Owned& one : owned(machine, s))
-                    if (one.give_back) say(machine, s, give_up(one.name, one.epoch, true));
+                for (const HeldLease& one : owned(machine, s))
+                    if (one.give_back) say(machine, s, release_lease_command(one.name, one.epoch, true));
     };
     settle();
     for (SessionId s : {1, 2, 3}) EXPECT_EQ(owned(machine, s).size(), 2u);
-    for (int i = 0; i < 6; ++i) say(machine, 4, want("d" + std::to_string(i), 3));
+    for (int i = 0; i < 6; ++i) say(machine, 4, add_candidacy_command("d" + std::to_string(i), 3));
     settle();
     EXPECT_EQ(owned(machine, 4).size(), 3u);  // three of six parts
     for (SessionId s : {1, 2, 3}) EXPECT_EQ(owned(machine, s).size(), 1u);
@@ -66,53 +67,54 @@
     EXPECT_EQ(machine.revision(), revision);  // and then it rests
 }
 
-TEST(Duties, ManyThatOneHadAreSpreadInAFewRenewalsAndThenRest) {
-    Duties machine = with_sessions(5);
+TEST(LeaseStateMachine, ManyThatOneHadAreSpreadInAFewRenewalsAndThenRest) {
+    LeaseStateMachine machine = with_sessions(5);
     for (SessionId s = 1; s <= 5; ++s)
-        for (int i = 0; i < 500; ++i) say(machine, s, want("d" + std::to_string(i)));
+        for (int i = 0; i < 500; ++i) say(machine, s, add_candidacy_command("d" + std::to_string(i)));
     EXPECT_EQ(owned(machine, 1).size(), 500u);
     int rounds = 0;
     for (std::uint64_t before = 0; before != machine.revision() && rounds < 100; ++rounds) {
         before = machine.revision();
         for (SessionId s = 1; s <= 5; ++s)
-            for (const Owned& one : owned(machine, s))
-                if (one.give_back) say(machine, s, give_up(one.name, one.epoch, true));
+            for (const HeldLease& one : owned(machine, s))
+                if (one.give_back) say(machine, s, release_lease_command(one.name, one.epoch, true));
     }
     EXPECT_LT(rounds, 40);
     for (SessionId s = 1; s <= 5; ++s) EXPECT_EQ(owned(machine, s).size(), 100u);
 }
 
-TEST(Duties, AJobIsOverForGoodAndItsNameIsNeverGivenAgain) {
-    Duties machine = with_sessions(2);
-    Answer job = say(machine, 1, open_job("move", 7));
+TEST(LeaseStateMachine, AJobIsOverForGoodAndItsNameIsNeverGivenAgain) {
+    LeaseStateMachine machine = with_sessions(2);
+    CommandResponse job = say(machine, 1, create_job_command("move", 7));
     EXPECT_EQ(job.name, "move/1");
-    EXPECT_EQ(say(machine, 1, open_job("move", 7)).name, "move/1");  // the answer was lost
-    EXPECT_EQ(say(machine, 1, open_job("move", 8)).name, "move/2");
-    say(machine, 2, want("move/1"));
-    EXPECT_EQ(say(machine, 1, over_for_good("move/1", 1)).error, Error::NotOwner);
-    EXPECT_EQ(say(machine, 0, over_for_good("move/1", 0)).error,
+    EXPECT_EQ(say(machine, 1, create_job_command("move", 7)).name, "move/1");  // the answer was lost
+    EXPECT_EQ(say(machine, 1, create_job_command("move", 8)).name, "move/2");
+    say(machine, 2, add_candidacy_command("move/1"));
+    EXPECT_EQ(say(machine, 1, remove_job_command("move/1", 1)).error, Error::NotOwner);
+    EXPECT_EQ(say(machine, 0, remove_job_command("move/1", 0)).error,
               Error::NotOwner);  // an operator, while it is owned
-    EXPECT_EQ(say(machine, 2, over_for_good("move/1", 1)).error, Error::NotEnded);
-    EXPECT_EQ(say(machine, 1, end_job("move/1", 1)).error, Error::NotOwner);
-    EXPECT_FALSE(say(machine, 2, end_job("move/1", 1)).error);
+    EXPECT_EQ(say(machine, 2, remove_job_command("move/1", 1)).error, Error::NotEnded);
+    EXPECT_EQ(say(machine, 1, complete_job_command("move/1", 1)).error, Error::NotOwner);
+    EXPECT_FALSE(say(machine, 2, complete_job_command("move/1", 1)).error);
     // Its owner dies before all receivers know: the next one is told that nothing is to be done of it.
-    say(machine, 1, want("move/1"));
+    say(machine, 1, add_candidacy_command("move/1"));
     machine.session_over(2);
-    EXPECT_EQ(owned(machine, 1), (std::vector<Owned>{{"move/1", 2, false, true}}));
-    EXPECT_FALSE(say(machine, 1, over_for_good("move/1", 2)).error);
-    EXPECT_EQ(say(machine, 1, want("move/1")).error, Error::Over);
-    EXPECT_EQ(say(machine, 1, over_for_good("move/1", 2)).error, Error::Over);
-    EXPECT_FALSE(say(machine, 0, over_for_good("move/2", 0)).error);
-    EXPECT_EQ(say(machine, 1, open_job("move", 9)).name, "move/3");
-    say(machine, 1, want("list"));
-    EXPECT_EQ(say(machine, 1, end_job("list", 3)).error, Error::Name);  // a standing duty is never over
+    EXPECT_EQ(owned(machine, 1), (std::vector<HeldLease>{{"move/1", 2, false, true}}));
+    EXPECT_FALSE(say(machine, 1, remove_job_command("move/1", 2)).error);
+    EXPECT_EQ(say(machine, 1, add_candidacy_command("move/1")).error, Error::Over);
+    EXPECT_EQ(say(machine, 1, remove_job_command("move/1", 2)).error, Error::Over);
+    EXPECT_FALSE(say(machine, 0, remove_job_command("move/2", 0)).error);
+    EXPECT_EQ(say(machine, 1, create_job_command("move", 9)).name, "move/3");
+    say(machine, 1, add_candidacy_command("list"));
+    EXPECT_EQ(say(machine, 1, complete_job_command("list", 3)).error,
+              Error::Name);  // a standing duty is never over
 }
 
-TEST(Duties, WhatIsWrongIsRefusedByItsTypeAndChangesNothing) {
+TEST(LeaseStateMachine, WhatIsWrongIsRefusedByItsTypeAndChangesNothing) {
     Limits few;
     few.duties = 2, few.wants = 1;
-    Duties machine = with_sessions(2, few);
-    say(machine, 1, want("a"));
+    LeaseStateMachine machine = with_sessions(2, few);
+    say(machine, 1, add_candidacy_command("a"));
     auto before = machine.snapshot();
     std::set<Error> seen;
     auto wrong = [&](SessionId session, const std::string& body, Error error) {
@@ -121,52 +123,52 @@
     };
     wrong(1, "\xff\xff", Error::Malformed);
     wrong(1, "", Error::Malformed);
-    wrong(1, want(std::string(5000, 'a')), Error::Malformed);
-    wrong(1, want("A"), Error::Name);
-    wrong(1, want(""), Error::Name);
-    wrong(1, want(std::string(65, 'a')), Error::Name);
-    wrong(1, open_job("a/b", 1), Error::Name);
-    wrong(1, want("b", 0), Error::Weight);
-    wrong(1, want("b", 101), Error::Weight);
-    wrong(9, want("b"), Error::Session);
-    wrong(0, want("b"), Error::Session);
-    wrong(2, want("a"), Error::Crowded);
-    wrong(1, unwant("b"), Error::Unknown);
-    wrong(1, unwant("b/1"), Error::Over);
-    wrong(2, give_up("a", 1), Error::NotOwner);
-    wrong(1, give_up("a", 2), Error::NotOwner);
+    wrong(1, add_candidacy_command(std::string(5000, 'a')), Error::Malformed);
+    wrong(1, add_candidacy_command("A"), Error::Name);
+    wrong(1, add_candidacy_command(""), Error::Name);
+    wrong(1, add_candidacy_command(std::string(65, 'a')), Error::Name);
+    wrong(1, create_job_command("a/b", 1), Error::Name);
+    wrong(1, add_candidacy_command("b", 0), Error::Weight);
+    wrong(1, add_candidacy_command("b", 101), Error::Weight);
+    wrong(9, add_candidacy_command("b"), Error::Session);
+    wrong(0, add_candidacy_command("b"), Error::Session);
+    wrong(2, add_candidacy_command("a"), Error::Crowded);
+    wrong(1, withdraw_candidacy_command("b"), Error::Unknown);
+    wrong(1, withdraw_candidacy_command("b/1"), Error::Over);
+    wrong(2, release_lease_command("a", 1), Error::NotOwner);
+    wrong(1, release_lease_command("a", 2), Error::NotOwner);
     EXPECT_EQ(machine.snapshot(), before);
-    std::string job = say(machine, 1, open_job("j", 1)).name;
-    say(machine, 1, want(job));
-    wrong(1, over_for_good(job, 2), Error::NotEnded);
-    say(machine, 1, end_job(job, 2)), say(machine, 1, over_for_good(job, 2));
+    std::string job = say(machine, 1, create_job_command("j", 1)).name;
+    say(machine, 1, add_candidacy_command(job));
+    wrong(1, remove_job_command(job, 2), Error::NotEnded);
+    say(machine, 1, complete_job_command(job, 2)), say(machine, 1, remove_job_command(job, 2));
     Limits together;
     together.wants_all = 1;
-    Duties small = with_sessions(1, together);
-    say(small, 1, want("a"));
-    EXPECT_EQ(say(small, 1, want("b")).error, Error::Crowded);
-    say(small, 1, give_up("a", 1));
-    EXPECT_FALSE(say(small, 1, want("b")).error);
-    say(machine, 1, want("b"));
-    wrong(1, want("c"), Error::Full);
-    wrong(1, open_job("c", 2), Error::Full);
+    LeaseStateMachine small = with_sessions(1, together);
+    say(small, 1, add_candidacy_command("a"));
+    EXPECT_EQ(say(small, 1, add_candidacy_command("b")).error, Error::Crowded);
+    say(small, 1, release_lease_command("a", 1));
+    EXPECT_FALSE(say(small, 1, add_candidacy_command("b")).error);
+    say(machine, 1, add_candidacy_command("b"));
+    wrong(1, add_candidacy_command("c"), Error::Full);
+    wrong(1, create_job_command("c", 2), Error::Full);
     EXPECT_EQ(seen.size(), kErrors);
     std::set<std::string_view> codes;
     for (std::size_t i = 0; i < kErrors; ++i) codes.insert(row(Error(i)).code);
     EXPECT_EQ(codes.size(), kErrors);
     EXPECT_EQ(sentence(fleet::Failure<Error>{Error::Over, "move/1"}),
               "duty.over: move/1: the job is over, or never was; nothing: it must not be done again");
-    EXPECT_FALSE(read_answer("\xff"));
-    EXPECT_FALSE(read_news("\xff"));
+    EXPECT_FALSE(decode_command_response("\xff"));
+    EXPECT_FALSE(decode_session_update("\xff"));
 }
 
-TEST(Duties, ASnapshotOfAnotherSchemaOrWithHolesIsNotTaken) {
-    Duties machine = with_sessions(2);
-    say(machine, 1, want("a"));
+TEST(LeaseStateMachine, ASnapshotOfAnotherSchemaOrWithHolesIsNotTaken) {
+    LeaseStateMachine machine = with_sessions(2);
+    say(machine, 1, add_candidacy_command("a"));
     std::string good = machine.snapshot();
     EXPECT_FALSE(machine.restore(kSchema + 1, good));
     for (std::size_t cut = 1; cut < good.size(); ++cut) {
-        Duties other;
+        LeaseStateMachine other;
         if (!other.restore(kSchema, good.substr(0, cut))) {
             EXPECT_TRUE(other.duties().empty());
         }
@@ -174,9 +176,9 @@
     EXPECT_EQ(machine.snapshot(), good);
 }
 
-TEST(Duties, DrawnCommandsKeepOneOwnerAndRisingEpochsAndASnapshotIsTheSameMachine) {
+TEST(LeaseStateMachine, DrawnCommandsKeepOneOwnerAndRisingEpochsAndASnapshotIsTheSameMachine) {
     bool held = rc::check([] {
-        Duties machine;
+        LeaseStateMachine machine;
         std::map<std::string, Epoch> highest;
         std::set<std::string> ended;
         Epoch last = 0;
@@ -190,18 +192,21 @@
             if (it != machine.duties().end() && it->second.owner && what >= 6) session = it->second.owner;
             if (what == 0) machine.session_began(++next, "p", "z");
             if (what == 1 && i % 3 == 0) machine.session_over(session);
-            if (what >= 2 && what <= 5) machine.apply({session, want(name, std::uint32_t(1 + i % 3))});
-            if (what == 6) machine.apply({session, give_up(name, epoch, i % 2 == 0)});
-            if (what == 7) machine.apply({session, unwant(name)});
-            if (what == 8 && i % 2) machine.apply({session, end_job(name, epoch)});
-            if (what == 8 && !say(machine, session, over_for_good(name, epoch)).error) ended.insert(name);
+            if (what >= 2 && what <= 5)
+                machine.apply({session, add_candidacy_command(name, std::uint32_t(1 + i % 3))});
+            if (what == 6) machine.apply({session, release_lease_command(name, epoch, i % 2 == 0)});
+            if (what == 7) machine.apply({session, withdraw_candidacy_command(name)});
+            if (what == 8 && i % 2) machine.apply({session, complete_job_command(name, epoch)});
+            if (what == 8 && !say(machine, session, remove_job_command(name, epoch)).error)
+                ended.insert(name);
             if (what == 9)
-                machine.apply({session, i % 2 ? open_job("j", std::uint64_t(i)) : move_away(name)});
+                machine.apply({session, i % 2 ? create_job_command("j", std::uint64_t(i))
+                                              : transfer_lease_command(name)});
             RC_ASSERT(machine.epochs() >= last);
             last = machine.epochs();
             std::map<std::string, int> owners;
             for (SessionId s = 1; s <= next; ++s)
-                for (const Owned& one : owned(machine, s)) RC_ASSERT(++owners[one.name] == 1);
+                for (const HeldLease& one : owned(machine, s)) RC_ASSERT(++owners[one.name] == 1);
             for (const auto& [duty, state] : machine.duties()) {
                 RC_ASSERT(!ended.contains(duty));
                 RC_ASSERT(state.epoch >= highest[duty]);
@@ -209,7 +214,7 @@
                 RC_ASSERT((state.owner != 0) == (owners[duty] == 1));
                 RC_ASSERT(state.owner != 0 || state.wanted.empty());  // whoever wants one that is free has it
             }
-            Duties again;
+            LeaseStateMachine again;
             RC_ASSERT(again.restore(kSchema, machine.snapshot()));
             RC_ASSERT(again.snapshot() == machine.snapshot());
             if (i % 10 == 0) machine = std::move(again);
@@ -250,7 +255,7 @@
         }
     }
     /// All that it says reaches the keepers, and their answers it.
-    void deliver(double now, Duties& machine) {
+    void deliver(double now, LeaseStateMachine& machine) {
         std::vector<Say> all = says;
         for (const Say& one : all)
             handle(now, Answered{one.number, machine.apply({one.session, one.command})});
@@ -260,7 +265,7 @@
 using Log = Process::Log;
 
 TEST(Owner, BeginsWhatTheKeepersSayAndStopsAMarginBeforeItsLeaseIsOver) {
-    Duties machine = with_sessions(1);
+    LeaseStateMachine machine = with_sessions(1);
     Process p;
     p.handle(0, WantDuty{"list"});
     EXPECT_TRUE(p.says.empty());  // no session yet
@@ -284,7 +289,7 @@
 }
 
 TEST(Owner, LooksAtTheClockFirstBehindAPause) {
-    Duties machine = with_sessions(1);
+    LeaseStateMachine machine = with_sessions(1);
     Process p;
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"list"});
@@ -303,7 +308,7 @@
 }
 
 TEST(Owner, HandsOverOnlyOnceItIsAtRest) {
-    Duties machine = with_sessions(2);
+    LeaseStateMachine machine = with_sessions(2);
     Process p, q;
     for (auto* one : {&p, &q}) {
         SessionId s = one == &p ? 1 : 2;
@@ -312,7 +317,7 @@
         one->deliver(1, machine);
         one->handle(2, Heard{s, machine.news(s)});
     }
-    say(machine, 0, move_away("list"));
+    say(machine, 0, transfer_lease_command("list"));
     p.handle(10, Heard{1, machine.news(1)});
     EXPECT_EQ(p.log, (Log{"stop list 1 give back"}));
     EXPECT_TRUE(p.says.empty());
@@ -324,8 +329,8 @@
     q.handle(14, Heard{2, machine.news(2)});
     EXPECT_EQ(q.log, (Log{"begin list 2"}));
     // What was said of it before does not begin it again.
-    Duties old = with_sessions(1);
-    say(old, 1, want("list"));
+    LeaseStateMachine old = with_sessions(1);
+    say(old, 1, add_candidacy_command("list"));
     p.handle(15, Heard{1, old.news(1)});
     EXPECT_TRUE(p.log.empty());
     // It still wants it: where the other leaves, it is its again.
@@ -339,7 +344,7 @@
 }
 
 TEST(Owner, SaysAgainWhatWasNotAnsweredAndStandsInANewSession) {
-    Duties machine = with_sessions(2);
+    LeaseStateMachine machine = with_sessions(2);
     Process p;
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"list"});
@@ -369,8 +374,8 @@
 }
 
 TEST(Owner, AJobEndsAtTheKeepersThenAtTheReceiversThenForGood) {
-    Duties machine = with_sessions(2);
-    say(machine, 1, open_job("move", 1));
+    LeaseStateMachine machine = with_sessions(2);
+    say(machine, 1, create_job_command("move", 1));
     Process p, q;
     for (auto* one : {&p, &q}) {
         SessionId s = one == &p ? 1 : 2;
@@ -405,8 +410,8 @@
 }
 
 TEST(Owner, AJobWhoseEndIsAnsweredAfterItBeganAgainIsRetiredAllTheSame) {
-    Duties machine = with_sessions(1);
-    say(machine, 1, open_job("move", 1));
+    LeaseStateMachine machine = with_sessions(1);
+    say(machine, 1, create_job_command("move", 1));
     Process p;
     p.handle(0, SessionHeld{1, at(3000)});
     p.handle(0, WantDuty{"move/1"});
