--- a/lab/fleet/flood.cpp
+++ b/lab/fleet/flood.cpp
@@ -30,9 +30,9 @@
             std::string octets;
             if (random() % 2 == 0) {
                 membership::Datagram datagram;
-                datagram.kind = membership::Kind::Ping;
-                datagram.from.who = {0x7f000000 + std::uint32_t(random() % 0xffffff),
-                                     std::uint16_t(1 + random() % 65535)};
+                datagram.kind = membership::DatagramKind::Ping;
+                datagram.from.address = {0x7f000000 + std::uint32_t(random() % 0xffffff),
+                                         std::uint16_t(1 + random() % 65535)};
                 octets =
                     membership::encode(datagram, membership::Keys(), membership::fingerprint("ochrehub"));
             } else {
--- a/lab/fleet/judge.cpp
+++ b/lab/fleet/judge.cpp
@@ -196,7 +196,7 @@
         int who = from_it ? fault.who[0] : fault.to[0];
         std::string one = "one that is cut off (" + std::to_string(who) + ")";
         auto knows = [&](const Picture& now) {
-            return (now.said[std::size_t(who)] & membership::kSaysIsolated) != 0;
+            return (now.said[std::size_t(who)] & membership::kReportsIsolated) != 0;
         };
         double from = done(What::FaultOn, -1, number(fault), fault.at_s);
         measure("isolated", from, first(from, knows), day_.expect.isolated_s, one + " says so");
--- a/lab/fleet/page.cpp
+++ b/lab/fleet/page.cpp
@@ -74,7 +74,7 @@
                     see(who, about, Seen::Unknown, event.at_s);
             if (event.what == What::Says && event.value != 0)
                 put("<text x=\"%.1f\" y=\"%.1f\" font-size=\"9\">%s</text>\n", x(event.at_s) + 2,
-                    top(who) + 5, membership::words(std::uint8_t(event.value)).c_str());
+                    top(who) + 5, membership::self_report_text(std::uint8_t(event.value)).c_str());
         }
         for (std::size_t of = 0; of < members_; ++of) {
             for (std::size_t about = 0; about < members_; ++about) see(of, about, seen[of][about], to_);
--- a/lab/fleet/processes.cpp
+++ b/lab/fleet/processes.cpp
@@ -90,8 +90,9 @@
         relays_->seen = [this](std::size_t from, std::string_view octets) { look_into(from, octets); };
         if (options.meddles)
             relays_->meddles = [this](std::size_t from, std::string& octets) {
-                membership::Send send;
-                if (membership::decode(octets, keys_, send.datagram, cluster_) != membership::Fault::None)
+                membership::SendDatagram send;
+                if (membership::decode(octets, keys_, send.datagram, cluster_) !=
+                    membership::DecodeError::None)
                     return true;
                 if (!options_.meddles(from, send)) return false;
                 octets = membership::encode(send.datagram, keys_, cluster_);
@@ -327,11 +328,11 @@
     /// What crosses a relay: on the loop.
     void look_into(std::size_t from, std::string_view octets) {
         membership::Datagram datagram;
-        if (membership::decode(octets, keys_, datagram, cluster_) != membership::Fault::None) return;
+        if (membership::decode(octets, keys_, datagram, cluster_) != membership::DecodeError::None) return;
         for (const membership::Update& update : datagram.updates) {
-            if (update.state != membership::State::Dead) continue;
-            auto about = places_.find(boost::asio::ip::address_v4(update.who.host).to_string() + ":" +
-                                      std::to_string(update.who.port));
+            if (update.state != membership::MemberState::Dead) continue;
+            auto about = places_.find(boost::asio::ip::address_v4(update.address.host).to_string() + ":" +
+                                      std::to_string(update.address.port));
             if (about == places_.end()) continue;
             std::lock_guard lock(mutex_);  // also for the time, which begins anew
             watch_.claim(now_s(), from, about->second, update.incarnation);
@@ -356,9 +357,9 @@
             try {
                 const json::object& root = all.as_object();
                 std::string_view says = root.at("self").at("says").as_string();
-                for (auto [word, bit] : {std::pair("deaf", membership::kSaysDeaf),
-                                         std::pair("unheard", membership::kSaysUnheard),
-                                         std::pair("stalled", membership::kSaysStalled)})
+                for (auto [word, bit] : {std::pair("deaf", membership::kReportsDeaf),
+                                         std::pair("unheard", membership::kReportsUnheard),
+                                         std::pair("stalled", membership::kReportsStalled)})
                     if (says.find(word) != std::string_view::npos) look.said |= bit;
                 look.shares = int(root.at("sharing").to_number<int>());
                 for (const json::value& member : root.at("members").as_array()) {
--- a/lab/fleet/processes.h
+++ b/lab/fleet/processes.h
@@ -21,7 +21,7 @@
     const std::atomic<bool>* stop = nullptr;  ///< ends it early, by Interrupted
     std::function<void(const std::string&)> progress;
     /// A saboteur between them, who has the fleet's key: as in VirtualOptions, but that `to` is not said.
-    std::function<bool(std::size_t from, membership::Send&)> meddles;
+    std::function<bool(std::size_t from, membership::SendDatagram&)> meddles;
 };
 
 struct Interrupted : std::runtime_error {
--- a/lab/fleet/virtual.cpp
+++ b/lab/fleet/virtual.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "fleet/membership/share.h"
+#include "fleet/membership/fleet_size_divisor.h"
 #include "lab/fleet/links.h"
 #include "lab/swarm/swarm.h"
 
@@ -11,7 +11,7 @@
 namespace {
 
 using What = Event::What;
-using membership::State;
+using membership::MemberState;
 
 class World {
 public:
@@ -21,12 +21,12 @@
         swarm_.meddles = options.meddles;
         swarm_.seen = [this](std::size_t from, const membership::Datagram& datagram) {
             for (const membership::Update& update : datagram.updates)
-                if (auto about = swarm_.index(update.who); about && update.state == State::Dead)
+                if (auto about = swarm_.index(update.address); about && update.state == MemberState::Dead)
                     watch_.claim(now_s(), from, *about, update.incarnation);
         };
         const int least = (day.members + 1) / 2;
         shares_.assign(std::size_t(day.members),
-                       membership::Share({day.members, least, Duration{5000}, Duration{1000}}));
+                       membership::FleetSizeDivisor({day.members, least, Duration{5000}, Duration{1000}}));
         shared_anew_ = shares_;
     }
 
@@ -63,8 +63,8 @@
         set.delay_most = Duration{1};
         set.start_all = false;
         set.octets = true;
-        set.each.interval = Duration{day.interval_ms};
-        set.each.timeout = 0.3 * set.each.interval;
+        set.each.probe_interval = Duration{day.interval_ms};
+        set.each.probe_timeout = 0.3 * set.each.probe_interval;
         set.each.isolated_after = Duration{day.isolated_ms};
         if (options.settings) options.settings(set.each);
         return set;
@@ -144,12 +144,12 @@
             Watch::Look look;
             int here = 1;
             for (std::size_t about = 0; about < swarm_.size(); ++about) {
-                auto belief = about == of ? std::optional(State::Alive) : swarm_.belief(of, about);
+                auto belief = about == of ? std::optional(MemberState::Alive) : swarm_.belief(of, about);
                 look.of.push_back(belief ? Seen(*belief) : Seen::Unknown);
                 here += about != of && look.of.back() <= Seen::Suspect;
             }
-            look.said = swarm_.core(of).self().said;
-            look.shares = shares_[of].see(TimePoint{} + swarm_.now(), here);
+            look.said = swarm_.core(of).self().self_report;
+            look.shares = shares_[of].update(TimePoint{} + swarm_.now(), here);
             watch_.look(now_s(), of, look);
         }
     }
@@ -158,7 +158,7 @@
     Links links_;
     Watch watch_;
     Swarm swarm_;
-    std::vector<membership::Share> shares_, shared_anew_;
+    std::vector<membership::FleetSizeDivisor> shares_, shared_anew_;
     double begin_s_ = 0;
 };
 
--- a/lab/fleet/virtual.h
+++ b/lab/fleet/virtual.h
@@ -15,7 +15,7 @@
     /// Of each member's core, before it starts: for ablations and mutants.
     std::function<void(membership::Settings&)> settings;
     /// A saboteur: may change what a member sends, or (false) withhold it.
-    std::function<bool(std::size_t from, membership::Send&)> meddles;
+    std::function<bool(std::size_t from, membership::SendDatagram&)> meddles;
 };
 
 /// Throws std::invalid_argument for a day with faults of keys. Faults of connections have nothing to touch
--- a/lab/fleet/watch.cpp
+++ b/lab/fleet/watch.cpp
@@ -74,7 +74,7 @@
         std::snprintf(line, sizeof line, "%.2f s: a datagram of %d says that %d is dead", at_s, who, about);
     else if (what == What::Says)
         std::snprintf(line, sizeof line, "%.2f s: %d says of itself: %s", at_s, who,
-                      value == 0 ? "well" : membership::words(std::uint8_t(value)).c_str());
+                      value == 0 ? "well" : membership::self_report_text(std::uint8_t(value)).c_str());
     else if (what == What::Shares)
         std::snprintf(line, sizeof line, "%.2f s: %d divides by %d", at_s, who, value);
     else if (what == What::Served || what == What::Unserved)
--- a/lab/fleet/watch.h
+++ b/lab/fleet/watch.h
@@ -12,7 +12,7 @@
 
 namespace ochrehub::lab::fleet {
 
-/// What one is shown to believe of another; as membership::State, and Unknown.
+/// What one is shown to believe of another; as membership::MemberState, and Unknown.
 enum class Seen : std::uint8_t { Alive, Suspect, Dead, Left, Unknown };
 const char* name(Seen seen);
 
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -705,7 +705,7 @@
         }
         if (*fleet_command) return run_fleet(common, fleet_options, jobs);
         trial.calm = ochrehub::Duration{1000 * calm_seconds};
-        trial.swarm.each.lifeguard = trial.swarm.each.last_call = !plain;
+        trial.swarm.each.lifeguard = trial.swarm.each.confirm_before_dead = !plain;
         if (*members_command) return run_members(common, trial, jobs);
         return kUsage;
     } catch (const std::exception& error) {
--- a/lab/sim/tier.cpp
+++ b/lab/sim/tier.cpp
@@ -4,7 +4,7 @@
 
 namespace ochrehub::lab {
 
-using membership::State;
+using membership::MemberState;
 
 Swarm::Settings Tier::settings(std::size_t nodes, std::uint64_t seed) {
     Swarm::Settings set;
@@ -15,9 +15,10 @@
     return set;
 }
 
-membership::Share Tier::fresh() const {
+membership::FleetSizeDivisor Tier::fresh() const {
     int nodes = int(swarm_.size());
-    return membership::Share({nodes, (nodes + 1) / 2, Duration{5000}, Duration{1000}});  // as Side has it
+    return membership::FleetSizeDivisor(
+        {nodes, (nodes + 1) / 2, Duration{5000}, Duration{1000}});  // as Side has it
 }
 
 Tier::Tier(std::size_t nodes, std::uint64_t seed, Cut cut, Told told)
@@ -58,12 +59,12 @@
         if (!swarm_.up(i) || stalled_[i]) continue;
         One& one = nodes_[i];
         int here = 1, me = 0;
-        swarm_.core(i).each([&](const membership::Membership::Member& member) {
-            bool counts = member.update.state <= State::Suspect;
+        swarm_.core(i).for_each_member([&](const membership::Membership::Member& member) {
+            bool counts = member.update.state <= MemberState::Suspect;
             here += counts;
-            me += counts && member.update.who < swarm_.place(i);
+            me += counts && member.update.address < swarm_.place(i);
         });
-        int gateways = one.share.see(TimePoint{} + at, here);
+        int gateways = one.share.update(TimePoint{} + at, here);
         if (here != gateways) me = kNone;
         if (gateways == one.gateways && me == one.me) continue;
         one.gateways = gateways;
--- a/lab/sim/tier.h
+++ b/lab/sim/tier.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <vector>
 
-#include "fleet/membership/share.h"
+#include "fleet/membership/fleet_size_divisor.h"
 #include "lab/swarm/swarm.h"
 
 namespace ochrehub::lab {
@@ -32,10 +32,10 @@
 private:
     static Swarm::Settings settings(std::size_t nodes, std::uint64_t seed);
     void run_to(Duration at) { swarm_.run_to(std::max(at, swarm_.now())); }
-    membership::Share fresh() const;
+    membership::FleetSizeDivisor fresh() const;
 
     struct One {
-        membership::Share share;
+        membership::FleetSizeDivisor share;
         int gateways = 0, me = kNone;  ///< as it was told last; it knows neither of the fleet before
     };
     Cut cut_;
--- a/lab/swarm/explore.cpp
+++ b/lab/swarm/explore.cpp
@@ -7,14 +7,14 @@
 namespace ochrehub::lab {
 namespace {
 
+using membership::MemberAddress;
 using membership::Membership;
-using membership::Place;
-using membership::State;
+using membership::MemberState;
 
 constexpr Duration kRightWithin{120'000};  // long enough for a knock at each that is dead
 constexpr std::size_t kTold = 5;
 
-Place place(std::size_t i) {
+MemberAddress place(std::size_t i) {
     return {0x7f000001 + std::uint32_t(i), 7946};
 }
 
@@ -49,7 +49,7 @@
         members_[i].stopped = false;
         std::vector<membership::Datagram> waiting = std::move(members_[i].waiting);
         members_[i].waiting.clear();
-        for (membership::Datagram& one : waiting) hand(i, membership::Received{std::move(one)});
+        for (membership::Datagram& one : waiting) hand(i, membership::DatagramReceived{std::move(one)});
     }
     bool cut(std::size_t from, std::size_t to) const { return !cut_.empty() && cut_[from * size() + to]; }
     void cut(std::size_t from, std::size_t to, bool on) {
@@ -70,7 +70,7 @@
         if (up(one.to) && members_[one.to].stopped)
             members_[one.to].waiting.push_back(std::move(one.datagram));
         else if (up(one.to))
-            hand(one.to, membership::Received{std::move(one.datagram)});
+            hand(one.to, membership::DatagramReceived{std::move(one.datagram)});
     }
     void lose(std::size_t which) { flying.erase(flying.begin() + std::ptrdiff_t(which)); }
 
@@ -85,7 +85,7 @@
     void wake(std::size_t i) {
         now = std::max(now, members_[i].wake);
         members_[i].wake = TimePoint::max();
-        hand(i, membership::Woken{});
+        hand(i, membership::TimerFired{});
     }
     /// All arrives at once, and nothing is late.
     void go_on_to(TimePoint until) {
@@ -102,8 +102,8 @@
             for (std::size_t about = 0; about < size(); ++about) {
                 if (of == about || !up(of)) continue;
                 const auto* found = members_[of].core->find(place(about));
-                bool here = found && found->update.state <= State::Suspect;
-                if (up(about) ? !found || found->update.state != State::Alive : here) return false;
+                bool here = found && found->update.state <= MemberState::Suspect;
+                if (up(about) ? !found || found->update.state != MemberState::Alive : here) return false;
             }
         return true;
     }
@@ -125,23 +125,23 @@
     void hand(std::size_t i, const membership::Event& event) {
         Membership& core = *members_[i].core;
         std::vector<membership::Update> before;
-        core.each([&](const Membership::Member& member) { before.push_back(member.update); });
+        core.for_each_member([&](const Membership::Member& member) { before.push_back(member.update); });
         std::uint32_t incarnation = core.incarnation();
         membership::Actions actions;
         core.handle(now, event, actions);
         if (core.incarnation() < incarnation) broken = "an incarnation fell";
         for (const membership::Update& was : before) {
-            const auto* is = core.find(was.who);
-            if (is && membership::outranks(was, is->update)) broken = "an older word replaced a newer one";
+            const auto* is = core.find(was.address);
+            if (is && membership::supersedes(was, is->update)) broken = "an older word replaced a newer one";
         }
         for (membership::Action& action : actions) {
-            if (auto* send = std::get_if<membership::Send>(&action)) {
+            if (auto* send = std::get_if<membership::SendDatagram>(&action)) {
                 std::size_t to = send->to.host - place(0).host;
                 bool cut = !apart.empty() && to < size() && apart[to] != apart[i];
                 if (to >= size() || cut || this->cut(i, to) || (how_->meddles && !how_->meddles(*send)))
                     continue;
                 flying.push_back({to, std::move(send->datagram)});
-            } else if (auto* wake = std::get_if<membership::WakeAt>(&action)) {
+            } else if (auto* wake = std::get_if<membership::SetTimer>(&action)) {
                 members_[i].wake = wake->at;
             }
         }
--- a/lab/swarm/explore.h
+++ b/lab/swarm/explore.h
@@ -25,7 +25,7 @@
     int pauses = 0;   ///< of any member: what comes for it waits, as in a socket
     std::uint64_t seed = 1;
     /// For tests that break something: may change what a member sends. False: it is not sent.
-    std::function<bool(membership::Send&)> meddles;
+    std::function<bool(membership::SendDatagram&)> meddles;
 };
 
 struct Explored {
--- a/lab/swarm/swarm.cpp
+++ b/lab/swarm/swarm.cpp
@@ -8,8 +8,8 @@
 
 namespace ochrehub::lab {
 
-using membership::Place;
-using membership::State;
+using membership::MemberAddress;
+using membership::MemberState;
 
 namespace {
 constexpr std::uint32_t kHost = 0x7f400000;  // 127.64.0.0, and a port that all share
@@ -27,11 +27,11 @@
     }
 }
 
-Place Swarm::place(std::size_t member) const {
+MemberAddress Swarm::place(std::size_t member) const {
     return {kHost + std::uint32_t(member) + 1, kPort};
 }
 
-std::optional<std::size_t> Swarm::index(const Place& place) const {
+std::optional<std::size_t> Swarm::index(const MemberAddress& place) const {
     std::size_t i = place.host - kHost - 1;
     return place.port == kPort && i < nodes_.size() ? std::optional(i) : std::nullopt;
 }
@@ -78,7 +78,7 @@
     node.stopped = false;
     // Sockets and timers are ready at once; which a loop takes first is not said. Here it is the datagrams.
     for (std::uint32_t datagram : std::exchange(node.waiting, {})) deliver(member, datagram);
-    if (std::exchange(node.woken, false)) hand(member, membership::Woken{});
+    if (std::exchange(node.woken, false)) hand(member, membership::TimerFired{});
 }
 
 void Swarm::leave(std::size_t member) {
@@ -116,14 +116,14 @@
         if (node.stopped)
             node.woken = true;
         else
-            hand(next.node, membership::Woken{});
+            hand(next.node, membership::TimerFired{});
     }
 }
 
 void Swarm::deliver(std::size_t to, std::uint32_t datagram) {
     membership::Datagram d = std::move(datagrams_[datagram]);
     free_.push_back(datagram);
-    hand(to, membership::Received{std::move(d)});
+    hand(to, membership::DatagramReceived{std::move(d)});
 }
 
 void Swarm::hand(std::size_t to, const membership::Event& event) {
@@ -132,23 +132,23 @@
     actions.clear();
     // A clock that runs at a rate of its own may be a rounding short of the time that was asked for.
     TimePoint at = own(node);
-    if (std::holds_alternative<membership::Woken>(event) && node.asked < TimePoint::max())
+    if (std::holds_alternative<membership::TimerFired>(event) && node.asked < TimePoint::max())
         at = std::max(at, node.asked);
     node.core->handle(at, event, actions);
     for (membership::Action& action : actions) {
-        if (auto* send = std::get_if<membership::Send>(&action)) {
+        if (auto* send = std::get_if<membership::SendDatagram>(&action)) {
             carry(to, *send);
-        } else if (auto* wake = std::get_if<membership::WakeAt>(&action)) {
+        } else if (auto* wake = std::get_if<membership::SetTimer>(&action)) {
             node.asked = wake->at;
             if (node.asked < TimePoint::max())
                 queue_.push(
                     {std::max(now_, ours(node, wake->at)), ++order_, std::uint32_t(to), kWake, ++node.wake});
-        } else if (auto* changed = std::get_if<membership::Changed>(&action)) {
-            auto about = index(changed->now.who);
-            if (changed->now.state == State::Dead && about && up(*about) && !nodes_[*about].stopped)
+        } else if (auto* changed = std::get_if<membership::MemberChanged>(&action)) {
+            auto about = index(changed->update.address);
+            if (changed->update.state == MemberState::Dead && about && up(*about) && !nodes_[*about].stopped)
                 ++called_dead_;
             if (heard) heard(to, *changed);
-        } else if (std::holds_alternative<membership::Over>(action)) {
+        } else if (std::holds_alternative<membership::LeaveCompleted>(action)) {
             node.core.reset();
             break;
         }
@@ -156,10 +156,10 @@
     actions_ = std::move(actions);
 }
 
-void Swarm::carry(std::size_t from, const membership::Send& send) {
+void Swarm::carry(std::size_t from, const membership::SendDatagram& send) {
     ++sent_;
-    membership::Send meddled;
-    const membership::Send* out = &send;
+    membership::SendDatagram meddled;
+    const membership::SendDatagram* out = &send;
     if (meddles) {
         meddled = send;
         if (!meddles(from, meddled)) return;
@@ -187,7 +187,7 @@
     if (set_.octets) {
         std::string octets = membership::encode(datagram, keys_);
         most_octets_ = std::max<std::uint64_t>(most_octets_, octets.size());
-        if (membership::decode(octets, keys_, datagrams_[slot]) != membership::Fault::None)
+        if (membership::decode(octets, keys_, datagrams_[slot]) != membership::DecodeError::None)
             throw std::logic_error("a datagram that was sent cannot be read");
     }
     TimePoint at = now_ + late + set_.delay_least + uniform() * (set_.delay_most - set_.delay_least);
@@ -198,29 +198,30 @@
     for (const auto& [to, datagram] : remembered_) set_out(to, datagram, Duration{0});
 }
 
-std::optional<State> Swarm::belief(std::size_t of, std::size_t about) const {
+std::optional<MemberState> Swarm::belief(std::size_t of, std::size_t about) const {
     const auto* member = nodes_[of].core->find(place(about));
     return member ? std::optional(member->update.state) : std::nullopt;
 }
 
-bool Swarm::all_believe(std::size_t about, const std::function<bool(std::optional<State>)>& what) const {
+bool Swarm::all_believe(std::size_t about,
+                        const std::function<bool(std::optional<MemberState>)>& what) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i)
         if (i != about && up(i) && !nodes_[i].stopped && !what(belief(i, about))) return false;
     return true;
 }
 
 bool Swarm::settled() const {
-    return all_right(State::Alive);
+    return all_right(MemberState::Alive);
 }
 
 bool Swarm::all_known() const {
-    return all_right(State::Suspect);
+    return all_right(MemberState::Suspect);
 }
 
-bool Swarm::all_right(State most) const {
+bool Swarm::all_right(MemberState most) const {
     for (std::size_t about = 0; about < nodes_.size(); ++about) {
-        auto right = [here = up(about), most](std::optional<State> state) {
-            return here ? state && *state <= most : !state || *state >= State::Dead;
+        auto right = [here = up(about), most](std::optional<MemberState> state) {
+            return here ? state && *state <= most : !state || *state >= MemberState::Dead;
         };
         if (!all_believe(about, right)) return false;
     }
--- a/lab/swarm/swarm.h
+++ b/lab/swarm/swarm.h
@@ -54,7 +54,7 @@
     /// is lost.
     std::function<std::vector<Duration>(std::size_t from, std::size_t to)> way;
     /// May change what a member sends, or (false) withhold it: for saboteurs. `seen` has what crosses a link.
-    std::function<bool(std::size_t from, membership::Send&)> meddles;
+    std::function<bool(std::size_t from, membership::SendDatagram&)> meddles;
     std::function<void(std::size_t from, const membership::Datagram&)> seen;
     /// What crossed links last, up to so many, is delivered once more.
     void replay();
@@ -65,12 +65,12 @@
     std::size_t size() const { return nodes_.size(); }
     bool up(std::size_t member) const { return nodes_[member].core.has_value(); }
     const membership::Membership& core(std::size_t member) const { return *nodes_[member].core; }
-    membership::Place place(std::size_t member) const;
+    membership::MemberAddress place(std::size_t member) const;
     /// What one member believes of another; nothing: it does not know it.
-    std::optional<membership::State> belief(std::size_t of, std::size_t about) const;
+    std::optional<membership::MemberState> belief(std::size_t of, std::size_t about) const;
     /// All that are up and running believe so of that one.
     bool all_believe(std::size_t about,
-                     const std::function<bool(std::optional<membership::State>)>& what) const;
+                     const std::function<bool(std::optional<membership::MemberState>)>& what) const;
     /// All that are up know all that are up as Alive, and nobody else as here.
     bool settled() const;
     /// The same, but a suspect counts as known: where datagrams are lost there is always one.
@@ -81,8 +81,8 @@
     std::uint64_t events() const { return events_; }
     /// How often a member that was up and running was called dead, by anyone.
     std::uint64_t called_dead() const { return called_dead_; }
-    std::function<void(std::size_t by, const membership::Changed&)> heard;
-    std::optional<std::size_t> index(const membership::Place& place) const;
+    std::function<void(std::size_t by, const membership::MemberChanged&)> heard;
+    std::optional<std::size_t> index(const membership::MemberAddress& place) const;
 
 private:
     struct Node {
@@ -110,8 +110,8 @@
     void step();
     void hand(std::size_t node, const membership::Event& event);
     void deliver(std::size_t node, std::uint32_t datagram);
-    void carry(std::size_t from, const membership::Send& send);
-    bool all_right(membership::State most) const;
+    void carry(std::size_t from, const membership::SendDatagram& send);
+    bool all_right(membership::MemberState most) const;
     void set_out(std::size_t to, const membership::Datagram& datagram, Duration late);
     // A member's own time and the swarm's.
     TimePoint own(const Node& node) const { return node.own + node.rate * (now_ - node.since); }
--- a/lab/swarm/trial.cpp
+++ b/lab/swarm/trial.cpp
@@ -13,10 +13,10 @@
 namespace ochrehub::lab {
 namespace {
 
-using membership::State;
+using membership::MemberState;
 
-bool taken_for_dead(std::optional<State> state) {
-    return state == State::Dead;
+bool taken_for_dead(std::optional<MemberState> state) {
+    return state == MemberState::Dead;
 }
 
 /// The counted time, with what is to trouble it.
@@ -25,10 +25,10 @@
     std::mt19937_64 random(trial.swarm.seed * 0x9E3779B97F4A7C15ull + 3);
     auto uniform = [&random] { return double(random() >> 11) * 0x1p-53; };
     std::set<std::pair<std::size_t, std::uint32_t>> ended;
-    swarm.heard = [&](std::size_t, const membership::Changed& changed) {
-        auto about = swarm.index(changed.now.who);
-        if (changed.now.state == State::Dead && about && swarm.up(*about))
-            ended.insert({*about, changed.now.incarnation});
+    swarm.heard = [&](std::size_t, const membership::MemberChanged& changed) {
+        auto about = swarm.index(changed.update.address);
+        if (changed.update.state == MemberState::Dead && about && swarm.up(*about))
+            ended.insert({*about, changed.update.incarnation});
     };
     std::size_t cut = std::size_t(std::ceil(trial.one_sided * double(swarm.size()) / 100));
     std::vector<std::pair<std::size_t, std::size_t>> ways;
@@ -103,7 +103,7 @@
         for (std::size_t about = 0; about < swarm.size(); ++about) {
             if (of == about || !swarm.up(of) || !swarm.up(about)) continue;
             auto belief = swarm.belief(of, about);
-            outcome.wrong_at_end += !belief || *belief >= State::Dead;
+            outcome.wrong_at_end += !belief || *belief >= MemberState::Dead;
         }
     outcome.cpu_s = thread_cpu_s() - from;
     return outcome;
--- a/lab/tests/fleet_test.cpp
+++ b/lab/tests/fleet_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 using What = Event::What;
-using membership::Kind;
-using membership::State;
+using membership::DatagramKind;
+using membership::MemberState;
 
 class Folder : TemporaryFolder {
 public:
@@ -174,7 +174,7 @@
     sees(6, 0, 2, Seen::Dead);
     sees(6, 1, 2, Seen::Dead);
     EXPECT_NE(broken().find("says so"), std::string::npos);
-    add(7, What::Says, 2, -1, membership::kSaysUnheard);
+    add(7, What::Says, 2, -1, membership::kReportsUnheard);
     EXPECT_EQ(broken(), "");
 }
 TEST_F(Judged, OneThatLeavesAndIsTakenForDead) {
@@ -202,8 +202,8 @@
     sees(2, 1, 0, Seen::Suspect);
     add(3, What::FaultOff, -1, -1, 0);
     EXPECT_EQ(broken(), "");
-    add(3.5, What::Says, 1, -1, membership::kSaysDeaf);
-    events.insert(events.end() - 2, {2.5, What::Says, 1, -1, membership::kSaysDeaf});
+    add(3.5, What::Says, 1, -1, membership::kReportsDeaf);
+    events.insert(events.end() - 2, {2.5, What::Says, 1, -1, membership::kReportsDeaf});
     EXPECT_NE(broken().find("behind the last fault all is right"), std::string::npos);
     add(9, What::Says, 1, -1, 0);
     EXPECT_NE(broken().find("it took 6.00 s"), std::string::npos);
@@ -232,14 +232,14 @@
 VirtualOptions with(std::function<void(membership::Settings&)> settings) {
     return {std::move(settings), nullptr};
 }
-VirtualOptions meddling(std::function<bool(std::size_t, membership::Send&)> meddles) {
+VirtualOptions meddling(std::function<bool(std::size_t, membership::SendDatagram&)> meddles) {
     return {nullptr, std::move(meddles)};
 }
-void drop_word_on(membership::Place who, membership::Datagram& datagram) {
+void drop_word_on(membership::MemberAddress who, membership::Datagram& datagram) {
     auto& updates = datagram.updates;
-    updates.erase(
-        std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }),
-        updates.end());
+    updates.erase(std::remove_if(updates.begin(), updates.end(),
+                                 [&](const auto& update) { return update.address == who; }),
+                  updates.end());
 }
 bool has(const std::string& text, const char* part) {
     return text.find(part) != std::string::npos;
@@ -251,13 +251,13 @@
 }
 TEST(FleetSaboteurs, SuspectsThatAreDeadAtOnce) {
     EXPECT_TRUE(has(broken_by("trouble", with([](membership::Settings& set) {
-                                  set.suspicion = 1;
-                                  set.lifeguard = set.last_call = false;
+                                  set.suspicion_multiplier = 1;
+                                  set.lifeguard = set.confirm_before_dead = false;
                               })),
                     "nobody who lives is taken for dead"));
 }
 TEST(FleetSaboteurs, SuspectsThatNeverDie) {
-    EXPECT_TRUE(has(broken_by("kill", with([](membership::Settings& set) { set.suspicion = 60; })),
+    EXPECT_TRUE(has(broken_by("kill", with([](membership::Settings& set) { set.suspicion_multiplier = 60; })),
                     "dead to all others within 8.0 s"));
 }
 TEST(FleetSaboteurs, OneThatNeverFindsItselfIsolated) {
@@ -267,39 +267,39 @@
                     "says so"));
 }
 TEST(FleetSaboteurs, GoodbyesThatAreNotSaid) {
-    EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t, membership::Send& send) {
-                                  send.datagram.from.state = State::Alive;
-                                  drop_word_on(send.datagram.from.who, send.datagram);
+    EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t, membership::SendDatagram& send) {
+                                  send.datagram.from.state = MemberState::Alive;
+                                  drop_word_on(send.datagram.from.address, send.datagram);
                                   return true;
                               })),
                     "one that leaves"));
 }
 TEST(FleetSaboteurs, WordOnWhoeverItIsSentToIsLeftOut) {
-    EXPECT_TRUE(has(broken_by("pause", meddling([](std::size_t, membership::Send& send) {
+    EXPECT_TRUE(has(broken_by("pause", meddling([](std::size_t, membership::SendDatagram& send) {
                                   drop_word_on(send.to, send.datagram);
                                   return true;
                               })),
                     "behind a pause"));
 }
 TEST(FleetSaboteurs, NobodyAsksTheDead) {
-    EXPECT_TRUE(has(broken_by("halves", meddling([](std::size_t, membership::Send& send) {
-                                  if (send.datagram.kind == Kind::Fetch) return false;
+    EXPECT_TRUE(has(broken_by("halves", meddling([](std::size_t, membership::SendDatagram& send) {
+                                  if (send.datagram.kind == DatagramKind::ListRequest) return false;
                                   for (const auto& update : send.datagram.updates)
-                                      if (send.datagram.kind == Kind::Ping && update.who == send.to &&
-                                          update.state == State::Dead)
+                                      if (send.datagram.kind == DatagramKind::Ping &&
+                                          update.address == send.to && update.state == MemberState::Dead)
                                           return false;
                                   return true;
                               })),
                     "behind the last fault all is right"));
 }
 TEST(FleetSaboteurs, ALiarWhoDeclaresOthersDead) {
-    EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t from, membership::Send& send) {
+    EXPECT_TRUE(has(broken_by("small", meddling([](std::size_t from, membership::SendDatagram& send) {
                                   if (from != 0) return true;
                                   membership::Update update;
-                                  update.who = send.to;
+                                  update.address = send.to;
                                   update.incarnation = 5;
-                                  update.state = State::Dead;
-                                  if (send.datagram.updates.size() < membership::kMostUpdates)
+                                  update.state = MemberState::Dead;
+                                  if (send.datagram.updates.size() < membership::kMaxUpdates)
                                       send.datagram.updates.push_back(update);
                                   return true;
                               })),
@@ -378,13 +378,12 @@
 // Whom it declares dead says otherwise as soon as it hears of it: the harm is a moment for each lie.
 TEST(FleetHardCases, ALiarsHarmEndsWithItsLies) {
     int lies = 0;
-    VirtualOptions liar = meddling([&lies](std::size_t from, membership::Send& send) {
-        if (from != 0 || lies++ > 300 || send.datagram.updates.size() == membership::kMostUpdates)
-            return true;
+    VirtualOptions liar = meddling([&lies](std::size_t from, membership::SendDatagram& send) {
+        if (from != 0 || lies++ > 300 || send.datagram.updates.size() == membership::kMaxUpdates) return true;
         membership::Update update;
-        update.who = {send.to.host ^ 1u, send.to.port};
+        update.address = {send.to.host ^ 1u, send.to.port};
         update.incarnation = std::uint32_t(lies);
-        update.state = State::Dead;
+        update.state = MemberState::Dead;
         send.datagram.updates.push_back(update);
         return true;
     });
@@ -405,9 +404,9 @@
     ProcessOptions options;
     options.program = OCHREHUB_NODE;
     for (const Broken& one : judge(day, run_processes(day, options)).broken) ADD_FAILURE() << one.promise;
-    options.meddles = [](std::size_t, membership::Send& send) {
-        send.datagram.from.state = State::Alive;
-        drop_word_on(send.datagram.from.who, send.datagram);
+    options.meddles = [](std::size_t, membership::SendDatagram& send) {
+        send.datagram.from.state = MemberState::Alive;
+        drop_word_on(send.datagram.from.address, send.datagram);
         return true;
     };
     std::string all;
--- a/lab/tests/members_explored_test.cpp
+++ b/lab/tests/members_explored_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using From = Exploration::From;
-using membership::Kind;
-using membership::Send;
+using membership::DatagramKind;
+using membership::SendDatagram;
 
 class Explored3 : public ::testing::TestWithParam<From> {};
 
@@ -39,14 +39,14 @@
                          ::testing::Values(From::Start, From::Settled, From::Suspicion, From::Death,
                                            From::Cut));
 
-void drop_word_on(membership::Place who, membership::Datagram& datagram) {
+void drop_word_on(membership::MemberAddress who, membership::Datagram& datagram) {
     auto& updates = datagram.updates;
-    updates.erase(
-        std::remove_if(updates.begin(), updates.end(), [&](const auto& update) { return update.who == who; }),
-        updates.end());
+    updates.erase(std::remove_if(updates.begin(), updates.end(),
+                                 [&](const auto& update) { return update.address == who; }),
+                  updates.end());
 }
 
-std::uint64_t broken_by(From from, std::function<bool(Send&)> meddles) {
+std::uint64_t broken_by(From from, std::function<bool(SendDatagram&)> meddles) {
     Exploration all;
     all.from = from;
     all.depth = 4;
@@ -56,7 +56,7 @@
 
 TEST(SeededFaults, AMemberThatIsNotToldOfItsDeathIsMissed) {
     EXPECT_GT(broken_by(From::Cut,
-                        [](Send& send) {
+                        [](SendDatagram& send) {
                             drop_word_on(send.to, send.datagram);
                             return true;
                         }),
@@ -65,9 +65,9 @@
 
 TEST(SeededFaults, RefutationsThatForgetTheIncarnationAreMissed) {
     EXPECT_GT(broken_by(From::Suspicion,
-                        [](Send& send) {
+                        [](SendDatagram& send) {
                             send.datagram.from.incarnation = 0;
-                            drop_word_on(send.datagram.from.who, send.datagram);
+                            drop_word_on(send.datagram.from.address, send.datagram);
                             return true;
                         }),
               0u);
@@ -76,11 +76,11 @@
 TEST(SeededFaults, WithoutKnocksACutNeverHeals) {
     // Neither lists nor pings to those that are dead.
     EXPECT_GT(broken_by(From::Cut,
-                        [](Send& send) {
-                            if (send.datagram.kind == Kind::Fetch) return false;
+                        [](SendDatagram& send) {
+                            if (send.datagram.kind == DatagramKind::ListRequest) return false;
                             for (const auto& update : send.datagram.updates)
-                                if (send.datagram.kind == Kind::Ping && update.who == send.to &&
-                                    update.state == membership::State::Dead)
+                                if (send.datagram.kind == DatagramKind::Ping && update.address == send.to &&
+                                    update.state == membership::MemberState::Dead)
                                     return false;
                             return true;
                         }),
@@ -90,9 +90,9 @@
 TEST(SeededFaults, AnAnswerThatDiesInAHelperBlamesNobodyForGood) {
     // A weakness that the protocol is to stand: helpers never pass an answer on.
     EXPECT_EQ(broken_by(From::Settled,
-                        [](Send& send) {
-                            return send.datagram.kind != Kind::Ack ||
-                                   send.datagram.about == send.datagram.from.who;
+                        [](SendDatagram& send) {
+                            return send.datagram.kind != DatagramKind::Ack ||
+                                   send.datagram.about == send.datagram.from.address;
                         }),
               0u);
 }
--- a/lab/tests/swarm_test.cpp
+++ b/lab/tests/swarm_test.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::lab {
 namespace {
 
-using membership::State;
+using membership::MemberState;
 
 Swarm::Settings of(std::size_t members, double loss = 0, std::uint64_t seed = 1) {
     Swarm::Settings set;
@@ -19,8 +19,8 @@
     set.octets = true;
     return set;
 }
-auto is(State state) {
-    return [state](std::optional<State> found) { return found == state; };
+auto is(MemberState state) {
+    return [state](std::optional<MemberState> found) { return found == state; };
 }
 constexpr Duration kSecond{1000};
 
@@ -50,8 +50,8 @@
         ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.settled(); }));
         Duration from = swarm.now();
         swarm.crash(20);
-        EXPECT_TRUE(
-            swarm.run_until(from + 10 * kSecond, [&] { return swarm.all_believe(20, is(State::Dead)); }))
+        EXPECT_TRUE(swarm.run_until(from + 10 * kSecond,
+                                    [&] { return swarm.all_believe(20, is(MemberState::Dead)); }))
             << "seed " << seed;
         swarm.run_to(40 * kSecond);
         EXPECT_EQ(swarm.called_dead(), 0u) << "seed " << seed;
@@ -63,16 +63,17 @@
     Swarm swarm(of(20));
     swarm.run_to(10 * kSecond);
     std::uint64_t of_others = 0;
-    swarm.heard = [&](std::size_t by, const membership::Changed& changed) {
-        if (by != 5 && changed.now.state == State::Dead && changed.now.who != swarm.place(5)) ++of_others;
+    swarm.heard = [&](std::size_t by, const membership::MemberChanged& changed) {
+        if (by != 5 && changed.update.state == MemberState::Dead && changed.update.address != swarm.place(5))
+            ++of_others;
     };
     swarm.loss_of(5, 0.7);
     swarm.run_to(120 * kSecond);
     EXPECT_EQ(of_others, 0u);
-    EXPECT_GE(swarm.core(5).doubt(), 3);
+    EXPECT_GE(swarm.core(5).local_health_score(), 3);
     swarm.loss_of(5, 0);
-    EXPECT_TRUE(
-        swarm.run_until(240 * kSecond, [&] { return swarm.settled() && swarm.core(5).doubt() == 0; }));
+    EXPECT_TRUE(swarm.run_until(240 * kSecond,
+                                [&] { return swarm.settled() && swarm.core(5).local_health_score() == 0; }));
 }
 
 // What the operators ask for: pauses, lost messages and one-sided cuts at once, and nobody who lives is dead
@@ -83,8 +84,8 @@
         ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.all_known(); }));
         // Also nobody who is paused: that is no death.
         std::uint64_t dead = 0;
-        swarm.heard = [&](std::size_t, const membership::Changed& changed) {
-            dead += changed.now.state == State::Dead;
+        swarm.heard = [&](std::size_t, const membership::MemberChanged& changed) {
+            dead += changed.update.state == MemberState::Dead;
         };
         swarm.cut_way(seed % 16, (seed + 5) % 16, true);
         for (std::size_t round = 0; round < 10; ++round) {
@@ -105,8 +106,9 @@
             Swarm swarm(of(16, 0.02, seed));
             ASSERT_TRUE(swarm.run_until(20 * kSecond, [&] { return swarm.all_known(); }));
             std::uint64_t of_others = 0;
-            swarm.heard = [&](std::size_t by, const membership::Changed& changed) {
-                if (by != 3 && changed.now.state == State::Dead && changed.now.who != swarm.place(3))
+            swarm.heard = [&](std::size_t by, const membership::MemberChanged& changed) {
+                if (by != 3 && changed.update.state == MemberState::Dead &&
+                    changed.update.address != swarm.place(3))
                     ++of_others;
             };
             auto cut = [&](bool on) {
@@ -114,19 +116,19 @@
             };
             Duration from = swarm.now();
             cut(true);
-            std::uint8_t word = deaf ? membership::kSaysDeaf : membership::kSaysUnheard;
+            std::uint8_t word = deaf ? membership::kReportsDeaf : membership::kReportsUnheard;
             EXPECT_TRUE(swarm.run_until(from + 10 * kSecond, [&] {
-                return swarm.core(3).self().said == word;
+                return swarm.core(3).self().self_report == word;
             })) << seed;
             EXPECT_TRUE(swarm.run_until(from + 20 * kSecond, [&] {
-                return swarm.all_believe(3, is(State::Dead));
+                return swarm.all_believe(3, is(MemberState::Dead));
             })) << seed;
             swarm.run_to(from + 60 * kSecond);
             EXPECT_EQ(of_others, 0u) << seed;
             Duration healed = swarm.now();
             cut(false);
             EXPECT_TRUE(swarm.run_until(healed + 15 * kSecond, [&] { return swarm.all_known(); })) << seed;
-            EXPECT_EQ(swarm.core(3).self().said, 0) << seed;
+            EXPECT_EQ(swarm.core(3).self().self_report, 0) << seed;
             EXPECT_EQ(of_others, 0u) << seed;
         }
 }
@@ -139,7 +141,7 @@
         for (std::size_t i = 8; i < 16; ++i) sides[i] = 1;
         swarm.cut(sides);
         swarm.run_to(70 * kSecond);
-        ASSERT_EQ(swarm.belief(0, 15), State::Dead);
+        ASSERT_EQ(swarm.belief(0, 15), MemberState::Dead);
         swarm.cut({});
         EXPECT_TRUE(swarm.run_until(85 * kSecond, [&] { return swarm.settled(); })) << "seed " << seed;
     }
@@ -150,10 +152,10 @@
     swarm.run_to(10 * kSecond);
     swarm.stop(7);
     swarm.run_to(70 * kSecond);
-    EXPECT_TRUE(swarm.all_believe(7, is(State::Dead)));
+    EXPECT_TRUE(swarm.all_believe(7, is(MemberState::Dead)));
     swarm.go_on(7);
     EXPECT_TRUE(swarm.run_until(90 * kSecond, [&] { return swarm.settled(); }));
-    EXPECT_GE(swarm.core(7).counts().late, 1u);
+    EXPECT_GE(swarm.core(7).counts().late_timers, 1u);
     // A short stop is nobody's death.
     std::uint64_t before = swarm.called_dead();
     swarm.stop(7);
@@ -171,9 +173,9 @@
     for (std::size_t i = 0; i < 24; ++i) sides[i] = i % 3 == 0;
     swarm.cut(sides);
     swarm.run_to(70 * kSecond);
-    EXPECT_EQ(swarm.belief(0, 1), State::Dead);
-    EXPECT_EQ(swarm.belief(1, 0), State::Dead);
-    EXPECT_EQ(swarm.belief(0, 3), State::Alive);
+    EXPECT_EQ(swarm.belief(0, 1), MemberState::Dead);
+    EXPECT_EQ(swarm.belief(1, 0), MemberState::Dead);
+    EXPECT_EQ(swarm.belief(0, 3), MemberState::Alive);
     swarm.cut({});
     EXPECT_TRUE(swarm.run_until(130 * kSecond, [&] { return swarm.settled(); }));
 }
@@ -181,7 +183,7 @@
 // The seeds' side knows nothing of the other any more: it is the seeds that bring them together.
 TEST(Swarm, APartitionThatLastedLongerThanTheDeadAreRememberedHealsByTheSeeds) {
     Swarm::Settings set = of(12);
-    set.each.forget = 30 * kSecond;
+    set.each.dead_retention = 30 * kSecond;
     Swarm swarm(set);
     swarm.run_to(10 * kSecond);
     std::vector<int> sides(12, 0);
@@ -198,12 +200,12 @@
     Swarm swarm(of(20));
     swarm.run_to(10 * kSecond);
     std::uint64_t dead = 0;
-    swarm.heard = [&](std::size_t, const membership::Changed& changed) {
-        dead += changed.now.state == State::Dead;
+    swarm.heard = [&](std::size_t, const membership::MemberChanged& changed) {
+        dead += changed.update.state == MemberState::Dead;
     };
     swarm.leave(4);
-    EXPECT_TRUE(
-        swarm.run_until(20 * kSecond, [&] { return !swarm.up(4) && swarm.all_believe(4, is(State::Left)); }));
+    EXPECT_TRUE(swarm.run_until(20 * kSecond,
+                                [&] { return !swarm.up(4) && swarm.all_believe(4, is(MemberState::Left)); }));
     swarm.run_to(40 * kSecond);
     EXPECT_EQ(dead, 0u);
     // It comes back, knowing nothing of its earlier run.
--- a/src/app/keeper_config.cpp
+++ b/src/app/keeper_config.cpp
@@ -98,9 +98,9 @@
     if (keeper.election < keeper.heartbeat * kBeats)
         file.wrong(file.has("keeper.election_ms") ? "keeper.election_ms" : "keeper.heartbeat_ms",
                    "leaves less than three heartbeats before an election: make election_ms longer");
-    if (std::string fault = membership::fault_of_name(keeper.name, 64); !fault.empty())
+    if (std::string fault = membership::name_error(keeper.name, 64); !fault.empty())
         file.wrong("keeper.name", fault);
-    if (std::string fault = membership::fault_of_name(keeper.zone, 64); !fault.empty())
+    if (std::string fault = membership::name_error(keeper.zone, 64); !fault.empty())
         file.wrong("keeper.zone", fault);
     std::size_t many = told.members.size();
     if (many == 0)
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -29,7 +29,7 @@
 #include "discovery/watcher.h"
 #include "engine/engine.h"
 #include "figures/figures.h"
-#include "fleet/membership/side.h"
+#include "fleet/membership/membership_service.h"
 #include "http/front.h"
 #include "http/server_pool.h"
 #include "takeover/instance_lock.h"
@@ -153,11 +153,13 @@
 /// Tells the fleet's side that the node's loop turns.
 class Beats {
 public:
-    Beats(asio::io_context& io, membership::Side& side) : timer_(io), side_(side) { beat(); }
+    Beats(asio::io_context& io, membership::MembershipService& service) : timer_(io), service_(service) {
+        beat();
+    }
 
 private:
     void beat() {
-        side_.beat();
+        service_.heartbeat();
         timer_.expires_after(kBeat);
         timer_.async_wait([this](boost::system::error_code stopped) {
             if (!stopped) beat();
@@ -165,7 +167,7 @@
     }
 
     asio::steady_timer timer_;
-    membership::Side& side_;
+    membership::MembershipService& service_;
 };
 
 /// Where the list of servers comes from.
@@ -203,7 +205,8 @@
     std::optional<discovery::Watcher> watcher_;
 };
 
-void open_fleet(std::optional<membership::Side>& fleet, const Plan& plan, membership::Side::Shares shares) {
+void open_fleet(std::optional<membership::MembershipService>& fleet, const Plan& plan,
+                membership::MembershipService::DivisorCallback shares) {
     if (!plan.fleet.on) return;
     try {
         fleet.emplace(plan.fleet, plan.node.name, plan.node.settings.balancers, std::move(shares));
@@ -229,7 +232,7 @@
     BufferPool pool(config.memory_mb);  // before the loop: pending handlers still hold buffers when it goes
     asio::io_context io{1};
     const std::size_t reserved = (config.control ? admin::AdminServer::kDescriptors : 0) +
-                                 (plan.fleet.on ? membership::Side::kDescriptors : 0) +
+                                 (plan.fleet.on ? membership::MembershipService::kDescriptors : 0) +
                                  (plan.keepers.on ? config_distribution::Side::kDescriptors : 0);
     DescriptorBudget budget = DescriptorBudget::of(config.sockets, reserved);
     Clock clock;
@@ -238,7 +241,7 @@
     Counters counters(config.names.classes.size());
     engine.count_in(&counters);
     http::ServerPool connections(io, pool, engine, config.settings, budget.servers, plan.profile, &counters);
-    std::optional<membership::Side> fleet;  // before whatever shows it
+    std::optional<membership::MembershipService> fleet;  // before whatever shows it
     open_fleet(fleet, plan, [&](int gateways, int me) {
         asio::post(io, [&engine, gateways, me] { engine.sharers(gateways, me); });
     });
@@ -276,10 +279,11 @@
     std::string files =
         "ochrehub-" + config.listen.address().to_string() + "-" + std::to_string(config.listen.port());
     admin::Side::Fleet shown;
-    if (fleet) shown.members = [&] { return fleet->members(); };
+    if (fleet) shown.members = [&] { return fleet->members_json(); };
     if (fleet || rules)
         shown.figures = [&] {
-            return (fleet ? fleet->figures() : std::string()) + (rules ? rules->figures() : std::string());
+            return (fleet ? fleet->metrics_text() : std::string()) +
+                   (rules ? rules->figures() : std::string());
         };
     if (config.control)
         side.emplace(
@@ -319,7 +323,7 @@
         } else
             front->rewrite_by(rewrites.on ? std::make_shared<const rewrite::Rewrites>(rewrites) : nullptr);
         figures.use(plan.operators.figures);
-        if (fleet) fleet->use(plan.fleet.keys);
+        if (fleet) fleet->set_keys(plan.fleet.keys);
     };
     apply();
     std::optional<Beats> beats;
--- a/src/app/plan.cpp
+++ b/src/app/plan.cpp
@@ -63,7 +63,7 @@
 
 private:
     void fleet() {
-        membership::Told& fleet = told_.fleet;
+        membership::MembershipConfig& fleet = told_.fleet;
         if (!fleet.on) return;
         if (fleet.zone.empty()) fleet.zone = told_.node.zone;
         if (fleet.listen.port() == 0 && !file_.has("fleet.listen"))
@@ -78,11 +78,11 @@
             if (at.port() != 0 && !at.address().is_v4()) file_.wrong(key, "is no IPv4 address");
         }
         auto named = [&](const char* key, const std::string& name, std::size_t most) {
-            if (std::string fault = membership::fault_of_name(name, most); !fault.empty())
+            if (std::string fault = membership::name_error(name, most); !fault.empty())
                 file_.wrong(key, quoted(name) + " " + fault);
         };
-        named("name", told_.node.name, membership::kNameMost);
-        named(file_.has("fleet.zone") ? "fleet.zone" : "zone", fleet.zone, membership::kZoneMost);
+        named("name", told_.node.name, membership::kMaxNameBytes);
+        named(file_.has("fleet.zone") ? "fleet.zone" : "zone", fleet.zone, membership::kMaxZoneBytes);
         if (fleet.cluster.empty()) file_.wrong("fleet.cluster", "is empty");
         if (fleet.nodes_least > told_.node.nodes)
             file_.wrong("fleet.nodes_least", "is more than nodes, " + std::to_string(told_.node.nodes));
@@ -98,7 +98,7 @@
         if (told.ask.empty()) file_.wrong("keepers.ask", "is missing: the addresses of some keepers");
         if (told.cluster.empty()) file_.wrong("keepers.cluster", "is empty");
         for (const std::string* name : {&told_.node.name, &told_.node.zone})
-            if (std::string fault = membership::fault_of_name(*name, membership::kNameMost); !fault.empty())
+            if (std::string fault = membership::name_error(*name, membership::kMaxNameBytes); !fault.empty())
                 file_.wrong(name == &told_.node.name ? "name" : "zone", quoted(*name) + " " + fault);
         std::optional<Duration> stated;
         if (told.stated > 0) stated = Duration{told.stated};
--- a/src/app/plan.h
+++ b/src/app/plan.h
@@ -24,7 +24,7 @@
     LogSettings log;
     /// Instead of discovery.
     std::optional<std::vector<discovery::StaticServer>> servers;
-    membership::Told fleet;
+    membership::MembershipConfig fleet;
     KeepersTold keepers;
     std::string zone;             ///< where the node stands
     std::string audit_file_at;    ///< where the audit's file was named, worded to go before a fault
--- a/src/app/toml_sections.h
+++ b/src/app/toml_sections.h
@@ -40,7 +40,7 @@
     Settings settings;
     http::HttpProfile profile;
     LogSettings log;
-    membership::Told fleet;
+    membership::MembershipConfig fleet;
     KeepersTold keepers;
     std::vector<Class> classes;
     std::vector<std::string> class_names;
--- a/src/fleet/membership/datagram.cpp
+++ b/src/fleet/membership/datagram.cpp
@@ -20,16 +20,17 @@
         for (int shift = int(sizeof value) * 8 - 8; shift >= 0; shift -= 8)
             out_ += char(value >> shift & 0xff);
     }
-    void put(const Place& place) {
+    void put(const MemberAddress& place) {
         put(place.host);
         put(place.port);
     }
     void put(const Update& update) {
-        put(update.who);
+        put(update.address);
         put(update.incarnation);
-        put(std::uint8_t(std::uint8_t(update.state) << 6 | std::uint8_t(update.role) << 4 | update.said));
+        put(std::uint8_t(std::uint8_t(update.state) << 6 | std::uint8_t(update.role) << 4 |
+                         update.self_report));
         put(update.zone);
-        put(update.speaks);
+        put(update.plan_version);
     }
 
     template <class Text>
@@ -52,23 +53,23 @@
             value = Number(value << 8 | std::uint8_t(octets_[at_++]));
         return value;
     }
-    Place take_place() {
-        Place place;
+    MemberAddress take_place() {
+        MemberAddress place;
         place.host = take<std::uint32_t>();
         place.port = take<std::uint16_t>();
         return place;
     }
     /// False: it names a state or a role that there is none of, or nobody.
     bool take(Update& update) {
-        update.who = take_place();
+        update.address = take_place();
         update.incarnation = take<std::uint32_t>();
         auto both = take<std::uint8_t>();
-        update.state = State(both >> 6);
+        update.state = MemberState(both >> 6);
         update.role = Role(both >> 4 & 3);
-        update.said = both & 15;
+        update.self_report = both & 15;
         update.zone = take<std::uint8_t>();
-        update.speaks = take<std::uint8_t>();
-        return update.who.known() && update.role <= Role::Planner && update.said <= kSaysAll;
+        update.plan_version = take<std::uint8_t>();
+        return update.address.known() && update.role <= Role::Planner && update.self_report <= kReportsAll;
     }
     /// False: too long, cut, or not printable: names reach logs and terminals.
     template <class Text>
@@ -91,7 +92,7 @@
 
 std::string encode(const Datagram& datagram, const Keys& keys, std::uint32_t cluster) {
     std::string out;
-    out.reserve(kMostOctets);
+    out.reserve(kMaxDatagramBytes);
     Writer writer(out);
     writer.put(kVersion);
     writer.put(std::uint8_t(datagram.kind));
@@ -113,43 +114,44 @@
     return out;
 }
 
-std::string_view name(Fault fault) {
-    constexpr std::array<std::string_view, kFaults> kNames{"none",    "short",     "long",   "forged",
-                                                           "version", "malformed", "cluster"};
+std::string_view name(DecodeError fault) {
+    constexpr std::array<std::string_view, kDecodeErrors> kNames{"none",    "short",     "long",   "forged",
+                                                                 "version", "malformed", "cluster"};
     return kNames[std::size_t(fault)];
 }
 
-Fault decode(std::string_view octets, const Keys& keys, Datagram& out, std::uint32_t cluster) {
-    if (octets.size() > kMostOctets) return Fault::Long;
+DecodeError decode(std::string_view octets, const Keys& keys, Datagram& out, std::uint32_t cluster) {
+    if (octets.size() > kMaxDatagramBytes) return DecodeError::TooLong;
     auto opened = keys.open(octets);
-    if (!opened) return Fault::Forged;
-    if (opened->empty()) return Fault::Short;
+    if (!opened) return DecodeError::AuthenticationFailed;
+    if (opened->empty()) return DecodeError::TooShort;
     Reader reader(*opened);
-    if (reader.take<std::uint8_t>() != kVersion) return Fault::Version;
-    if (opened->size() < kHead) return Fault::Short;
+    if (reader.take<std::uint8_t>() != kVersion) return DecodeError::UnsupportedVersion;
+    if (opened->size() < kHeaderBytes) return DecodeError::TooShort;
     auto kind = reader.take<std::uint8_t>();
-    if (kind >= kKinds) return Fault::Malformed;
-    if (reader.take<std::uint32_t>() != cluster) return Fault::Cluster;
-    out.kind = Kind(kind);
+    if (kind >= kDatagramKinds) return DecodeError::Malformed;
+    if (reader.take<std::uint32_t>() != cluster) return DecodeError::WrongCluster;
+    out.kind = DatagramKind(kind);
     out.sequence = reader.take<std::uint32_t>();
-    if (!reader.take(out.from)) return Fault::Malformed;
-    if (out.from.state != State::Alive && out.from.state != State::Left) return Fault::Malformed;
+    if (!reader.take(out.from)) return DecodeError::Malformed;
+    if (out.from.state != MemberState::Alive && out.from.state != MemberState::Left)
+        return DecodeError::Malformed;
     out.instance = reader.take<std::uint32_t>();
     out.plan.epoch = reader.take<std::uint32_t>();
     out.plan.number = reader.take<std::uint32_t>();
     out.about = reader.take_place();
     if (!reader.take_text(out.name) || !reader.take_text(out.zone) || reader.left() < 1)
-        return Fault::Malformed;
+        return DecodeError::Malformed;
     auto count = reader.take<std::uint8_t>();
-    if (count > kMostUpdates || reader.left() != count * kUpdate) return Fault::Malformed;
+    if (count > kMaxUpdates || reader.left() != count * kUpdateBytes) return DecodeError::Malformed;
     out.updates.clear();
     for (int i = 0; i < count; ++i) {
         Update update;
-        if (!reader.take(update)) return Fault::Malformed;
+        if (!reader.take(update)) return DecodeError::Malformed;
         update.accuser = reader.take<std::uint16_t>();
         out.updates.push_back(update);
     }
-    return Fault::None;
+    return DecodeError::None;
 }
 
 }  // namespace ochrehub::membership
--- a/src/fleet/membership/datagram.h
+++ b/src/fleet/membership/datagram.h
@@ -20,46 +20,55 @@
 
 namespace ochrehub::membership {
 
-enum class Kind : std::uint8_t {
-    Ping,     ///< are you there? `about`: who is meant, since an address may be another's by now
-    Forward,  ///< ping `about` for me
-    Ack,      ///< `about` is there
-    Nack,     ///< `about` has not answered me yet
-    Gossip,   ///< updates alone
-    Fetch,    ///< the members behind `about`, in the order of their places
-    Listed,   ///< ... are these; `about`: the last of them, or nobody where there are no more
+enum class DatagramKind : std::uint8_t {
+    Ping,         ///< are you there? `about`: who is meant, since an address may be another's by now
+    PingRequest,  ///< ping `about` for me
+    Ack,          ///< `about` is there
+    Nack,         ///< `about` has not answered me yet
+    Gossip,       ///< updates alone
+    ListRequest,  ///< the members behind `about`, in the order of their places
+    ListPage,     ///< ... are these; `about`: the last of them, or nobody where there are no more
 };
-inline constexpr std::uint8_t kKinds = 7;
+inline constexpr std::uint8_t kDatagramKinds = 7;
 
 using fleet::Keys, fleet::fingerprint, fleet::kTag;
 
-inline constexpr std::size_t kMostOctets = 256, kHead = 44, kUpdate = 15;  // the head with empty names
-inline constexpr std::size_t kNameMost = 20, kZoneMost = 11;
-inline constexpr std::size_t kMostUpdates =
-    (kMostOctets - kHead - kNameMost - kZoneMost - kTag) / kUpdate;  // 11
+inline constexpr std::size_t kMaxDatagramBytes = 256, kHeaderBytes = 44,
+                             kUpdateBytes = 15;  // the head with empty names
+inline constexpr std::size_t kMaxNameBytes = 20, kMaxZoneBytes = 11;
+inline constexpr std::size_t kMaxUpdates =
+    (kMaxDatagramBytes - kHeaderBytes - kMaxNameBytes - kMaxZoneBytes - kTag) / kUpdateBytes;  // 11
 
-using Name = boost::container::static_vector<char, kNameMost>;
-using ZoneName = boost::container::static_vector<char, kZoneMost>;
+using Name = boost::container::static_vector<char, kMaxNameBytes>;
+using ZoneName = boost::container::static_vector<char, kMaxZoneBytes>;
 
 struct Datagram {
-    Kind kind = Kind::Gossip;
+    DatagramKind kind = DatagramKind::Gossip;
     std::uint32_t sequence = 0;
     Update from;
     std::uint32_t instance = 0;  ///< drawn at each start: tells a process from the one before it at its place
     Name name;                   ///< of the sender, for people
     ZoneName zone;
-    PlanInForce plan;
-    Place about;
-    boost::container::static_vector<Update, kMostUpdates> updates;
+    ActivePlan plan;
+    MemberAddress about;
+    boost::container::static_vector<Update, kMaxUpdates> updates;
 };
 
 std::string encode(const Datagram& datagram, const Keys& keys, std::uint32_t cluster = 0);
 
-enum class Fault : std::uint8_t { None, Short, Long, Forged, Version, Malformed, Cluster };
-inline constexpr std::size_t kFaults = 7;
-std::string_view name(Fault fault);
+enum class DecodeError : std::uint8_t {
+    None,
+    TooShort,
+    TooLong,
+    AuthenticationFailed,
+    UnsupportedVersion,
+    Malformed,
+    WrongCluster
+};
+inline constexpr std::size_t kDecodeErrors = 7;
+std::string_view name(DecodeError fault);
 
 /// `out` counts only where there is no fault. Reads no octet outside of `octets`, whatever they claim.
-Fault decode(std::string_view octets, const Keys& keys, Datagram& out, std::uint32_t cluster = 0);
+DecodeError decode(std::string_view octets, const Keys& keys, Datagram& out, std::uint32_t cluster = 0);
 
 }  // namespace ochrehub::membership
--- a/src/fleet/membership/share.h
+++ b/src/fleet/membership/fleet_size_divisor.h
@@ -12,7 +12,7 @@
 
 namespace ochrehub::membership {
 
-class Share {
+class FleetSizeDivisor {
 public:
     struct Settings {
         int nodes = 1;        ///< as the operators have it
@@ -22,31 +22,31 @@
     };
     static constexpr int kMostTimes = 4;  ///< a rumour raises it to so many times `nodes` at most
 
-    explicit Share(const Settings& settings)
-        : set_(settings), count_(std::max(settings.nodes, settings.least)) {}
+    explicit FleetSizeDivisor(const Settings& settings)
+        : set_(settings), value_(std::max(settings.nodes, settings.least)) {}
 
     /// `here`: nodes that are seen to serve, this one included. To be told at each change and every `step` at
     /// least.
-    int see(TimePoint now, int here) {
+    int update(TimePoint now, int here) {
         here = std::clamp(here, set_.least, std::max(set_.least, kMostTimes * set_.nodes));
-        if (here >= count_) {
-            count_ = here;
+        if (here >= value_) {
+            value_ = here;
             fewer_ = false;
         } else if (!fewer_) {
             fewer_ = true;
             next_ = now + set_.hold;
         } else if (now >= next_) {
-            count_ -= std::max(1, (count_ - here + 3) / 4);
+            value_ -= std::max(1, (value_ - here + 3) / 4);
             next_ = now + set_.step;
-            fewer_ = here < count_;
+            fewer_ = here < value_;
         }
-        return count_;
+        return value_;
     }
-    int count() const { return count_; }
+    int value() const { return value_; }
 
 private:
     Settings set_;
-    int count_;
+    int value_;
     bool fewer_ = false;
     TimePoint next_{};
 };
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -32,18 +32,14 @@
 // end in the last number there is, after which nobody could refute anything.
 constexpr std::uint32_t kMostIncarnation = 1u << 31;
 
-bool is_here(State state) {
-    return state == State::Alive || state == State::Suspect;
-}
-
 }  // namespace
 
 Membership::Membership(const Settings& settings, std::uint64_t seed) : set_(settings) {
     random_.seed(std::uint32_t(seed * 0x9E3779B97F4A7C15ull >> 32) | 16);
-    self_.who = set_.self;
+    self_.address = set_.self;
     self_.role = set_.role;
     self_.zone = set_.zone;
-    self_.speaks = set_.speaks;
+    self_.plan_version = set_.plan_version;
     sequence_ =
         set_.instance;  // what answered an earlier process at this place answers nothing of this one's
     probe_.slot = kNobody;
@@ -54,9 +50,9 @@
     now_ = now;
     actions_ = &actions;
     // It stood still: what it did not hear in that time says nothing of others.
-    if (woken_for_ && now - *woken_for_ > set_.timeout) {
+    if (woken_for_ && now - *woken_for_ > set_.probe_timeout) {
         Duration lost = now - *woken_for_;
-        ++counts_.late;
+        ++counts_.late_timers;
         heard_at_ += lost;
         answered_at_ += lost;
         if (set_.lifeguard) {
@@ -74,21 +70,21 @@
     TimePoint next = std::max(next_wake(), now_);
     if (woken_for_ == next || (woken_for_ && *woken_for_ <= now_ && next == now_)) return;
     woken_for_ = next;
-    actions.push_back(WakeAt{next});
+    actions.push_back(SetTimer{next});
 }
 
-const Membership::Member* Membership::find(const Place& place) const {
+const Membership::Member* Membership::find(const MemberAddress& place) const {
     std::uint32_t slot = slot_of(place);
     return slot == kNobody ? nullptr : &members_[slot];
 }
 
 // ---- Time
 
-void Membership::on(const Woken&) {
+void Membership::on(const TimerFired&) {
     woken_for_.reset();
     if (!started_) {
         started_ = true;
-        next_probe_ = now_ + uniform() * set_.interval;
+        next_probe_ = now_ + uniform() * set_.probe_interval;
         next_gossip_ = now_;
         next_knock_ = now_ + (0.5 + uniform()) * kKnock;
         heard_at_ = answered_at_ = now_;
@@ -99,7 +95,7 @@
         Relay& relay = relays_[i];
         if (!relay.nacked && now_ >= relay.nack_at) {
             relay.nacked = true;
-            send(relay.who, make(Kind::Nack, relay.theirs, relay.about));
+            send(relay.who, make(DatagramKind::Nack, relay.theirs, relay.about));
         }
     }
     std::erase_if(relays_, [this](const Relay& relay) { return now_ >= relay.end; });
@@ -107,7 +103,7 @@
         ask_others();
     if (now_ >= next_probe_ && goodbyes_ < 0) {
         probe_ends();
-        next_probe_ = now_ + set_.interval * (1 + doubt_);
+        next_probe_ = now_ + set_.probe_interval * (1 + doubt_);
         probe_next();
     }
     expire();
@@ -117,7 +113,7 @@
     if (now_ >= fetch_again_) {
         fetch_again_ = TimePoint::max();
         auto one = some_here(1, {});
-        if (!one.empty() && fetching_ == 0) fetch(members_[one[0]].update.who, {});
+        if (!one.empty() && fetching_ == 0) fetch(members_[one[0]].update.address, {});
     }
     if (now_ >= fetch_until_) {
         // A page is asked for again where it was lost; a seed that stays silent gives way to the next. Where
@@ -155,27 +151,28 @@
                 std::swap(ring_[i - 1], ring_[below(std::uint32_t(i))]);
         }
         std::uint32_t slot = ring_[ring_at_++];
-        if (!is_here(members_[slot].update.state)) continue;
+        if (!is_live(members_[slot].update.state)) continue;
         probe_ = Probe{};
         probe_.slot = slot;
-        probe_.who = members_[slot].update.who;
+        probe_.who = members_[slot].update.address;
         probe_.sequence = ++sequence_;
-        probe_.ask_others = now_ + set_.timeout * (1 + doubt_);
+        probe_.ask_others = now_ + set_.probe_timeout * (1 + doubt_);
         probe_.end = next_probe_;
         ++counts_.probes;
         // A suspect hears of it at once, with the question that it may still answer.
         Update belief = members_[slot].update;
-        send(probe_.who, make(Kind::Ping, probe_.sequence, probe_.who),
-             belief.state == State::Suspect ? &belief : nullptr);
+        send(probe_.who, make(DatagramKind::Ping, probe_.sequence, probe_.who),
+             belief.state == MemberState::Suspect ? &belief : nullptr);
         return;
     }
 }
 
 void Membership::ask_others() {
     probe_.asked = true;
-    send(probe_.who, make(Kind::Ping, probe_.sequence, probe_.who));  // one lost datagram is no silence
-    for (std::uint32_t slot : some_here(std::size_t(set_.helpers), probe_.who)) {
-        send(members_[slot].update.who, make(Kind::Forward, probe_.sequence, probe_.who));
+    send(probe_.who,
+         make(DatagramKind::Ping, probe_.sequence, probe_.who));  // one lost datagram is no silence
+    for (std::uint32_t slot : some_here(std::size_t(set_.indirect_probes), probe_.who)) {
+        send(members_[slot].update.address, make(DatagramKind::PingRequest, probe_.sequence, probe_.who));
         ++probe_.nacks_due;
     }
 }
@@ -184,95 +181,97 @@
     Probe probe = std::exchange(probe_, Probe{});
     if (probe.slot == kNobody) return;
     if (probe.answered) return doubt(-1);
-    ++counts_.failed;
+    ++counts_.failed_probes;
     // Helpers that are silent too speak against this one, not against whom it asked for.
     doubt(probe.nacks_due > 0 ? probe.nacks_due - probe.nacks : 1);
     if (slot_of(probe.who) != probe.slot) return;
     Update update = members_[probe.slot].update;
-    update.accuser = set_.self.mark();
-    if (update.state == State::Alive) {
-        update.state = State::Suspect;
+    update.accuser = set_.self.short_hash();
+    if (update.state == MemberState::Alive) {
+        update.state = MemberState::Suspect;
         suspect(probe.slot, update);
-        send(probe.who, make(Kind::Ping, ++sequence_, probe.who), &update);
-    } else if (update.state == State::Suspect) {
+        send(probe.who, make(DatagramKind::Ping, ++sequence_, probe.who), &update);
+    } else if (update.state == MemberState::Suspect) {
         confirm(members_[probe.slot], update.accuser);
     }
 }
 
 void Membership::relay(const Datagram& d) {
     if (relays_.size() >= kRelays || d.about == set_.self || !d.about.known()) return;
-    Relay relay{++sequence_, d.sequence, d.from.who, d.about, {}, {}, false};
-    relay.nack_at = now_ + kNackAfter * set_.timeout;
-    relay.end = now_ + 2 * set_.interval;
+    Relay relay{++sequence_, d.sequence, d.from.address, d.about, {}, {}, false};
+    relay.nack_at = now_ + kNackAfter * set_.probe_timeout;
+    relay.end = now_ + 2 * set_.probe_interval;
     relays_.push_back(relay);
     const Member* member = find(d.about);
     Update belief = member ? member->update : Update{};
-    send(d.about, make(Kind::Ping, relay.sequence, d.about),
-         member && belief.state != State::Alive ? &belief : nullptr);
+    send(d.about, make(DatagramKind::Ping, relay.sequence, d.about),
+         member && belief.state != MemberState::Alive ? &belief : nullptr);
 }
 
 // ---- What others say
 
-void Membership::on(const Received& event) {
+void Membership::on(const DatagramReceived& event) {
     if (!started_) return;
     receive(event.datagram);
 }
 
 void Membership::receive(const Datagram& d) {
-    if (d.from.who == set_.self) return;
+    if (d.from.address == set_.self) return;
     ++counts_.received;
     heard_at_ = now_;
     take(d.from, true);
     met(d);
-    bool answers = d.kind == Kind::Ack || d.kind == Kind::Nack || d.kind == Kind::Listed;
+    bool answers =
+        d.kind == DatagramKind::Ack || d.kind == DatagramKind::Nack || d.kind == DatagramKind::ListPage;
     if (answers && sequence_ - d.sequence < kOwnRecent) answered();
     // What a list holds is told by lists: to gossip of all of it takes a minute where many join at once.
-    listing_ = d.kind == Kind::Listed;
+    listing_ = d.kind == DatagramKind::ListPage;
     for (const Update& update : d.updates) take(update, false);
     listing_ = false;
-    if (d.kind == Kind::Gossip) correct(d);
+    if (d.kind == DatagramKind::Gossip) correct(d);
     switch (d.kind) {
-        case Kind::Ping: {
+        case DatagramKind::Ping: {
             if (d.about != set_.self) {
-                ++counts_.strangers;
+                ++counts_.misaddressed;
                 return;
             }
             // What it may refute it must hear, or it would be here and gone at once.
-            const Member* member = find(d.from.who);
-            bool believed =
-                !member ||
-                (member->update.state == State::Alive && member->update.incarnation <= d.from.incarnation) ||
-                d.from.state == State::Left;
+            const Member* member = find(d.from.address);
+            bool believed = !member ||
+                            (member->update.state == MemberState::Alive &&
+                             member->update.incarnation <= d.from.incarnation) ||
+                            d.from.state == MemberState::Left;
             Update belief = member ? member->update : Update{};
-            send(d.from.who, make(Kind::Ack, d.sequence, set_.self), believed ? nullptr : &belief);
+            send(d.from.address, make(DatagramKind::Ack, d.sequence, set_.self),
+                 believed ? nullptr : &belief);
             return;
         }
-        case Kind::Forward:
+        case DatagramKind::PingRequest:
             return relay(d);
-        case Kind::Ack: {
+        case DatagramKind::Ack: {
             if (probe_.slot != kNobody && d.sequence == probe_.sequence && d.about == probe_.who) {
                 probe_.answered = true;
                 return;
             }
             auto relay = std::find_if(relays_.begin(), relays_.end(), [&](const Relay& r) {
-                return r.sequence == d.sequence && r.about == d.about && d.from.who == d.about;
+                return r.sequence == d.sequence && r.about == d.about && d.from.address == d.about;
             });
             if (relay == relays_.end()) return;
             Relay done = *relay;
             relays_.erase(relay);
-            send(done.who, make(Kind::Ack, done.theirs, done.about));
+            send(done.who, make(DatagramKind::Ack, done.theirs, done.about));
             return;
         }
-        case Kind::Nack:
+        case DatagramKind::Nack:
             if (probe_.slot != kNobody && d.sequence == probe_.sequence && d.about == probe_.who)
                 probe_.nacks = std::min(probe_.nacks + 1, probe_.nacks_due);
             return;
-        case Kind::Gossip:
+        case DatagramKind::Gossip:
             return;
-        case Kind::Fetch:
+        case DatagramKind::ListRequest:
             return list(d);
-        case Kind::Listed:
-            if (fetching_ == 0 || d.sequence != fetching_ || d.from.who != fetched_from_) return;
+        case DatagramKind::ListPage:
+            if (fetching_ == 0 || d.sequence != fetching_ || d.from.address != fetched_from_) return;
             fetching_ = 0;
             page_tries_ = 0;
             fetch_until_ = TimePoint::max();
@@ -289,20 +288,20 @@
 
 // Who accuses a member has missed that it refuted that: gossip reaches nearly all.
 void Membership::correct(const Datagram& d) {
-    Datagram answer = make(Kind::Gossip, 0, {});
+    Datagram answer = make(DatagramKind::Gossip, 0, {});
     for (const Update& update : d.updates) {
-        if (update.state != State::Suspect && update.state != State::Dead) continue;
-        const Member* member = find(update.who);
-        if (member && is_here(member->update.state) && member->update.incarnation > update.incarnation)
+        if (update.state != MemberState::Suspect && update.state != MemberState::Dead) continue;
+        const Member* member = find(update.address);
+        if (member && is_live(member->update.state) && member->update.incarnation > update.incarnation)
             answer.updates.push_back(member->update);
     }
     if (answer.updates.empty() || isolated()) return;
     ++counts_.sent;
-    actions_->push_back(Send{d.from.who, std::move(answer)});
+    actions_->push_back(SendDatagram{d.from.address, std::move(answer)});
 }
 
 void Membership::met(const Datagram& d) {
-    std::uint32_t slot = slot_of(d.from.who);
+    std::uint32_t slot = slot_of(d.from.address);
     if (slot == kNobody) return;
     Slot& member = members_[slot];
     member.plan = d.plan;
@@ -315,8 +314,8 @@
         bool known = doubled && member.doubled != TimePoint{} && now_ - member.doubled < kDoubledWithin;
         member.instance_before = member.instance;
         if (!doubled) ++member.restarts;
-        if (doubled) member.doubled = now_, ++counts_.doubled;
-        if (!known) actions_->push_back(Restarted{d.from.who, d.instance, doubled});
+        if (doubled) member.doubled = now_, ++counts_.duplicates;
+        if (!known) actions_->push_back(MemberRestarted{d.from.address, d.instance, doubled});
     }
     member.instance = d.instance;
 }
@@ -326,31 +325,32 @@
 /// Somebody is there to be heard, or should be.
 bool Membership::anybody() const {
     if (index_.empty()) return !set_.seeds.empty();
-    return std::any_of(index_.begin(), index_.end(),
-                       [this](const auto& one) { return members_[one.second].update.state != State::Left; });
+    return std::any_of(index_.begin(), index_.end(), [this](const auto& one) {
+        return members_[one.second].update.state != MemberState::Left;
+    });
 }
 
 void Membership::answered() {
     answered_at_ = now_;
     next_ask_ = TimePoint::max();
     if (!isolated()) return;
-    say(self_.said & std::uint8_t(~kSaysIsolated));
+    say(self_.self_report & std::uint8_t(~kReportsIsolated));
     // Whom it did not hear while nobody heard it has done nothing: their time begins anew.
     for (std::uint32_t slot : suspects_) {
         Slot& member = members_[slot];
         member.began = now_;
         member.accused = member.last_calls = 0;
-        confirm(member, set_.self.mark());
+        confirm(member, set_.self.short_hash());
     }
     hurry();  // whom it took for dead meanwhile hears of it, and nobody else
 }
 
-// Found alone: others cannot tell it whom it does not hear, nor one that they do not hear. Told to all once
-// it can be.
+// Found alone: others cannot tell it whom it does not hear, nor one that they do not hear. MembershipConfig
+// to all once it can be.
 void Membership::look_at_itself() {
-    std::uint8_t word = now_ - heard_at_ >= kAskAt * set_.isolated_after ? kSaysDeaf : kSaysUnheard;
+    std::uint8_t word = now_ - heard_at_ >= kAskAt * set_.isolated_after ? kReportsDeaf : kReportsUnheard;
     // What it heard last may have come long behind the last answer: which of the two it is shows later.
-    if (isolated()) return say(std::uint8_t((self_.said & kSaysStalled) | word));
+    if (isolated()) return say(std::uint8_t((self_.self_report & kReportsStalled) | word));
     // In the very terms of next_wake: a difference that rounds the other way would have it woken for now
     // without end.
     if (now_ < answered_at_ + kAskAt * set_.isolated_after) return;
@@ -361,65 +361,66 @@
     if (now_ >= answered_at_ + set_.isolated_after) {
         ++counts_.isolated;
         next_ask_ = TimePoint::max();
-        say(std::uint8_t((self_.said & kSaysStalled) | word));
-        next_knock_ = std::min(next_knock_, now_ + 2 * set_.interval);
+        say(std::uint8_t((self_.self_report & kReportsStalled) | word));
+        next_knock_ = std::min(next_knock_, now_ + 2 * set_.probe_interval);
     } else if (next_ask_ == TimePoint::max() || now_ >= next_ask_) {
-        next_ask_ = now_ + set_.interval;
+        next_ask_ = now_ + set_.probe_interval;
         for (std::uint32_t slot : some_here(kAskOf, {}))
-            send(members_[slot].update.who, make(Kind::Ping, ++sequence_, members_[slot].update.who));
+            send(members_[slot].update.address,
+                 make(DatagramKind::Ping, ++sequence_, members_[slot].update.address));
     }
 }
 
 void Membership::say(std::uint8_t said) {
-    if (self_.said == said) return;
-    self_.said = said;
+    if (self_.self_report == said) return;
+    self_.self_report = said;
     ++self_.incarnation;
     self_news_ = refuting_ = true;
     self_told_ = 0;
     next_gossip_ = std::min(next_gossip_, now_);
-    actions_->push_back(OfItself{said});
+    actions_->push_back(SelfUpdate{said});
 }
 
 void Membership::hurry() {
     std::size_t dead = index_.size() - std::min(index_.size(), here_);
     hurried_ = std::min(2 * dead, kHurriedMost);
-    if (dead > 0) next_knock_ = std::min(next_knock_, now_ + uniform() * set_.interval / 2);
+    if (dead > 0) next_knock_ = std::min(next_knock_, now_ + uniform() * set_.probe_interval / 2);
 }
 
 void Membership::take(const Update& update, bool by_itself) {
     if (update.incarnation > kMostIncarnation) return;
-    if (update.who == set_.self) return take_of_self(update);
-    std::uint32_t slot = slot_of(update.who);
+    if (update.address == set_.self) return take_of_self(update);
+    std::uint32_t slot = slot_of(update.address);
     if (slot == kNobody) {
-        if (!is_here(update.state)) return;  // of those gone only who knew them needs to remember
+        if (!is_live(update.state)) return;  // of those gone only who knew them needs to remember
         slot = add(update);
-        if (slot != kNobody && update.state == State::Suspect) suspect(slot, update);
+        if (slot != kNobody && update.state == MemberState::Suspect) suspect(slot, update);
         return;
     }
     Slot& member = members_[slot];
-    if (update.state == State::Suspect && member.update.state == State::Suspect &&
+    if (update.state == MemberState::Suspect && member.update.state == MemberState::Suspect &&
         update.incarnation == member.update.incarnation)
         return confirm(member, update.accuser);
     // Its own word on what it is counts without a new incarnation: whoever restarts may come back as another.
     if (by_itself && update.incarnation == member.update.incarnation && update.state == member.update.state) {
         member.update.role = update.role;
         member.update.zone = update.zone;
-        member.update.speaks = update.speaks;
-        member.update.said = update.said;
+        member.update.plan_version = update.plan_version;
+        member.update.self_report = update.self_report;
         return;
     }
-    if (!outranks(update, member.update)) return;
+    if (!supersedes(update, member.update)) return;
     // One that hears nobody has not heard that it is suspected, or dead: its word on itself refutes nothing.
-    bool accused = member.update.state == State::Suspect || member.update.state == State::Dead;
-    if (accused && update.state == State::Alive && (update.said & kSaysDeaf) != 0) {
-        bool says_else = member.update.said != update.said;
+    bool accused = member.update.state == MemberState::Suspect || member.update.state == MemberState::Dead;
+    if (accused && update.state == MemberState::Alive && (update.self_report & kReportsDeaf) != 0) {
+        bool says_else = member.update.self_report != update.self_report;
         member.update.incarnation = update.incarnation;
-        member.update.said = update.said;
+        member.update.self_report = update.self_report;
         tell_of(slot, false);
-        if (says_else) actions_->push_back(Changed{member.update, member.update.state});
+        if (says_else) actions_->push_back(MemberChanged{member.update, member.update.state});
         return;
     }
-    if (update.state == State::Suspect)
+    if (update.state == MemberState::Suspect)
         suspect(slot, update);
     else
         set(slot, update);
@@ -427,16 +428,16 @@
 
 void Membership::take_of_self(const Update& update) {
     if (goodbyes_ >= 0) return;
-    if (update.state == State::Alive) {
+    if (update.state == MemberState::Alive) {
         if (update.incarnation > self_.incarnation) refute(update.incarnation, false);  // of an earlier run
     } else if (update.incarnation >= self_.incarnation) {
-        refute(update.incarnation, update.state != State::Left);
+        refute(update.incarnation, update.state != MemberState::Left);
     }
 }
 
 void Membership::refute(std::uint32_t above, bool doubts) {
     self_.incarnation = above + 1;
-    ++counts_.refuted;
+    ++counts_.refutations;
     if (doubts) doubt(1);
     self_news_ = refuting_ = true;
     self_told_ = 0;
@@ -445,17 +446,17 @@
 
 void Membership::set(std::uint32_t slot, const Update& update) {
     Slot& member = members_[slot];
-    State was = member.update.state;
-    if (was == State::Suspect) std::erase(suspects_, slot);
-    bool says_else = member.update.said != update.said;
-    here_ += std::size_t(is_here(update.state)) - std::size_t(is_here(was));
+    MemberState was = member.update.state;
+    if (was == MemberState::Suspect) std::erase(suspects_, slot);
+    bool says_else = member.update.self_report != update.self_report;
+    here_ += std::size_t(is_live(update.state)) - std::size_t(is_live(was));
     member.update = update;
     member.alone = false;
-    tell_of(slot, !is_here(update.state) || !is_here(was));
+    tell_of(slot, !is_live(update.state) || !is_live(was));
     if (was == update.state && !says_else) return;
     if (was != update.state) member.changed = now_;
-    actions_->push_back(Changed{update, was});
-    if (!is_here(was) && is_here(update.state)) hurry();
+    actions_->push_back(MemberChanged{update, was});
+    if (!is_live(was) && is_live(update.state)) hurry();
 }
 
 void Membership::suspect(std::uint32_t slot, const Update& update) {
@@ -469,7 +470,7 @@
 }
 
 Duration Membership::suspicion_least() const {
-    return set_.suspicion * std::max(1.0, std::log10(double(here_ + 1))) * set_.interval;
+    return set_.suspicion_multiplier * std::max(1.0, std::log10(double(here_ + 1))) * set_.probe_interval;
 }
 
 // The time that a suspect has falls with each other member that finds it silent too: a lone accuser may be
@@ -484,11 +485,11 @@
     if (std::find(member.accusers, end, accuser) != end || member.accused >= most || member.last_calls > 0)
         return;
     member.accusers[member.accused++] = accuser;
-    Duration least = suspicion_least(), span = least * (set_.suspicion_most - 1);
+    Duration least = suspicion_least(), span = least * (set_.max_suspicion_factor - 1);
     double part = most > 1 ? std::log(double(member.accused)) / std::log(double(most)) : 1;
     member.until = member.began + least + span * (1 - part);
     member.update.accuser = accuser;
-    tell_of(slot_of(member.update.who), false);
+    tell_of(slot_of(member.update.address), false);
 }
 
 void Membership::expire() {
@@ -501,16 +502,16 @@
         Update update = members_[slot].update;
         // Gossip misses somebody now and then, also with what was refuted long ago: it is asked once more
         // before all hear that it is dead.
-        if (set_.last_call && members_[slot].last_calls < kLastCalls) {
+        if (set_.confirm_before_dead && members_[slot].last_calls < kLastCalls) {
             ++members_[slot].last_calls;
-            members_[slot].until = now_ + 2 * set_.timeout;
-            send(update.who, make(Kind::Ping, ++sequence_, update.who), &update);
+            members_[slot].until = now_ + 2 * set_.probe_timeout;
+            send(update.address, make(DatagramKind::Ping, ++sequence_, update.address), &update);
             // Whoever knows better says so: see `correct`.
-            for (std::uint32_t slot_of_other : some_here(std::size_t(set_.helpers), update.who))
-                send(members_[slot_of_other].update.who, make(Kind::Gossip, 0, {}), &update);
+            for (std::uint32_t slot_of_other : some_here(std::size_t(set_.indirect_probes), update.address))
+                send(members_[slot_of_other].update.address, make(DatagramKind::Gossip, 0, {}), &update);
             continue;
         }
-        update.state = State::Dead;
+        update.state = MemberState::Dead;
         update.accuser = 0;
         set(slot, update);  // takes it off suspects_
         // Guards against one that hears nobody: all others are dead to it, and it may still be heard.
@@ -526,7 +527,7 @@
     if (!std::exchange(member.news, true)) news_.push_back(slot);
     urgent_ += int(urgent) - int(std::exchange(member.urgent, urgent));
     if (urgent && next_gossip_ == TimePoint::max())
-        next_gossip_ = now_ + uniform() * set_.interval / kGossipsAnInterval;
+        next_gossip_ = now_ + uniform() * set_.probe_interval / kGossipsAnInterval;
 }
 
 int Membership::tellings() const {
@@ -539,25 +540,25 @@
         next_gossip_ = TimePoint::max();
         return;
     }
-    next_gossip_ = now_ + set_.interval / kGossipsAnInterval;
+    next_gossip_ = now_ + set_.probe_interval / kGossipsAnInterval;
     for (std::uint32_t slot : some_here(leaving ? kGoodbyeTo : kGossipTo, {}))
-        send(members_[slot].update.who, make(Kind::Gossip, 0, {}));
+        send(members_[slot].update.address, make(DatagramKind::Gossip, 0, {}));
     if (!leaving || --goodbyes_ > 0) return;
     over_ = true;
-    actions_->push_back(Over{});
+    actions_->push_back(LeaveCompleted{});
 }
 
 void Membership::on(const Leave&) {
     if (goodbyes_ >= 0) return;
     goodbyes_ = kGoodbyes;
-    self_.state = State::Left;
+    self_.state = MemberState::Left;
     self_news_ = true;
     self_told_ = 0;
     probe_.slot = kNobody;
     next_gossip_ = now_;
 }
 
-Datagram Membership::make(Kind kind, std::uint32_t sequence, const Place& about) const {
+Datagram Membership::make(DatagramKind kind, std::uint32_t sequence, const MemberAddress& about) const {
     Datagram d;
     d.kind = kind;
     d.sequence = sequence;
@@ -570,9 +571,9 @@
     return d;
 }
 
-void Membership::send(const Place& to, Datagram datagram, const Update* first) {
+void Membership::send(const MemberAddress& to, Datagram datagram, const Update* first) {
     if (first) datagram.updates.push_back(*first);
-    std::size_t room = kMostUpdates - datagram.updates.size();
+    std::size_t room = kMaxUpdates - datagram.updates.size();
     int most = tellings();
     if (self_news_ && room > 0) {
         datagram.updates.push_back(self_);
@@ -606,34 +607,34 @@
         return over;
     });
     ++counts_.sent;
-    actions_->push_back(Send{to, std::move(datagram)});
+    actions_->push_back(SendDatagram{to, std::move(datagram)});
 }
 
 // ---- Joining, and finding again
 
-void Membership::fetch(const Place& from, const Place& behind) {
+void Membership::fetch(const MemberAddress& from, const MemberAddress& behind) {
     if (from == set_.self) return;
     fetching_ = ++sequence_;
     fetched_from_ = from;
     fetched_to_ = behind;
     if (!behind.known()) fetched_new_ = 0;
-    fetch_until_ = now_ + 2 * set_.timeout * (1 + doubt_);
-    send(from, make(Kind::Fetch, fetching_, behind));
+    fetch_until_ = now_ + 2 * set_.probe_timeout * (1 + doubt_);
+    send(from, make(DatagramKind::ListRequest, fetching_, behind));
 }
 
 void Membership::list(const Datagram& d) {
-    Datagram listed = make(Kind::Listed, d.sequence, {});
+    Datagram listed = make(DatagramKind::ListPage, d.sequence, {});
     for (auto it = index_.upper_bound(d.about); it != index_.end(); ++it) {
         const Update& update = members_[it->second].update;
-        if (!is_here(update.state) || update.who == d.from.who) continue;
-        if (listed.updates.size() == kMostUpdates) {
-            listed.about = listed.updates.back().who;
+        if (!is_live(update.state) || update.address == d.from.address) continue;
+        if (listed.updates.size() == kMaxUpdates) {
+            listed.about = listed.updates.back().address;
             break;
         }
         listed.updates.push_back(update);
     }
     ++counts_.sent;
-    actions_->push_back(Send{d.from.who, std::move(listed)});
+    actions_->push_back(SendDatagram{d.from.address, std::move(listed)});
 }
 
 // A partition that has healed shows only if someone asks those that it took for dead. Each asks one now and
@@ -641,25 +642,25 @@
 void Membership::knock() {
     bool hurried = hurried_ > 0 || isolated();
     hurried_ -= hurried_ > 0;
-    next_knock_ = now_ + (0.75 + 0.5 * uniform()) * (hurried_ > 0 ? set_.interval / 2
-                                                     : isolated() ? 2 * set_.interval
+    next_knock_ = now_ + (0.75 + 0.5 * uniform()) * (hurried_ > 0 ? set_.probe_interval / 2
+                                                     : isolated() ? 2 * set_.probe_interval
                                                                   : kKnock);
     std::vector<std::uint32_t> old;
     std::vector<std::uint32_t> dead;
     for (const auto& [place, slot] : index_) {
         const Slot& member = members_[slot];
-        if (is_here(member.update.state)) continue;
-        if (now_ - member.changed > set_.forget)
+        if (is_live(member.update.state)) continue;
+        if (now_ - member.changed > set_.dead_retention)
             old.push_back(slot);
-        else if (member.update.state == State::Dead)
+        else if (member.update.state == MemberState::Dead)
             dead.push_back(slot);
     }
     for (std::uint32_t slot : old) drop(slot);
     fetch_tries_ = page_tries_ = 0;
-    std::vector<Place> unseen;
-    for (const Place& seed : set_.seeds) {
+    std::vector<MemberAddress> unseen;
+    for (const MemberAddress& seed : set_.seeds) {
         const Member* member = find(seed);
-        if (seed != set_.self && (!member || !is_here(member->update.state))) unseen.push_back(seed);
+        if (seed != set_.self && (!member || !is_live(member->update.state))) unseen.push_back(seed);
     }
     if (fetching_ == 0 && !unseen.empty()) {
         fetch_tries_ = 3 * int(set_.seeds.size());  // once: the next knock is soon enough
@@ -672,46 +673,46 @@
     if (hurried)
         first = std::size_t(
             std::find_if(dead.begin(), dead.end(),
-                         [this](std::uint32_t slot) { return members_[slot].update.who > knocked_; }) -
+                         [this](std::uint32_t slot) { return members_[slot].update.address > knocked_; }) -
             dead.begin());
     for (std::size_t i = 0; i < std::min(dead.size(), hurried ? kKnocksAtOnce : 1); ++i) {
         Update belief = members_[dead[(first + i) % dead.size()]].update;
-        knocked_ = belief.who;
-        send(belief.who, make(Kind::Ping, ++sequence_, belief.who), &belief);
+        knocked_ = belief.address;
+        send(belief.address, make(DatagramKind::Ping, ++sequence_, belief.address), &belief);
     }
 }
 
 // ---- The table
 
-std::uint32_t Membership::slot_of(const Place& place) const {
+std::uint32_t Membership::slot_of(const MemberAddress& place) const {
     auto it = index_.find(place);
     return it == index_.end() ? kNobody : it->second;
 }
 
 std::uint32_t Membership::add(const Update& update) {
-    if (index_.size() >= set_.most) {
-        ++counts_.full;
+    if (index_.size() >= set_.max_members) {
+        ++counts_.rejected_table_full;
         return kNobody;
     }
     std::uint32_t slot = take_slot(members_, free_);
     members_[slot] = Slot{};
     members_[slot].update = update;
-    members_[slot].update.state = State::Alive;
+    members_[slot].update.state = MemberState::Alive;
     members_[slot].changed = now_;
-    index_.emplace(update.who, slot);
+    index_.emplace(update.address, slot);
     ++here_;
     std::uint32_t at = below(std::uint32_t(ring_.size()) + 1);
     ring_.insert(ring_.begin() + at, slot);
     if (at < ring_at_) ++ring_at_;
     if (!listing_) tell_of(slot, true);
     ++fetched_new_;
-    actions_->push_back(Changed{members_[slot].update, std::nullopt});
+    actions_->push_back(MemberChanged{members_[slot].update, std::nullopt});
     return slot;
 }
 
 void Membership::drop(std::uint32_t slot) {
     Slot& member = members_[slot];
-    index_.erase(member.update.who);
+    index_.erase(member.update.address);
     auto at = std::find(ring_.begin(), ring_.end(), slot);
     if (std::size_t(at - ring_.begin()) < ring_at_) --ring_at_;
     ring_.erase(at);
@@ -721,11 +722,11 @@
     free_.push_back(slot);
 }
 
-std::vector<std::uint32_t> Membership::some_here(std::size_t count, const Place& but) {
+std::vector<std::uint32_t> Membership::some_here(std::size_t count, const MemberAddress& but) {
     std::vector<std::uint32_t> some;
     auto fits = [&](std::uint32_t slot) {
         const Update& update = members_[slot].update;
-        return is_here(update.state) && update.who != but &&
+        return is_live(update.state) && update.address != but &&
                std::find(some.begin(), some.end(), slot) == some.end();
     };
     if (ring_.empty()) return some;
@@ -741,7 +742,7 @@
 
 void Membership::doubt(int by) {
     if (!set_.lifeguard) return;
-    doubt_ = std::clamp(doubt_ + by, 0, kDoubtMost);
+    doubt_ = std::clamp(doubt_ + by, 0, kMaxLocalHealthScore);
 }
 
 std::uint32_t Membership::below(std::uint32_t n) {
--- a/src/fleet/membership/side.h
+++ b/src/fleet/membership/membership_service.h
@@ -14,60 +14,63 @@
 #include <thread>
 
 #include "base/asio_scheduler.h"
+#include "fleet/membership/fleet_size_divisor.h"
 #include "fleet/membership/settings.h"
-#include "fleet/membership/share.h"
 #include "fleet/membership/udp.h"
 #include "fleet/membership/view.h"
 
 namespace ochrehub::membership {
 
-class Side {
+class MembershipService {
 public:
     /// Descriptors that it holds: its socket and what its loop needs, and some to spare.
     static constexpr std::size_t kDescriptors = 6;
     /// By how many nodes this one divides, and which of them it is, from 0, or kNone: not known. Called where
     /// either changes, on the side's own thread.
-    using Shares = std::function<void(int gateways, int me)>;
+    using DivisorCallback = std::function<void(int gateways, int me)>;
 
     /// Throws boost::system::system_error where it cannot listen; nothing is sent before `start`.
-    Side(const Told& told, const std::string& name, int nodes, Shares shares);
+    MembershipService(const MembershipConfig& told, const std::string& name, int nodes,
+                      DivisorCallback shares);
     /// Waits for its thread's end.
-    ~Side();
+    ~MembershipService();
 
     void start();
 
     // From any thread:
     /// The node's loop turns. To be called every quarter of a second or so.
-    void beat() { beat_.store(clock_.now().time_since_epoch().count(), std::memory_order_relaxed); }
-    void use(const std::vector<std::string>& keys);
+    void heartbeat() {
+        last_heartbeat_.store(clock_.now().time_since_epoch().count(), std::memory_order_relaxed);
+    }
+    void set_keys(const std::vector<std::string>& keys);
     /// Tells others that it leaves. Does not wait for that.
     void leave();
-    std::string members() const;
-    std::string figures() const;
+    std::string members_json() const;
+    std::string metrics_text() const;
 
 private:
-    static membership::Settings core_settings(const Told& told, const std::string& name,
+    static membership::Settings core_settings(const MembershipConfig& told, const std::string& name,
                                               std::uint32_t instance);
     void tick();
     void publish();
-    void log_change(const Changed& change) const;
-    std::shared_ptr<const View> view() const;
+    void log_change(const MemberChanged& change) const;
+    std::shared_ptr<const MembershipView> view() const;
 
     Clock clock_;
     std::string cluster_;
     Duration stalled_;
-    Shares tell_;
+    DivisorCallback tell_;
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     AsioScheduler scheduler_;
     UdpMember member_;
     int told_gateways_, told_me_ = kNone;
-    Share share_;
+    FleetSizeDivisor divisor_;
     bool says_stalled_ = false, left_ = false;
     TimePoint due_{};
-    std::atomic<double> beat_{0};
+    std::atomic<double> last_heartbeat_{0};
     mutable std::mutex publishing_;
-    std::shared_ptr<const View> published_;
+    std::shared_ptr<const MembershipView> published_;
     std::thread thread_;
 };
 
--- a/src/fleet/membership/settings.cpp
+++ b/src/fleet/membership/settings.cpp
@@ -11,10 +11,11 @@
 
 constexpr std::size_t kKeyLeast = 16, kKeyMost = 128, kKeysMost = 4;
 
-config::Setting<Told> milliseconds(config::Described described, Duration Told::*into, double least,
-                                   double most) {
-    return config::number<Told, double>(described, least, most, config::kMilliseconds,
-                                        [into](Told& told, double ms) { told.*into = Duration{ms}; });
+config::Setting<MembershipConfig> milliseconds(config::Described described, Duration MembershipConfig::*into,
+                                               double least, double most) {
+    return config::number<MembershipConfig, double>(
+        described, least, most, config::kMilliseconds,
+        [into](MembershipConfig& told, double ms) { told.*into = Duration{ms}; });
 }
 
 bool printable(char c) {
@@ -23,19 +24,19 @@
 
 }  // namespace
 
-config::Table<Told> settings() {
+config::Table<MembershipConfig> settings() {
     return {
         config::flag({.name = "on", .fallback = "off", .help = "the switch; the section alone turns it on"},
-                     &Told::on),
+                     &MembershipConfig::on),
         config::address({.name = "listen", .help = "where its datagrams come in, `a.b.c.d:port`; needed"},
-                        &Told::listen),
+                        &MembershipConfig::listen),
         config::address(
             {.name = "advertise", .help = "where others reach it, if that is another address: its place"},
-            &Told::advertise),
+            &MembershipConfig::advertise),
         {{.name = "join",
           .kind = config::Kind::Texts,
           .help = "places of some members, asked for the others"},
-         [](Told& told, std::string_view value) -> std::string {
+         [](MembershipConfig& told, std::string_view value) -> std::string {
              auto found = parse_address(value);
              if (!found || found->port() == 0 || !found->address().is_v4())
                  return "is not an address a.b.c.d:port";
@@ -44,28 +45,28 @@
          }},
         config::text(
             {.name = "cluster", .fallback = "ochrehub", .help = "the tier's name: others are not heard"},
-            &Told::cluster),
+            &MembershipConfig::cluster),
         config::text(
             {.name = "zone", .help = "what it tells others of where it stands; else the node's `zone`"},
-            &Told::zone),
+            &MembershipConfig::zone),
         config::text({.name = "key_file", .help = "a key a line, the first signs; read again on SIGHUP"},
-                     &Told::key_file),
+                     &MembershipConfig::key_file),
         config::number(
             {.name = "nodes_least",
              .fallback = "0",
              .help = "whoever is seen: its part is never more than one of so many; 0: half of `nodes`"},
-            &Told::nodes_least, 0, 100000),
+            &MembershipConfig::nodes_least, 0, 100000),
         milliseconds(
             {.name = "interval_ms", .fallback = "500", .help = "between looks at one other, 100 to 10000"},
-            &Told::interval, 100, 10000),
+            &MembershipConfig::interval, 100, 10000),
         milliseconds({.name = "isolated_ms",
                       .fallback = "5000",
                       .help = "without an answer from anybody it is isolated, 1000 to 60000"},
-                     &Told::isolated, 1000, 60000),
+                     &MembershipConfig::isolated, 1000, 60000),
         milliseconds({.name = "stalled_ms",
                       .fallback = "3000",
                       .help = "its serving loop may stand still so long before it says so, 500 to 60000"},
-                     &Told::stalled, 500, 60000)};
+                     &MembershipConfig::stalled, 500, 60000)};
 }
 
 KeyFile read_keys(const std::string& path) {
@@ -112,7 +113,7 @@
     return out;
 }
 
-std::string fault_of_name(std::string_view name, std::size_t most) {
+std::string name_error(std::string_view name, std::size_t most) {
     if (name.size() > most)
         return "is longer than the " + std::to_string(most) + " characters that members tell each other";
     bool plain =
--- a/src/fleet/membership/settings.h
+++ b/src/fleet/membership/settings.h
@@ -11,7 +11,7 @@
 
 namespace ochrehub::membership {
 
-struct Told {
+struct MembershipConfig {
     using Endpoint = boost::asio::ip::udp::endpoint;
     bool on = false;
     Endpoint listen, advertise;  ///< `advertise` without a port: where it listens
@@ -22,7 +22,7 @@
     Duration interval{500}, isolated{5000}, stalled{3000};
 };
 
-config::Table<Told> settings();
+config::Table<MembershipConfig> settings();
 
 struct KeyFile {
     std::vector<std::string> keys;
@@ -32,6 +32,6 @@
 KeyFile read_keys(const std::string& path);
 
 /// What is wrong with a name that members tell each other, or nothing.
-std::string fault_of_name(std::string_view name, std::size_t most);
+std::string name_error(std::string_view name, std::size_t most);
 
 }  // namespace ochrehub::membership
--- a/src/fleet/membership/udp.cpp
+++ b/src/fleet/membership/udp.cpp
@@ -8,7 +8,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-Place UdpMember::bound(asio::ip::udp::socket& socket, const Endpoint& listen) {
+MemberAddress UdpMember::bound(asio::ip::udp::socket& socket, const Endpoint& listen) {
     socket.open(listen.protocol());
     socket.bind(listen);
     // To send must not wait: what finds no room in the kernel is lost, as on any network.
@@ -17,7 +17,7 @@
     return {at.address().to_v4().to_uint(), at.port()};
 }
 
-Settings UdpMember::placed(Settings settings, const Place& place) {
+Settings UdpMember::placed(Settings settings, const MemberAddress& place) {
     if (!settings.self.known()) settings.self = place;
     return settings;
 }
@@ -52,9 +52,9 @@
         // An ICMP answer to one of its own datagrams ends a wait on Linux; the socket is as good as before.
         if (!error) {
             Datagram datagram;
-            Fault fault = decode({octets_.data(), size}, keys_, datagram, cluster_);
-            if (fault == Fault::None)
-                hand(Received{std::move(datagram)});
+            DecodeError fault = decode({octets_.data(), size}, keys_, datagram, cluster_);
+            if (fault == DecodeError::None)
+                hand(DatagramReceived{std::move(datagram)});
             else
                 ++refused_[std::size_t(fault)];
         }
@@ -68,15 +68,15 @@
     core_.handle(scheduler_.now(), event, actions);
     bool over = false;
     for (const Action& action : actions) {
-        if (const auto* out = std::get_if<Send>(&action))
+        if (const auto* out = std::get_if<SendDatagram>(&action))
             send(*out);
-        else if (const auto* wake = std::get_if<WakeAt>(&action))
+        else if (const auto* wake = std::get_if<SetTimer>(&action))
             wake_at(wake->at);
-        else if (const auto* change = std::get_if<Changed>(&action))
+        else if (const auto* change = std::get_if<MemberChanged>(&action))
             changed ? changed(*change) : void();
-        else if (const auto* other = std::get_if<Restarted>(&action))
+        else if (const auto* other = std::get_if<MemberRestarted>(&action))
             restarted ? restarted(*other) : void();
-        else if (const auto* itself = std::get_if<OfItself>(&action))
+        else if (const auto* itself = std::get_if<SelfUpdate>(&action))
             of_itself ? of_itself(*itself) : void();
         else
             over = true;
@@ -86,7 +86,7 @@
     if (auto told = std::exchange(over_, nullptr)) told();
 }
 
-void UdpMember::send(const Send& send) {
+void UdpMember::send(const SendDatagram& send) {
     error_code error;
     Endpoint to(asio::ip::address_v4(send.to.host), send.to.port);
     socket_.send_to(asio::buffer(encode(send.datagram, keys_, cluster_)), to, 0, error);
@@ -98,7 +98,7 @@
     if (closed_ || at == TimePoint::max()) return;
     timer_ = scheduler_.call_at(at, [this] {
         timer_ = 0;
-        hand(Woken{});
+        hand(TimerFired{});
     });
 }
 
--- a/src/fleet/membership/udp.h
+++ b/src/fleet/membership/udp.h
@@ -26,44 +26,44 @@
     UdpMember(boost::asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
               Keys keys, std::uint64_t seed, std::uint32_t cluster = 0);
 
-    void start() { hand(Woken{}); }
-    void plan(const PlanInForce& plan) { hand(NewPlan{plan}); }
-    void says(bool stalled) { hand(Says{stalled}); }
+    void start() { hand(TimerFired{}); }
+    void plan(const ActivePlan& plan) { hand(PlanChanged{plan}); }
+    void says(bool stalled) { hand(StallReported{stalled}); }
     /// From the next datagram on.
     void use(Keys keys) { keys_ = std::move(keys); }
-    /// Says goodbye; `over` is called once that is done.
+    /// StallReported goodbye; `over` is called once that is done.
     void leave(std::function<void()> over);
     void close();
 
     const Membership& core() const { return core_; }
-    Place place() const { return place_; }
-    std::uint64_t refused(Fault fault) const { return refused_[std::size_t(fault)]; }
+    MemberAddress place() const { return place_; }
+    std::uint64_t refused(DecodeError fault) const { return refused_[std::size_t(fault)]; }
     std::uint64_t unsent() const { return unsent_; }
     /// How often reading waited for the next tenth of a second.
     std::uint64_t held() const { return held_; }
-    std::function<void(const Changed&)> changed;
-    std::function<void(const Restarted&)> restarted;
-    std::function<void(const OfItself&)> of_itself;
+    std::function<void(const MemberChanged&)> changed;
+    std::function<void(const MemberRestarted&)> restarted;
+    std::function<void(const SelfUpdate&)> of_itself;
 
 private:
-    static Place bound(boost::asio::ip::udp::socket& socket, const Endpoint& listen);
-    static Settings placed(Settings settings, const Place& place);
+    static MemberAddress bound(boost::asio::ip::udp::socket& socket, const Endpoint& listen);
+    static Settings placed(Settings settings, const MemberAddress& place);
     void read();
     void hand(const Event& event);
-    void send(const Send& send);
+    void send(const SendDatagram& send);
     void wake_at(TimePoint at);
 
     Scheduler& scheduler_;
     boost::asio::ip::udp::socket socket_;
-    Place place_;
+    MemberAddress place_;
     Keys keys_;
     std::uint32_t cluster_;
     Membership core_;
-    std::array<char, kMostOctets + 1> octets_{};  // one more, so that a longer one is seen as such
+    std::array<char, kMaxDatagramBytes + 1> octets_{};  // one more, so that a longer one is seen as such
     Endpoint from_;
     TimerId timer_ = 0;
     std::function<void()> over_;
-    std::array<std::uint64_t, kFaults> refused_{};
+    std::array<std::uint64_t, kDecodeErrors> refused_{};
     std::uint64_t unsent_ = 0, held_ = 0;
     TimePoint slice_ends_{};
     std::size_t read_in_slice_ = 0;
--- a/src/fleet/membership/view.cpp
+++ b/src/fleet/membership/view.cpp
@@ -37,24 +37,24 @@
 
 }  // namespace
 
-std::string_view name(State state) {
+std::string_view name(MemberState state) {
     constexpr std::array<std::string_view, 4> kNames{"alive", "suspect", "dead", "left"};
     return kNames[std::size_t(state)];
 }
 
-std::string words(std::uint8_t said) {
+std::string self_report_text(std::uint8_t said) {
     std::string out;
     auto add = [&](std::uint8_t bit, const char* word) {
         if ((said & bit) == 0) return;
         out.append(out.empty() ? "" : ",").append(word);
     };
-    add(kSaysDeaf, "deaf");
-    add(kSaysUnheard, "unheard");
-    add(kSaysStalled, "stalled");
+    add(kReportsDeaf, "deaf");
+    add(kReportsUnheard, "unheard");
+    add(kReportsStalled, "stalled");
     return out;
 }
 
-std::string text(const Place& place) {
+std::string text(const MemberAddress& place) {
     std::string out;
     for (int shift = 24; shift >= 0; shift -= 8) {
         out += std::to_string(place.host >> shift & 255);
@@ -63,19 +63,19 @@
     return out += std::to_string(place.port);
 }
 
-View view_of(const Membership& core, TimePoint now) {
-    View view;
+MembershipView make_view(const Membership& core, TimePoint now) {
+    MembershipView view;
     view.self = core.self();
     view.name = as_string(core.settings().name);
     view.zone = as_string(core.settings().zone_name);
     view.instance = core.settings().instance;
     view.isolated_since = core.isolated_since();
-    view.doubt = std::size_t(core.doubt());
+    view.doubt = std::size_t(core.local_health_score());
     view.counts = core.counts();
     std::map<std::string, int> names;
     ++names[view.name];
-    core.each([&](const Membership::Member& member) {
-        View::One one;
+    core.for_each_member([&](const Membership::Member& member) {
+        MembershipView::One one;
         one.update = member.update;
         one.name = as_string(member.name);
         one.zone = as_string(member.zone_name);
@@ -84,27 +84,27 @@
         one.met = member.met;
         one.doubled = member.doubled != TimePoint{} && now - member.doubled < kDoubledShown;
         one.since = member.changed;
-        bool here = member.update.state <= State::Suspect;
-        view.here += here && (member.update.said & kSaysStalled) == 0;
+        bool here = member.update.state <= MemberState::Suspect;
+        view.here += here && (member.update.self_report & kReportsStalled) == 0;
         if (here && member.met) ++names[one.name];
         view.members.push_back(std::move(one));
     });
-    for (View::One& one : view.members)
-        one.same_name = one.met && one.update.state <= State::Suspect && names[one.name] > 1;
+    for (MembershipView::One& one : view.members)
+        one.same_name = one.met && one.update.state <= MemberState::Suspect && names[one.name] > 1;
     return view;
 }
 
-std::string to_json(const View& view, TimePoint now) {
+std::string to_json(const MembershipView& view, TimePoint now) {
     std::string out = "{";
     put(out, "cluster", view.cluster, true);
     out += ",\"self\":{";
     put(out, "name", view.name, true);
-    put(out, "place", text(view.self.who));
+    put(out, "place", text(view.self.address));
     put(out, "zone", view.zone);
     put(out, "incarnation", std::uint64_t(view.self.incarnation));
     put(out, "instance", std::uint64_t(view.instance));
-    put(out, "says", words(view.self.said));
-    bool isolated = (view.self.said & kSaysIsolated) != 0;
+    put(out, "says", self_report_text(view.self.self_report));
+    bool isolated = (view.self.self_report & kReportsIsolated) != 0;
     put(out, "isolated", isolated);
     if (isolated) put_seconds(out, "isolated_for_s", now - view.isolated_since);
     put(out, "doubt", std::uint64_t(view.doubt));
@@ -113,17 +113,17 @@
     put(out, "sharing", std::uint64_t(view.sharing));
     out += ",\"members\":[";
     for (std::size_t i = 0; i < view.members.size(); ++i) {
-        const View::One& one = view.members[i];
+        const MembershipView::One& one = view.members[i];
         out += i > 0 ? ",\n{" : "\n{";
         put(out, "name", one.name, true);
-        put(out, "place", text(one.update.who));
+        put(out, "place", text(one.update.address));
         put(out, "zone", one.zone);
         put(out, "state", name(one.update.state));
         put_seconds(out, "for_s", now - one.since);
         put(out, "incarnation", std::uint64_t(one.update.incarnation));
         put(out, "instance", std::uint64_t(one.instance));
         put(out, "restarts", std::uint64_t(one.restarts));
-        put(out, "says", words(one.update.said));
+        put(out, "says", self_report_text(one.update.self_report));
         put(out, "met", one.met);
         put(out, "doubled", one.doubled);
         put(out, "same_name", one.same_name);
@@ -132,7 +132,7 @@
     return out += "]}\n";
 }
 
-std::string metrics(const View& view) {
+std::string metrics(const MembershipView& view) {
     std::string out;
     auto describe = [&](std::string_view name, std::string_view type, std::string_view help) {
         out.append("# HELP ").append(name).append(" ").append(help).append("\n");
@@ -143,20 +143,21 @@
     };
     std::array<std::uint64_t, 4> states{};
     std::uint64_t stalled = 0, doubled = 0;
-    for (const View::One& one : view.members) {
+    for (const MembershipView::One& one : view.members) {
         ++states[std::size_t(one.update.state)];
-        stalled += one.update.state <= State::Suspect && (one.update.said & kSaysStalled) != 0;
+        stalled +=
+            one.update.state <= MemberState::Suspect && (one.update.self_report & kReportsStalled) != 0;
         doubled += one.doubled || one.same_name;
     }
     describe("fleet_members", "gauge", "Other members by state.");
     for (std::size_t i = 0; i < states.size(); ++i)
-        value("fleet_members{state=\"" + std::string(name(State(i))) + "\"}", states[i]);
+        value("fleet_members{state=\"" + std::string(name(MemberState(i))) + "\"}", states[i]);
     describe("fleet_stalled", "gauge", "Other members here that say that their loop stands still.");
     value("fleet_stalled", stalled);
     describe("fleet_doubled", "gauge", "Other members that share a place or a name.");
     value("fleet_doubled", doubled);
     describe("fleet_isolated", "gauge", "1: this node is not heard by others, or hears nobody.");
-    value("fleet_isolated", (view.self.said & kSaysIsolated) != 0);
+    value("fleet_isolated", (view.self.self_report & kReportsIsolated) != 0);
     describe("fleet_sharing", "gauge", "By how many nodes this one divides limits and budgets.");
     value("fleet_sharing", std::uint64_t(view.sharing));
     describe("fleet_datagrams_total", "counter", "Datagrams by what became of them.");
@@ -164,12 +165,12 @@
     value("fleet_datagrams_total{what=\"unsent\"}", view.unsent);
     value("fleet_reading_held_total", view.held);
     value("fleet_datagrams_total{what=\"received\"}", view.counts.received);
-    for (std::size_t i = 1; i < kFaults; ++i)
-        value("fleet_datagrams_total{what=\"" + std::string(name(Fault(i))) + "\"}", view.refused[i]);
+    for (std::size_t i = 1; i < kDecodeErrors; ++i)
+        value("fleet_datagrams_total{what=\"" + std::string(name(DecodeError(i))) + "\"}", view.refused[i]);
     describe("fleet_refuted_total", "counter", "Times that it refuted what was said of it.");
-    value("fleet_refuted_total", view.counts.refuted);
+    value("fleet_refuted_total", view.counts.refutations);
     describe("fleet_late_total", "counter", "Times that this process stood still.");
-    value("fleet_late_total", view.counts.late);
+    value("fleet_late_total", view.counts.late_timers);
     return out;
 }
 
--- a/src/fleet/membership/view.h
+++ b/src/fleet/membership/view.h
@@ -9,7 +9,7 @@
 
 namespace ochrehub::membership {
 
-struct View {
+struct MembershipView {
     struct One {
         Update update;
         std::string name, zone;
@@ -25,21 +25,21 @@
     int sharing = 1;  ///< by how many it divides
     std::size_t doubt = 0;
     Membership::Counts counts;
-    std::uint64_t refused[kFaults] = {};
+    std::uint64_t refused[kDecodeErrors] = {};
     std::uint64_t unsent = 0;
     std::uint64_t held = 0;    ///< times that a flood had to wait
     std::vector<One> members;  ///< in the order of their places
 };
 
-std::string_view name(State state);
-/// What a member says of itself, in words; empty: all is well.
-std::string words(std::uint8_t said);
-std::string text(const Place& place);
+std::string_view name(MemberState state);
+/// What a member says of itself, in self_report_text; empty: all is well.
+std::string self_report_text(std::uint8_t said);
+std::string text(const MemberAddress& place);
 
-View view_of(const Membership& core, TimePoint now);
+MembershipView make_view(const Membership& core, TimePoint now);
 /// One object; times are how long ago, in seconds of this process's clock.
-std::string to_json(const View& view, TimePoint now);
+std::string to_json(const MembershipView& view, TimePoint now);
 /// Figures in Prometheus' text format; their number does not depend on the tier's size.
-std::string metrics(const View& view);
+std::string metrics(const MembershipView& view);
 
 }  // namespace ochrehub::membership
--- a/tests/udp_member.cpp
+++ b/tests/udp_member.cpp
@@ -58,14 +58,14 @@
     for (std::size_t i = 0; i < UdpMember::kReadMost + 50; ++i)
         noise.send_to(boost::asio::buffer(&octet, 1), at);
     io.poll();
-    CHECK(member.refused(Fault::Version) == UdpMember::kReadMost && member.held() == 1);
+    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost && member.held() == 1);
     io.restart();
     io.poll();
-    CHECK(member.refused(Fault::Version) == UdpMember::kReadMost);
+    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost);
     clock.go_to(clock.now() + UdpMember::kSlice);
     io.restart();
     io.poll();
-    CHECK(member.refused(Fault::Version) == UdpMember::kReadMost + 50);
+    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost + 50);
     member.close();
     io.restart();
     io.poll();
@@ -80,8 +80,8 @@
     UdpMember::Endpoint any(boost::asio::ip::address_v4::loopback(), 0);
     std::vector<std::unique_ptr<UdpMember>> members;
     ochrehub::membership::Settings set;
-    set.interval = Duration{100};
-    set.timeout = Duration{30};
+    set.probe_interval = Duration{100};
+    set.probe_timeout = Duration{30};
     // Two keys are rolled; the fourth has another one.
     std::vector<Keys> keys{Keys({"new", "old"}), Keys({"old", "new"}), Keys({"new", "old"}), Keys({"other"})};
     for (std::size_t i = 0; i < keys.size(); ++i) {
@@ -101,7 +101,7 @@
         return found ? int(found->update.state) : -1;
     };
     until([&] { return state(0, 1) == 0 && state(1, 0) == 0 && state(0, 2) == 0 && state(2, 1) == 0; });
-    until([&] { return members[0]->refused(Fault::Forged) > 0; });
+    until([&] { return members[0]->refused(DecodeError::AuthenticationFailed) > 0; });
     CHECK(state(0, 3) == -1 && state(3, 0) == -1);
 
     // Noise is counted, and answered by nobody.
@@ -109,22 +109,23 @@
     UdpMember::Endpoint first(boost::asio::ip::address_v4(members[0]->place().host),
                               members[0]->place().port);
     std::vector<char> zeros(300);
-    auto forged = members[0]->refused(Fault::Forged);
+    auto forged = members[0]->refused(DecodeError::AuthenticationFailed);
     for (std::size_t size : {0u, 1u, 60u, 256u, 300u})
         noise.send_to(boost::asio::buffer(zeros.data(), size), first);
     until([&] {
-        return members[0]->refused(Fault::Forged) >= forged + 4 && members[0]->refused(Fault::Long) >= 1;
+        return members[0]->refused(DecodeError::AuthenticationFailed) >= forged + 4 &&
+               members[0]->refused(DecodeError::TooLong) >= 1;
     });
 
-    PlanInForce plan{3, 9};
+    ActivePlan plan{3, 9};
     members[1]->plan(plan);
     until([&] { return members[0]->core().find(members[1]->place())->plan == plan; });
 
     members[1]->close();
-    until([&] { return state(0, 1) == int(State::Dead) && state(2, 1) == int(State::Dead); });
+    until([&] { return state(0, 1) == int(MemberState::Dead) && state(2, 1) == int(MemberState::Dead); });
     bool over = false;
     members[2]->leave([&] { over = true; });
-    until([&] { return over && state(0, 2) == int(State::Left); });
+    until([&] { return over && state(0, 2) == int(MemberState::Left); });
     for (auto& member : members) member->close();
     io.restart();
     io.poll();
