--- a/lab/leadership/list_world.cpp
+++ b/lab/leadership/list_world.cpp
@@ -1,6 +1,6 @@
 #include "lab/leadership/list_world.h"
 
-#include <list.pb.h>
+#include <endpoint_list.pb.h>
 
 #include <algorithm>
 
@@ -137,8 +137,8 @@
     std::size_t self;
     Timers timers;
     std::unique_ptr<Member> client;
-    core::Owner duties;
-    list::Owner owner;
+    core::LeaseHolder duties;
+    list::Publisher owner;
     std::optional<list::Follower> follower;
     std::optional<core::Epoch> epoch;
     std::map<std::string, std::string> view;
@@ -151,36 +151,38 @@
     ListSaboteur saboteur() const { return world.set_.saboteur; }
     void started(TimePoint now) {
         timers.clear();
-        core::OwnerSettings settings;
-        list::OwnerSettings watch;
-        if (world.set_.real) settings.margin = settings.again = watch.again = Duration{0};
-        duties = core::Owner(settings);
-        watch.wait = world.set_.owner_wait;
-        owner = list::Owner(watch);
+        core::LeaseHolderSettings settings;
+        list::PublisherSettings watch;
+        if (world.set_.real)
+            settings.safety_margin = settings.retry_interval = watch.retry_interval = Duration{0};
+        duties = core::LeaseHolder(settings);
+        watch.watch_timeout = world.set_.owner_wait;
+        owner = list::Publisher(watch);
         epoch.reset();
         own = hung = false, own_index = 0;
         list::FollowerSettings follow;
-        follow.silence = saboteur() == ListSaboteur::NeverAsksItself ? Duration{1e9} : world.set_.silence;
-        follow.spread = saboteur() == ListSaboteur::AsksAtOnce
-                            ? Duration{0}
-                            : std::min(Duration{5000}, Duration{50} * double(world.set_.nodes));
-        follow.part = world.net_.uniform();
+        follow.max_age = saboteur() == ListSaboteur::NeverAsksItself ? Duration{1e9} : world.set_.silence;
+        follow.max_jitter = saboteur() == ListSaboteur::AsksAtOnce
+                                ? Duration{0}
+                                : std::min(Duration{5000}, Duration{50} * double(world.set_.nodes));
+        follow.jitter_fraction = world.net_.uniform();
         follower.emplace(follow, now);
         if (!restarted) view = world.discovery_->servers;
         SessionHooks hooks{
             [this](TimePoint t, coordinator::SessionId id, TimePoint until) {
-                duty(t, core::SessionHeld{id, until});
+                duty(t, core::SessionRenewed{id, until});
             },
             [this](TimePoint t) { duty(t, core::SessionLost{}); },
             [this](TimePoint t, coordinator::SessionId id, const std::string& kind, const std::string& news) {
-                if (kind == "duty") duty(t, core::Heard{id, news});
+                if (kind == "duty") duty(t, core::SessionUpdateReceived{id, news});
                 if (kind == "list")
-                    follow_(t, list::Heard{client->asked(),
-                                           saboteur() == ListSaboteur::CountsFromNews ? forged(news) : news});
+                    follow_(t, list::SessionUpdateReceived{
+                                   client->asked(),
+                                   saboteur() == ListSaboteur::CountsFromNews ? forged(news) : news});
             },
             [this](TimePoint t, const std::string& kind, std::uint64_t number, const std::string& answer) {
-                if (kind == "duty") duty(t, core::Answered{number, answer});
-                if (kind == "list") watch_(t, list::Answered{number, answer});
+                if (kind == "duty") duty(t, core::CommandCompleted{number, answer});
+                if (kind == "list") watch_(t, list::CommandCompleted{number, answer});
             }};
         SessionSettings session;
         session.keepers = world.set_.keepers;
@@ -188,17 +190,17 @@
             auto member = std::make_unique<RealMember>(session, world.net_, timers, self,
                                                        self * 1000 + ++lives, std::move(hooks));
             member->whole = [this](TimePoint t, const std::string& whole) {
-                follow_(t, list::HeardWhole{whole});
+                follow_(t, list::FullListReceived{whole});
             };
             client = std::move(member);
         } else {
             client = std::make_unique<SessionClient>(session, world.net_, timers, self, std::move(hooks));
         }
         if (world.set_.agreed) {
-            duty(now, core::WantDuty{std::string(list::kDuty), 1});
+            duty(now, core::AddCandidacy{std::string(list::kRole), 1});
             timers.at(now + Duration{1 + 1000 * world.net_.uniform()},
                       [this](TimePoint t) { client->begin(t); });
-            timers.at(now, [this](TimePoint t) { follow_(t, list::FollowerWoken{}); });
+            timers.at(now, [this](TimePoint t) { follow_(t, list::FollowerTimerFired{}); });
         } else {
             own = true;
             timers.at(now + Duration{50} * double(world.set_.nodes) * world.net_.uniform(),
@@ -209,10 +211,10 @@
     }
     /// What a node that takes hearing for knowing makes of it: that the round it hears of is closed.
     std::string forged(const std::string& news) {
-        ochrehub::list::wire::News in;
+        ochrehub::endpoint_list::wire::SessionUpdate in;
         in.ParseFromString(news);
         forgeries += 2;
-        in.set_confirmed((1 << 20) + forgeries), in.set_round((1 << 20) + forgeries + 1);
+        in.set_confirmed_round((1 << 20) + forgeries), in.set_open_round((1 << 20) + forgeries + 1);
         return in.SerializeAsString();
     }
 
@@ -222,24 +224,24 @@
             if (phase == "ready" && world.discovery_->out.contains(id)) sent[id] = world.net_.now();
         timers.at(now + Duration{100}, [this](TimePoint t) { use(t); });
     }
-    void duty(TimePoint now, const core::OwnerEvent& event) {
-        core::OwnerActions actions;
+    void duty(TimePoint now, const core::LeaseHolderEvent& event) {
+        core::LeaseHolderActions actions;
         duties.handle(now, event, actions);
-        for (core::OwnerAction& action : actions) {
-            if (auto* say = std::get_if<core::Say>(&action))
-                client->say(now, say->number, say->session, "duty", say->command);
-            if (auto* begin = std::get_if<core::Begin>(&action)) {
+        for (core::LeaseHolderAction& action : actions) {
+            if (auto* say = std::get_if<core::SendCommand>(&action))
+                client->say(now, say->request_id, say->session, "duty", say->command);
+            if (auto* begin = std::get_if<core::StartWork>(&action)) {
                 epoch = begin->epoch;
-                watch_(now, list::Began{begin->epoch});
+                watch_(now, list::LeaseAcquired{begin->epoch});
             }
-            if (auto* stop = std::get_if<core::Stop>(&action)) {
-                watch_(now, list::Halted{});
+            if (auto* stop = std::get_if<core::StopWork>(&action)) {
+                watch_(now, list::LeaseRevoked{});
                 epoch.reset();
                 timers.at(now, [this, stop = *stop](TimePoint t) {
-                    duty(t, core::Stopped{stop.name, stop.epoch});
+                    duty(t, core::WorkStopped{stop.role, stop.epoch});
                 });
             }
-            if (auto* at = std::get_if<core::WakeAt>(&action))
+            if (auto* at = std::get_if<core::SetTimer>(&action))
                 timers.at(at->at, [this](TimePoint t) { duty_woken(t); });
         }
     }
@@ -247,62 +249,62 @@
     void duty_woken(TimePoint now) {
         if (now <= last_woken) return;  // many asked for this moment
         last_woken = now;
-        duty(now, core::Woken{});
+        duty(now, core::TimerFired{});
     }
-    void watch_(TimePoint now, const list::OwnerEvent& event) {
-        if ((!std::get_if<list::Began>(&event) && !epoch) || hung) return;
-        list::OwnerActions actions;
+    void watch_(TimePoint now, const list::PublisherEvent& event) {
+        if ((!std::get_if<list::LeaseAcquired>(&event) && !epoch) || hung) return;
+        list::PublisherActions actions;
         owner.handle(now, event, actions);
-        for (list::OwnerAction& action : actions) {
-            if (auto* watch = std::get_if<list::Watch>(&action)) {
-                if (saboteur() == ListSaboteur::ReportsUnasked && watch->index) {
-                    timers.at(now + watch->wait,
-                              [this, call = watch->call, index = *watch->index](TimePoint t) {
-                                  watch_(t, list::Told{call, {index, false, {}, {}}});
+        for (list::PublisherAction& action : actions) {
+            if (auto* watch = std::get_if<list::StartWatch>(&action)) {
+                if (saboteur() == ListSaboteur::ReportsUnasked && watch->since_revision) {
+                    timers.at(now + watch->timeout,
+                              [this, call = watch->watch_id, index = *watch->since_revision](TimePoint t) {
+                                  watch_(t, list::DiscoveryCompleted{call, {index, false, {}, {}}});
                               });
                 } else {
-                    ask(watch->call, watch->index.value_or(0), watch->wait);
+                    ask(watch->watch_id, watch->since_revision.value_or(0), watch->timeout);
                 }
             }
-            if (auto* use = std::get_if<list::UseTold>(&action);
+            if (auto* use = std::get_if<list::UseDiscoveryResult>(&action);
                 use && saboteur() != ListSaboteur::OwnerIgnoresTold) {
-                take(use->listing);
-                follow_(now, list::OwnTold{});
+                take(use->result);
+                follow_(now, list::DiscoveryResultUsed{});
             }
-            if (auto* say = std::get_if<list::Say>(&action))
-                client->say(now, say->number, duties.session(), "list", say->command);
-            if (std::get_if<list::GiveBack>(&action) && epoch) {
+            if (auto* say = std::get_if<list::SendCommand>(&action))
+                client->say(now, say->request_id, duties.session(), "list", say->command);
+            if (std::get_if<list::ReleaseLease>(&action) && epoch) {
                 timers.at(now, [this, e = *epoch](TimePoint t) {
-                    duty(t, core::HandBack{std::string(list::kDuty), e});
+                    duty(t, core::ReleaseLease{std::string(list::kRole), e});
                 });
             }
-            if (auto* at = std::get_if<list::OwnerWakeAt>(&action))
-                timers.at(at->at, [this](TimePoint t) { watch_(t, list::OwnerWoken{}); });
+            if (auto* at = std::get_if<list::PublisherSetTimer>(&action))
+                timers.at(at->at, [this](TimePoint t) { watch_(t, list::PublisherTimerFired{}); });
         }
     }
     void follow_(TimePoint now, const list::FollowerEvent& event) {
         list::FollowerActions actions;
         follower->handle(now, event, actions);
         for (list::FollowerAction& action : actions) {
-            if (auto* whole = std::get_if<list::UseWhole>(&action))
-                view = {whole->entries.begin(), whole->entries.end()};
-            if (auto* change = std::get_if<list::UseChange>(&action)) {
-                for (const auto& [id, body] : change->put) view[id] = body;
-                for (const std::string& id : change->gone) view.erase(id);
+            if (auto* whole = std::get_if<list::ReplaceEndpoints>(&action))
+                view = {whole->endpoints.begin(), whole->endpoints.end()};
+            if (auto* change = std::get_if<list::ApplyChange>(&action)) {
+                for (const auto& [id, body] : change->upserted) view[id] = body;
+                for (const std::string& id : change->removed) view.erase(id);
             }
-            if (std::get_if<list::Fetch>(&action)) {
+            if (std::get_if<list::FetchFullList>(&action)) {
                 client->read(now, "list");
             }
-            if (std::get_if<list::AskSelf>(&action)) {
+            if (std::get_if<list::StartDiscoveryWatch>(&action)) {
                 own = true, own_index = 0;
                 ask_self(now);
             }
-            if (std::get_if<list::LetBe>(&action)) own = false;
-            if (auto* at = std::get_if<list::FollowerWakeAt>(&action)) {
+            if (std::get_if<list::StopDiscoveryWatch>(&action)) own = false;
+            if (auto* at = std::get_if<list::FollowerSetTimer>(&action)) {
                 if (!follow_at || *follow_at != at->at) {
                     follow_at = at->at;
                     timers.at(at->at, [this, when = at->at](TimePoint t) {
-                        if (follow_at == when) follow_(t, list::FollowerWoken{});
+                        if (follow_at == when) follow_(t, list::FollowerTimerFired{});
                     });
                 }
             }
@@ -310,10 +312,10 @@
     }
     std::optional<TimePoint> follow_at;
 
-    void take(const list::Listing& listing) {
-        if (listing.whole) view.clear();
-        for (const auto& [id, phase] : listing.put) view[id] = phase;
-        for (const std::string& id : listing.gone) view.erase(id);
+    void take(const list::DiscoveryResult& listing) {
+        if (listing.is_full) view.clear();
+        for (const auto& [id, phase] : listing.upserted) view[id] = phase;
+        for (const std::string& id : listing.removed) view.erase(id);
     }
     void ask(std::uint64_t call, std::uint64_t index, Duration wait) {
         Message m;
@@ -333,30 +335,30 @@
     void received(std::size_t from, TimePoint now, const Message& m) {
         if (from < world.set_.keepers) {
             if (m.kind == Message::Kind::List)
-                follow_(now, list::HeardWhole{m.body});
+                follow_(now, list::FullListReceived{m.body});
             else
                 client->received(from, now, m);
             return;
         }
         const bool mine = m.call > kOwn;
         if (m.kind == Message::Kind::Failed) {
-            if (!mine) return watch_(now, list::Failed{m.call});
+            if (!mine) return watch_(now, list::DiscoveryFailed{m.call});
             if (own && m.call == kOwn + own_call)
                 timers.at(now + Duration{250 + 1000 * world.net_.uniform()},
                           [this](TimePoint t) { ask_self(t); });
             return;
         }
-        list::Listing listing{m.index, m.step == 1, {}, {}};
+        list::DiscoveryResult listing{m.index, m.step == 1, {}, {}};
         for (const auto& [id, phase] : m.news)
             if (phase.empty())
-                listing.gone.push_back(id);
+                listing.removed.push_back(id);
             else
-                listing.put[id] = phase;
-        if (!mine) return watch_(now, list::Told{m.call, listing});
+                listing.upserted[id] = phase;
+        if (!mine) return watch_(now, list::DiscoveryCompleted{m.call, listing});
         if (m.call != kOwn + own_call) return;
         take(listing);
         own_index = listing.revision;
-        if (world.set_.agreed) follow_(now, list::OwnTold{});
+        if (world.set_.agreed) follow_(now, list::DiscoveryResultUsed{});
         ask_self(now);
     }
 };
@@ -442,7 +444,7 @@
 std::optional<std::size_t> ListWorld::owner() const {
     for (const auto& node : nodes_)
         if (node->epoch && net_.up(node->self) && !net_.stopped(node->self) &&
-            node->duties.may(net_.own(node->self), list::kDuty))
+            node->duties.current_epoch(net_.own(node->self), list::kRole))
             return node->self;
     return std::nullopt;
 }
--- a/lab/leadership/world.cpp
+++ b/lab/leadership/world.cpp
@@ -8,11 +8,11 @@
 
 using fencing::Verdict;
 using ochrehub::leadership::Epoch;
-using ochrehub::leadership::Owner;
-using ochrehub::leadership::OwnerAction;
-using ochrehub::leadership::OwnerActions;
-using ochrehub::leadership::OwnerEvent;
-using ochrehub::leadership::OwnerSettings;
+using ochrehub::leadership::LeaseHolder;
+using ochrehub::leadership::LeaseHolderAction;
+using ochrehub::leadership::LeaseHolderActions;
+using ochrehub::leadership::LeaseHolderEvent;
+using ochrehub::leadership::LeaseHolderSettings;
 namespace core = ochrehub::leadership;
 
 std::string_view name(Saboteur saboteur) {
@@ -41,10 +41,10 @@
     std::string apply(const coordinator::Command& command) override {
         std::string answer = LeaseStateMachine::apply(command);
         if (command.session == 0)
-            for (auto [duty, state] : std::map(duties().begin(), duties().end()))
-                if (state.give_back)
+            for (auto [duty, state] : std::map(roles().begin(), roles().end()))
+                if (state.release_requested)
                     LeaseStateMachine::apply(
-                        {state.owner, core::release_lease_command(duty, state.epoch, true)});
+                        {state.holder, core::release_lease_command(duty, state.epoch, true)});
         return answer;
     }
 };
@@ -175,7 +175,7 @@
     World& world;
     std::size_t self;
     Timers timers;
-    std::unique_ptr<Owner> owner;
+    std::unique_ptr<LeaseHolder> owner;
     std::unique_ptr<Member> client;
     std::uint64_t lives = 0;
     std::map<std::string, Run> runs;
@@ -184,52 +184,53 @@
     Saboteur saboteur() const { return world.set_.saboteur; }
     void started(TimePoint own) {
         timers.clear(), runs.clear(), wake.reset();
-        OwnerSettings settings;
-        settings.margin = world.set_.real ? Duration{0} : world.set_.lease * 0.01 + Duration{50};
-        if (world.set_.real) settings.again = Duration{0};
-        owner = std::make_unique<Owner>(settings);
+        LeaseHolderSettings settings;
+        settings.safety_margin = world.set_.real ? Duration{0} : world.set_.lease * 0.01 + Duration{50};
+        if (world.set_.real) settings.retry_interval = Duration{0};
+        owner = std::make_unique<LeaseHolder>(settings);
         SessionSettings session;
         session.keepers = world.set_.keepers, session.lease = world.set_.lease,
         session.patience = world.set_.patience;
         session.from_the_answer = saboteur() == Saboteur::LeaseFromAnswer;
         SessionHooks hooks{
             [this](TimePoint t, coordinator::SessionId id, TimePoint until) {
-                handle(t, core::SessionHeld{id, until});
+                handle(t, core::SessionRenewed{id, until});
             },
             [this](TimePoint t) { handle(t, core::SessionLost{}); },
             [this](TimePoint t, coordinator::SessionId id, const std::string&, const std::string& news) {
-                handle(t, core::Heard{id, news});
+                handle(t, core::SessionUpdateReceived{id, news});
             },
             [this](TimePoint t, const std::string&, std::uint64_t number, const std::string& answer) {
-                handle(t, core::Answered{number, answer});
+                handle(t, core::CommandCompleted{number, answer});
             }};
         if (world.set_.real)
             client = std::make_unique<RealMember>(session, world.net_, timers, self, self * 1000 + ++lives,
                                                   std::move(hooks));
         else
             client = std::make_unique<SessionClient>(session, world.net_, timers, self, std::move(hooks));
-        for (const std::string& job : world.jobs_) handle(own, core::WantDuty{job, 1});
+        for (const std::string& job : world.jobs_) handle(own, core::AddCandidacy{job, 1});
         timers.at(
             own + Duration{1.0 + 331.0 * double(self - world.set_.keepers) + 300 * world.net_.uniform()},
             [this](TimePoint t) { client->begin(t); });
         timers.arm(world.net_, self);
     }
-    void handle(TimePoint own, const OwnerEvent& event) {
-        OwnerActions actions;
+    void handle(TimePoint own, const LeaseHolderEvent& event) {
+        LeaseHolderActions actions;
         owner->handle(own, event, actions);
-        for (OwnerAction& action : actions) {
-            if (auto* begin = std::get_if<core::Begin>(&action)) start(own, begin->name, begin->epoch, false);
-            if (auto* retire = std::get_if<core::Retire>(&action))
-                start(own, retire->name, retire->epoch, true);
-            if (auto* stop = std::get_if<core::Stop>(&action)) stopped(own, *stop);
-            if (auto* say = std::get_if<core::Say>(&action))
-                client->say(own, say->number, say->session, "duty", say->command);
-            if (auto* at = std::get_if<core::WakeAt>(&action); at && wake != at->at) {
+        for (LeaseHolderAction& action : actions) {
+            if (auto* begin = std::get_if<core::StartWork>(&action))
+                start(own, begin->role, begin->epoch, false);
+            if (auto* retire = std::get_if<core::RetireJob>(&action))
+                start(own, retire->role, retire->epoch, true);
+            if (auto* stop = std::get_if<core::StopWork>(&action)) stopped(own, *stop);
+            if (auto* say = std::get_if<core::SendCommand>(&action))
+                client->say(own, say->request_id, say->session, "duty", say->command);
+            if (auto* at = std::get_if<core::SetTimer>(&action); at && wake != at->at) {
                 wake = at->at;
                 timers.at(at->at, [this, when = at->at](TimePoint t) {
                     if (wake != when) return;
                     wake.reset();
-                    handle(t, core::Woken{});
+                    handle(t, core::TimerFired{});
                 });
             }
         }
@@ -242,16 +243,20 @@
                          saboteur() == Saboteur::NextAsksNothing ? Item::Todo : Item::Unknown);
         timers.at(own, [this, duty, epoch](TimePoint t) { tick(t, duty, epoch); });
     }
-    void stopped(TimePoint own, const core::Stop& stop) {
-        auto it = runs.find(stop.name);
-        if (saboteur() == Saboteur::IgnoresLease && stop.why == core::Why::Lease && it != runs.end()) return;
+    void stopped(TimePoint own, const core::StopWork& stop) {
+        auto it = runs.find(stop.role);
+        if (saboteur() == Saboteur::IgnoresLease && stop.reason == core::RevocationReason::LeaseExpiring &&
+            it != runs.end())
+            return;
         if (saboteur() == Saboteur::HandsOverAtWork && it != runs.end()) {
             it->second.zombie = true, it->second.until = own + Duration{2500};
-            timers.at(own, [this, stop](TimePoint t) { handle(t, core::Stopped{stop.name, stop.epoch}); });
+            timers.at(own, [this, stop](TimePoint t) {
+                handle(t, core::WorkStopped{stop.role, stop.epoch});
+            });
             return;
         }
         if (it != runs.end() && it->second.epoch == stop.epoch) it->second.stopping = true;
-        timers.at(own, [this, stop](TimePoint t) { rest(t, stop.name, stop.epoch); });
+        timers.at(own, [this, stop](TimePoint t) { rest(t, stop.role, stop.epoch); });
     }
     // What has been looked at and not sent yet goes out first: this is the moment that no clock closes.
     void rest(TimePoint own, const std::string& duty, Epoch epoch) {
@@ -261,11 +266,11 @@
             return;
         }
         if (it != runs.end() && it->second.epoch == epoch) runs.erase(it);
-        handle(own, core::Stopped{duty, epoch});
+        handle(own, core::WorkStopped{duty, epoch});
     }
     std::optional<Epoch> may(TimePoint own, const std::string& duty, const Run& run) const {
         if (saboteur() == Saboteur::IgnoresLease || run.zombie) return run.epoch;
-        auto epoch = owner->may(own, duty);
+        auto epoch = owner->current_epoch(own, duty);
         return epoch == run.epoch ? epoch : std::nullopt;
     }
     std::size_t place(std::uint64_t item) const { return world.receiver(item % world.set_.receivers); }
@@ -284,7 +289,7 @@
         Duration next = world.set_.pace;
         if (run.retiring) {
             tell_retired(duty, run);
-            if (run.told.size() == world.set_.receivers) return handle(own, core::Told{duty, epoch});
+            if (run.told.size() == world.set_.receivers) return handle(own, core::JobRetired{duty, epoch});
         } else if (auto open = std::find(run.items.begin(), run.items.end(), Item::Unknown);
                    open != run.items.end()) {
             if (may(own, duty, run))
@@ -321,7 +326,7 @@
                     return world.set_.pace;
                 }
                 run.finished = true, run.told.clear();
-                handle(own, core::JobDone{duty, run.epoch});
+                handle(own, core::JobCompleted{duty, run.epoch});
                 return Duration{500};
             }
             item = number = std::uint64_t(todo - run.items.begin()) + 1;
@@ -510,7 +515,7 @@
 bool World::all_over() {
     const auto* machine = keepers_->look("duty");
     if (!machine) return false;
-    const auto& duties = static_cast<const core::LeaseStateMachine*>(machine)->duties();
+    const auto& duties = static_cast<const core::LeaseStateMachine*>(machine)->roles();
     return std::none_of(jobs_.begin(), jobs_.end(),
                         [&](const std::string& job) { return duties.contains(job); });
 }
@@ -552,7 +557,7 @@
 std::optional<std::size_t> World::working() const {
     for (const auto& one : owners_)
         if (net_.up(one->self) && !net_.stopped(one->self) &&
-            one->owner->may(net_.own(one->self), jobs_.front()))
+            one->owner->current_epoch(net_.own(one->self), jobs_.front()))
             return one->self;
     return std::nullopt;
 }
--- a/src/fleet/leadership/endpoint_list.cpp
+++ b/src/fleet/leadership/endpoint_list.cpp
@@ -1,189 +1,156 @@
 #include "fleet/leadership/endpoint_list.h"
 
-#include <list.pb.h>
+#include <utility>
 
+#include "fleet/leadership/endpoint_list_wire.h"
+#include "fleet/leadership/parse.h"
 #include "ochrehub/hash.h"
 
 namespace ochrehub::leadership::endpoint_list {
 
-namespace wire = ochrehub::list::wire;
-
 namespace {
 
-constexpr std::size_t kMost = 64 << 20;  // octets of anything that is read
-
-bool parse(google::protobuf::MessageLite& message, std::string_view bytes) {
-    return bytes.size() <= kMost && message.ParseFromArray(bytes.data(), int(bytes.size()));
-}
-template <class Message>
-void put_entries(const Entries& entries, Message& out) {
-    for (const auto& [id, body] : entries) {
-        wire::Entry& entry = *out.add_put();
-        entry.set_id(id), entry.set_body(body);
-    }
-}
-wire::Change written(const Change& change) {
-    wire::Change out;
-    out.set_version(change.version);
-    put_entries(change.put, out);
-    for (const std::string& id : change.gone) out.add_gone(id);
-    return out;
-}
-Change read(const wire::Change& in) {
-    Change change{in.version(), {}, {}};
-    for (const wire::Entry& entry : in.put()) change.put[entry.id()] = entry.body();
-    change.gone.assign(in.gone().begin(), in.gone().end());
-    return change;
+ReportPosition position_of(const wire::Report& in) {
+    return {in.epoch(), in.version(), in.round()};
 }
-std::optional<Whole> read(const wire::Whole& in) {
-    Whole whole{in.version(), in.digest(), in.revision(), {}};
-    for (const wire::Entry& entry : in.entries()) whole.entries[entry.id()] = entry.body();
-    if (digest(whole.entries) != whole.digest) return std::nullopt;
-    return whole;
+
+DiscoveryResult result_of(const wire::Report& in) {
+    DiscoveryResult result{in.revision(), in.is_full(), {}, {}};
+    for (const wire::Endpoint& endpoint : in.upserted()) result.upserted[endpoint.id()] = endpoint.body();
+    result.removed.assign(in.removed().begin(), in.removed().end());
+    return result;
 }
 
 }  // namespace
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"list.malformed", "the command cannot be read", false,
-         "compare the releases of this process and the keepers"},
-        {"list.stale", "another watches discovery by now", false, "nothing: the old owner stops"},
-        {"list.not-open", "its owner has not opened it", true, "nothing: it opens and asks discovery anew"},
+        {"list.malformed", "the command cannot be decoded", false,
+         "compare the releases of this process and the coordinators"},
+        {"list.stale", "a newer publisher watches discovery", false, "nothing: the old publisher stops"},
+        {"list.not-open", "the publisher has not opened this epoch", true,
+         "nothing: it opens the epoch and polls discovery again"},
         {"list.round", "the report belongs to a round that is closed", true,
-         "nothing: it opens and asks discovery anew"},
+         "nothing: it opens the epoch and polls discovery again"},
         {"list.version", "the report was made on another version of the list", true,
-         "nothing: it opens and asks discovery anew"},
-        {"list.too-much", "discovery lists more than the keepers take", false,
-         "see what discovery lists: 20,000 servers at the most"},
+         "nothing: it opens the epoch and polls discovery again"},
+        {"list.too-much", "discovery lists more than the coordinators accept", false,
+         "check what discovery lists: at most 20,000 servers"},
     };
     return kRows[std::size_t(error)];
 }
 
-std::uint64_t digest(const Entries& entries) {
-    std::uint64_t all = kNoText;
-    for (const auto& [id, body] : entries) {
-        all = hashed(id, mixed(all ^ id.size()));
-        all = hashed(body, mixed(all ^ body.size()));
+std::uint64_t digest(const Endpoints& endpoints) {
+    std::uint64_t hash = kNoText;
+    for (const auto& [id, body] : endpoints) {
+        hash = hashed(id, mixed(hash ^ id.size()));
+        hash = hashed(body, mixed(hash ^ body.size()));
     }
-    return all;
+    return hash;
 }
 
-std::string open(Epoch epoch) {
-    wire::Command command;
-    command.mutable_open()->set_epoch(epoch);
-    return command.SerializeAsString();
-}
-std::string report(Epoch epoch, std::uint64_t version, std::uint64_t round, const Listing& listing) {
-    wire::Command command;
-    wire::Report& out = *command.mutable_report();
-    out.set_epoch(epoch), out.set_version(version), out.set_round(round);
-    out.set_revision(listing.revision), out.set_whole(listing.whole);
-    put_entries(listing.put, out);
-    for (const std::string& id : listing.gone) out.add_gone(id);
-    return command.SerializeAsString();
+std::string StateMachine::apply(const coordinator::Command& command) {
+    wire::Command in;
+    std::optional<Error> error = Error::Malformed;
+    const bool is_parsed = parse(in, command.body);
+    if (is_parsed && in.has_open_epoch())
+        error = open_epoch(in.open_epoch().epoch());
+    else if (is_parsed && in.has_report())
+        error = apply_report(position_of(in.report()), result_of(in.report()));
+    wire::Response out;
+    out.set_error(error ? 1 + std::uint32_t(*error) : 0);
+    out.set_epoch(epoch_);
+    out.set_version(version_);
+    out.set_open_round(open_round_);
+    return out.SerializeAsString();
 }
 
-std::optional<Answer> read_answer(std::string_view bytes) {
-    wire::Answer in;
-    if (!parse(in, bytes) || in.error() > kErrors) return std::nullopt;
-    Answer answer{std::nullopt, in.epoch(), in.version(), in.round()};
-    if (in.error() > 0) answer.error = Error(in.error() - 1);
-    return answer;
-}
-std::optional<News> read_news(std::string_view bytes) {
-    wire::News in;
-    if (!parse(in, bytes) || in.round() <= in.confirmed()) return std::nullopt;
-    News news{in.version(), in.digest(), in.round(), in.confirmed(), {}};
-    for (const wire::Change& change : in.changes()) news.changes.push_back(read(change));
-    return news;
+std::optional<Error> StateMachine::open_epoch(Epoch epoch) {
+    if (epoch == 0) return Error::Malformed;
+    if (epoch < epoch_) return Error::StaleEpoch;
+    epoch_ = epoch;
+    ++open_round_;
+    return std::nullopt;
 }
-std::optional<Whole> read_whole(std::string_view bytes) {
-    wire::Whole in;
-    if (!parse(in, bytes)) return std::nullopt;
-    return read(in);
+
+std::optional<Error> StateMachine::check_position(const ReportPosition& position) const {
+    if (position.epoch < epoch_) return Error::StaleEpoch;
+    if (position.epoch > epoch_) return Error::EpochNotOpened;
+    if (position.round != open_round_) return Error::RoundClosed;
+    if (position.version != version_) return Error::VersionMismatch;
+    return std::nullopt;
 }
 
-std::string StateMachine::apply(const coordinator::Command& command) {
-    wire::Command in;
-    std::optional<Error> error;
-    if (!parse(in, command.body) || (!in.has_open() && !in.has_report())) {
-        error = Error::Malformed;
-    } else if (in.has_open()) {
-        if (in.open().epoch() == 0)
-            error = Error::Malformed;
-        else if (in.open().epoch() < epoch_)
-            error = Error::Stale;
-        else
-            epoch_ = in.open().epoch(), ++round_;
-    } else {
-        Listing listing{in.report().revision(), in.report().whole(), {}, {}};
-        for (const wire::Entry& entry : in.report().put()) listing.put[entry.id()] = entry.body();
-        listing.gone.assign(in.report().gone().begin(), in.report().gone().end());
-        error = take(in.report().epoch(), in.report().version(), in.report().round(), listing);
-    }
-    wire::Answer out;
-    out.set_error(error ? 1 + std::uint32_t(*error) : 0);
-    out.set_epoch(epoch_), out.set_version(version_), out.set_round(round_);
-    return out.SerializeAsString();
+bool StateMachine::fits_limits(const DiscoveryResult& result) const {
+    for (const auto& [id, body] : result.upserted)
+        if (id.empty() || id.size() > limits_.max_id_bytes || body.size() > limits_.max_body_bytes)
+            return false;
+    return true;
 }
 
-std::optional<Error> StateMachine::take(Epoch epoch, std::uint64_t version, std::uint64_t round,
-                                        const Listing& listing) {
-    if (epoch < epoch_) return Error::Stale;
-    if (epoch > epoch_) return Error::NotOpen;
-    if (round != round_) return Error::Round;
-    if (version != version_) return Error::Version;
+/// What of `result` differs from the current list.
+Change StateMachine::change_by(const DiscoveryResult& result) const {
     Change change{version_ + 1, {}, {}};
-    for (const auto& [id, body] : listing.put) {
-        if (id.empty() || id.size() > limits_.id || body.size() > limits_.body) return Error::TooMuch;
-        auto known = entries_.find(id);
-        if (known == entries_.end() || known->second != body) change.put.emplace(id, body);
+    for (const auto& [id, body] : result.upserted) {
+        auto known = endpoints_.find(id);
+        if (known == endpoints_.end() || known->second != body) change.upserted.emplace(id, body);
     }
-    if (listing.whole) {
-        for (const auto& [id, body] : entries_)
-            if (!listing.put.contains(id)) change.gone.push_back(id);
+    if (result.is_full) {
+        for (const auto& [id, body] : endpoints_)
+            if (!result.upserted.contains(id)) change.removed.push_back(id);
     } else {
-        for (const std::string& id : listing.gone)
-            if (entries_.contains(id) && !listing.put.contains(id)) change.gone.push_back(id);
+        for (const std::string& id : result.removed)
+            if (endpoints_.contains(id) && !result.upserted.contains(id)) change.removed.push_back(id);
     }
-    Entries next = entries_;
-    for (const auto& [id, body] : change.put) next[id] = body;
-    for (const std::string& id : change.gone) next.erase(id);
-    if (next.size() > limits_.servers) return Error::TooMuch;
-    confirmed_ = round_++;
-    revision_ = listing.revision;
-    while (!kept_.empty() && kept_.front().round + limits_.rounds < round_) kept_.pop_front();
-    // The first report is a version too, though it lists nobody: until then there is no list.
-    if (change.put.empty() && change.gone.empty() && version_ > 0) return std::nullopt;
-    entries_ = std::move(next);
-    digest_ = digest(entries_);
+    return change;
+}
+
+std::optional<Error> StateMachine::apply_report(const ReportPosition& position,
+                                                const DiscoveryResult& result) {
+    if (std::optional<Error> error = check_position(position)) return error;
+    if (!fits_limits(result)) return Error::LimitExceeded;
+    Change change = change_by(result);
+    Endpoints next = endpoints_;
+    for (const auto& [id, body] : change.upserted) next[id] = body;
+    for (const std::string& id : change.removed) next.erase(id);
+    if (next.size() > limits_.max_endpoints) return Error::LimitExceeded;
+    confirmed_round_ = open_round_;
+    ++open_round_;
+    revision_ = result.revision;
+    while (!retained_.empty() && retained_.front().round + limits_.retained_rounds < open_round_)
+        retained_.pop_front();
+    // The first report makes a version even if it lists nothing: before it there is no list.
+    if (change.upserted.empty() && change.removed.empty() && version_ > 0) return std::nullopt;
+    endpoints_ = std::move(next);
+    digest_ = digest(endpoints_);
     version_ = change.version;
-    kept_.push_back({round_, std::move(change)});
+    retained_.push_back({open_round_, std::move(change)});
     return std::nullopt;
 }
 
-std::string StateMachine::read(std::string_view) const {
-    wire::Whole out;
-    out.set_version(version_), out.set_digest(digest_), out.set_revision(revision_);
-    for (const auto& [id, body] : entries_) {
-        wire::Entry& entry = *out.add_entries();
-        entry.set_id(id), entry.set_body(body);
-    }
+std::string StateMachine::read(std::string_view /*query*/) const {
+    wire::FullList out;
+    out.set_version(version_);
+    out.set_digest(digest_);
+    out.set_revision(revision_);
+    add_endpoints(endpoints_, *out.mutable_endpoints());
     return out.SerializeAsString();
 }
 
-std::string StateMachine::news(coordinator::SessionId) const {
-    wire::News out;
-    out.set_version(version_), out.set_digest(digest_), out.set_round(round_), out.set_confirmed(confirmed_);
-    std::size_t octets = 0, first = kept_.size();
+std::string StateMachine::news(coordinator::SessionId /*session*/) const {
+    wire::SessionUpdate out;
+    out.set_version(version_);
+    out.set_digest(digest_);
+    out.set_open_round(open_round_);
+    out.set_confirmed_round(confirmed_round_);
+    // The latest changes that fit.
+    std::size_t bytes = 0;
     std::deque<wire::Change> changes;
-    while (first > 0) {  // the newest, as many as there is room for
-        wire::Change change = written(kept_[first - 1].change);
-        octets += change.ByteSizeLong();
-        if (octets > limits_.news) break;
+    for (auto retained = retained_.rbegin(); retained != retained_.rend(); ++retained) {
+        wire::Change change = to_wire(retained->change);
+        bytes += change.ByteSizeLong();
+        if (bytes > limits_.max_update_bytes) break;
         changes.push_front(std::move(change));
-        --first;
     }
     for (wire::Change& change : changes) *out.add_changes() = std::move(change);
     return out.SerializeAsString();
@@ -191,26 +158,33 @@
 
 std::string StateMachine::snapshot() const {
     wire::Snapshot out;
-    out.set_epoch(epoch_), out.set_round(round_), out.set_confirmed(confirmed_);
+    out.set_epoch(epoch_);
+    out.set_open_round(open_round_);
+    out.set_confirmed_round(confirmed_round_);
     out.mutable_list()->ParseFromString(read({}));
-    for (const Kept& kept : kept_) {
-        wire::Kept& one = *out.add_kept();
-        one.set_round(kept.round);
-        *one.mutable_change() = written(kept.change);
+    for (const RetainedChange& retained : retained_) {
+        wire::RetainedChange& stored = *out.add_retained();
+        stored.set_round(retained.round);
+        *stored.mutable_change() = to_wire(retained.change);
     }
     return out.SerializeAsString();
 }
 
 bool StateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::Snapshot in;
-    if (schema != kSchema || !parse(in, bytes) || in.round() <= in.confirmed()) return false;
-    std::optional<Whole> whole = endpoint_list::read(in.list());
-    if (!whole) return false;
-    epoch_ = in.epoch(), round_ = in.round(), confirmed_ = in.confirmed();
-    version_ = whole->version, revision_ = whole->revision, digest_ = whole->digest;
-    entries_ = std::move(whole->entries);
-    kept_.clear();
-    for (const wire::Kept& one : in.kept()) kept_.push_back({one.round(), endpoint_list::read(one.change())});
+    if (schema != kSchema || !parse(in, bytes) || in.open_round() <= in.confirmed_round()) return false;
+    std::optional<FullList> list = from_wire(in.list());
+    if (!list) return false;
+    epoch_ = in.epoch();
+    open_round_ = in.open_round();
+    confirmed_round_ = in.confirmed_round();
+    version_ = list->version;
+    revision_ = list->revision;
+    digest_ = list->digest;
+    endpoints_ = std::move(list->endpoints);
+    retained_.clear();
+    for (const wire::RetainedChange& stored : in.retained())
+        retained_.push_back({stored.round(), from_wire(stored.change())});
     return true;
 }
 
--- a/src/fleet/leadership/endpoint_list_follower.h
+++ b/src/fleet/leadership/endpoint_list_follower.h
@@ -1,81 +1,120 @@
-// A node's side of the agreed list: what of it is used, and when the node goes on to ask discovery itself, as
-// a node without keepers does. A core without I/O.
+// A node's side of the replicated endpoint list: which endpoints the node uses, and when it polls discovery
+// by itself, as a node without coordinators does. A core without I/O; it does not publish
+// (endpoint_list_publisher.h).
 //
-// It knows by its own clock as of when its list certainly stands (list.h, rounds). Where that is longer ago
-// than `silence`, and behind a part of `spread` that it draws, so that a tier which loses its keepers does
-// not ask in one instant, it asks. What discovery then says to it counts at once. It lets that be as soon as
-// the agreed list is certainly as of a moment behind the one at which it began to ask, and goes by the agreed
-// list again once that is certainly as of a later moment than discovery's last word to it. Times are the
-// process's monotonic clock. Not for several threads at once.
+// Clock: the process's monotonic clock, as passed to each call. Not thread-safe.
 #pragma once
 
+#include <cstdint>
+#include <deque>
+#include <optional>
+#include <string>
 #include <variant>
+#include <vector>
 
 #include "fleet/leadership/endpoint_list.h"
 
 namespace ochrehub::leadership::endpoint_list {
 
 struct FollowerSettings {
-    Duration silence{6000};
-    Duration spread{5000};  ///< 50 ms a node of the tier, 5 s at the most
-    double part = 0;        ///< of the spread, drawn from the node's seed: 0 to 1
+    /// A node polls discovery by itself once its list is older than `max_age + jitter_fraction * max_jitter`.
+    Duration max_age{6000};
+    /// Spreads a tier that loses its coordinators: 50 ms per node of the tier, at most 5 s.
+    Duration max_jitter{5000};
+    double jitter_fraction = 0;  ///< random, from the node's seed: 0 to 1
 };
 
-// ---- What happens
-struct Heard {  ///< StateMachine::news, and when the renewal that it answers was asked for
-    TimePoint asked{};
-    std::string news;
+// Events
+
+/// A SessionUpdate of the state machine.
+struct SessionUpdateReceived {
+    TimePoint requested_at{};  ///< when the renewal that it answers was sent
+    std::string update;        ///< encoded
 };
-struct HeardWhole {  ///< StateMachine::read
-    std::string whole;
+/// The response to FetchFullList.
+struct FullListReceived {
+    std::string list;  ///< encoded FullList
 };
-struct OwnTold {
-};  ///< discovery has answered this node, as its own watch or as the tier's owner, and it goes by that
-struct FollowerWoken {};
-using FollowerEvent = std::variant<Heard, HeardWhole, OwnTold, FollowerWoken>;
+/// The node uses a response of discovery's to itself, as follower or as publisher.
+struct DiscoveryResultUsed {};
+/// The time of the last FollowerSetTimer was reached.
+struct FollowerTimerFired {};
+using FollowerEvent =
+    std::variant<SessionUpdateReceived, FullListReceived, DiscoveryResultUsed, FollowerTimerFired>;
+
+// Actions
 
-// ---- What is to be done about it
-struct UseWhole {  ///< who is not in it is gone
-    Entries entries;
+/// Replace all endpoints: those that are not listed are removed.
+struct ReplaceEndpoints {
+    Endpoints endpoints;
 };
-struct UseChange {
-    Entries put;
-    std::vector<std::string> gone;
+struct ApplyChange {
+    Endpoints upserted;
+    std::vector<std::string> removed;
 };
-struct Fetch {};    ///< StateMachine::read, at the keepers
-struct AskSelf {};  ///< a watch of the node's own, until LetBe
-struct LetBe {};    ///< none after the one that is out, whose answer still counts
-struct FollowerWakeAt {
+/// Query the state machine: FullListReceived follows.
+struct FetchFullList {};
+/// Watch discovery by this node itself, until StopDiscoveryWatch.
+struct StartDiscoveryWatch {};
+/// No further requests to discovery. The response to the one in flight still counts.
+struct StopDiscoveryWatch {};
+/// Replaces the previous timer.
+struct FollowerSetTimer {
     TimePoint at{};
 };
-using FollowerAction = std::variant<UseWhole, UseChange, Fetch, AskSelf, LetBe, FollowerWakeAt>;
+using FollowerAction = std::variant<ReplaceEndpoints, ApplyChange, FetchFullList, StartDiscoveryWatch,
+                                    StopDiscoveryWatch, FollowerSetTimer>;
 using FollowerActions = std::vector<FollowerAction>;
 
+/// Two independent states:
+///
+///     watching discovery: no --list older than max_age and jitter--> yes --replicated list newer than the
+///     start
+///                         of the watch, and younger than max_age--> no
+///     using the replicated list: no --it is newer than discovery's last response--> yes
+///                                yes --DiscoveryResultUsed--> no
+///
+/// The watch ends earlier than the replicated list comes into use: while it runs each response is newer than
+/// the replicated list, which would never be used again.
 class Follower {
 public:
     Follower(const FollowerSettings& settings, TimePoint start)
-        : set_(settings), fresh_(start), own_at_(start) {}
+        : settings_(settings), as_of_(start), discovery_used_at_(start) {}
 
     void handle(TimePoint now, const FollowerEvent& event, FollowerActions& actions);
 
-    bool asks() const { return asking_; }
-    TimePoint fresh() const { return fresh_; }  ///< the list that it goes by is as of this moment, or later
+    bool is_watching_discovery() const { return watching_; }
+    /// The replicated list is as of this moment or later (endpoint_list.h, rounds).
+    TimePoint as_of() const { return as_of_; }
     std::uint64_t version() const { return version_; }
 
 private:
-    void heard(TimePoint now, const Heard& event, FollowerActions& actions);
-    void whole(TimePoint now, const HeardWhole& event, FollowerActions& actions);
-    void settle(TimePoint now, FollowerActions& actions);
+    struct OpenRound {
+        TimePoint requested_at{};  ///< of the last renewal that showed this round as open
+        std::uint64_t round = 0;
+    };
+
+    void on_update(TimePoint now, const SessionUpdateReceived& event, FollowerActions& actions);
+    void on_full_list(TimePoint now, const FullListReceived& event, FollowerActions& actions);
+    void apply_changes(const std::vector<Change>& changes, FollowerActions& actions);
+    void record_open_round(const OpenRound& open);
+    void confirm(TimePoint now, FollowerActions& actions);
+    void watch_if_outdated(TimePoint now, FollowerActions& actions);
+    bool is_up_to_date() const { return version_ == announced_version_ && digest_ == announced_digest_; }
 
-    FollowerSettings set_;
-    TimePoint fresh_, own_at_;
-    TimePoint since_{};  ///< when it began to ask by itself
-    bool asking_ = false, following_ = false;
-    std::uint64_t version_ = 0, told_version_ = 0, told_digest_ = 0, confirmed_ = 0;
-    Entries entries_;
-    std::uint64_t digest_ = digest({});
-    std::deque<std::pair<TimePoint, std::uint64_t>>
-        rounds_;  // when a renewal was asked for that told this round as open
+    FollowerSettings settings_;
+    TimePoint as_of_;
+    TimePoint discovery_used_at_;  ///< when the node last used a response of discovery's; at first its start
+    TimePoint watching_since_{};   ///< valid while watching_
+    bool watching_ = false;        ///< discovery is watched by this node itself
+    bool using_replicated_ = false;        ///< the node uses endpoints_
+    std::uint64_t version_ = 0;            ///< of endpoints_; zero: no list yet
+    std::uint64_t digest_ = digest({});    ///< of endpoints_
+    Endpoints endpoints_;                  ///< the replicated list, whether or not it is in use
+    std::uint64_t announced_version_ = 0;  ///< the newest that the state machine has announced
+    std::uint64_t announced_digest_ = 0;   ///< at announced_version_
+    std::uint64_t confirmed_round_ = 0;    ///< the newest that the state machine has announced
+    std::deque<OpenRound> open_rounds_;    ///< that are not known to be confirmed, ascending
 };
 
 }  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/endpoint_list_publisher.cpp
+++ b/src/fleet/leadership/endpoint_list_publisher.cpp
@@ -5,89 +5,110 @@
 
 namespace ochrehub::leadership::endpoint_list {
 
-void Owner::handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions) {
-    if (auto* began = std::get_if<Began>(&event)) {
-        begin(now, began->epoch, actions);
-    } else if (std::get_if<Halted>(&event)) {
-        if (phase_ == Phase::Asking) actions.push_back(DropWatch{});
-        phase_ = Phase::Idle;
-        // A report on its way bears its epoch; nothing is said again.
-        actions.push_back(AtRest{});
-    } else if (auto* told = std::get_if<Told>(&event)) {
-        if (phase_ != Phase::Asking || told->call != calls_) return;
-        heard_ = now, failures_ = 0;
-        index_ = told->listing.revision;
-        actions.push_back(UseTold{told->listing});
-        say(now, report(epoch_, version_, round_, told->listing), actions);
-    } else if (auto* fails = std::get_if<Failed>(&event)) {
-        if (phase_ == Phase::Asking && fails->call == calls_) failed(now, actions);
-    } else if (auto* answer = std::get_if<Answered>(&event)) {
-        answered(now, *answer, actions);
-    } else if (phase_ != Phase::Idle && phase_ != Phase::GivenBack && now >= due_) {
-        if (phase_ == Phase::Waiting) return ask(now, actions);
-        if (phase_ == Phase::Asking) {
-            actions.push_back(DropWatch{});
-            return failed(now, actions);
-        }
-        if (set_.again <= Duration{0}) return;
-        actions.push_back(Say{numbers_, said_});
-        wait_until(now + set_.again, actions);
-    }
+namespace {
+
+/// Errors that opening the epoch again cannot mend.
+bool is_permanent(Error error) {
+    return error == Error::StaleEpoch || error == Error::Malformed || error == Error::LimitExceeded;
 }
 
-void Owner::begin(TimePoint now, Epoch epoch, OwnerActions& actions) {
-    epoch_ = epoch;
-    index_.reset();
-    failures_ = 0;
-    heard_ = now;
-    say(now, open(epoch), actions);
+}  // namespace
+
+void Publisher::handle(TimePoint now, const PublisherEvent& event, PublisherActions& actions) {
+    std::visit([&](const auto& alternative) { on(now, alternative, actions); }, event);
 }
 
-void Owner::wait_until(TimePoint at, OwnerActions& actions) {
-    due_ = at;
-    actions.push_back(OwnerWakeAt{at});
+void Publisher::on(TimePoint now, const LeaseAcquired& event, PublisherActions& actions) {
+    epoch_ = event.epoch;
+    open_epoch(now, actions);
 }
 
-void Owner::say(TimePoint now, std::string command, OwnerActions& actions) {
-    phase_ = Phase::Saying;
-    said_ = std::move(command);
-    actions.push_back(Say{++numbers_, said_});
-    if (set_.again > Duration{0}) wait_until(now + set_.again, actions);
+void Publisher::on(TimePoint /*now*/, const LeaseRevoked& /*event*/, PublisherActions& actions) {
+    if (phase_ == Phase::Watching) actions.push_back(CancelWatch{});
+    phase_ = Phase::Idle;
+    // A command in flight bears its epoch, and is not sent again.
+    actions.push_back(PublisherStopped{});
 }
 
-void Owner::ask(TimePoint now, OwnerActions& actions) {
-    phase_ = Phase::Asking;
-    actions.push_back(Watch{++calls_, index_, set_.wait});
-    wait_until(now + (index_ ? set_.wait : Duration{0}) + set_.late, actions);
+void Publisher::on(TimePoint now, const DiscoveryCompleted& event, PublisherActions& actions) {
+    if (phase_ != Phase::Watching || event.watch_id != last_watch_id_) return;
+    last_discovery_response_ = now;
+    failures_ = 0;
+    revision_ = event.result.revision;
+    actions.push_back(UseDiscoveryResult{event.result});
+    send(now, report_command({epoch_, version_, open_round_}, event.result), actions);
 }
 
-void Owner::failed(TimePoint now, OwnerActions& actions) {
-    if (now - heard_ >= set_.patience) {
-        phase_ = Phase::GivenBack;
-        actions.push_back(GiveBack{});
-        return;
+void Publisher::on(TimePoint now, const DiscoveryFailed& event, PublisherActions& actions) {
+    if (phase_ == Phase::Watching && event.watch_id == last_watch_id_) on_watch_failed(now, actions);
+}
+
+void Publisher::on(TimePoint now, const CommandCompleted& event, PublisherActions& actions) {
+    std::optional<CommandResponse> response = decode_command_response(event.response);
+    if (phase_ != Phase::Reporting || event.request_id != last_request_id_ || !response) return;
+    if (response->error && is_permanent(*response->error)) return release(actions);
+    // A report whose first response was lost is rejected as of a closed round. The list may have changed by
+    // it: discovery is polled for the full list.
+    if (response->error) return open_epoch(now, actions);
+    version_ = response->version;
+    open_round_ = response->open_round;
+    watch(now, actions);
+}
+
+void Publisher::on(TimePoint now, const PublisherTimerFired& /*event*/, PublisherActions& actions) {
+    if (phase_ == Phase::Idle || phase_ == Phase::Released || now < timer_at_) return;
+    if (phase_ == Phase::BackingOff) {
+        watch(now, actions);
+    } else if (phase_ == Phase::Watching) {
+        actions.push_back(CancelWatch{});
+        on_watch_failed(now, actions);
+    } else if (settings_.retry_interval > Duration{0}) {
+        actions.push_back(SendCommand{last_request_id_, last_command_});
+        set_timer(now + settings_.retry_interval, actions);
     }
-    phase_ = Phase::Waiting;
-    Duration wait = set_.first;
-    for (int i = 0; i < failures_ && wait < set_.most; ++i) wait *= 2;
+}
+
+void Publisher::open_epoch(TimePoint now, PublisherActions& actions) {
+    revision_.reset();
+    failures_ = 0;
+    last_discovery_response_ = now;
+    send(now, open_epoch_command(epoch_), actions);
+}
+
+void Publisher::send(TimePoint now, std::string command, PublisherActions& actions) {
+    phase_ = Phase::Reporting;
+    last_command_ = std::move(command);
+    ++last_request_id_;
+    actions.push_back(SendCommand{last_request_id_, last_command_});
+    if (settings_.retry_interval > Duration{0}) set_timer(now + settings_.retry_interval, actions);
+}
+
+void Publisher::watch(TimePoint now, PublisherActions& actions) {
+    phase_ = Phase::Watching;
+    ++last_watch_id_;
+    actions.push_back(StartWatch{last_watch_id_, revision_, settings_.watch_timeout});
+    // The full list is returned at once: only changes are waited for.
+    const Duration wait = revision_ ? settings_.watch_timeout : Duration{0};
+    set_timer(now + wait + settings_.response_grace, actions);
+}
+
+void Publisher::on_watch_failed(TimePoint now, PublisherActions& actions) {
+    if (now - last_discovery_response_ >= settings_.discovery_timeout) return release(actions);
+    phase_ = Phase::BackingOff;
+    Duration backoff = settings_.initial_backoff;
+    for (int i = 0; i < failures_ && backoff < settings_.max_backoff; ++i) backoff *= 2;
     ++failures_;
-    wait_until(now + std::min(wait, set_.most), actions);
+    set_timer(now + std::min(backoff, settings_.max_backoff), actions);
 }
 
-void Owner::answered(TimePoint now, const Answered& event, OwnerActions& actions) {
-    std::optional<Answer> answer = read_answer(event.answer);
-    if (phase_ != Phase::Saying || event.number != numbers_ || !answer) return;
-    if (answer->error == Error::Stale || answer->error == Error::Malformed ||
-        answer->error == Error::TooMuch) {
-        phase_ = Phase::GivenBack;
-        actions.push_back(GiveBack{});
-        return;
-    }
-    // A report whose first answer was lost comes back as of a closed round: what stands there now is asked
-    // for from the start.
-    if (answer->error) return begin(now, epoch_, actions);
-    version_ = answer->version, round_ = answer->round;
-    ask(now, actions);
+void Publisher::release(PublisherActions& actions) {
+    phase_ = Phase::Released;
+    actions.push_back(ReleaseLease{});
+}
+
+void Publisher::set_timer(TimePoint at, PublisherActions& actions) {
+    timer_at_ = at;
+    actions.push_back(PublisherSetTimer{at});
 }
 
 }  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/endpoint_list_publisher.h
+++ b/src/fleet/leadership/endpoint_list_publisher.h
@@ -1,89 +1,130 @@
-// Who owns the duty "list": watches discovery for the whole tier and reports to the keepers' machine
-// (list.h). A core without I/O: one question to discovery or one report is out at a time, and none is asked
-// before the round that it is to close is known. Times are the process's monotonic clock. Not for several
-// threads at once.
+// The publisher of the replicated endpoint list: the node that holds the role "list" watches discovery for
+// the whole tier and reports each response to the state machine (endpoint_list.h). A core without I/O; it
+// does not decide who holds the role (lease_holder.h).
+//
+// Clock: the process's monotonic clock, as passed to each call. Not thread-safe.
 #pragma once
 
+#include <cstdint>
+#include <optional>
+#include <string>
 #include <variant>
+#include <vector>
 
 #include "fleet/leadership/endpoint_list.h"
 
 namespace ochrehub::leadership::endpoint_list {
 
-struct OwnerSettings {
-    Duration wait{2000};  ///< what a watch asks for: so often nodes hear that the list still stands
-    Duration late{2500};  ///< how much later discovery may answer
-    Duration again{
-        500};  ///< a report that was not answered is said again; zero: whoever carries it sees to that
-    Duration first{250}, most{1200};  ///< behind a failed question
-    Duration patience{2500};          ///< discovery has answered nothing for so long: another may reach it
+struct PublisherSettings {
+    Duration watch_timeout{2000};   ///< of a watch: how often rounds are confirmed while nothing changes
+    Duration response_grace{2500};  ///< how much later than watch_timeout discovery may respond
+    /// A report without a response is sent again after this time. Zero: the shell retries by itself.
+    Duration retry_interval{500};
+    Duration initial_backoff{250};  ///< after a failed request to discovery; doubles with each
+    Duration max_backoff{1200};
+    /// Without any response of discovery's for this long the lease is released: another node may reach it.
+    Duration discovery_timeout{2500};
 };
 
-// ---- What happens
-struct Began {  ///< leadership::Begin
+// Events
+
+/// leadership::StartWork.
+struct LeaseAcquired {
     Epoch epoch = 0;
 };
-struct Halted {};  ///< leadership::Stop
-struct Told {      ///< discovery's answer to Watch of this number
-    std::uint64_t call = 0;
-    Listing listing;
+/// leadership::StopWork.
+struct LeaseRevoked {};
+/// Discovery has responded to a StartWatch.
+struct DiscoveryCompleted {
+    std::uint64_t watch_id = 0;  ///< StartWatch::watch_id
+    DiscoveryResult result;
 };
-struct Failed {
-    std::uint64_t call = 0;
+struct DiscoveryFailed {
+    std::uint64_t watch_id = 0;  ///< StartWatch::watch_id
 };
-struct Answered {  ///< the machine's, to Say of this number
-    std::uint64_t number = 0;
-    std::string answer;
+/// The state machine has responded to a SendCommand.
+struct CommandCompleted {
+    std::uint64_t request_id = 0;  ///< SendCommand::request_id
+    std::string response;          ///< encoded CommandResponse
 };
-struct OwnerWoken {};
-using OwnerEvent = std::variant<Began, Halted, Told, Failed, Answered, OwnerWoken>;
+/// The time of the last PublisherSetTimer was reached.
+struct PublisherTimerFired {};
+using PublisherEvent = std::variant<LeaseAcquired, LeaseRevoked, DiscoveryCompleted, DiscoveryFailed,
+                                    CommandCompleted, PublisherTimerFired>;
+
+// Actions
 
-// ---- What is to be done about it
-struct Watch {  ///< in the place of a question that is out
-    std::uint64_t call = 0;
-    std::optional<std::uint64_t> index;  ///< changes since; none: the whole list
-    Duration wait{};
+/// Send a request to discovery; it replaces the one in flight.
+struct StartWatch {
+    std::uint64_t watch_id = 0;
+    std::optional<std::uint64_t> since_revision;  ///< changes since then; none: the full list
+    Duration timeout{};                           ///< for which discovery may wait for a change
 };
-/// Discovery has told this node itself: it goes by it at once, whatever becomes of the report (OwnTold to its
-/// Follower).
-struct UseTold {
-    Listing listing;
+/// This node uses a response of discovery's at once, whatever becomes of the report (DiscoveryResultUsed to
+/// its Follower).
+struct UseDiscoveryResult {
+    DiscoveryResult result;
 };
-struct DropWatch {};
-struct Say {
-    std::uint64_t number = 0;
-    std::string command;
+struct CancelWatch {};
+struct SendCommand {
+    std::uint64_t request_id = 0;  ///< the same when it is sent again
+    std::string command;           ///< encoded
 };
-struct GiveBack {};  ///< leadership::HandBack: discovery is not to be reached from here, or another has it
-struct AtRest {};    ///< leadership::Stopped
-struct OwnerWakeAt {
+/// leadership::ReleaseLease: discovery cannot be reached from here, or a newer publisher exists.
+struct ReleaseLease {};
+/// leadership::WorkStopped.
+struct PublisherStopped {};
+/// Replaces the previous timer.
+struct PublisherSetTimer {
     TimePoint at{};
 };
-using OwnerAction = std::variant<Watch, UseTold, DropWatch, Say, GiveBack, AtRest, OwnerWakeAt>;
-using OwnerActions = std::vector<OwnerAction>;
+using PublisherAction = std::variant<StartWatch, UseDiscoveryResult, CancelWatch, SendCommand, ReleaseLease,
+                                     PublisherStopped, PublisherSetTimer>;
+using PublisherActions = std::vector<PublisherAction>;
 
-class Owner {
+/// One request to discovery or one command is in flight at a time, and discovery is polled only once the
+/// round that the response is to close is known:
+///
+///     idle --LeaseAcquired--> reporting (OpenEpoch) --CommandCompleted--> watching
+///     watching --DiscoveryCompleted--> reporting (Report) --CommandCompleted--> watching
+///     watching --failure, timeout--> backing off --timer--> watching
+///     watching --no response for discovery_timeout--> released
+///     reporting --rejected for good--> released; --rejected else--> reporting (OpenEpoch)
+///     any --LeaseRevoked--> idle
+class Publisher {
 public:
-    explicit Owner(const OwnerSettings& settings = {}) : set_(settings) {}
-    void handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions);
+    explicit Publisher(const PublisherSettings& settings = {}) : settings_(settings) {}
+    void handle(TimePoint now, const PublisherEvent& event, PublisherActions& actions);
 
 private:
-    enum class Phase { Idle, Saying, Asking, Waiting, GivenBack };
-    void begin(TimePoint now, Epoch epoch, OwnerActions& actions);
-    void say(TimePoint now, std::string command, OwnerActions& actions);
-    void ask(TimePoint now, OwnerActions& actions);
-    void failed(TimePoint now, OwnerActions& actions);
-    void answered(TimePoint now, const Answered& event, OwnerActions& actions);
-    void wait_until(TimePoint at, OwnerActions& actions);
+    enum class Phase { Idle, Reporting, Watching, BackingOff, Released };
+
+    void on(TimePoint now, const LeaseAcquired& event, PublisherActions& actions);
+    void on(TimePoint now, const LeaseRevoked& event, PublisherActions& actions);
+    void on(TimePoint now, const DiscoveryCompleted& event, PublisherActions& actions);
+    void on(TimePoint now, const DiscoveryFailed& event, PublisherActions& actions);
+    void on(TimePoint now, const CommandCompleted& event, PublisherActions& actions);
+    void on(TimePoint now, const PublisherTimerFired& event, PublisherActions& actions);
+
+    void open_epoch(TimePoint now, PublisherActions& actions);
+    void send(TimePoint now, std::string command, PublisherActions& actions);
+    void watch(TimePoint now, PublisherActions& actions);
+    void on_watch_failed(TimePoint now, PublisherActions& actions);
+    void release(PublisherActions& actions);
+    void set_timer(TimePoint at, PublisherActions& actions);
 
-    OwnerSettings set_;
+    PublisherSettings settings_;
     Phase phase_ = Phase::Idle;
-    Epoch epoch_ = 0;
-    std::uint64_t calls_ = 0, numbers_ = 0, version_ = 0, round_ = 0;
-    std::optional<std::uint64_t> index_;
-    std::string said_;
-    int failures_ = 0;
-    TimePoint due_{}, heard_{};  ///< of what is out; when discovery last answered
+    Epoch epoch_ = 0;               ///< of the lease; valid unless idle
+    std::uint64_t version_ = 0;     ///< of the list, as the last response showed it
+    std::uint64_t open_round_ = 0;  ///< as the last response showed it
+    std::uint64_t last_watch_id_ = 0;
+    std::uint64_t last_request_id_ = 0;
+    std::optional<std::uint64_t> revision_;  ///< discovery's, of its last response under this epoch
+    std::string last_command_;               ///< in flight while reporting
+    int failures_ = 0;                       ///< of requests to discovery since its last response
+    TimePoint timer_at_{};                   ///< valid while reporting, watching or backing off
+    TimePoint last_discovery_response_{};    ///< at first when the epoch was opened
 };
 
 }  // namespace ochrehub::leadership::endpoint_list
--- a/src/fleet/leadership/lease_state_machine.cpp
+++ b/src/fleet/leadership/lease_state_machine.cpp
@@ -3,371 +3,258 @@
 #include <leadership.pb.h>
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
+#include "fleet/leadership/parse.h"
+
 namespace ochrehub::leadership {
 
 namespace {
 
-std::string octets(const wire::Command& command) {
-    return command.SerializeAsString();
-}
-bool is_job(std::string_view name) {
-    return name.find('/') != std::string_view::npos;
-}
-bool parse(google::protobuf::MessageLite& message, std::string_view bytes) {
-    return bytes.size() <= (64u << 20) && message.ParseFromArray(bytes.data(), int(bytes.size()));
-}
-
-}  // namespace
+constexpr std::size_t kMaxCommandBytes = 4096;
 
-std::string add_candidacy_command(std::string_view name, std::uint32_t weight) {
-    wire::Command command;
-    command.mutable_want()->set_name(std::string(name));
-    command.mutable_want()->set_weight(weight);
-    return octets(command);
-}
-std::string create_job_command(std::string_view kind, std::uint64_t token) {
-    wire::Command command;
-    command.mutable_open()->set_kind(std::string(kind));
-    command.mutable_open()->set_token(token);
-    return octets(command);
-}
-std::string withdraw_candidacy_command(std::string_view name) {
-    wire::Command command;
-    command.mutable_unwant()->set_name(std::string(name));
-    return octets(command);
-}
-std::string release_lease_command(std::string_view name, Epoch epoch, bool keep_want) {
-    wire::Command command;
-    auto& said = *command.mutable_give_up();
-    said.set_name(std::string(name)), said.set_epoch(epoch), said.set_keep_want(keep_want);
-    return octets(command);
-}
-std::string complete_job_command(std::string_view name, Epoch epoch) {
-    wire::Command command;
-    command.mutable_end()->set_name(std::string(name));
-    command.mutable_end()->set_epoch(epoch);
-    return octets(command);
-}
-std::string remove_job_command(std::string_view name, Epoch epoch) {
-    wire::Command command;
-    command.mutable_over()->set_name(std::string(name));
-    command.mutable_over()->set_epoch(epoch);
-    return octets(command);
-}
-std::string transfer_lease_command(std::string_view name) {
-    wire::Command command;
-    command.mutable_move()->set_name(std::string(name));
-    return octets(command);
+bool is_name_character(char c) {
+    return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.';
 }
 
-std::optional<CommandResponse> decode_command_response(std::string_view bytes) {
-    wire::Answer in;
-    if (!parse(in, bytes) || in.error() > kErrors) return std::nullopt;
-    CommandResponse answer{std::nullopt, in.name(), in.epoch()};
-    if (in.error() > 0) answer.error = Error(in.error() - 1);
-    return answer;
-}
-std::optional<SessionUpdate> decode_session_update(std::string_view bytes) {
-    wire::News in;
-    if (!parse(in, bytes)) return std::nullopt;
-    SessionUpdate news{in.revision(), {}};
-    for (const wire::Owned& one : in.owned()) {
-        if (one.epoch() == 0 || one.name().empty()) return std::nullopt;
-        news.owned.push_back({one.name(), one.epoch(), one.give_back(), one.ended()});
+/// The role that a command is about; null: the command is about none that exists yet, or is empty.
+const std::string* role_name(const wire::Command& in) {
+    switch (in.what_case()) {
+        case wire::Command::kWithdrawCandidacy:
+            return &in.withdraw_candidacy().name();
+        case wire::Command::kReleaseLease:
+            return &in.release_lease().name();
+        case wire::Command::kRemoveJob:
+            return &in.remove_job().name();
+        case wire::Command::kCompleteJob:
+            return &in.complete_job().name();
+        case wire::Command::kTransferLease:
+            return &in.transfer_lease().name();
+        default:
+            return nullptr;
     }
-    return news;
 }
 
-// ---- Commands
+/// The epoch under which the sender claims to hold the lease.
+Epoch claimed_epoch(const wire::Command& in) {
+    if (in.has_remove_job()) return in.remove_job().epoch();
+    if (in.has_complete_job()) return in.complete_job().epoch();
+    return in.release_lease().epoch();
+}
+
+}  // namespace
 
 std::string LeaseStateMachine::apply(const coordinator::Command& command) {
-    CommandResponse answer = decide(command);
-    wire::Answer out;
-    out.set_error(answer.error ? 1 + std::uint32_t(*answer.error) : 0);
-    out.set_name(answer.name);
-    out.set_epoch(answer.epoch);
+    CommandResponse response = execute(command);
+    wire::Response out;
+    out.set_error(response.error ? 1 + std::uint32_t(*response.error) : 0);
+    out.set_name(response.name);
+    out.set_epoch(response.epoch);
     return out.SerializeAsString();
 }
 
-bool LeaseStateMachine::named(std::string_view name, bool job) const {
-    if (name.empty() || name.size() > limits_.name) return false;
-    return std::all_of(name.begin(), name.end(), [job](char c) {
-        return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.' || (job && c == '/');
-    });
-}
-
-CommandResponse LeaseStateMachine::decide(const coordinator::Command& command) {
+CommandResponse LeaseStateMachine::execute(const coordinator::Command& command) {
     wire::Command in;
-    if (command.body.size() > 4096 || !parse(in, command.body)) return {Error::Malformed, {}, 0};
-    if (command.session != 0 && !sessions_.contains(command.session)) return {Error::Session, {}, 0};
-    if (in.has_want()) return decide_want(command.session, in.want().name(), in.want().weight());
-    if (in.has_open()) return decide_open(command.session, in.open().kind(), in.open().token());
-
-    const std::string* name = in.has_unwant()    ? &in.unwant().name()
-                              : in.has_give_up() ? &in.give_up().name()
-                              : in.has_over()    ? &in.over().name()
-                              : in.has_end()     ? &in.end().name()
-                              : in.has_move()    ? &in.move().name()
-                                                 : nullptr;
+    if (command.body.size() > kMaxCommandBytes || !parse(in, command.body)) return {Error::Malformed, {}, 0};
+    if (command.session != 0 && !sessions_.contains(command.session)) return {Error::NoSession, {}, 0};
+    if (in.has_add_candidacy())
+        return add_candidacy(command.session, in.add_candidacy().name(), in.add_candidacy().weight());
+    if (in.has_create_job())
+        return create_job(command.session, in.create_job().kind(), in.create_job().token());
+    const std::string* name = role_name(in);
     if (!name) return {Error::Malformed, {}, 0};
-    auto it = duties_.find(*name);
-    if (it == duties_.end()) return {is_job(*name) ? Error::Over : Error::Unknown, *name, 0};
-    Duty& duty = it->second;
-    CommandResponse answer{std::nullopt, *name, duty.epoch};
+    auto it = roles_.find(*name);
+    if (it == roles_.end()) return {is_job_name(*name) ? Error::JobNotFound : Error::UnknownRole, *name, 0};
+    return execute_on_role(command.session, in, it);
+}
 
-    if (in.has_move()) {
-        if (duty.owner != 0 && !duty.give_back) ask_back(duty);
-        return answer;
+CommandResponse LeaseStateMachine::execute_on_role(SessionId session, const wire::Command& in,
+                                                   Roles::iterator it) {
+    Role& role = it->second;
+    CommandResponse response{std::nullopt, it->first, role.epoch};
+    if (in.has_transfer_lease()) {
+        if (role.holder != 0 && !role.release_requested) request_release(role);
+        return response;
     }
-    if (command.session == 0 && !(in.has_over() && duty.owner == 0))
-        return {Error::NotOwner, *name, duty.epoch};
-    if (in.has_unwant()) {
-        // An owner that wants it no more keeps it until it says that it has come to rest.
-        if (duty.wanted.erase(command.session) == 0) return answer;
-        --wants_;
-        ++revision_;
-        if (duty.owner == command.session && !duty.give_back) ask_back(duty);
-        drop_if_idle(it);
-        return answer;
+    // Operators have no session. All that they may do here is to remove a job that nobody holds.
+    if (session == 0 && !(in.has_remove_job() && role.holder == 0)) {
+        response.error = Error::NotHolder;
+        return response;
     }
-    const Epoch epoch = in.has_over()  ? in.over().epoch()
-                        : in.has_end() ? in.end().epoch()
-                                       : in.give_up().epoch();
-    if (duty.owner != command.session || (command.session != 0 && duty.epoch != epoch))
-        return {Error::NotOwner, *name, duty.epoch};
-    if ((in.has_over() || in.has_end()) && !is_job(*name))
-        return {Error::Name, *name, duty.epoch};  // it stands for ever
-    if (in.has_end()) {
-        if (!std::exchange(duty.ended, true)) ++revision_;
-        return answer;
+    if (in.has_withdraw_candidacy()) {
+        withdraw_candidacy(session, it);
+        return response;
     }
-    if (in.has_over()) {
-        if (command.session != 0 && !duty.ended) return {Error::NotEnded, *name, duty.epoch};
-        take_from_owner(*name, duty);
-        wants_ -= duty.wanted.size();
-        duties_.erase(it);
-    } else {
-        auto mine = duty.wanted.find(command.session);
-        std::optional<std::uint32_t> weight;
-        if (mine != duty.wanted.end()) weight = mine->second, duty.wanted.erase(mine), --wants_;
-        take_from_owner(*name, duty);
-        grant(*name, duty);  // whoever gives up is not the next, unless nobody else wants it
-        if (in.give_up().keep_want() && weight) {
-            duty.wanted[command.session] = *weight, ++wants_;
-            if (duty.owner == 0) grant(*name, duty);
-        }
-        relieve(duty.owner);
-        drop_if_idle(it);
+    if (role.holder != session || (session != 0 && role.epoch != claimed_epoch(in))) {
+        response.error = Error::NotHolder;
+        return response;
     }
-    ++revision_;
-    relieve(command.session);  // it may have been asked for one of several
-    offer(command.session);
-    return answer;
+    if (in.has_complete_job())
+        response.error = complete_job(it);
+    else if (in.has_remove_job())
+        response.error = remove_job(session, it);
+    else
+        release_lease(session, it, in.release_lease().keep_candidacy());
+    return response;
 }
 
-CommandResponse LeaseStateMachine::decide_want(SessionId session, std::string_view name,
-                                               std::uint32_t weight) {
-    if (session == 0) return {Error::Session, std::string(name), 0};
-    if (!named(name, true)) return {Error::Name, std::string(name), 0};
-    if (weight == 0 || weight > kWeightMost) return {Error::Weight, std::string(name), 0};
-    auto it = duties_.find(name);
-    if (it == duties_.end()) {
-        if (is_job(name)) return {Error::Over, std::string(name), 0};
-        if (duties_.size() >= limits_.duties) return {Error::Full, std::string(name), 0};
-        it = duties_.try_emplace(std::string(name)).first;
-    }
-    Duty& duty = it->second;
-    auto mine = duty.wanted.find(session);
-    if (mine == duty.wanted.end() && (duty.wanted.size() >= limits_.wants || wants_ >= limits_.wants_all))
-        return {Error::Crowded, std::string(name), duty.epoch};
-    if (mine == duty.wanted.end() || mine->second != weight) {
-        wants_ += mine == duty.wanted.end();
-        duty.wanted[session] = weight;
-        ++revision_;
-        if (duty.owner == 0)
-            grant(name, duty);
-        else if (worth_moving(duty, session, weight))
-            ask_back(duty);
+CommandResponse LeaseStateMachine::add_candidacy(SessionId session, std::string_view name,
+                                                 std::uint32_t weight) {
+    CommandResponse response{std::nullopt, std::string(name), 0};
+    auto reject = [&](Error error) {
+        response.error = error;
+        return response;
+    };
+    if (session == 0) return reject(Error::NoSession);
+    if (!is_valid_name(name, true)) return reject(Error::InvalidName);
+    if (weight == 0 || weight > kMaxWeight) return reject(Error::InvalidWeight);
+    auto it = roles_.find(name);
+    if (it == roles_.end()) {
+        if (is_job_name(name)) return reject(Error::JobNotFound);
+        if (roles_.size() >= limits_.max_roles) return reject(Error::TooManyRoles);
+        it = roles_.try_emplace(std::string(name)).first;
     }
-    return {std::nullopt, std::string(name), duty.epoch};
-}
-
-CommandResponse LeaseStateMachine::decide_open(SessionId session, std::string_view kind,
-                                               std::uint64_t token) {
-    auto asks = sessions_.find(session);
-    if (asks != sessions_.end() && token != 0 && asks->second.token == token)
-        return {std::nullopt, asks->second.opened, 0};
-    std::string name = std::string(kind) + "/" + std::to_string(jobs_ + 1);
-    if (!named(kind, false) || !named(name, true)) return {Error::Name, std::string(kind), 0};
-    if (duties_.size() >= limits_.duties) return {Error::Full, std::string(kind), 0};
-    ++jobs_, ++revision_;
-    duties_.try_emplace(name);
-    if (asks != sessions_.end()) asks->second.token = token, asks->second.opened = name;
-    return {std::nullopt, name, 0};
+    Role& role = it->second;
+    response.epoch = role.epoch;
+    auto candidate = role.candidates.find(session);
+    const bool is_new = candidate == role.candidates.end();
+    const bool is_full = role.candidates.size() >= limits_.max_candidates_per_role ||
+                         candidate_count_ >= limits_.max_candidates;
+    if (is_new && is_full) return reject(Error::TooManyCandidates);
+    if (!is_new && candidate->second == weight) return response;
+    candidate_count_ += is_new;
+    role.candidates[session] = weight;
+    ++revision_;
+    if (role.holder == 0)
+        grant(name, role);
+    else if (improves_balance(role, session, weight))
+        request_release(role);
+    response.epoch = role.epoch;
+    return response;
 }
 
-// ---- Owners
-
-void LeaseStateMachine::take_from_owner(std::string_view name, Duty& duty) {
-    auto had = sessions_.find(duty.owner);
-    if (had != sessions_.end()) {
-        auto owned = had->second.owned.find(name);
-        if (owned != had->second.owned.end()) had->second.owned.erase(owned);
-        if (duty.give_back) --had->second.giving;
+CommandResponse LeaseStateMachine::create_job(SessionId session, std::string_view kind, std::uint64_t token) {
+    auto sender = sessions_.find(session);
+    if (sender != sessions_.end() && token != 0 && sender->second.last_token == token)
+        return {std::nullopt, sender->second.last_created_job, 0};
+    std::string name = std::string(kind) + "/" + std::to_string(jobs_created_ + 1);
+    if (!is_valid_name(kind, false) || !is_valid_name(name, true))
+        return {Error::InvalidName, std::string(kind), 0};
+    if (roles_.size() >= limits_.max_roles) return {Error::TooManyRoles, std::string(kind), 0};
+    ++jobs_created_;
+    ++revision_;
+    roles_.try_emplace(name);
+    if (sender != sessions_.end()) {
+        sender->second.last_token = token;
+        sender->second.last_created_job = name;
     }
-    duty.owner = 0;
-    duty.give_back = false;
+    return {std::nullopt, name, 0};
 }
 
-void LeaseStateMachine::ask_back(Duty& duty) {
-    duty.give_back = true;
-    ++sessions_.at(duty.owner).giving;
+void LeaseStateMachine::withdraw_candidacy(SessionId session, Roles::iterator it) {
+    Role& role = it->second;
+    if (role.candidates.erase(session) == 0) return;
+    --candidate_count_;
     ++revision_;
+    // A holder keeps the lease until it reports that it has stopped.
+    if (role.holder == session && !role.release_requested) request_release(role);
+    drop_if_unused(it);
 }
 
-void LeaseStateMachine::grant(std::string_view name, Duty& duty) {
-    SessionId best = 0;
-    std::uint64_t best_would = 0, best_weight = 1;
-    for (auto [session, weight] : duty.wanted) {  // by session: the older one first
-        auto known = sessions_.find(session);
-        if (known == sessions_.end()) continue;
-        std::uint64_t would = known->second.owned.size() + 1;
-        if (best == 0 || would * best_weight < best_would * weight)
-            best = session, best_would = would, best_weight = weight;
+void LeaseStateMachine::release_lease(SessionId session, Roles::iterator it, bool keep_candidacy) {
+    Role& role = it->second;
+    auto candidate = role.candidates.find(session);
+    std::optional<std::uint32_t> weight;
+    if (candidate != role.candidates.end()) {
+        weight = candidate->second;
+        role.candidates.erase(candidate);
+        --candidate_count_;
+    }
+    clear_holder(it->first, role);
+    // The sender is not among the candidates now: it is chosen again only if there is no other.
+    grant(it->first, role);
+    if (keep_candidacy && weight) {
+        role.candidates[session] = *weight;
+        ++candidate_count_;
+        if (role.holder == 0) grant(it->first, role);
     }
-    duty.owner = best;
-    if (best == 0) return;
-    duty.epoch = ++epochs_;
-    sessions_.at(best).owned.emplace(name);
+    request_one_release_from(role.holder);
+    drop_if_unused(it);
+    after_release(session);
 }
 
-bool LeaseStateMachine::worth_moving(const Duty& duty, SessionId other, std::uint32_t weight) const {
-    auto mine = duty.wanted.find(duty.owner);
-    auto owner = sessions_.find(duty.owner), known = sessions_.find(other);
-    if (mine == duty.wanted.end() || owner == sessions_.end() || known == sessions_.end()) return false;
-    // A part at a time, and of few one: where they go is seen when they have moved.
-    const std::size_t owned = owner->second.owned.size(), giving = owner->second.giving;
-    if (other == duty.owner || duty.give_back || giving > owned / 8) return false;
-    const std::uint64_t least = owned - giving - 1, would = known->second.owned.size() + 1;
-    return would * mine->second <= least * weight;
+std::optional<Error> LeaseStateMachine::complete_job(Roles::iterator it) {
+    if (!is_job_name(it->first)) return Error::InvalidName;
+    if (!std::exchange(it->second.job_completed, true)) ++revision_;
+    return std::nullopt;
 }
 
-void LeaseStateMachine::balance() {
-    for (auto& [name, duty] : duties_)
-        for (auto [other, weight] : duty.wanted)
-            if (worth_moving(duty, other, weight)) {
-                ask_back(duty);
-                break;
-            }
+std::optional<Error> LeaseStateMachine::remove_job(SessionId session, Roles::iterator it) {
+    Role& role = it->second;
+    if (!is_job_name(it->first)) return Error::InvalidName;
+    if (session != 0 && !role.job_completed) return Error::JobNotCompleted;
+    clear_holder(it->first, role);
+    candidate_count_ -= role.candidates.size();
+    roles_.erase(it);
+    after_release(session);
+    return std::nullopt;
 }
 
-// Who has one less: may it have another's?
-void LeaseStateMachine::offer(SessionId freed) {
-    for (auto& [name, duty] : duties_) {
-        auto wants = duty.wanted.find(freed);
-        if (wants != duty.wanted.end() && worth_moving(duty, freed, wants->second)) return ask_back(duty);
-    }
+/// `session` holds one role less.
+void LeaseStateMachine::after_release(SessionId session) {
+    ++revision_;
+    request_one_release_from(session);  // this release may have been the one of several that it still owed
+    request_one_release_for(session);
 }
-// Who has one more: may another have one of its?
-void LeaseStateMachine::relieve(SessionId owner) {
-    auto known = sessions_.find(owner);
-    if (known == sessions_.end()) return;
-    for (const std::string& name : known->second.owned) {
-        Duty& duty = duties_.find(name)->second;
-        for (auto [other, weight] : duty.wanted)
-            if (worth_moving(duty, other, weight)) return ask_back(duty);
-    }
+
+bool LeaseStateMachine::is_valid_name(std::string_view name, bool allow_slash) const {
+    if (name.empty() || name.size() > limits_.max_name_bytes) return false;
+    return std::all_of(name.begin(), name.end(),
+                       [&](char c) { return is_name_character(c) || (allow_slash && c == '/'); });
 }
 
-// Epochs are not a duty's own, so nothing is lost with one that nobody wants. A job stays until it is over.
-LeaseStateMachine::Table::iterator LeaseStateMachine::drop_if_idle(Table::iterator it) {
-    if (it->second.owner == 0 && it->second.wanted.empty() && !is_job(it->first)) return duties_.erase(it);
+// Epochs are not a role's own, so dropping a standing role loses nothing. A job stays until it is removed.
+LeaseStateMachine::Roles::iterator LeaseStateMachine::drop_if_unused(Roles::iterator it) {
+    const Role& role = it->second;
+    if (role.holder == 0 && role.candidates.empty() && !is_job_name(it->first)) return roles_.erase(it);
     return std::next(it);
 }
 
-void LeaseStateMachine::session_began(SessionId session, std::string_view, std::string_view) {
+void LeaseStateMachine::session_began(SessionId session, std::string_view /*name*/,
+                                      std::string_view /*zone*/) {
     sessions_.try_emplace(session);
 }
 
 void LeaseStateMachine::session_over(SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
-    for (auto it = duties_.begin(); it != duties_.end();) {
-        Duty& duty = it->second;
-        wants_ -= duty.wanted.erase(session);
-        if (duty.owner == session) {
-            take_from_owner(it->first, duty);
-            grant(it->first, duty);
+    for (auto it = roles_.begin(); it != roles_.end();) {
+        Role& role = it->second;
+        candidate_count_ -= role.candidates.erase(session);
+        if (role.holder == session) {
+            clear_holder(it->first, role);
+            grant(it->first, role);
         }
-        it = drop_if_idle(it);
+        it = drop_if_unused(it);
     }
-    balance();
+    rebalance_all();
 }
 
 std::string LeaseStateMachine::news(SessionId session) const {
-    wire::News news;
-    news.set_revision(revision_);
-    auto known = sessions_.find(session);
-    if (known != sessions_.end())
-        for (const std::string& name : known->second.owned) {
-            const Duty& duty = duties_.find(name)->second;
-            wire::Owned& one = *news.add_owned();
-            one.set_name(name), one.set_epoch(duty.epoch), one.set_give_back(duty.give_back),
-                one.set_ended(duty.ended);
-        }
-    return news.SerializeAsString();
-}
-
-// ---- Snapshots
-
-std::string LeaseStateMachine::snapshot() const {
-    wire::Snapshot out;
-    out.set_revision(revision_), out.set_epochs(epochs_), out.set_jobs(jobs_);
-    for (const auto& [id, session] : sessions_) {
-        wire::Session& one = *out.add_sessions();
-        one.set_id(id), one.set_token(session.token), one.set_opened(session.opened);
-    }
-    for (const auto& [name, duty] : duties_) {
-        wire::Duty& one = *out.add_duties();
-        one.set_name(name), one.set_epoch(duty.epoch), one.set_owner(duty.owner);
-        one.set_give_back(duty.give_back), one.set_ended(duty.ended);
-        for (auto [session, weight] : duty.wanted) {
-            wire::Wanted& wanted = *one.add_wanted();
-            wanted.set_session(session), wanted.set_weight(weight);
-        }
-    }
-    return out.SerializeAsString();
-}
-
-bool LeaseStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
-    wire::Snapshot in;
-    if (schema != kSchema || !parse(in, bytes)) return false;
-    std::map<SessionId, Session> sessions;
-    Table duties;
-    std::size_t wants = 0;
-    for (const wire::Session& one : in.sessions()) {
-        Session& session = sessions[one.id()];
-        session.token = one.token(), session.opened = one.opened();
-    }
-    for (const wire::Duty& one : in.duties()) {
-        auto [it, fresh] = duties.try_emplace(one.name());
-        if (!fresh || !named(one.name(), true) || one.epoch() > in.epochs()) return false;
-        Duty& duty = it->second;
-        duty.epoch = one.epoch(), duty.owner = one.owner(), duty.give_back = one.give_back(),
-        duty.ended = one.ended();
-        for (const wire::Wanted& wanted : one.wanted()) duty.wanted[wanted.session()] = wanted.weight();
-        wants += duty.wanted.size();
-        if (duty.owner == 0) continue;
-        auto owner = sessions.find(duty.owner);
-        if (owner == sessions.end() || duty.epoch == 0) return false;
-        owner->second.owned.insert(one.name());
-        owner->second.giving += duty.give_back;
+    wire::SessionUpdate update;
+    update.set_revision(revision_);
+    auto found = sessions_.find(session);
+    if (found == sessions_.end()) return update.SerializeAsString();
+    for (const std::string& name : found->second.held_roles) {
+        const Role& role = roles_.find(name)->second;
+        wire::HeldLease& lease = *update.add_leases();
+        lease.set_name(name);
+        lease.set_epoch(role.epoch);
+        lease.set_release_requested(role.release_requested);
+        lease.set_job_completed(role.job_completed);
     }
-    revision_ = in.revision(), epochs_ = in.epochs(), jobs_ = in.jobs(), wants_ = wants;
-    sessions_ = std::move(sessions), duties_ = std::move(duties);
-    return true;
+    return update.SerializeAsString();
 }
 
 }  // namespace ochrehub::leadership
--- a/src/fleet/leadership/lease_state_machine.h
+++ b/src/fleet/leadership/lease_state_machine.h
@@ -1,125 +1,124 @@
-// The keepers' machine of duties: for each piece of work one owner at a time, a session, under an epoch.
-// Epochs of all duties come from one counter that never goes back, so that a duty which vanished and came
-// again is granted under a higher one than ever before, and a receiver may forget single duties behind a
-// bound (fencing::Fence::retire).
+// The replicated state machine of leadership leases: each role is held by at most one session at a time,
+// under an epoch. It decides who holds what; it does not enforce it: holders stop by their own clock
+// (lease_holder.h), and receivers reject older epochs (fencing::Fence).
 //
-// Two kinds: a standing duty has a name and is there while somebody wants it; a job is opened, is named by a
-// number that is never given twice, ends once (`end_job`: from then on nothing of it is done, its owner only
-// tells the receivers to retire it), and is then over for good. An owner is named where somebody wants the
-// duty: who would have fewest for its weight, then the older session. Who has so many that with one less it
-// still has no less than another would with one more, for their weights, is asked to give one back, of many
-// an eighth at a time; the next owner is named by the command that says the old one has come to rest, or by
-// the end of the old one's session.
-//
-// No time in it: sessions end by the leader's count (keeper/machine.h). Not for several threads at once.
+// Like every coordinator::Machine it is deterministic and has no clock: sessions end by the leader's count.
+// Not thread-safe.
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
+#include <string>
+#include <string_view>
+#include <vector>
 
 #include "fleet/coordinator/machine.h"
-#include "fleet/leadership/error.h"
-
-namespace ochrehub::leadership {
+#include "fleet/leadership/lease_commands.h"
 
-using coordinator::Epoch;
-using coordinator::SessionId;
-
-inline constexpr std::uint32_t kSchema = 1;
-inline constexpr std::uint32_t kWeightMost = 100;
-
-struct Limits {  ///< part of the replicated rules: the same at every keeper
-    std::size_t duties = 10'000;
-    std::size_t wants = 1'000;        ///< of one duty
-    std::size_t wants_all = 200'000;  ///< of all
-    std::size_t name = 64;            ///< octets, the fence's too
-};
+namespace ochrehub::leadership::wire {
+class Command;
+}
 
-// Commands as octets. Answers and news are read by `decode_command_response` and `decode_session_update`.
-std::string add_candidacy_command(std::string_view name, std::uint32_t weight = 1);
-std::string create_job_command(std::string_view kind, std::uint64_t token);
-std::string withdraw_candidacy_command(std::string_view name);
-std::string release_lease_command(std::string_view name, Epoch epoch, bool keep_want = false);
-std::string complete_job_command(std::string_view name, Epoch epoch);
-std::string remove_job_command(std::string_view name, Epoch epoch);
-std::string transfer_lease_command(std::string_view name);
+namespace ochrehub::leadership {
 
-struct CommandResponse {
-    std::optional<Error> error;
-    std::string name;  ///< Open: the job's
-    Epoch epoch = 0;   ///< that stands, where the duty is there
-};
-std::optional<CommandResponse> decode_command_response(std::string_view bytes);
+inline constexpr std::uint32_t kSchema = 1;  ///< of commands and snapshots
 
-struct HeldLease {
-    std::string name;
-    Epoch epoch = 0;
-    bool give_back = false;
-    bool ended = false;  ///< a job: nothing of it is to be done, but receivers may not know yet
-    friend bool operator==(const HeldLease&, const HeldLease&) = default;
-};
-struct SessionUpdate {
-    std::uint64_t revision = 0;    ///< of the machine: older news is none
-    std::vector<HeldLease> owned;  ///< all of it, by name
+/// Part of the replicated rules: the same at every coordinator.
+struct Limits {
+    std::size_t max_roles = 10'000;
+    std::size_t max_candidates_per_role = 1'000;
+    std::size_t max_candidates = 200'000;  ///< over all roles
+    std::size_t max_name_bytes = 64;       ///< fencing::Fence has the same limit
 };
-std::optional<SessionUpdate> decode_session_update(std::string_view bytes);
 
+/// A role passes through these states:
+///
+///     absent --AddCandidacy, CreateJob--> without holder --a candidate is there--> held
+///     held --TransferLease, WithdrawCandidacy, rebalancing--> release requested
+///     held, release requested --ReleaseLease, end of the holder's session--> held by the next, or without
+///     holder
+///
+/// A standing role is there while it has candidates. A job is created once under a name that is never reused,
+/// and goes on to completed (CompleteJob) and removed (RemoveJob).
+///
+/// All epochs come from one counter that never goes back. So a role that was dropped and added again is
+/// granted under a higher epoch than ever before, and a receiver may forget single roles below a bound
+/// (fencing::Fence::retire).
 class LeaseStateMachine : public coordinator::Machine {
 public:
     explicit LeaseStateMachine(const Limits& limits = {}) : limits_(limits) {}
 
+    /// The kind is part of the stored format.
     std::string_view kind() const override { return "duty"; }
     std::uint32_t schema() const override { return kSchema; }
     std::string apply(const coordinator::Command& command) override;
     void session_began(SessionId session, std::string_view name, std::string_view zone) override;
     void session_over(SessionId session) override;
-    /// Never empty: that nothing is owned is news too.
+    /// An encoded SessionUpdate. Never empty: that a session holds nothing is information too.
     std::string news(SessionId session) const override;
     void armed(std::vector<coordinator::Armed>&) const override {}
     std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    struct Duty {
-        Epoch epoch = 0;      ///< of its last grant
-        SessionId owner = 0;  ///< zero: nobody
-        bool give_back = false, ended = false;
-        std::map<SessionId, std::uint32_t> wanted;  ///< with their weights
-        friend bool operator==(const Duty&, const Duty&) = default;
+    struct Role {
+        Epoch epoch = 0;       ///< of the last grant; zero: never granted
+        SessionId holder = 0;  ///< zero: none
+        bool release_requested = false;
+        bool job_completed = false;
+        std::map<SessionId, std::uint32_t> candidates;  ///< with their weights
+        friend bool operator==(const Role&, const Role&) = default;
     };
-    const std::map<std::string, Duty, std::less<>>& duties() const { return duties_; }
-    Epoch epochs() const { return epochs_; }  ///< the last one granted
+    const std::map<std::string, Role, std::less<>>& roles() const { return roles_; }
+    Epoch last_epoch() const { return last_epoch_; }  ///< the highest that was granted
     std::uint64_t revision() const { return revision_; }
 
 private:
-    using Table = std::map<std::string, Duty, std::less<>>;
+    using Roles = std::map<std::string, Role, std::less<>>;
     struct Session {
-        std::set<std::string, std::less<>> owned;
-        std::size_t giving = 0;   ///< of those, how many it is asked to give back
-        std::uint64_t token = 0;  ///< of its last Open, and the job's name
-        std::string opened;
+        std::set<std::string, std::less<>> held_roles;
+        std::size_t requested_releases = 0;  ///< held roles with `release_requested`
+        std::uint64_t last_token = 0;        ///< of its last CreateJob; zero: none
+        std::string last_created_job;        ///< valid where last_token is not zero
     };
-    CommandResponse decide(const coordinator::Command& command);
-    CommandResponse decide_want(SessionId session, std::string_view name, std::uint32_t weight);
-    CommandResponse decide_open(SessionId session, std::string_view kind, std::uint64_t token);
-    void grant(std::string_view name, Duty& duty);
-    void take_from_owner(std::string_view name, Duty& duty);
-    void ask_back(Duty& duty);
-    bool worth_moving(const Duty& duty, SessionId other, std::uint32_t weight) const;
-    Table::iterator drop_if_idle(Table::iterator it);
-    void balance();
-    void offer(SessionId freed);
-    void relieve(SessionId owner);
-    bool named(std::string_view name, bool job) const;
+
+    // Commands (lease_state_machine.cpp).
+    CommandResponse execute(const coordinator::Command& command);
+    CommandResponse execute_on_role(SessionId session, const wire::Command& in, Roles::iterator it);
+    CommandResponse add_candidacy(SessionId session, std::string_view name, std::uint32_t weight);
+    CommandResponse create_job(SessionId session, std::string_view kind, std::uint64_t token);
+    void withdraw_candidacy(SessionId session, Roles::iterator it);
+    void release_lease(SessionId session, Roles::iterator it, bool keep_candidacy);
+    std::optional<Error> complete_job(Roles::iterator it);
+    std::optional<Error> remove_job(SessionId session, Roles::iterator it);
+    void after_release(SessionId session);
+    Roles::iterator drop_if_unused(Roles::iterator it);
+    bool is_valid_name(std::string_view name, bool allow_slash) const;
+
+    // Who holds a role, and when it moves (lease_placement.cpp).
+    void grant(std::string_view name, Role& role);
+    void clear_holder(std::string_view name, Role& role);
+    void request_release(Role& role);
+    bool improves_balance(const Role& role, SessionId other, std::uint32_t weight) const;
+    void rebalance_all();
+    void request_one_release_for(SessionId receiver);
+    void request_one_release_from(SessionId holder);
 
     Limits limits_;
-    std::uint64_t revision_ = 0, jobs_ = 0;
-    Epoch epochs_ = 0;
-    std::size_t wants_ = 0;
+    std::uint64_t revision_ = 0;       ///< raised by each command that changes what sessions are sent
+    std::uint64_t jobs_created_ = 0;   ///< the number of the last job
+    Epoch last_epoch_ = 0;             ///< of all roles
+    std::size_t candidate_count_ = 0;  ///< the sum of all roles' candidates
     std::map<SessionId, Session> sessions_;
-    Table duties_;
+    Roles roles_;
 };
 
+/// The name of a job contains a slash, that of a standing role never does.
+inline bool is_job_name(std::string_view name) {
+    return name.find('/') != std::string_view::npos;
+}
+
 }  // namespace ochrehub::leadership
