--- a/lab/leadership/message.h
+++ b/lab/leadership/message.h
@@ -1,3 +1,4 @@
+// The one message type of the leadership simulations' network.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +12,47 @@
 
 struct Message {
     enum class Kind {
-        Beat,  // among keepers
+        // Among simulated coordinators.
+        Beat,
+        // A session with simulated coordinators. Renew with session zero opens a new one.
         Renew,
         Renewed,
-        NotLeader,  // a session; session zero: a new one
+        NotLeader,
+        // A command and its response.
         Do,
-        Did,  // a command and its answer
+        Did,
+        // Lease holder to receiver, and the receiver's response.
         Effect,
         Look,
         Retire,
-        Verdict,  // owner and receiver
+        Verdict,
+        // A node's query of the endpoint list's state machine, or its call to discovery, and the response.
         Ask,
         List,
-        Failed,  // a node and discovery
+        Failed,
+        // Among coordinators over Raft, and with their sessions.
         Raft,
         Asked,
-        Answered  // among real keepers, and with their sessions
-    } kind{};
-    std::uint64_t call = 0;
+        Answered
+    };
+    struct Entry {
+        std::string key;    ///< a state machine's kind, or a server's id
+        std::string value;  ///< its session update, or the server's phase; empty: removed
+    };
+
+    Kind kind{};
+    std::uint64_t call = 0;  ///< repeated in the response
     coordinator::SessionId session = 0;
-    std::string what, body;  // which machine; its command, answer; a duty's name
-    std::vector<std::pair<std::string, std::string>> news;
-    std::uint64_t epoch = 0, step = 0, item = 0;
+    std::string what;  ///< a state machine's kind, or a role
+    std::string body;  ///< a command, query, or response
+    std::vector<Entry> entries;
+    std::uint64_t epoch = 0;
+    std::uint64_t step = 0;
+    std::uint64_t item = 0;
     fencing::Verdict verdict{};
-    std::uint64_t index = 0;
-    double wait = 0;
+    std::uint64_t index = 0;  ///< the leader, discovery's revision, or what kind of request a verdict answers
+    bool is_full = false;     ///< discovery's response holds all servers
+    double wait = 0;          ///< ms for which discovery may wait for a change
 };
 
 }  // namespace ochrehub::lab::leadership
--- a/lab/leadership/replicas.cpp
+++ b/lab/leadership/raft_coordinators.cpp
@@ -1,4 +1,4 @@
-#include "lab/leadership/replicas.h"
+#include "lab/leadership/raft_coordinators.h"
 
 #include <coordinator.pb.h>
 
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::uint64_t kOperator = ~std::uint64_t(0);  // who asks, beside the processes
+constexpr std::uint64_t kOperator = ~std::uint64_t(0);  // the sender of operators' commands
 
 }  // namespace
 
-void Replicas::started(std::size_t self, TimePoint own) {
+void RaftCoordinators::started(std::size_t self, TimePoint own) {
     Each& me = each_[self];
     if (me.lives == 0)
         for (std::size_t i = 0; i < each_.size(); ++i)
@@ -35,7 +35,7 @@
     handle(self, own, coordinator::Woken{});
 }
 
-void Replicas::take(raft::Disk& d, const raft::Write& write) {
+void RaftCoordinators::take(raft::Disk& d, const raft::Write& write) {
     if (write.vote) d.vote = *write.vote;
     if (write.cut)
         d.entries.resize(
@@ -54,7 +54,7 @@
     if (write.caught_up) d.trusted = true;
 }
 
-void Replicas::crashed(std::size_t self) {
+void RaftCoordinators::crashed(std::size_t self) {
     Each& me = each_[self];
     std::size_t there = std::size_t(net_->uniform() * double(me.pending.size() + 1));
     for (std::size_t i = 0; i < there && i < me.pending.size(); ++i) take(me.disk, me.pending[i].write);
@@ -62,7 +62,7 @@
     me.replica.reset(), me.raft.reset();
 }
 
-void Replicas::handle(std::size_t self, TimePoint own, const coordinator::ReplicaEvent& event) {
+void RaftCoordinators::handle(std::size_t self, TimePoint own, const coordinator::ReplicaEvent& event) {
     Each& me = each_[self];
     coordinator::ReplicaActions actions;
     me.replica->handle(own, event, actions);
@@ -94,14 +94,14 @@
     arm(self);
 }
 
-void Replicas::arm(std::size_t self) {
+void RaftCoordinators::arm(std::size_t self) {
     Each& me = each_[self];
     TimePoint next = me.pending.empty() ? me.wake : std::min(me.wake, me.pending.front().done);
-    // Never at this very moment: clocks are computed, and a hair off.
+    // Never at this very moment: clock conversions round.
     if (next != TimePoint::max()) net_->wake_at(self, std::max(next, net_->own(self) + Duration{1e-6}));
 }
 
-void Replicas::woken(std::size_t self, TimePoint own) {
+void RaftCoordinators::woken(std::size_t self, TimePoint own) {
     Each& me = each_[self];
     std::optional<std::uint64_t> written;
     while (!me.pending.empty() && me.pending.front().done <= own) {
@@ -117,7 +117,7 @@
     arm(self);
 }
 
-void Replicas::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
+void RaftCoordinators::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
     if (message.kind == Message::Kind::Raft) {
         auto read = raft::decode(message.body);
         if (read) handle(self, own, coordinator::FromKeeper{raft::KeeperId(from + 1), std::move(*read)});
@@ -126,13 +126,13 @@
     }
 }
 
-std::optional<std::size_t> Replicas::leads() const {
+std::optional<std::size_t> RaftCoordinators::leads() const {
     for (std::size_t i = 0; i < each_.size(); ++i)
         if (each_[i].raft && each_[i].raft->role() == raft::Role::Leader && !net_->stopped(i)) return i;
     return std::nullopt;
 }
 
-const coordinator::Machine* Replicas::look(std::string_view kind) const {
+const coordinator::Machine* RaftCoordinators::look(std::string_view kind) const {
     const coordinator::Replica* furthest = nullptr;
     for (const Each& one : each_)
         if (one.replica && (!furthest || one.replica->applied() > furthest->applied()))
@@ -140,9 +140,9 @@
     return furthest ? furthest->state().machine(kind) : nullptr;
 }
 
-void Replicas::operate(std::string_view kind, std::string_view body) {
+void RaftCoordinators::operate(std::string_view kind, std::string_view body) {
     auto leader = leads();
-    if (!leader) return;  // operators ask again; here it is let be
+    if (!leader) return;  // an operator would retry
     coordinator::wire::Ask ask;
     ask.set_call(++calls_);
     ask.mutable_do_()->set_kind(std::string(kind));
--- a/lab/leadership/replicas.h
+++ b/lab/leadership/raft_coordinators.h
@@ -1,17 +1,17 @@
-// The real keepers in the virtual world: Raft and replicas as shipped, each with a disk that takes its time
+// Coordinators over Raft in virtual time: Raft and replicas as shipped, each with a disk that takes its time
 // and may lose in a crash any part of what it had not written.
 #pragma once
 
 #include <deque>
 
 #include "fleet/coordinator/replica.h"
-#include "lab/leadership/keepers.h"
+#include "lab/leadership/simulated_coordinators.h"
 
 namespace ochrehub::lab::leadership {
 
-class Replicas : public House {
+class RaftCoordinators : public Coordinators {
 public:
-    Replicas(std::size_t keepers, std::uint64_t seed, coordinator::MakeMachines machines)
+    RaftCoordinators(std::size_t keepers, std::uint64_t seed, coordinator::MakeMachines machines)
         : seed_(seed), machines_(std::move(machines)), each_(keepers) {}
 
     void attach(Network& net) override { net_ = &net; }
--- a/lab/leadership/process.h
+++ b/lab/leadership/session_clients.h
@@ -1,4 +1,4 @@
-// What the virtual processes share: timers of their own, and a session with the keepers that stand in.
+// What simulated processes share: timers of their own, and a session with the coordinators.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 #include <map>
 
 #include "fleet/coordinator/session.h"
-#include "lab/leadership/keepers.h"
+#include "lab/leadership/simulated_coordinators.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -16,7 +16,7 @@
     void at(TimePoint own, std::function<void(TimePoint)> then) { all_.emplace(own, std::move(then)); }
     void run_one(TimePoint own) {
         if (all_.empty() || all_.begin()->first > own + Duration{1e-6})
-            return;  // clocks are computed, and a hair off
+            return;  // not due; clock conversions round
         auto first = all_.extract(all_.begin());
         first.mapped()(std::max(own, first.key()));
     }
@@ -32,40 +32,40 @@
 struct SessionSettings {
     std::size_t keepers = 3;
     Duration lease{3000}, patience{400};
-    bool from_the_answer =
-        false;  ///< a saboteur: the lease is counted from when it was granted, not from when it was asked for
+    /// A mutant's: the lease counts from the response, not from the request.
+    bool lease_from_response = false;
 };
 
 struct SessionHooks {
-    std::function<void(TimePoint own, coordinator::SessionId, TimePoint until)> held;
+    std::function<void(TimePoint own, coordinator::SessionId, TimePoint until)> renewed;
     std::function<void(TimePoint own)> lost;
     std::function<void(TimePoint own, coordinator::SessionId, const std::string& kind,
-                       const std::string& news)>
-        news;
+                       const std::string& update)>
+        updated;
     std::function<void(TimePoint own, const std::string& kind, std::uint64_t number,
-                       const std::string& answer)>
-        answered;
+                       const std::string& response)>
+        completed;
 };
 
-/// A process's session with whoever plays the keepers.
-class Member {
+/// A process's session with the coordinators.
+class CoordinatorSession {
 public:
-    virtual ~Member() = default;
+    virtual ~CoordinatorSession() = default;
     virtual void begin(TimePoint own) = 0;
-    virtual void say(TimePoint own, std::uint64_t number, coordinator::SessionId session,
-                     const std::string& what, const std::string& body) = 0;
-    /// True: it was the session's.
+    virtual void submit(TimePoint own, std::uint64_t number, coordinator::SessionId session,
+                        const std::string& what, const std::string& body) = 0;
+    /// True: the message was the session's.
     virtual bool received(std::size_t from, TimePoint own, const Message& m) = 0;
-    /// The machine's `read`; the answer comes as Kind::List.
+    /// Queries a state machine. The response comes as Kind::List, or by RaftSession::on_full_list.
     virtual void read(TimePoint own, const std::string& what) = 0;
-    virtual TimePoint asked() const = 0;  ///< when the renewal was asked for whose news is being told
+    virtual TimePoint renewal_sent_at() const = 0;  ///< of the renewal whose update is being delivered
 };
 
-class SessionClient : public Member {
+class SimulatedSession : public CoordinatorSession {
 public:
     using Hooks = SessionHooks;
-    SessionClient(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
-                  Hooks hooks)
+    SimulatedSession(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
+                     Hooks hooks)
         : set_(settings),
           net_(net),
           timers_(timers),
@@ -74,11 +74,14 @@
           hooks_(std::move(hooks)) {}
 
     void begin(TimePoint own) override { renew(own); }
-    void say(TimePoint, std::uint64_t number, coordinator::SessionId session, const std::string& what,
-             const std::string& body) override {
+    void submit(TimePoint, std::uint64_t number, coordinator::SessionId session, const std::string& what,
+                const std::string& body) override {
         Message m;
         m.kind = Message::Kind::Do;
-        m.call = number, m.session = session, m.what = what, m.body = body;
+        m.call = number;
+        m.session = session;
+        m.what = what;
+        m.body = body;
         net_.send(self_, keeper_, m);
     }
     void read(TimePoint, const std::string& what) override {
@@ -87,7 +90,7 @@
         m.what = what;
         net_.send(self_, keeper_, m);
     }
-    /// True: it was the session's.
+    /// True: the message was the session's.
     bool received(std::size_t, TimePoint own, const Message& m) override {
         switch (m.kind) {
             case Message::Kind::Renewed:
@@ -101,13 +104,13 @@
                 }
                 return true;
             case Message::Kind::Did:
-                if (!m.body.empty()) hooks_.answered(own, m.what, m.call, m.body);
+                if (!m.body.empty()) hooks_.completed(own, m.what, m.call, m.body);
                 return true;
             default:
                 return false;
         }
     }
-    TimePoint asked() const override { return asked_at_; }
+    TimePoint renewal_sent_at() const override { return renewal_sent_at_; }
 
 private:
     void renew_if_idle(TimePoint own) {
@@ -128,11 +131,10 @@
         });
     }
     void renewed(TimePoint own, const Message& m) {
-        // A renewal that was given up may be answered late: what it grants counts from when it was asked for,
-        // and it is not taken.
+        // A late response to a renewal that timed out is dropped.
         auto found = asked_.find(m.call);
         if (found == asked_.end()) return;
-        TimePoint asked = asked_at_ = found->second;
+        TimePoint asked = renewal_sent_at_ = found->second;
         asked_.clear();
         if (m.session == 0 || (session_ != 0 && m.session != session_)) {
             session_ = 0;
@@ -140,8 +142,8 @@
             return renew(own);
         }
         session_ = m.session;
-        hooks_.held(own, session_, (set_.from_the_answer ? own : asked) + set_.lease);
-        for (const auto& [kind, news] : m.news) hooks_.news(own, session_, kind, news);
+        hooks_.renewed(own, session_, (set_.lease_from_response ? own : asked) + set_.lease);
+        for (const Message::Entry& entry : m.entries) hooks_.updated(own, session_, entry.key, entry.value);
         timers_.at(own + set_.lease / 3, [this](TimePoint t) { renew_if_idle(t); });
     }
 
@@ -152,15 +154,15 @@
     Hooks hooks_;
     coordinator::SessionId session_ = 0;
     std::uint64_t calls_ = 0;
-    TimePoint asked_at_{};
+    TimePoint renewal_sent_at_{};
     std::map<std::uint64_t, TimePoint> asked_;
 };
 
 /// coordinator::Session as shipped.
-class RealMember : public Member {
+class RaftSession : public CoordinatorSession {
 public:
-    RealMember(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
-               std::uint64_t instance, SessionHooks hooks)
+    RaftSession(const SessionSettings& settings, Network& net, Timers& timers, std::size_t self,
+                std::uint64_t instance, SessionHooks hooks)
         : net_(net),
           timers_(timers),
           self_(self),
@@ -173,12 +175,12 @@
               set.lease = settings.lease, set.patience = settings.patience;
               return set;
           }()) {}
-    /// As the real keepers name themselves.
+    /// As coordinators over Raft name themselves.
     static std::string address(std::size_t keeper) { return std::to_string(keeper + 1).insert(0, 1, 'k'); }
 
     void begin(TimePoint own) override { handle(own, coordinator::SessionWoken{}); }
-    void say(TimePoint own, std::uint64_t number, coordinator::SessionId session, const std::string& what,
-             const std::string& body) override {
+    void submit(TimePoint own, std::uint64_t number, coordinator::SessionId session, const std::string& what,
+                const std::string& body) override {
         if (session != session_.id()) return;
         calls_[++call_] = {what, number};
         handle(own, coordinator::Submit{call_, what, body});
@@ -192,8 +194,8 @@
         handle(own, coordinator::Heard{address(from), m.body});
         return true;
     }
-    TimePoint asked() const override { return asked_; }
-    std::function<void(TimePoint own, const std::string& whole)> whole = nullptr;
+    TimePoint renewal_sent_at() const override { return asked_; }
+    std::function<void(TimePoint own, const std::string& full_list)> on_full_list = nullptr;
 
 private:
     void handle(TimePoint own, const coordinator::SessionEvent& event) {
@@ -207,18 +209,18 @@
                 net_.send(self_, std::stoul(say->to.substr(1)) - 1, m);
             } else if (const auto* held = std::get_if<coordinator::Held>(&action)) {
                 asked_ = held->until - lease_ * 0.99 + Duration{50};
-                hooks_.held(own, held->session, held->until);
+                hooks_.renewed(own, held->session, held->until);
             } else if (std::get_if<coordinator::Lost>(&action)) {
                 hooks_.lost(own);
             } else if (const auto* news = std::get_if<coordinator::News>(&action)) {
-                hooks_.news(own, session_.id(), news->kind, news->bytes);
+                hooks_.updated(own, session_.id(), news->kind, news->bytes);
             } else if (const auto* answered = std::get_if<coordinator::Answered>(&action)) {
                 auto found = calls_.extract(answered->call);
                 if (found.empty() || answered->error != coordinator::Error::None) continue;
                 if (found.mapped().second == 0)
-                    whole(own, answered->result);
+                    on_full_list(own, answered->result);
                 else
-                    hooks_.answered(own, found.mapped().first, found.mapped().second, answered->result);
+                    hooks_.completed(own, found.mapped().first, found.mapped().second, answered->result);
             } else if (const auto* wake = std::get_if<coordinator::SessionWakeAt>(&action)) {
                 const std::uint64_t number = ++wakes_;
                 if (wake->at != TimePoint::max())
--- a/lab/leadership/keepers.cpp
+++ b/lab/leadership/simulated_coordinators.cpp
@@ -1,17 +1,17 @@
-#include "lab/leadership/keepers.h"
+#include "lab/leadership/simulated_coordinators.h"
 
 #include <utility>
 
 namespace ochrehub::lab::leadership {
 
-void Keepers::started(std::size_t self, TimePoint own) {
+void SimulatedCoordinators::started(std::size_t self, TimePoint own) {
     each_[self] = {};
-    each_[self].heard = own;
-    if (leader_ == self && std::exchange(begun_, true)) leader_ = ~std::size_t(0);  // what it counted is gone
+    each_[self].last_heartbeat = own;
+    if (leader_ == self && std::exchange(begun_, true)) leader_ = ~std::size_t(0);  // its timers are lost
     net_->wake_at(self, own + Duration{1.0 + double(self)});
 }
 
-bool Keepers::majority(std::size_t self) const {
+bool SimulatedCoordinators::majority(std::size_t self) const {
     std::size_t reached = 0;
     for (std::size_t i = 0; i < set_.keepers; ++i)
         reached += i == self ||
@@ -19,16 +19,18 @@
     return reached * 2 > set_.keepers;
 }
 
-void Keepers::take_over(std::size_t self, TimePoint own) {
+void SimulatedCoordinators::take_over(std::size_t self, TimePoint own) {
     leader_ = self;
     Each& me = each_[self];
     me.term = ++term_;
-    me.heard = own;
-    me.ends.clear(), me.armed.clear();
-    for (coordinator::SessionId session : sessions_) me.ends[session] = own + set_.lease * set_.given_on;
+    me.last_heartbeat = own;
+    me.ends.clear();
+    me.armed.clear();
+    for (coordinator::SessionId session : sessions_)
+        me.ends[session] = own + set_.lease * set_.new_leader_lease_factor;
 }
 
-void Keepers::count_armed(std::size_t self, TimePoint own) {
+void SimulatedCoordinators::count_armed(std::size_t self, TimePoint own) {
     Each& me = each_[self];
     std::vector<coordinator::Armed> armed;
     for (auto& machine : machines_) {
@@ -53,10 +55,11 @@
         }
 }
 
-void Keepers::woken(std::size_t self, TimePoint own) {
+void SimulatedCoordinators::woken(std::size_t self, TimePoint own) {
     net_->wake_at(self, own + set_.beat / 2);
     Each& me = each_[self];
-    if (std::exchange(me.term, term_) != term_) me.heard = own;  // whom it has voted for has time to be heard
+    if (std::exchange(me.term, term_) != term_)
+        me.last_heartbeat = own;  // the new leader has time to send a heartbeat
     if (leader_ == self) {
         if (!majority(self)) return;
         for (std::size_t i = 0; i < set_.keepers; ++i) {
@@ -76,15 +79,16 @@
             it = me.ends.erase(it);
         }
         count_armed(self, own);
-    } else if (own - me.heard > set_.election + double(self) * set_.apart && majority(self)) {
+    } else if (own - me.last_heartbeat > set_.election + double(self) * set_.apart && majority(self)) {
         take_over(self, own);
     }
 }
 
-void Keepers::received(std::size_t self, std::size_t from, TimePoint own, const Message& message) {
+void SimulatedCoordinators::received(std::size_t self, std::size_t from, TimePoint own,
+                                     const Message& message) {
     Each& me = each_[self];
     if (message.kind == Message::Kind::Beat) {
-        me.heard = own;
+        me.last_heartbeat = own;
         return;
     }
     Message answer;
@@ -104,10 +108,10 @@
             sessions_.insert(session = ++last_);
             for (auto& machine : machines_) machine->session_began(session, "process", "");
         } else if (!sessions_.contains(session) || end == me.ends.end() || end->second <= own) {
-            session = 0;  // whoever is about to be ended is not renewed any more
+            session = 0;  // a session that is about to end is not renewed
         }
         if (session != 0) {
-            me.ends[session] = own + set_.lease * set_.counted;
+            me.ends[session] = own + set_.lease * set_.lease_factor;
             add_news(session, answer);
         }
         answer.session = session;
@@ -123,23 +127,24 @@
     net_->send(self, from, answer);
 }
 
-void Keepers::add_news(coordinator::SessionId session, Message& answer) const {
-    for (const auto& machine : machines_) answer.news.emplace_back(machine->kind(), machine->news(session));
+void SimulatedCoordinators::add_news(coordinator::SessionId session, Message& answer) const {
+    for (const auto& machine : machines_)
+        answer.entries.push_back({std::string(machine->kind()), machine->news(session)});
 }
 
-coordinator::Machine& Keepers::machine(std::string_view kind) {
+coordinator::Machine& SimulatedCoordinators::machine(std::string_view kind) {
     for (auto& machine : machines_)
         if (machine->kind() == kind) return *machine;
     return *machines_.front();
 }
 
-const coordinator::Machine* Keepers::look(std::string_view kind) const {
+const coordinator::Machine* SimulatedCoordinators::look(std::string_view kind) const {
     for (const auto& machine : machines_)
         if (machine->kind() == kind) return machine.get();
     return nullptr;
 }
 
-void Keepers::operate(std::string_view kind, std::string_view body) {
+void SimulatedCoordinators::operate(std::string_view kind, std::string_view body) {
     answers_.push_back(machine(kind).apply({0, body}));
 }
 
--- a/lab/leadership/keepers.h
+++ b/lab/leadership/simulated_coordinators.h
@@ -1,6 +1,6 @@
-// A stand-in for the keepers: one copy of the log whose leader's part moves among k processes, with leases
-// counted as keeper/machine.h says. It fails as processes do (killed, stopped, cut off, slow) but is never of
-// two minds.
+// A model of the coordinators without Raft: one copy of the log whose leadership moves among k processes,
+// with leases counted as fleet/coordinator/machine.h says. It fails as processes do (killed, paused, cut off,
+// slow) but never has two leaders.
 #pragma once
 
 #include <map>
@@ -17,41 +17,41 @@
 
 namespace ochrehub::lab::leadership {
 
-struct KeeperSettings {
+struct SimulatedCoordinatorSettings {
     std::size_t keepers = 3;
     Duration lease{3000};
     Duration beat{200};
-    Duration election{1000}, apart{300};  ///< silence after which the first, second, ... of them takes over
-    double given_on = 1;                  ///< part of the length that a new leader gives; saboteurs give less
-    double counted = 1;                   ///< part of the length that a leader counts
+    Duration election{1000},
+        apart{300};  ///< without a heartbeat, before the first takes over, and per further process
+    double new_leader_lease_factor = 1;  ///< part of the length that a new leader gives; saboteurs give less
+    double lease_factor = 1;             ///< part of the lease that a leader counts
 };
 
 using Network = Net<Message>;
 
-/// What plays the keepers: the stand-in below, or the real ones (replicas.h).
-class House {
+/// The coordinators: the model below, or those over Raft (raft_coordinators.h).
+class Coordinators {
 public:
-    virtual ~House() = default;
+    virtual ~Coordinators() = default;
     virtual void attach(Network& net) = 0;
-    /// At its start, and at each start behind a crash.
+    /// At its start, and at each start after a crash.
     virtual void started(std::size_t self, TimePoint own) = 0;
     virtual void crashed(std::size_t) {}
     virtual void woken(std::size_t self, TimePoint own) = 0;
     virtual void received(std::size_t self, std::size_t from, TimePoint own, const Message& message) = 0;
-    /// Who leads; none: not now.
+    /// The leader; none: not now.
     virtual std::optional<std::size_t> leads() const = 0;
-    /// The machine as whoever is furthest has it.
+    /// The state machine as the replica that has applied most has it.
     virtual const coordinator::Machine* look(std::string_view kind) const = 0;
-    /// As an operator does. What it is answered comes at once, or behind what the network still has to do
-    /// (`answers`).
+    /// An operator's command. The response is added to `answers`, at once or after some network traffic.
     virtual void operate(std::string_view kind, std::string_view body) = 0;
     virtual std::vector<std::string>& answers() = 0;
 };
 
-class Keepers : public House {
+class SimulatedCoordinators : public Coordinators {
 public:
     using Machines = std::vector<std::unique_ptr<coordinator::Machine>>;
-    Keepers(const KeeperSettings& settings, Machines machines)
+    SimulatedCoordinators(const SimulatedCoordinatorSettings& settings, Machines machines)
         : set_(settings), machines_(std::move(machines)), each_(settings.keepers) {}
     void attach(Network& net) override { net_ = &net; }
 
@@ -74,8 +74,8 @@
             TimePoint end{};
         };
         std::map<std::pair<std::string, std::uint64_t>, Count> armed;
-        TimePoint heard{};
-        std::uint64_t term = 0;  // that it has voted in
+        TimePoint last_heartbeat{};
+        std::uint64_t term = 0;  // the last that it has seen
     };
     bool majority(std::size_t self) const;
     void take_over(std::size_t self, TimePoint own);
@@ -83,7 +83,7 @@
     coordinator::Machine& machine(std::string_view kind);
     void add_news(coordinator::SessionId session, Message& answer) const;
 
-    KeeperSettings set_;
+    SimulatedCoordinatorSettings set_;
     Machines machines_;
     std::vector<Each> each_;
     Network* net_ = nullptr;
--- a/lab/tests/leadership_list_test.cpp
+++ b/lab/tests/leadership_list_test.cpp
@@ -1,8 +1,8 @@
-// A tier whose nodes go by the agreed list: what discovery is asked, and how long drained servers are still
-// sent requests, by the records of discovery and the servers.
+// Nodes that use the replicated endpoint list: how often discovery is called, and for how long drained
+// servers are still sent requests.
 #include <gtest/gtest.h>
 
-#include "lab/leadership/list_world.h"
+#include "lab/leadership/endpoint_list_simulation.h"
 
 namespace ochrehub::lab::leadership {
 namespace {
@@ -11,65 +11,69 @@
     return TimePoint{Duration{ms}};
 }
 
-TEST(ListWorld, AHundredNodesAskDiscoveryAboutAsOftenAsOne) {
-    ListSettings tier;
+TEST(EndpointListSimulation, AHundredNodesCallDiscoveryAboutAsOftenAsOne) {
+    EndpointListSimulationSettings tier;
     tier.nodes = 100;
-    ListWorld world(tier);
-    world.run_to(at(60'000));
-    ListOutcome agreed = world.outcome();
-    ListSettings one;
-    one.nodes = 1, one.agreed = false;
-    ListWorld alone(one);
+    EndpointListSimulation simulation(tier);
+    simulation.run_to(at(60'000));
+    EndpointListOutcome replicated = simulation.outcome();
+    EndpointListSimulationSettings one;
+    one.nodes = 1;
+    one.replicated = false;
+    EndpointListSimulation alone(one);
     alone.run_to(at(60'000));
-    EXPECT_TRUE(agreed.wrong.empty()) << agreed.wrong.front();
-    EXPECT_GE(agreed.drains, 15u);
-    EXPECT_EQ(agreed.failed, 0u);
-    EXPECT_LT(double(agreed.calls), 2 * double(alone.outcome().calls));
-    EXPECT_LT(agreed.learnt.back(), Duration{1300});  // a renewal, and its way
+    EXPECT_TRUE(replicated.violations.empty()) << replicated.violations.front();
+    EXPECT_GE(replicated.drains, 15u);
+    EXPECT_EQ(replicated.failed, 0u);
+    EXPECT_LT(double(replicated.calls), 2 * double(alone.outcome().calls));
+    EXPECT_LT(replicated.known_after.back(), Duration{1300});  // a renewal, and its transit
 }
 
-TEST(ListWorld, NoDrainIsLateWithTheOwnerHitAtAnyEvent) {
-    for (Hit hit : {Hit::Kill, Hit::Stop, Hit::CutToKeepers, Hit::CutFromKeepers, Hit::CutToDiscovery,
-                    Hit::CutFromDiscovery, Hit::Hang}) {
-        ListTrial trial = hit_each({}, hit, Duration{9000}, 1, 113);
-        EXPECT_GE(trial.runs, 10u);
-        EXPECT_EQ(trial.wrong, 0u) << trial.first;
+TEST(EndpointListSimulation, NoDrainIsLateWithAFaultOfThePublisherAtAnyEvent) {
+    for (PublisherFault fault : {PublisherFault::Kill, PublisherFault::Stop, PublisherFault::CutToKeepers,
+                                 PublisherFault::CutFromKeepers, PublisherFault::CutToDiscovery,
+                                 PublisherFault::CutFromDiscovery, PublisherFault::Hang}) {
+        EndpointListResult result = fault_at_each_event({}, {fault, Duration{9000}, 1, 113});
+        EXPECT_GE(result.runs, 10u);
+        EXPECT_EQ(result.violations, 0u) << result.first_violation;
     }
 }
 
 // The same over Raft, replicas and sessions as shipped.
-TEST(ListOverRealKeepers, NoDrainIsLateWithTheOwnerHitAtAnyEvent) {
-    ListSettings settings;
+TEST(EndpointListSimulationOverRaft, NoDrainIsLateWithAFaultOfThePublisherAtAnyEvent) {
+    EndpointListSimulationSettings settings;
     settings.real = true;
-    for (Hit hit : {Hit::Kill, Hit::Stop, Hit::CutToKeepers, Hit::CutFromDiscovery, Hit::KeepersAndBack}) {
-        ListTrial trial = hit_each(settings, hit, Duration{9000}, 1, 301);
-        EXPECT_GE(trial.runs, 5u);
-        EXPECT_EQ(trial.wrong, 0u) << trial.first;
+    for (PublisherFault fault : {PublisherFault::Kill, PublisherFault::Stop, PublisherFault::CutToKeepers,
+                                 PublisherFault::CutFromDiscovery, PublisherFault::KeepersAndBack}) {
+        EndpointListResult result = fault_at_each_event(settings, {fault, Duration{9000}, 1, 301});
+        EXPECT_GE(result.runs, 5u);
+        EXPECT_EQ(result.violations, 0u) << result.first_violation;
     }
 }
 
-TEST(ListWorld, WithoutKeepersEachNodeAsksByItselfInTimeAndLetsBeWhenTheyAreBack) {
-    ListSettings tier;
+TEST(EndpointListSimulation, NodesWatchDiscoveryWhileCoordinatorsAreDownAndStopOnceTheyAreBack) {
+    EndpointListSimulationSettings tier;
     tier.nodes = 100;
-    ListWorld world(tier);
-    world.run_to(at(10'000));
-    world.hit(Hit::KeepersAndBack, Duration{30'000});
-    world.run_to(at(55'000));
-    std::uint64_t back = world.calls();
-    world.run_to(at(75'000));
-    ListOutcome outcome = world.outcome();
-    EXPECT_TRUE(outcome.wrong.empty()) << outcome.wrong.front();
-    EXPECT_LT(double(world.calls() - back), 40.0);
+    EndpointListSimulation simulation(tier);
+    simulation.run_to(at(10'000));
+    simulation.inject(PublisherFault::KeepersAndBack, Duration{30'000});
+    simulation.run_to(at(55'000));
+    std::uint64_t calls_before = simulation.calls();
+    simulation.run_to(at(75'000));
+    EndpointListOutcome outcome = simulation.outcome();
+    EXPECT_TRUE(outcome.violations.empty()) << outcome.violations.front();
+    EXPECT_LT(double(simulation.calls() - calls_before), 40.0);
 }
 
-class ListSaboteurs : public testing::TestWithParam<std::size_t> {};
-TEST_P(ListSaboteurs, IsFoundAndNothingElseIs) {
-    auto saboteur = ListSaboteur(GetParam());
-    ListTrial with = list_shown_by(saboteur, saboteur), without = list_shown_by(saboteur, ListSaboteur::None);
-    EXPECT_GT(with.wrong, 0u) << name(saboteur);
-    EXPECT_EQ(without.wrong, 0u) << name(saboteur) << ": " << without.first;
+class EndpointListMutants : public testing::TestWithParam<std::size_t> {};
+TEST_P(EndpointListMutants, IsRevealedAndNothingElseIs) {
+    auto mutant = EndpointListMutant(GetParam());
+    EndpointListResult with = endpoint_list_runs_for_mutant(mutant, mutant),
+                       without = endpoint_list_runs_for_mutant(mutant, EndpointListMutant::None);
+    EXPECT_GT(with.violations, 0u) << name(mutant);
+    EXPECT_EQ(without.violations, 0u) << name(mutant) << ": " << without.first_violation;
 }
-INSTANTIATE_TEST_SUITE_P(Each, ListSaboteurs, testing::Range<std::size_t>(1, kListSaboteurs));
+INSTANTIATE_TEST_SUITE_P(Each, EndpointListMutants, testing::Range<std::size_t>(1, kEndpointListMutants));
 
 }  // namespace
 }  // namespace ochrehub::lab::leadership
