--- a/lab/leadership/endpoint_list_node.cpp
+++ b/lab/leadership/endpoint_list_node.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "lab/leadership/endpoint_list_simulation_processes.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -124,6 +125,7 @@
 void EndpointListSimulation::Node::handle_lease(TimePoint now, const core::LeaseHolderEvent& event) {
     core::LeaseHolderActions actions;
     lease_holder.handle(now, event, actions);
+    record_decision("lease_holder", now, event, actions);
     for (core::LeaseHolderAction& action : actions) {
         if (const auto* send = std::get_if<core::SendCommand>(&action)) {
             session->submit(now, send->request_id, send->session, "duty", send->command);
@@ -157,6 +159,7 @@
     if (!is_publishing || hung) return;
     list::PublisherActions actions;
     publisher.handle(now, event, actions);
+    record_decision("list_publisher", now, event, actions);
     for (list::PublisherAction& action : actions) {
         if (const auto* watch = std::get_if<list::StartWatch>(&action)) {
             start_watch(now, *watch);
@@ -190,6 +193,7 @@
 void EndpointListSimulation::Node::handle_follower(TimePoint now, const list::FollowerEvent& event) {
     list::FollowerActions actions;
     follower->handle(now, event, actions);
+    record_decision("list_follower", now, event, actions);
     for (list::FollowerAction& action : actions) {
         if (const auto* all = std::get_if<list::ReplaceEndpoints>(&action)) {
             view = {all->endpoints.begin(), all->endpoints.end()};
--- a/lab/leadership/lease_holder_process.cpp
+++ b/lab/leadership/lease_holder_process.cpp
@@ -2,6 +2,7 @@
 #include <utility>
 
 #include "lab/leadership/lease_simulation_processes.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::leadership {
 
@@ -66,6 +67,7 @@
 void LeaseSimulation::LeaseHolderProcess::handle(TimePoint own, const core::LeaseHolderEvent& event) {
     core::LeaseHolderActions actions;
     holder->handle(own, event, actions);
+    record_decision("lease_holder", own, event, actions);
     for (core::LeaseHolderAction& action : actions) {
         if (const auto* work = std::get_if<core::StartWork>(&action))
             start(own, work->role, work->epoch, false);
@@ -256,7 +258,7 @@
         return;
     }
     if (m.index != kIsQuery) run.in_flight = false;
-    if (m.verdict == Verdict::Stale || m.verdict == Verdict::Behind) return;
+    if (m.verdict == Verdict::StaleEpoch || m.verdict == Verdict::EpochForgotten) return;
     if (simulation.set_.endless)
         on_endless_verdict(from, m, run);
     else
@@ -270,15 +272,15 @@
         return;
     }
     const std::uint64_t next = (run.epoch << 24) + run.done_count + 1;
-    if (m.verdict == Verdict::Done && m.item == next) ++run.done_count;
+    if (m.verdict == Verdict::Executed && m.item == next) ++run.done_count;
 }
 
 void LeaseSimulation::LeaseHolderProcess::on_verdict(TimePoint own, const Message& m, Run& run) {
     if (m.item == 0 || m.item > run.items.size()) return;
     Item& item = run.items[m.item - 1];
-    if (m.verdict == Verdict::Never && item == Item::Unknown) item = Item::Todo;
-    if (m.verdict == Verdict::Done || m.verdict == Verdict::Settled) item = Item::Done;
-    if (m.verdict != Verdict::Doing) return;
+    if (m.verdict == Verdict::NotExecuted && item == Item::Unknown) item = Item::Todo;
+    if (m.verdict == Verdict::Executed || m.verdict == Verdict::Settled) item = Item::Done;
+    if (m.verdict != Verdict::PossiblyExecuted) return;
     // It ends soon, or was interrupted by a crash of the receiver: its outcome is unknown, and it is not
     // repeated.
     const TimePoint since = run.in_progress.try_emplace(m.item, own).first->second;
--- a/lab/leadership/lease_simulation.h
+++ b/lab/leadership/lease_simulation.h
@@ -1,7 +1,7 @@
 // Lease holders, receivers and coordinators in virtual time. Roles are jobs of a number of items, each an
-// effect at a receiver. Lease holders are leadership::LeaseHolder as shipped; receivers have fencing::Fence
-// as shipped and a disk; faults come from a script, an event's number or a seed. What the receivers recorded
-// is checked by invariant_checker.h.
+// effect at a receiver. Lease holders are leadership::LeaseHolder as shipped; receivers have
+// fencing::FencingGuard as shipped and a disk; faults come from a script, an event's number or a seed. What
+// the receivers recorded is checked by invariant_checker.h.
 //
 // Single-threaded. Every random number comes from the seed.
 #pragma once
--- a/lab/leadership/lease_simulation_processes.h
+++ b/lab/leadership/lease_simulation_processes.h
@@ -23,7 +23,7 @@
     friend auto operator<=>(const ItemKey&, const ItemKey&) = default;
 };
 
-/// A receiver: fencing::Fence as shipped, a disk, and effects that take a while.
+/// A receiver: fencing::FencingGuard as shipped, a disk, and effects that take a while.
 struct LeaseSimulation::ReceiverProcess {
     ReceiverProcess(LeaseSimulation& owner, std::size_t number) : simulation(owner), self(number) {}
 
@@ -51,7 +51,7 @@
     void respond(std::size_t to, Message m, fencing::Verdict verdict);
     void record_epoch(const Message& m, fencing::Verdict verdict);
 
-    fencing::Fence fence{{}};
+    fencing::FencingGuard fence{{}};
     std::vector<std::string> disk;
     std::map<std::pair<std::string, std::uint64_t>, Message> in_progress;  ///< by role and step
     std::map<std::string, NewestEpoch> newest_epochs;                      ///< by role
--- a/lab/leadership/receiver_process.cpp
+++ b/lab/leadership/receiver_process.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void LeaseSimulation::ReceiverProcess::write() {
-    for (std::string& record : fence.to_write()) disk.push_back(std::move(record));
+    for (std::string& record : fence.take_records()) disk.push_back(std::move(record));
 }
 
 void LeaseSimulation::ReceiverProcess::started() {
@@ -21,7 +21,7 @@
     for (const auto& [key, message] : in_progress)
         if (!done.contains({key.first, message.item})) interrupted.insert({key.first, message.item});
     in_progress.clear();
-    fence = fencing::Fence({});
+    fence = fencing::FencingGuard({});
     for (const std::string& record : disk) fence.replay(record);
 }
 
@@ -41,17 +41,17 @@
 }
 
 void LeaseSimulation::ReceiverProcess::on_query(std::size_t from, const Message& m) {
-    fencing::Answer answer = fence.look(m.what, m.epoch, m.step);
-    record_epoch(m, answer.verdict);
+    fencing::Response response = fence.query_step(m.what, m.epoch, m.step);
+    record_epoch(m, response.verdict);
     write();
-    respond(from, m, answer.verdict);
+    respond(from, m, response.verdict);
 }
 
 void LeaseSimulation::ReceiverProcess::on_retire(std::size_t from, const Message& m) {
-    fencing::Answer answer = fence.retire(m.what, m.epoch);
+    fencing::Response response = fence.retire(m.what, m.epoch);
     if (simulation.set_.mutant == Mutant::ForgetsRetired) forget_retired(m.what);
     write();
-    respond(from, m, answer.verdict);
+    respond(from, m, response.verdict);
 }
 
 /// A mutant's: the fence keeps no trace of the role.
@@ -62,20 +62,21 @@
         if (record.substr(kNameSizeAt + 1, std::size_t(record[kNameSizeAt])) != role)
             kept.push_back(std::move(record));
     disk = kept;
-    fence = fencing::Fence({});
+    fence = fencing::FencingGuard({});
     for (const std::string& record : disk) fence.replay(record);
 }
 
 void LeaseSimulation::ReceiverProcess::on_effect(std::size_t from, TimePoint own, const Message& m) {
-    fencing::Answer answer = fence.begin(m.what, m.epoch, m.step);
-    record_epoch(m, answer.verdict);
+    fencing::Response response = fence.begin_step(m.what, m.epoch, m.step);
+    record_epoch(m, response.verdict);
     auto newest = newest_epochs.find(m.what);
     if (newest != newest_epochs.end() && newest->second.epoch > m.epoch)
         simulation.effects_.rejected.push_back({simulation.net_.now(), self, from, m.what, m.epoch,
                                                 simulation.net_.now() - newest->second.first_seen});
     if (simulation.set_.mutant != Mutant::EffectBeforeWritten) write();
-    const bool unfenced = simulation.set_.mutant == Mutant::NoFence && answer.verdict == Verdict::Stale;
-    if (answer.verdict != Verdict::Do && !unfenced) return respond(from, m, answer.verdict);
+    const bool unfenced =
+        simulation.set_.mutant == Mutant::NoFence && response.verdict == Verdict::StaleEpoch;
+    if (response.verdict != Verdict::Execute && !unfenced) return respond(from, m, response.verdict);
     in_progress[{m.what, m.step}] = m;
     timers.at(own + kEffectTime, [this, from, m](TimePoint t) { finish_effect(from, t, m); });
 }
@@ -85,14 +86,14 @@
     simulation.effects_.effects.push_back({simulation.net_.now(), self, from, m.what, m.epoch, m.item});
     timers.at(own + kEffectTime, [this, from, m](TimePoint) {
         in_progress.erase({m.what, m.step});
-        fence.done(m.what, m.step, "");
+        fence.complete_step(m.what, m.step, "");
         write();
-        respond(from, m, Verdict::Done);
+        respond(from, m, Verdict::Executed);
     });
 }
 
 void LeaseSimulation::ReceiverProcess::record_epoch(const Message& m, Verdict verdict) {
-    if (verdict == Verdict::Stale || verdict == Verdict::Malformed) return;
+    if (verdict == Verdict::StaleEpoch || verdict == Verdict::Malformed) return;
     NewestEpoch& newest = newest_epochs[m.what];
     if (m.epoch > newest.epoch) newest = {m.epoch, simulation.net_.now()};
 }
--- a/src/fleet/leadership/lease_state_machine.h
+++ b/src/fleet/leadership/lease_state_machine.h
@@ -1,6 +1,6 @@
 // The replicated state machine of leadership leases: each role is held by at most one session at a time,
 // under an epoch. It decides who holds what; it does not enforce it: holders stop by their own clock
-// (lease_holder.h), and receivers reject older epochs (fencing::Fence).
+// (lease_holder.h), and receivers reject older epochs (fencing::FencingGuard).
 //
 // Like every coordinator::Machine it is deterministic and has no clock: sessions end by the leader's count.
 // Not thread-safe.
@@ -31,7 +31,7 @@
     std::size_t max_roles = 10'000;
     std::size_t max_candidates_per_role = 1'000;
     std::size_t max_candidates = 200'000;  ///< over all roles
-    std::size_t max_name_bytes = 64;       ///< fencing::Fence has the same limit
+    std::size_t max_name_bytes = 64;       ///< fencing::FencingGuard has the same limit
 };
 
 /// A role passes through these states:
@@ -46,7 +46,7 @@
 ///
 /// All epochs come from one counter that never goes back. So a role that was dropped and added again is
 /// granted under a higher epoch than ever before, and a receiver may forget single roles below a bound
-/// (fencing::Fence::retire).
+/// (fencing::FencingGuard::retire).
 class LeaseStateMachine : public coordinator::Machine {
 public:
     explicit LeaseStateMachine(const Limits& limits = {}) : limits_(limits) {}
