--- a/lab/coordinator/measure.cpp
+++ b/lab/coordinator/measure.cpp
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/coordinator/testbed.h"
 
 using namespace ochrehub;
@@ -95,15 +95,17 @@
         if (is_ended_) return;
         std::string duty = name_;
         duty.append(".").append(std::to_string(i));
-        thread_.submit("duty", acquires ? leadership::want(duty) : leadership::unwant(duty),
-                       [this, i, acquires](coordinator::Error error, const std::string&) {
-                           // After an error the next session submits again.
-                           if (error != coordinator::Error::None) return;
-                           ++commands_;
-                           if (acquires) ++grants_;
-                           record_response();
-                           submit(i, !acquires);
-                       });
+        thread_.submit(
+            "duty",
+            acquires ? leadership::add_candidacy_command(duty) : leadership::withdraw_candidacy_command(duty),
+            [this, i, acquires](coordinator::Error error, const std::string&) {
+                // After an error the next session submits again.
+                if (error != coordinator::Error::None) return;
+                ++commands_;
+                if (acquires) ++grants_;
+                record_response();
+                submit(i, !acquires);
+            });
     }
 
     void record_response() {
