--- a/src/fleet/raft/raft.h
+++ b/src/fleet/raft/raft.h
@@ -159,11 +159,11 @@
     bool has_caught_up(Progress& learner);
 
     Settings settings_;
-    boost::random::taus88 random_;
-    RaftLog log_;
-    WriteQueue writes_;
-    HardState hard_state_;  ///< the current term and vote, durable or not
-    Role role_ = Role::Follower;
+    boost::random::taus88 random_;    ///< for election timeouts alone
+    RaftLog log_;                     ///< durable or not
+    WriteQueue writes_;               ///< what is not durable yet, and the messages that wait for it
+    HardState hard_state_;            ///< the current term and vote, durable or not
+    Role role_ = Role::Follower;      ///< Learner is assigned at the end of an event alone
     NodeId leader_ = 0;               ///< of the current term; zero: unknown
     std::uint64_t recovery_id_ = 0;   ///< non-zero while the stored data is not trusted
     std::uint64_t commit_index_ = 0;  ///< also the paper's lastApplied: commands are applied at once
@@ -185,8 +185,8 @@
     std::uint64_t round_ = 0;             ///< of the last message that was sent
     std::uint64_t term_start_index_ = 0;  ///< of the NoOp entry that its term began with
     std::uint64_t heartbeat_round_ = 0;   ///< first round of the last heartbeats
-    TimePoint next_heartbeat_{};
-    TimePoint leader_since_{};
+    TimePoint next_heartbeat_{};          ///< heartbeats are due then
+    TimePoint leader_since_{};  ///< start of its leadership; quorum contact of a voter that does not count
     std::deque<PendingProposal> proposals_;     ///< not committed, ascending by index
     std::deque<PendingRead> reads_;             ///< ascending by round
     std::deque<std::uint64_t> deferred_reads_;  ///< ids of reads before has_committed_in_term()
