--- a/lab/raft/simulation.cpp
+++ b/lab/raft/simulation.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "lab/record/decision_recorder.h"
+
 namespace ochrehub::lab {
 namespace {
 
@@ -161,6 +163,7 @@
     std::uint64_t number = ++events_;
     raft::Actions actions;
     server(id).core->handle(now, event, actions);
+    record_decision("raft", now, event, actions);
     if (settings_.mutation.on_actions) settings_.mutation.on_actions(*this, id, actions);
     check(id, actions);
     carry_out(id, actions);
