--- a/lab/equivalence/coordinator.cpp
+++ b/lab/equivalence/coordinator.cpp
@@ -1,5 +1,5 @@
 // Decisions of the coordinators' replicas and of the sessions with them, under drawn faults.
-#include "lab/coordinator/world.h"
+#include "lab/coordinator/simulation.h"
 #include "lab/equivalence/runner.h"
 
 using namespace ochrehub;
@@ -7,8 +7,8 @@
 int main(int count, char** words) {
     auto faults = [](std::size_t members) {
         return [members](std::uint64_t seed) {
-            lab::KeeperWorldSettings settings;
-            settings.keepers = members;
+            lab::CoordinatorSimulationSettings settings;
+            settings.coordinators = members;
             settings.seed = seed;
             lab::run(settings);
         };
