--- a/lab/raft/register_map.cpp
+++ b/lab/raft/register_map.cpp
@@ -38,7 +38,7 @@
 
 std::string RegisterMap::snapshot() const {
     std::string out;
-    for (const auto& [key, value] : values_) out += key + ' ' + value + '\n';
+    for (const auto& [key, value] : values_) out.append(key).append(" ").append(value).append("\n");
     return out;
 }
 
--- a/lab/raft/stepped_cluster.cpp
+++ b/lab/raft/stepped_cluster.cpp
@@ -154,7 +154,7 @@
     for (const Server& server : servers_)
         digest = (digest ^ server.history_hash) * kHashMultiplier + server.unsynced_write;
     for (const InFlight& message : in_flight_)
-        digest = hashed(message.bytes, digest * 31 + message.from * 8 + message.to);
+        digest = hashed(message.bytes, digest * 31 + std::uint64_t(message.from) * 8 + message.to);
     return digest;
 }
 
--- a/tests/fleet/store_test.cpp
+++ b/tests/fleet/store_test.cpp
@@ -81,7 +81,7 @@
             FaultyFiles files = crashed.copy();
             inject(files, fault, call);
             opened = open_log(files);
-            files.crash(GetParam(), std::uint64_t(workload_call * 100 + call));
+            files.crash(GetParam(), std::uint64_t(workload_call) * 100 + std::uint64_t(call));
             Log log(files, small_settings());
             ASSERT_TRUE(workload.allows(state_of(log))) << "call " << workload_call << ", then " << call;
             ASSERT_NE(log.recovery_result(), RecoveryResult::DataLost)
