--- a/src/fleet/membership/datagram.cpp
+++ b/src/fleet/membership/datagram.cpp
@@ -20,9 +20,9 @@
         for (int shift = int(sizeof value) * 8 - 8; shift >= 0; shift -= 8)
             out_ += char(value >> shift & 0xff);
     }
-    void put(const MemberAddress& place) {
-        put(place.host);
-        put(place.port);
+    void put(const MemberAddress& address) {
+        put(address.host);
+        put(address.port);
     }
     void put(const Update& update) {
         put(update.address);
@@ -45,46 +45,46 @@
 
 class Reader {
 public:
-    explicit Reader(std::string_view octets) : octets_(octets) {}
+    explicit Reader(std::string_view bytes) : bytes_(bytes) {}
     template <class Number>
     Number take() {
         Number value = 0;
         for (std::size_t i = 0; i < sizeof value; ++i)
-            value = Number(value << 8 | std::uint8_t(octets_[at_++]));
+            value = Number(value << 8 | std::uint8_t(bytes_[at_++]));
         return value;
     }
-    MemberAddress take_place() {
-        MemberAddress place;
-        place.host = take<std::uint32_t>();
-        place.port = take<std::uint16_t>();
-        return place;
+    MemberAddress take_address() {
+        MemberAddress address;
+        address.host = take<std::uint32_t>();
+        address.port = take<std::uint16_t>();
+        return address;
     }
-    /// False: it names a state or a role that there is none of, or nobody.
+    /// False: an unknown role or self-report, or the address of no member.
     bool take(Update& update) {
-        update.address = take_place();
+        update.address = take_address();
         update.incarnation = take<std::uint32_t>();
-        auto both = take<std::uint8_t>();
-        update.state = MemberState(both >> 6);
-        update.role = Role(both >> 4 & 3);
-        update.self_report = both & 15;
+        auto bits = take<std::uint8_t>();
+        update.state = MemberState(bits >> 6);
+        update.role = Role(bits >> 4 & 3);
+        update.self_report = bits & 15;
         update.zone = take<std::uint8_t>();
         update.plan_version = take<std::uint8_t>();
         return update.address.known() && update.role <= Role::Planner && update.self_report <= kReportsAll;
     }
-    /// False: too long, cut, or not printable: names reach logs and terminals.
+    /// False: too long, truncated, or not printable: names reach logs and terminals.
     template <class Text>
     bool take_text(Text& text) {
         if (left() < 1) return false;
         auto size = take<std::uint8_t>();
         if (size > text.capacity() || left() < size) return false;
-        text.assign(octets_.begin() + std::ptrdiff_t(at_), octets_.begin() + std::ptrdiff_t(at_ + size));
+        text.assign(bytes_.begin() + std::ptrdiff_t(at_), bytes_.begin() + std::ptrdiff_t(at_ + size));
         at_ += size;
         return std::all_of(text.begin(), text.end(), printable);
     }
-    std::size_t left() const { return octets_.size() - at_; }
+    std::size_t left() const { return bytes_.size() - at_; }
 
 private:
-    std::string_view octets_;
+    std::string_view bytes_;
     std::size_t at_ = 0;
 };
 
@@ -120,9 +120,9 @@
     return kNames[std::size_t(fault)];
 }
 
-DecodeError decode(std::string_view octets, const Keys& keys, Datagram& out, std::uint32_t cluster) {
-    if (octets.size() > kMaxDatagramBytes) return DecodeError::TooLong;
-    auto opened = keys.open(octets);
+DecodeError decode(std::string_view bytes, const Keys& keys, Datagram& out, std::uint32_t cluster) {
+    if (bytes.size() > kMaxDatagramBytes) return DecodeError::TooLong;
+    auto opened = keys.open(bytes);
     if (!opened) return DecodeError::AuthenticationFailed;
     if (opened->empty()) return DecodeError::TooShort;
     Reader reader(*opened);
@@ -139,7 +139,7 @@
     out.instance = reader.take<std::uint32_t>();
     out.plan.epoch = reader.take<std::uint32_t>();
     out.plan.number = reader.take<std::uint32_t>();
-    out.about = reader.take_place();
+    out.about = reader.take_address();
     if (!reader.take_text(out.name) || !reader.take_text(out.zone) || reader.left() < 1)
         return DecodeError::Malformed;
     auto count = reader.take<std::uint8_t>();
--- a/src/fleet/membership/membership_service.cpp
+++ b/src/fleet/membership/membership_service.cpp
@@ -11,58 +11,56 @@
 namespace {
 
 constexpr Duration kTick{100};
-constexpr Duration kTickLate{
-    500};  // behind its time: the whole process stood still, which says nothing of the node's loop
+constexpr Duration kPauseThreshold{500};  ///< a tick that is later shows a pause of the whole process
 
-std::uint32_t draw() {
+std::uint32_t random_number() {
     return std::random_device{}();
 }
 
-MemberAddress place_of(const MembershipConfig::Endpoint& at) {
+MemberAddress address_of(const MembershipConfig::Endpoint& at) {
     return {at.address().to_v4().to_uint(), at.port()};
 }
 
 }  // namespace
 
-Settings MembershipService::core_settings(const MembershipConfig& told, const std::string& name,
+Settings MembershipService::core_settings(const MembershipConfig& config, const std::string& name,
                                           std::uint32_t instance) {
     Settings set;
-    if (told.advertise.port() != 0) set.self = place_of(told.advertise);
+    if (config.advertise.port() != 0) set.self = address_of(config.advertise);
     set.instance = instance;
     set.name.assign(name.begin(), name.end());
-    set.zone_name.assign(told.zone.begin(), told.zone.end());
-    for (const MembershipConfig::Endpoint& one : told.join) set.seeds.push_back(place_of(one));
-    set.probe_timeout = 0.3 * told.interval;
-    set.probe_interval = told.interval;
-    set.isolated_after = told.isolated;
+    set.zone_name.assign(config.zone.begin(), config.zone.end());
+    for (const MembershipConfig::Endpoint& one : config.join) set.seeds.push_back(address_of(one));
+    set.probe_timeout = 0.3 * config.interval;
+    set.probe_interval = config.interval;
+    set.isolated_after = config.isolated;
     return set;
 }
 
-MembershipService::MembershipService(const MembershipConfig& told, const std::string& name, int nodes,
-                                     DivisorCallback shares)
-    : cluster_(told.cluster),
-      stalled_(told.stalled),
-      tell_(std::move(shares)),
+MembershipService::MembershipService(const MembershipConfig& config, const std::string& name, int nodes,
+                                     DivisorCallback on_divisor_changed)
+    : cluster_(config.cluster),
+      stalled_after_(config.stalled),
+      on_divisor_changed_(std::move(on_divisor_changed)),
       work_(io_.get_executor()),
       scheduler_(io_, clock_),
-      member_(io_, scheduler_, told.listen, core_settings(told, name, draw()), Keys(told.keys), draw(),
-              fingerprint(told.cluster)),
-      told_gateways_(nodes),
-      divisor_({nodes, told.nodes_least > 0 ? told.nodes_least : (nodes + 1) / 2, Duration{5000},
-                Duration{1000}}) {
-    member_.changed = [this](const MemberChanged& change) { log_change(change); };
-    member_.restarted = [](const MemberRestarted& other) {
-        std::string place = text(other.address);
+      member_(io_, scheduler_, config.listen, core_settings(config, name, random_number()), Keys(config.keys),
+              random_number(), fingerprint(config.cluster)),
+      divisor_({nodes, config.nodes_least > 0 ? config.nodes_least : (nodes + 1) / 2, Duration{5000},
+                Duration{1000}}),
+      reported_divisor_(nodes) {
+    member_.on_changed = [this](const MemberChanged& change) { log_change(change); };
+    member_.on_restarted = [](const MemberRestarted& other) {
+        std::string address = to_string(other.address);
         log(other.duplicate ? LogLevel::Warn : LogLevel::Info,
-            other.duplicate ? "two processes speak from one place" : "another process at a member's place",
-            {{"place", place}, {"instance", other.instance}});
+            other.duplicate ? "two processes send from one address" : "a member restarted",
+            {{"place", address}, {"instance", other.instance}});
     };
-    member_.of_itself = [](const SelfUpdate& itself) {
-        std::string says = self_report_text(itself.self_report);
-        log(itself.self_report == 0 ? LogLevel::Info : LogLevel::Warn,
-            "this member of the fleet now says of itself:",
+    member_.on_self_update = [](const SelfUpdate& update) {
+        std::string says = self_report_text(update.self_report);
+        log(update.self_report == 0 ? LogLevel::Info : LogLevel::Warn, "this member now reports of itself:",
             {{"says", says.empty() ? std::string_view("well") : std::string_view(says)},
-             {"isolated", (itself.self_report & kReportsIsolated) != 0}});
+             {"isolated", (update.self_report & kReportsIsolated) != 0}});
     };
     heartbeat();
     publish();
@@ -75,16 +73,17 @@
 
 void MembershipService::start() {
     heartbeat();
-    due_ = clock_.now();
+    tick_due_ = clock_.now();
     member_.start();
     tick();
     thread_ = side_thread(io_, [](const std::exception& error) {
-        log_line(LogLevel::Error, "fleet: %s: this node takes part no more", error.what());
+        log_line(LogLevel::Error, "fleet: %s: membership ended, expected it to run as long as the process",
+                 error.what());
     });
 }
 
 void MembershipService::set_keys(const std::vector<std::string>& keys) {
-    boost::asio::post(io_, [this, keys] { member_.use(Keys(keys)); });
+    boost::asio::post(io_, [this, keys] { member_.set_keys(Keys(keys)); });
 }
 
 void MembershipService::leave() {
@@ -96,33 +95,35 @@
 
 void MembershipService::tick() {
     TimePoint now = clock_.now();
-    bool late = now - due_ > kTickLate;
+    bool was_paused = now - tick_due_ > kPauseThreshold;
     TimePoint last_heartbeat{Duration{last_heartbeat_.load(std::memory_order_relaxed)}};
-    if (late)
+    if (was_paused)
         heartbeat();
-    else if (bool stalled = now - last_heartbeat > stalled_; stalled != std::exchange(says_stalled_, stalled))
-        member_.says(stalled);
+    else if (bool stalled = now - last_heartbeat > stalled_after_;
+             stalled != std::exchange(reports_stalled_, stalled))
+        member_.set_stalled(stalled);
     publish();
-    due_ = now + kTick;
-    scheduler_.call_at(due_, [this] { tick(); });
+    tick_due_ = now + kTick;
+    scheduler_.call_at(tick_due_, [this] { tick(); });
 }
 
 void MembershipService::publish() {
     TimePoint now = clock_.now();
     MembershipView view = make_view(member_.core(), now);
     view.cluster = cluster_;
-    view.unsent = member_.unsent();
-    view.held = member_.held();
-    for (std::size_t i = 0; i < kDecodeErrors; ++i) view.refused[i] = member_.refused(DecodeError(i));
+    view.unsent = member_.send_failures();
+    view.held = member_.throttled_reads();
+    for (std::size_t i = 0; i < kDecodeErrors; ++i) view.refused[i] = member_.rejected(DecodeError(i));
     view.sharing = divisor_.update(now, view.here);
-    int me = 0;
-    for (const MembershipView::One& one : view.members)
-        me += one.update.state <= MemberState::Suspect && (one.update.self_report & kReportsStalled) == 0 &&
-              one.update.address < view.self.address;
-    // While it does not see as many as it counts on, its number among them would be another's too.
-    if (view.here != view.sharing) me = kNone;
-    bool other = std::exchange(told_gateways_, view.sharing) != view.sharing;
-    if (std::exchange(told_me_, me) != me || other) tell_(view.sharing, me);
+    int index = 0;
+    for (const MembershipView::Member& one : view.members)
+        index += one.update.state <= MemberState::Suspect &&
+                 (one.update.self_report & kReportsStalled) == 0 && one.update.address < view.self.address;
+    // While the divisor is not the number of live nodes, another node may have the same index.
+    if (view.here != view.sharing) index = kNone;
+    bool is_new_divisor = std::exchange(reported_divisor_, view.sharing) != view.sharing;
+    if (std::exchange(reported_index_, index) != index || is_new_divisor)
+        on_divisor_changed_(view.sharing, index);
     auto fresh = std::make_shared<const MembershipView>(std::move(view));
     std::lock_guard lock(publishing_);
     published_ = std::move(fresh);
@@ -130,17 +131,18 @@
 
 void MembershipService::log_change(const MemberChanged& change) const {
     if (change.update.state == MemberState::Suspect || change.previous_state == MemberState::Suspect) {
-        if (change.update.state != MemberState::Dead) return;  // comes and goes where datagrams are lost
+        if (change.update.state != MemberState::Dead) return;  // frequent where datagrams are lost
     }
     const auto* member = member_.core().find(change.update.address);
-    std::string called = member ? std::string(member->name.begin(), member->name.end()) : std::string();
-    std::string place = text(change.update.address), says = self_report_text(change.update.self_report);
-    bool news = change.previous_state != change.update.state;
+    std::string member_name = member ? std::string(member->name.begin(), member->name.end()) : std::string();
+    std::string address = to_string(change.update.address),
+                says = self_report_text(change.update.self_report);
+    bool is_state_change = change.previous_state != change.update.state;
     log(change.update.state == MemberState::Dead ? LogLevel::Warn : LogLevel::Info,
-        news ? "a member of the fleet is now:" : "a member of the fleet now says of itself:",
+        is_state_change ? "member state changed" : "a member now reports of itself:",
         {{"state", name(change.update.state)},
-         {"member", called},
-         {"place", place},
+         {"member", member_name},
+         {"place", address},
          {"incarnation", change.update.incarnation},
          {"says", says}});
 }
--- a/src/fleet/membership/settings.cpp
+++ b/src/fleet/membership/settings.cpp
@@ -9,13 +9,15 @@
 namespace ochrehub::membership {
 namespace {
 
-constexpr std::size_t kKeyLeast = 16, kKeyMost = 128, kKeysMost = 4;
+constexpr std::size_t kMinKeyBytes = 16;
+constexpr std::size_t kMaxKeyBytes = 128;
+constexpr std::size_t kMaxKeys = 4;
 
 config::Setting<MembershipConfig> milliseconds(config::Described described, Duration MembershipConfig::*into,
                                                double least, double most) {
     return config::number<MembershipConfig, double>(
         described, least, most, config::kMilliseconds,
-        [into](MembershipConfig& told, double ms) { told.*into = Duration{ms}; });
+        [into](MembershipConfig& config, double ms) { config.*into = Duration{ms}; });
 }
 
 bool printable(char c) {
@@ -36,11 +38,11 @@
         {{.name = "join",
           .kind = config::Kind::Texts,
           .help = "places of some members, asked for the others"},
-         [](MembershipConfig& told, std::string_view value) -> std::string {
+         [](MembershipConfig& config, std::string_view value) -> std::string {
              auto found = parse_address(value);
              if (!found || found->port() == 0 || !found->address().is_v4())
                  return "is not an address a.b.c.d:port";
-             told.join.emplace_back(found->address(), found->port());
+             config.join.emplace_back(found->address(), found->port());
              return {};
          }},
         config::text(
@@ -99,9 +101,9 @@
         std::string at = "line " + std::to_string(line) + ": ";
         if (!std::all_of(key.begin(), key.end(), printable))
             out.fault = at + "holds a byte that is no printable character";
-        else if (key.size() < kKeyLeast || key.size() > kKeyMost)
+        else if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
             out.fault = at + "a key has 16 to 128 characters";
-        else if (out.keys.size() == kKeysMost)
+        else if (out.keys.size() == kMaxKeys)
             out.fault = at + "more than four keys";
         if (!out.fault.empty()) {
             out.keys.clear();
@@ -113,9 +115,9 @@
     return out;
 }
 
-std::string name_error(std::string_view name, std::size_t most) {
-    if (name.size() > most)
-        return "is longer than the " + std::to_string(most) + " characters that members tell each other";
+std::string name_error(std::string_view name, std::size_t max_bytes) {
+    if (name.size() > max_bytes)
+        return "is longer than the " + std::to_string(max_bytes) + " characters that members tell each other";
     bool plain =
         std::all_of(name.begin(), name.end(), [](char c) { return printable(c) && c != '"' && c != '\\'; });
     return plain ? "" : "holds a character that members do not tell each other";
--- a/src/fleet/membership/udp.h
+++ b/src/fleet/membership/udp.h
@@ -1,4 +1,7 @@
-// A member on a socket: octets in and out, and the core's wake-ups on a scheduler. It decides nothing.
+// A member on a UDP socket: bytes in and out, and the core's timers on a scheduler. Decides nothing about
+// members.
+//
+// Threads: all methods and callbacks on the thread that runs the io_context.
 #pragma once
 
 #include <array>
@@ -11,63 +14,65 @@
 
 namespace ochrehub::membership {
 
-/// Must outlive all that its io_context still runs for it: `close` it and let that come to its end. Datagrams
-/// are read one a turn, and no more than kReadMost in a tenth of a second: a flood neither holds up the loop
-/// nor takes the core from requests. A member hears 4 to 16 a second, whatever the tier's size. What the
-/// kernel then drops was as good as lost.
+/// Must outlive all handlers that its io_context still runs: close() it and run the io_context until it is
+/// idle. At most kMaxReads datagrams are read in kReadWindow, one per turn of the loop: a flood neither
+/// blocks the loop nor takes processor time from requests. Members send 4 to 16 a second, whatever the size
+/// of the cluster.
 class UdpMember {
 public:
     using Endpoint = boost::asio::ip::udp::endpoint;
-    static constexpr Duration kSlice{100};
-    static constexpr std::size_t kReadMost = 200;
+    static constexpr Duration kReadWindow{100};
+    static constexpr std::size_t kMaxReads = 200;
 
-    /// Binds to `listen` (IPv4; port 0: any that is free) and takes its place from there. Throws where it
-    /// cannot. Where `settings.self` is given, that is its place: others reach it there, by whatever way.
+    /// Binds to `listen` (IPv4; port 0: any free port) and takes its address from there, unless
+    /// `settings.self` is given: the address at which others reach it. Throws boost::system::system_error if
+    /// it cannot.
     UdpMember(boost::asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
               Keys keys, std::uint64_t seed, std::uint32_t cluster = 0);
 
-    void start() { hand(TimerFired{}); }
-    void plan(const ActivePlan& plan) { hand(PlanChanged{plan}); }
-    void says(bool stalled) { hand(StallReported{stalled}); }
-    /// From the next datagram on.
-    void use(Keys keys) { keys_ = std::move(keys); }
-    /// StallReported goodbye; `over` is called once that is done.
-    void leave(std::function<void()> over);
+    void start() { handle(TimerFired{}); }
+    void set_plan(const ActivePlan& plan) { handle(PlanChanged{plan}); }
+    void set_stalled(bool stalled) { handle(StallReported{stalled}); }
+    /// Takes effect with the next datagram.
+    void set_keys(Keys keys) { keys_ = std::move(keys); }
+    /// Announces the departure and closes; then calls `completed`.
+    void leave(std::function<void()> completed);
     void close();
 
     const Membership& core() const { return core_; }
-    MemberAddress place() const { return place_; }
-    std::uint64_t refused(DecodeError fault) const { return refused_[std::size_t(fault)]; }
-    std::uint64_t unsent() const { return unsent_; }
-    /// How often reading waited for the next tenth of a second.
-    std::uint64_t held() const { return held_; }
-    std::function<void(const MemberChanged&)> changed;
-    std::function<void(const MemberRestarted&)> restarted;
-    std::function<void(const SelfUpdate&)> of_itself;
+    MemberAddress address() const { return address_; }
+    std::uint64_t rejected(DecodeError error) const { return rejected_[std::size_t(error)]; }
+    std::uint64_t send_failures() const { return send_failures_; }
+    /// How often reading waited for the next kReadWindow.
+    std::uint64_t throttled_reads() const { return throttled_reads_; }
+    std::function<void(const MemberChanged&)> on_changed;
+    std::function<void(const MemberRestarted&)> on_restarted;
+    std::function<void(const SelfUpdate&)> on_self_update;
 
 private:
-    static MemberAddress bound(boost::asio::ip::udp::socket& socket, const Endpoint& listen);
-    static Settings placed(Settings settings, const MemberAddress& place);
+    static MemberAddress bind(boost::asio::ip::udp::socket& socket, const Endpoint& listen);
+    static Settings with_address(Settings settings, const MemberAddress& address);
     void read();
-    void hand(const Event& event);
+    void handle(const Event& event);
     void send(const SendDatagram& send);
-    void wake_at(TimePoint at);
+    void set_timer(TimePoint at);
 
     Scheduler& scheduler_;
     boost::asio::ip::udp::socket socket_;
-    MemberAddress place_;
+    MemberAddress address_;
     Keys keys_;
     std::uint32_t cluster_;
     Membership core_;
-    std::array<char, kMaxDatagramBytes + 1> octets_{};  // one more, so that a longer one is seen as such
+    std::array<char, kMaxDatagramBytes + 1> buffer_{};  ///< one byte more, to detect longer datagrams
     Endpoint from_;
     TimerId timer_ = 0;
-    std::function<void()> over_;
-    std::array<std::uint64_t, kDecodeErrors> refused_{};
-    std::uint64_t unsent_ = 0, held_ = 0;
-    TimePoint slice_ends_{};
-    std::size_t read_in_slice_ = 0;
-    TimerId resume_ = 0;
+    std::function<void()> leave_completed_;
+    std::array<std::uint64_t, kDecodeErrors> rejected_{};
+    std::uint64_t send_failures_ = 0;
+    std::uint64_t throttled_reads_ = 0;
+    TimePoint window_ends_{};
+    std::size_t reads_in_window_ = 0;
+    TimerId resume_timer_ = 0;
     bool closed_ = false;
 };
 
--- a/src/fleet/membership/view.cpp
+++ b/src/fleet/membership/view.cpp
@@ -42,10 +42,10 @@
     return kNames[std::size_t(state)];
 }
 
-std::string self_report_text(std::uint8_t said) {
+std::string self_report_text(std::uint8_t report) {
     std::string out;
     auto add = [&](std::uint8_t bit, const char* word) {
-        if ((said & bit) == 0) return;
+        if ((report & bit) == 0) return;
         out.append(out.empty() ? "" : ",").append(word);
     };
     add(kReportsDeaf, "deaf");
@@ -54,13 +54,13 @@
     return out;
 }
 
-std::string text(const MemberAddress& place) {
+std::string to_string(const MemberAddress& address) {
     std::string out;
     for (int shift = 24; shift >= 0; shift -= 8) {
-        out += std::to_string(place.host >> shift & 255);
+        out += std::to_string(address.host >> shift & 255);
         out += shift > 0 ? '.' : ':';
     }
-    return out += std::to_string(place.port);
+    return out += std::to_string(address.port);
 }
 
 MembershipView make_view(const Membership& core, TimePoint now) {
@@ -70,26 +70,27 @@
     view.zone = as_string(core.settings().zone_name);
     view.instance = core.settings().instance;
     view.isolated_since = core.isolated_since();
-    view.doubt = std::size_t(core.local_health_score());
+    view.local_health_score = std::size_t(core.local_health_score());
     view.counts = core.counts();
     std::map<std::string, int> names;
     ++names[view.name];
     core.for_each_member([&](const Membership::Member& member) {
-        MembershipView::One one;
+        MembershipView::Member one;
         one.update = member.update;
         one.name = as_string(member.name);
         one.zone = as_string(member.zone_name);
         one.instance = member.instance;
         one.restarts = member.restarts;
         one.met = member.met;
-        one.doubled = member.doubled != TimePoint{} && now - member.doubled < kDoubledShown;
-        one.since = member.changed;
+        one.doubled =
+            member.duplicate_seen_at != TimePoint{} && now - member.duplicate_seen_at < kDoubledShown;
+        one.since = member.state_since;
         bool here = member.update.state <= MemberState::Suspect;
         view.here += here && (member.update.self_report & kReportsStalled) == 0;
         if (here && member.met) ++names[one.name];
         view.members.push_back(std::move(one));
     });
-    for (MembershipView::One& one : view.members)
+    for (MembershipView::Member& one : view.members)
         one.same_name = one.met && one.update.state <= MemberState::Suspect && names[one.name] > 1;
     return view;
 }
@@ -99,7 +100,7 @@
     put(out, "cluster", view.cluster, true);
     out += ",\"self\":{";
     put(out, "name", view.name, true);
-    put(out, "place", text(view.self.address));
+    put(out, "place", to_string(view.self.address));
     put(out, "zone", view.zone);
     put(out, "incarnation", std::uint64_t(view.self.incarnation));
     put(out, "instance", std::uint64_t(view.instance));
@@ -107,16 +108,16 @@
     bool isolated = (view.self.self_report & kReportsIsolated) != 0;
     put(out, "isolated", isolated);
     if (isolated) put_seconds(out, "isolated_for_s", now - view.isolated_since);
-    put(out, "doubt", std::uint64_t(view.doubt));
+    put(out, "doubt", std::uint64_t(view.local_health_score));
     out += "}";
     put(out, "here", std::uint64_t(view.here));
     put(out, "sharing", std::uint64_t(view.sharing));
     out += ",\"members\":[";
     for (std::size_t i = 0; i < view.members.size(); ++i) {
-        const MembershipView::One& one = view.members[i];
+        const MembershipView::Member& one = view.members[i];
         out += i > 0 ? ",\n{" : "\n{";
         put(out, "name", one.name, true);
-        put(out, "place", text(one.update.address));
+        put(out, "place", to_string(one.update.address));
         put(out, "zone", one.zone);
         put(out, "state", name(one.update.state));
         put_seconds(out, "for_s", now - one.since);
@@ -143,7 +144,7 @@
     };
     std::array<std::uint64_t, 4> states{};
     std::uint64_t stalled = 0, doubled = 0;
-    for (const MembershipView::One& one : view.members) {
+    for (const MembershipView::Member& one : view.members) {
         ++states[std::size_t(one.update.state)];
         stalled +=
             one.update.state <= MemberState::Suspect && (one.update.self_report & kReportsStalled) != 0;
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -349,10 +349,10 @@
     hear(2, 11);
     const auto* member = one.core.find(place(2));
     EXPECT_EQ(member->restarts, 1u);
-    EXPECT_EQ(member->doubled, TimePoint{});
+    EXPECT_EQ(member->duplicate_seen_at, TimePoint{});
     hear(3, 10);
     EXPECT_EQ(member->restarts, 1u);
-    EXPECT_EQ(member->doubled, at(3));
+    EXPECT_EQ(member->duplicate_seen_at, at(3));
     EXPECT_TRUE(make_view(one.core, at(4)).members.at(0).doubled);
 }
 
--- a/tests/udp_member.cpp
+++ b/tests/udp_member.cpp
@@ -52,20 +52,21 @@
     Still clock;
     UdpMember::Endpoint any(boost::asio::ip::address_v4::loopback(), 0);
     UdpMember member(io, clock, any, {}, Keys(), 1);
-    UdpMember::Endpoint at(boost::asio::ip::address_v4(member.place().host), member.place().port);
+    UdpMember::Endpoint at(boost::asio::ip::address_v4(member.address().host), member.address().port);
     boost::asio::ip::udp::socket noise(io, any);
     char octet = 0;
-    for (std::size_t i = 0; i < UdpMember::kReadMost + 50; ++i)
+    for (std::size_t i = 0; i < UdpMember::kMaxReads + 50; ++i)
         noise.send_to(boost::asio::buffer(&octet, 1), at);
     io.poll();
-    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost && member.held() == 1);
+    CHECK(member.rejected(DecodeError::UnsupportedVersion) == UdpMember::kMaxReads &&
+          member.throttled_reads() == 1);
     io.restart();
     io.poll();
-    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost);
-    clock.go_to(clock.now() + UdpMember::kSlice);
+    CHECK(member.rejected(DecodeError::UnsupportedVersion) == UdpMember::kMaxReads);
+    clock.go_to(clock.now() + UdpMember::kReadWindow);
     io.restart();
     io.poll();
-    CHECK(member.refused(DecodeError::UnsupportedVersion) == UdpMember::kReadMost + 50);
+    CHECK(member.rejected(DecodeError::UnsupportedVersion) == UdpMember::kMaxReads + 50);
     member.close();
     io.restart();
     io.poll();
@@ -86,7 +87,7 @@
     std::vector<Keys> keys{Keys({"new", "old"}), Keys({"old", "new"}), Keys({"new", "old"}), Keys({"other"})};
     for (std::size_t i = 0; i < keys.size(); ++i) {
         members.push_back(std::make_unique<UdpMember>(io, scheduler, any, set, keys[i], i));
-        if (i == 0) set.seeds = {members[0]->place()};
+        if (i == 0) set.seeds = {members[0]->address()};
     }
     for (auto& member : members) member->start();
     // Waits for what it is told; a hang ends with the test's time.
@@ -97,29 +98,29 @@
         }
     };
     auto state = [&](std::size_t of, std::size_t about) {
-        const auto* found = members[of]->core().find(members[about]->place());
+        const auto* found = members[of]->core().find(members[about]->address());
         return found ? int(found->update.state) : -1;
     };
     until([&] { return state(0, 1) == 0 && state(1, 0) == 0 && state(0, 2) == 0 && state(2, 1) == 0; });
-    until([&] { return members[0]->refused(DecodeError::AuthenticationFailed) > 0; });
+    until([&] { return members[0]->rejected(DecodeError::AuthenticationFailed) > 0; });
     CHECK(state(0, 3) == -1 && state(3, 0) == -1);
 
     // Noise is counted, and answered by nobody.
     boost::asio::ip::udp::socket noise(io, any);
-    UdpMember::Endpoint first(boost::asio::ip::address_v4(members[0]->place().host),
-                              members[0]->place().port);
+    UdpMember::Endpoint first(boost::asio::ip::address_v4(members[0]->address().host),
+                              members[0]->address().port);
     std::vector<char> zeros(300);
-    auto forged = members[0]->refused(DecodeError::AuthenticationFailed);
+    auto forged = members[0]->rejected(DecodeError::AuthenticationFailed);
     for (std::size_t size : {0u, 1u, 60u, 256u, 300u})
         noise.send_to(boost::asio::buffer(zeros.data(), size), first);
     until([&] {
-        return members[0]->refused(DecodeError::AuthenticationFailed) >= forged + 4 &&
-               members[0]->refused(DecodeError::TooLong) >= 1;
+        return members[0]->rejected(DecodeError::AuthenticationFailed) >= forged + 4 &&
+               members[0]->rejected(DecodeError::TooLong) >= 1;
     });
 
     ActivePlan plan{3, 9};
-    members[1]->plan(plan);
-    until([&] { return members[0]->core().find(members[1]->place())->plan == plan; });
+    members[1]->set_plan(plan);
+    until([&] { return members[0]->core().find(members[1]->address())->plan == plan; });
 
     members[1]->close();
     until([&] { return state(0, 1) == int(MemberState::Dead) && state(2, 1) == int(MemberState::Dead); });
