--- a/tests/compatibility.sh
+++ b/tests/compatibility.sh
@@ -34,7 +34,7 @@
 # Putting s2 back shows that it was the handover file that had it out.
 call_shows PUT "$admin" /ops/servers/up/s2 '200 OK' || fail "s2 is not out" "$WORK/node.err"
 within 10 call_shows GET "$admin" /ops/stats '^app_cluster_unhealthy 1' || fail "s2 was not put back" "$WORK/node.err"
-stop_all
+end_all
 # The new process began a chain of its own behind the old one's.
 audit_is_whole
 [ "$(wc -l <"$WORK/audit.log")" -gt "$lines" ] || fail "audit.log: nothing was added"
@@ -63,7 +63,7 @@
 printf '[[floor]]\npartner = "dealers"\nsite = "north"\nrate = 20\nburst = 60\n' >>"$WORK/budgets.toml"
 fleet quota set "$WORK/budgets.toml" >"$WORK/found" || fail "nothing can be written" "$WORK/found"
 fleet quota show dealers --json | grep -q '"version":102,.*"rate":5E2' || fail "what was written is not there"
-stop_all
+end_all
 
 # The same cluster earlier, without a snapshot: members as they were given at the first start, and all entries in the log.
 rm -r "$WORK"/coordinator[12]
@@ -72,3 +72,4 @@
 members_are_known 0
 fleet quota show dealers --json >"$WORK/found"
 grep -q '"version":1,.*"rate":4E2,.*"frozen":true,.*"site":"north"' "$WORK/found" || fail "the log's entries are not there" "$WORK/found"
+end_all
--- a/tests/compatibility_lib.sh
+++ b/tests/compatibility_lib.sh
@@ -7,6 +7,17 @@
     for process in "${processes[@]}"; do wait "$process" 2>/dev/null || true; done
     processes=()
 }
+# The same where all is expected to be well: each ends with status 0.
+end_all() {
+    local process status
+    for process in "${processes[@]}"; do kill "$process" || fail "a process has ended by itself"; done
+    for process in "${processes[@]}"; do
+        status=0
+        wait "$process" || status=$?
+        [ "$status" -eq 0 ] || fail "a process ended with status $status"
+    done
+    processes=()
+}
 
 fail() {
     echo "$1"
