--- a/lab/experiments/equivalence.sh
+++ b/lab/experiments/equivalence.sh
@@ -4,18 +4,20 @@
 # builds and compares a hash of every event and all its actions; of the first run that differs it prints the first
 # event that was decided otherwise. Exit code 0: all alike; 1: a difference; 2: a program failed.
 set -euo pipefail
+# Programs write log lines of the simulated nodes to standard error; of one that fails they are printed.
+failed() { tail -5 "$scratch/log"; exit 2; }
 before=$1/equivalence after=$2/equivalence seeds=${3:-10} jobs=${4:-$(nproc)}
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 runs=0 events=0
 for program in "$before"/equivalence_*; do
     name=$(basename "$program")
-    "$program" hash "$seeds" "$jobs" >"$scratch/before" || exit 2
-    "$after/$name" hash "$seeds" "$jobs" >"$scratch/after" || exit 2
+    "$program" hash "$seeds" "$jobs" >"$scratch/before" 2>"$scratch/log" || failed
+    "$after/$name" hash "$seeds" "$jobs" >"$scratch/after" 2>"$scratch/log" || failed
     if ! cmp -s "$scratch/before" "$scratch/after"; then
         read -r scenario seed _ < <(diff "$scratch/before" "$scratch/after" | sed -n 's/^[<>] //p')
-        "$program" trace "$scenario" "$seed" "$scratch/trace_before" || exit 2
-        "$after/$name" trace "$scenario" "$seed" "$scratch/trace_after" || exit 2
+        "$program" trace "$scenario" "$seed" "$scratch/trace_before" 2>"$scratch/log" || failed
+        "$after/$name" trace "$scenario" "$seed" "$scratch/trace_after" 2>"$scratch/log" || failed
         echo "$name: scenario $scenario, seed $seed differs; the first decision that does (before, after):"
         diff "$scratch/trace_before" "$scratch/trace_after" | sed -n '2p;/^>/{p;q}' | cut -c1-2000
         echo "$(diff "$scratch/before" "$scratch/after" | grep -c '^<') of $(wc -l <"$scratch/before") runs differ"
