--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/fleet.cpp
@@ -1,11 +1,11 @@
 #include "lab/config_distribution/fleet.h"
-#include "lab/record/decision_recorder.h"
 
 #include <coordinator.pb.h>
 
 #include <algorithm>
 
 #include "fleet/config_distribution/holder_file.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -113,8 +113,9 @@
 }
 
 const config_distribution::Agreement* KeeperProcess::machine() const {
-    return replica_ ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().state_machine("rules"))
-                    : nullptr;
+    return replica_
+               ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().state_machine("rules"))
+               : nullptr;
 }
 
 // ---- What has a session
--- a/lab/leadership/simulated_coordinators.h
+++ b/lab/leadership/simulated_coordinators.h
@@ -1,6 +1,6 @@
 // A model of the coordinators without Raft: one copy of the log whose leadership moves among k processes,
-// with leases counted as fleet/coordinator/state_machine.h says. It fails as processes do (killed, paused, cut off,
-// slow) but never has two leaders.
+// with leases counted as fleet/coordinator/state_machine.h says. It fails as processes do (killed, paused,
+// cut off, slow) but never has two leaders.
 #pragma once
 
 #include <map>
--- a/lab/schema_migration/world.cpp
+++ b/lab/schema_migration/world.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <utility>
 
+#include "lab/record/decision_recorder.h"
 #include "lab/schema_migration/nodes.h"
 #include "lab/swarm/net.h"
-#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::migrating {
 namespace {
--- a/lab/shards/world.cpp
+++ b/lab/shards/world.cpp
@@ -1,9 +1,9 @@
 #include "lab/shards/world.h"
-#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 
 #include "fleet/shards/wire.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab::shards {
 
--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -1,9 +1,10 @@
 #include "lab/sim/emulated_node.h"
-#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "lab/record/decision_recorder.h"
+
 namespace ochrehub::lab {
 
 Settings settings_of(const Day& day, NodeNo node) {
