--- a/include/ochrehub/balancer.h
+++ b/include/ochrehub/balancer.h
@@ -1,9 +1,9 @@
-// The interface of the decision module (src/rules.cpp): settings, events, actions, Balancer.
+// The public interface of the decision core: settings, events, actions, Balancer.
 //
-// One Balancer decides for one gateway. It is a pure state machine: the caller hands it every event with the
-// time it happened and carries out the actions it returns, in order. It reads no clock, starts no thread and
-// shares nothing. Servers, classes, tenants, zones and kinds are integers; whatever they are called stays
-// with the caller.
+// One Balancer makes every routing decision of one node. It is a pure state machine: the caller passes each
+// event with its timestamp and carries out the returned actions in order. It reads no clock, starts no thread
+// and performs no I/O; the same events and seed give the same actions. Endpoints, classes, tenants, zones and
+// kinds are integers; their names stay with the caller. Durations and times are in milliseconds.
 #pragma once
 
 #include <chrono>
@@ -16,168 +16,194 @@
 
 namespace ochrehub {
 
-/// Marks the gateway's own clock, which only moves with the events handed in.
-struct GatewayClock {};
+/// The node's clock. It advances only with the timestamps of the events passed to Balancer::handle.
+struct NodeClock {};
 using Duration = std::chrono::duration<double, std::milli>;
-using TimePoint = std::chrono::time_point<GatewayClock, Duration>;
+using TimePoint = std::chrono::time_point<NodeClock, Duration>;
 
-using RequestId = std::uint64_t;  ///< chosen by the caller, never reused within one Balancer's life
-using ServerId = std::uint32_t;
+using RequestId = std::uint64_t;  ///< chosen by the caller, unique within one Balancer
+using EndpointId = std::uint32_t;
 inline constexpr int kNone = -1;  ///< index of an absent zone, kind or tenant
 
-enum class Effect { Free, Guarded, SingleShot };  ///< safe to repeat / keyed / must never run twice
-enum class Scope { All, Zone, Cell };             ///< which servers discard repeats of a keyed request
+/// Whether a request may be executed more than once.
+enum class Idempotency {
+    Idempotent,         ///< any number of executions has the effect of one
+    IdempotentWithKey,  ///< endpoints discard repeats of its key within the deduplication window
+    NonIdempotent       ///< must never be executed twice
+};
+
+/// Which endpoints recognise the repeat of a keyed request: all, or those in the zone or cell of the first.
+enum class DeduplicationScope { All, Zone, Cell };
 
+/// One class of requests.
 struct ClassSettings {
-    Duration aim{};      ///< an answer within this earns the full worth
-    Duration give_up{};  ///< how long a client waits over all its tries
-    Duration window{};   ///< keyed: how long repeats are discarded, from the first attempt that may have run
-    double late_worth = 0;
-    double gain = 1;
-    double aim_stretch = 0;
-    Effect effect = Effect::SingleShot;
-    Scope scope = Scope::All;
-    bool stream = false;
+    Duration latency_objective{};     ///< a response within this earns the full priority weight
+    Duration request_timeout{};       ///< how long a client waits, over all attempts
+    Duration deduplication_window{};  ///< keyed: how long repeats are discarded, from the first attempt
+    double late_response_weight = 0;  ///< fraction of the weight that a response after the objective earns
+    double priority_weight = 1;       ///< of one request, relative to other classes
+    double latency_objective_per_effort = 0;  ///< ms added to the objective per ms of expected effort
+    Idempotency idempotency = Idempotency::NonIdempotent;
+    DeduplicationScope deduplication_scope = DeduplicationScope::All;
+    bool stream = false;  ///< responses are streamed
 };
 
 struct TenantSettings {
-    double quota_rps = 0;  ///< over all gateways
-    double share = 0;
+    double quota_rps = 0;   ///< requests per second over all nodes; 0: unlimited
+    double fair_share = 0;  ///< fraction of the service
 };
 
 struct Settings {
-    int balancers = 1;
-    int me = kNone;    ///< this gateway's number among them, from 0; none: it is not told
-    int zone = kNone;  ///< this gateway's own
+    int node_count = 1;      ///< nodes of this tier
+    int node_index = kNone;  ///< this node among them, from 0; kNone: unknown
+    int zone = kNone;        ///< this node's own
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    bool must_ask = false;  ///< the server list is sent only to those who ask, and one place answers them all
-    bool watches =
-        false;  ///< changes come on a watch alone: also where an agent beside the node has the list already
-    bool probes = true;
+    bool polls_discovery = false;    ///< one discovery service answers the polls of all nodes
+    bool watches_discovery = false;  ///< updates arrive only on a watch that WatchEndpoints opens
+    bool probes = true;              ///< active health checks
     bool probes_report_load = false;
-    bool cancel = false;
-    bool second_copies = false;
-    bool retry_after = false;
-    bool removal_not_binding = false;
-    bool live_sizes =
-        false;  ///< a listed size falls with what the server holds, and says nothing of what it can bear
+    bool cancel = false;               ///< attempts that are no longer needed are cancelled
+    bool allows_hedging = false;       ///< two attempts of one request may be in flight
+    bool retry_after = false;          ///< rejections carry Retry-After
+    bool removal_not_binding = false;  ///< removed endpoints that pass probes stay in use
+    bool weights_track_load = false;   ///< listed weights fall with load and say nothing of capacity
     int max_attempts = 1;
     Duration max_retry_after{};
-    Duration granularity{1};
-    Duration connect_timeout{1000};  ///< a connection not up within this has failed
-    Duration conn_idle{10000};       ///< servers close a connection that stood idle for this
-    Duration grace_to_answer{};      ///< how late after the client's deadline a final answer still counts
-    Duration cold_time{};
-    double cold_from = 1;
-    double overload_factor = 1;
-    Duration tip_after{1000};
-    double over_share_worth = 1;
-    double price_cross_zone = 0;
-    double price_probe = 0;       ///< for each probe, per first try
-    double price_connection = 0;  ///< for 100 open connections a server
-};
-
-enum class Phase { Draining, Gone, Ready };
-
-struct ListEntry {
-    ServerId server = 0;
-    std::uint64_t key = 0;  ///< the same number at every gateway; 0: `server` is that
+    Duration clock_granularity{1};
+    Duration connect_timeout{1000};
+    Duration connection_idle_timeout{10000};  ///< endpoints close a connection idle for this long
+    Duration response_grace{};  ///< how long after the client's deadline a final response still counts
+    Duration slow_start_duration{};
+    double slow_start_initial_capacity = 1;  ///< fraction of its capacity that an endpoint starts with
+    double overload_factor = 1;              ///< an endpoint fails at this multiple of its capacity ...
+    Duration overload_after{1000};           ///< ... sustained for this long
+    double over_quota_weight = 1;            ///< factor on the weight of requests over their tenant's quota
+    double cross_zone_cost = 0;              ///< of one attempt in another zone, in requests
+    double probe_cost = 0;                   ///< of one probe per first attempt
+    double connection_cost = 0;              ///< of 100 open connections to one endpoint
+};
+
+enum class Phase { Draining, Removed, Ready };
+
+/// One endpoint as discovery lists it.
+struct EndpointEntry {
+    EndpointId endpoint = 0;
+    std::uint64_t key = 0;  ///< identical on every node; 0: `endpoint` is
     int zone = kNone;
     int kind = kNone;
     int cell = 0;
     Phase phase = Phase::Ready;
-    double size = 1;
-    std::optional<TimePoint> last_start;
+    double weight = 1;
+    std::optional<TimePoint> last_start;  ///< of its process, if known
 };
 
+/// What an endpoint reports about itself.
 struct LoadReport {
-    std::optional<double> inflight;
-    std::optional<double> queue;
-    std::optional<double> util;
+    std::optional<double> inflight;     ///< requests there
+    std::optional<double> queue;        ///< requests of those that wait
+    std::optional<double> utilization;  ///< 0 to 1
 };
 
-enum class Outcome { Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot };
+enum class Outcome {
+    Ok,
+    Error,
+    Rejected,  ///< refused by the endpoint without execution
+    Timeout,
+    ConnectFailed,
+    Reset,
+    Cancelled,
+    NotSent  ///< never written to a connection
+};
 
 // Events.
-enum class ListKind { Delta, Full, Cached, Failed };
-struct ListUpdate {
-    ListKind kind = ListKind::Full;
-    std::vector<ListEntry> entries;
+enum class UpdateKind {
+    Delta,   ///< changed entries only
+    Full,    ///< the whole list
+    Cached,  ///< the whole list, from a local copy
+    Failed   ///< discovery did not answer; no entries
+};
+struct EndpointUpdate {
+    UpdateKind kind = UpdateKind::Full;
+    std::vector<EndpointEntry> entries;
 };
 struct RequestArrived {
     RequestId request = 0;
     int class_index = 0;
     int tenant = kNone;
-    std::optional<std::uint64_t> key;
-    TimePoint give_up_at{};
-    bool client_repeat = false;
-    std::optional<Duration> effort;
-    /// Its body is still coming, and goes to a server as it comes: nothing is late before it is there.
-    bool uploading = false;
-};
-/// The last byte of such a request has come: its client's time runs from now.
-struct Uploaded {
+    std::optional<std::uint64_t> key;  ///< deduplication key
+    TimePoint deadline{};
+    bool is_client_retry = false;
+    std::optional<Duration> effort;  ///< expected, if the client states it
+    bool receiving_body = false;     ///< its body is forwarded as it arrives: no attempt is timed until then
+};
+/// The last byte of a request with receiving_body has arrived; its deadline starts now.
+struct RequestBodyReceived {
     RequestId request = 0;
-    TimePoint give_up_at{};
+    TimePoint deadline{};
 };
 struct AttemptEnded {
     RequestId request = 0;
     int attempt = 0;
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Outcome outcome = Outcome::Ok;
     Duration elapsed{};
-    bool concluded = false;  ///< the request has its final answer
+    bool request_completed = false;  ///< the request has its final response
     LoadReport report;
-    bool replayable = true;  ///< the request can be sent again whole
+    bool replayable = true;  ///< the request can be sent again as a whole
 };
 struct StreamStarted {
     RequestId request = 0;
     int attempt = 0;
 };
 struct ProbeEnded {
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     Outcome outcome = Outcome::Ok;
     Duration elapsed{};
     LoadReport report;
 };
-struct ClientGone {
+struct ClientDisconnected {
     RequestId request = 0;
 };
-struct Woken {};
-/// Operators take a server out at `since`, whatever lists say of it from then on, or put it back. It returns
-/// cold: started then, or where a list tells of a start while it was out, at that.
-struct ByHand {
-    std::uint64_t key = 0;  ///< that of its list entry, or its number where that has none
-    bool out = false;
+struct TimerFired {};
+/// Operators drain an endpoint from `since` on, whatever discovery lists, or return it. A returned endpoint
+/// starts in slow start, as of `since` or of the restart that discovery reported while it was drained.
+struct AdminOverride {
+    std::uint64_t key = 0;  ///< of its EndpointEntry, or its id where that has none
+    bool drained = false;
     TimePoint since{};
 };
-/// Another process of this gateway has begun to live beside this one, or has ended: budgets are for both.
-struct Twinned {
-    bool twin = false;
+/// Another process of this node started or ended (takeover): while both run they share the node's budgets.
+struct HandoverPeerChanged {
+    bool peer_present = false;
 };
-/// By how many gateways the tier's limits, budgets and quotas are divided from now on, and which of them this
-/// one is (kNone: it is not known). Without it the settings' numbers count.
-struct Sharers {
-    int gateways = 1;  ///< 1 at least
-    int me = kNone;
+/// The number of nodes that divide limits, budgets and quotas, and this node's index (kNone: unknown).
+/// Replaces the values of the settings.
+struct FleetSizeChanged {
+    int node_count = 1;  ///< at least 1
+    int node_index = kNone;
 };
-using Event = std::variant<ListUpdate, RequestArrived, AttemptEnded, StreamStarted, ProbeEnded, ClientGone,
-                           Woken, ByHand, Twinned, Uploaded, Sharers>;
+using Event =
+    std::variant<EndpointUpdate, RequestArrived, AttemptEnded, StreamStarted, ProbeEnded, ClientDisconnected,
+                 TimerFired, AdminOverride, HandoverPeerChanged, RequestBodyReceived, FleetSizeChanged>;
 
 // Actions, to be carried out in order.
-struct Forward {  ///< start the next attempt (numbered 0, 1, ... per request)
+
+/// Start the next attempt; attempts are numbered 0, 1, ... per request.
+struct Forward {
     RequestId request;
-    ServerId server;
-    Duration limit;  ///< its own time-out; zero: until the client gives up
-    /// A repeat of what may have run: written by then or not at all, however late its connection comes up.
-    TimePoint begin_by = TimePoint::max();
+    EndpointId endpoint;
+    Duration timeout;  ///< of this attempt; zero: until the request's deadline
+    /// A retry after possible execution must be written by then or not at all.
+    TimePoint send_deadline = TimePoint::max();
 };
-struct Refuse {  ///< final answer: the client may safely try again, best after retry_after (zero: no advice)
+/// Final response: not executed, or safe to repeat; the client may retry after retry_after (zero: no advice).
+struct Reject {
     RequestId request;
     Duration retry_after;
 };
-struct Fail {  ///< final answer: no assurance about its effect
+/// Final response: nothing is known about execution.
+struct Fail {
     RequestId request;
 };
 struct Cancel {
@@ -185,20 +211,23 @@
     int attempt;
 };
 struct Probe {
-    ServerId server;
-    Duration limit;  ///< when to stop waiting for its answer
+    EndpointId endpoint;
+    Duration timeout;
 };
-struct Close {  ///< close the idle connections to it
-    ServerId server;
+struct CloseIdleConnections {
+    EndpointId endpoint;
 };
-struct WatchList {};  ///< ask for the server list and its changes from now on
-struct WakeAt {       ///< hand in Woken at the first chance at or after this time
+/// Poll discovery and watch it for changes from now on.
+struct WatchEndpoints {};
+/// Pass in TimerFired at the first opportunity at or after `at`. Several may be pending.
+struct SetTimer {
     TimePoint at;
 };
 struct Log {
     std::string text;
 };
-using Action = std::variant<Forward, Refuse, Fail, Cancel, Probe, Close, WatchList, WakeAt, Log>;
+using Action =
+    std::variant<Forward, Reject, Fail, Cancel, Probe, CloseIdleConnections, WatchEndpoints, SetTimer, Log>;
 using Actions = std::vector<Action>;
 
 class Balancer {
@@ -208,15 +237,16 @@
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Takes one event that happened at `now` (never earlier than the last) and appends what is to be done.
+    /// Handles one event that happened at `now` (never earlier than the last) and appends the actions.
     void handle(TimePoint now, const Event& event, Actions& actions);
 
-    /// Listed servers that are sent nothing new: out by hand, draining or Unhealthy. As of the last event.
-    std::size_t avoided() const;
+    /// Listed endpoints that get no new requests: drained by an operator, draining or Unhealthy. As of the
+    /// last event.
+    std::size_t unavailable_endpoints() const;
 
 private:
-    class Rules;
-    std::unique_ptr<Rules> rules_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace ochrehub
--- a/lab/bench/clients_bench.cpp
+++ b/lab/bench/clients_bench.cpp
@@ -25,7 +25,9 @@
     day.length = Duration{double(calls) / per_s * 1000 + 1};
     for (int i = 0; i < 4; ++i) {
         ClassFigures cls;
-        cls.effect = i < 2 ? Effect::Free : i == 2 ? Effect::SingleShot : Effect::Guarded;
+        cls.effect = i < 2    ? Idempotency::Idempotent
+                     : i == 2 ? Idempotency::NonIdempotent
+                              : Idempotency::IdempotentWithKey;
         cls.give_up = Duration{500.0 + 400 * i};
         day.classes.push_back(cls);
     }
--- a/lab/bench/decision_bench.cpp
+++ b/lab/bench/decision_bench.cpp
@@ -19,24 +19,24 @@
 
 Settings settings(int gateways) {
     Settings set;
-    set.balancers = gateways;
-    set.me = 0;
+    set.node_count = gateways;
+    set.node_index = 0;
     set.cancel = true;
     set.retry_after = true;
     set.max_attempts = 5;
     set.max_retry_after = Duration{1200};
-    set.cold_time = Duration{8200};
-    set.cold_from = 0.3;
+    set.slow_start_duration = Duration{8200};
+    set.slow_start_initial_capacity = 0.3;
     set.overload_factor = 3;
-    set.tip_after = Duration{1500};
-    set.price_probe = gateways > 3 ? 0.08 : 0.03;
-    set.price_cross_zone = 0.02;
+    set.overload_after = Duration{1500};
+    set.probe_cost = gateways > 3 ? 0.08 : 0.03;
+    set.cross_zone_cost = 0.02;
     for (double aim : {150.0, 190.0, 570.0, 570.0}) {
         ClassSettings c;
-        c.aim = Duration{aim};
-        c.give_up = Duration{4 * aim};
-        c.late_worth = 0.5;
-        c.effect = Effect::Free;
+        c.latency_objective = Duration{aim};
+        c.request_timeout = Duration{4 * aim};
+        c.late_response_weight = 0.5;
+        c.idempotency = Idempotency::Idempotent;
         set.classes.push_back(c);
     }
     set.tenants.push_back({16.0 * gateways, 1});
@@ -54,12 +54,12 @@
         balancer.handle(now, event, actions);
         ++calls;
         for (const Action& action : actions)
-            if (const auto* wake = std::get_if<WakeAt>(&action)) wakes.insert(wake->at);
+            if (const auto* wake = std::get_if<SetTimer>(&action)) wakes.insert(wake->at);
     }
-    std::vector<ServerId> probed() const {
-        std::vector<ServerId> servers;
+    std::vector<EndpointId> probed() const {
+        std::vector<EndpointId> servers;
         for (const Action& action : actions)
-            if (const auto* probe = std::get_if<Probe>(&action)) servers.push_back(probe->server);
+            if (const auto* probe = std::get_if<Probe>(&action)) servers.push_back(probe->endpoint);
         return servers;
     }
 };
@@ -75,18 +75,18 @@
     std::printf("nodes servers  ns a request  module calls a request  us a list change\n");
     struct Size {
         int gateways;
-        ServerId servers;
+        EndpointId servers;
     };
     for (auto [gateways, servers] : {Size{3, 13}, Size{100, 60}, Size{100, 1000}}) {
         Node node{Balancer(settings(gateways), 7), {}, {}};
         TimePoint now{Duration{1000}};
-        std::vector<ListEntry> fleet(servers);
-        for (ServerId i = 0; i < servers; ++i) {
-            fleet[i].server = i + 1;
+        std::vector<EndpointEntry> fleet(servers);
+        for (EndpointId i = 0; i < servers; ++i) {
+            fleet[i].endpoint = i + 1;
             fleet[i].zone = int(i % 3);
             fleet[i].cell = int(i / 4);
         }
-        node.tell(now, ListUpdate{ListKind::Full, fleet});
+        node.tell(now, EndpointUpdate{UpdateKind::Full, fleet});
         Clock::duration spent{}, spent_on_lists{};
         std::uint64_t lists = 0, sent = 0;
         const double gap = gateways > 3 ? 60 : 9;
@@ -96,28 +96,28 @@
             while (!node.wakes.empty() && *node.wakes.begin() <= now) {
                 const TimePoint due = *node.wakes.begin();
                 node.wakes.erase(node.wakes.begin());
-                node.tell(due, Woken{});
-                for (ServerId server : node.probed())
+                node.tell(due, TimerFired{});
+                for (EndpointId server : node.probed())
                     node.tell(due, ProbeEnded{server, Outcome::Ok, Duration{1}, {}});
             }
             RequestArrived came;
             came.request = id;
             came.class_index = int(id % 4);
             came.tenant = 0;
-            came.give_up_at = now + Duration{600};
+            came.deadline = now + Duration{600};
             node.tell(now, came);
             for (const Action& action : Actions(node.actions))
                 if (const auto* to = std::get_if<Forward>(&action)) {
                     ++sent;
                     node.tell(now + Duration{5},
-                              AttemptEnded{id, 0, to->server, Outcome::Ok, Duration{5}, true, {}});
+                              AttemptEnded{id, 0, to->endpoint, Outcome::Ok, Duration{5}, true, {}});
                 }
             spent += Clock::now() - from;
             if (id % 100 != 0) continue;  // one server drains or comes back
-            ListEntry& one = fleet[(id - 100) / 200 % servers];
+            EndpointEntry& one = fleet[(id - 100) / 200 % servers];
             one.phase = one.phase == Phase::Ready ? Phase::Draining : Phase::Ready;
             const auto list_from = Clock::now();
-            node.tell(now + Duration{6}, ListUpdate{ListKind::Delta, {one}});
+            node.tell(now + Duration{6}, EndpointUpdate{UpdateKind::Delta, {one}});
             spent_on_lists += Clock::now() - list_from;
             ++lists;
         }
--- a/lab/bench/referee_bench.cpp
+++ b/lab/bench/referee_bench.cpp
@@ -20,9 +20,9 @@
     day.network.zones = {"a"};
     day.network.ms = {{0.3}};
     day.classes.resize(3);
-    day.classes[1].effect = Effect::SingleShot;
-    day.classes[2].effect = Effect::Guarded;
-    day.classes[2].scope = Scope::Cell;
+    day.classes[1].effect = Idempotency::NonIdempotent;
+    day.classes[2].effect = Idempotency::IdempotentWithKey;
+    day.classes[2].scope = DeduplicationScope::Cell;
     day.nodes.resize(std::size_t(nodes));
     day.servers.resize(std::size_t(servers));
     Referee referee(day, at(0), Duration{0});
--- a/lab/bench/server_bench.cpp
+++ b/lab/bench/server_bench.cpp
@@ -92,7 +92,7 @@
     const std::size_t requests = argc > 2 ? std::strtoul(argv[2], nullptr, 10) : 2'000'000;
     const std::size_t each = requests / servers;
     std::vector<ClassFigures> classes(4);
-    classes[3].effect = Effect::Guarded;
+    classes[3].effect = Idempotency::IdempotentWithKey;
     classes[3].window = Duration(6000);
     const Limits limits;
     std::mt19937_64 random(1);
--- a/lab/cold/module.h
+++ b/lab/cold/module.h
@@ -16,7 +16,8 @@
     RetriesNotCounted,  ///< only a request's first send counts
     FirstSpanWhole,  ///< takes all of a first span at once: none is drawn, nothing left for a process before
                      ///< it
-    ForgetsSends,    ///< forgets what it sent when told `Twinned`, as a successor that knows all else
+    ForgetsSends,    ///< forgets what it sent when told `HandoverPeerChanged`, as a successor that knows all
+                     ///< else
 };
 
 class Module {
--- a/lab/cold/world.cpp
+++ b/lab/cold/world.cpp
@@ -85,32 +85,33 @@
 class World {
 public:
     World(const ColdDay& day, std::uint64_t seed) : day_(day), random_(seed * 2654435761u + 17), seed_(seed) {
-        set_.balancers = day.each_alone ? 1 : day.processes;
+        set_.node_count = day.each_alone ? 1 : day.processes;
         set_.probes =
             day.probes == ColdDay::Probes::Drawn ? seed % 3 > 0 : day.probes != ColdDay::Probes::None;
         set_.probes_report_load =
             day.probes == ColdDay::Probes::Drawn ? seed % 3 == 2 : day.probes == ColdDay::Probes::Reports;
         set_.max_attempts = 4;
         set_.cancel = true;
-        set_.price_probe = day.price_probe;
-        set_.price_cross_zone = day.zones > 1 ? 0.2 : 0;
+        set_.probe_cost = day.price_probe;
+        set_.cross_zone_cost = day.zones > 1 ? 0.2 : 0;
         // No rule may hold for one deployment's figures alone.
-        set_.cold_from = 0.2 + 0.3 * uniform();
-        set_.cold_time = Duration{5000 + 5000 * uniform()};
+        set_.slow_start_initial_capacity = 0.2 + 0.3 * uniform();
+        set_.slow_start_duration = Duration{5000 + 5000 * uniform()};
         set_.overload_factor = 1.2 + 2 * uniform();
-        set_.tip_after = Duration{1000 + 1000 * uniform()};
+        set_.overload_after = Duration{1000 + 1000 * uniform()};
         handshake_ = 3.2 + 2.8 * uniform();
         if (day.handshake >= 0) handshake_ = day.handshake;
-        if (day.cold_from > 0) set_.cold_from = day.cold_from;
-        if (day.cold_time > 0) set_.cold_time = Duration{day.cold_time};
+        if (day.cold_from > 0) set_.slow_start_initial_capacity = day.cold_from;
+        if (day.cold_time > 0) set_.slow_start_duration = Duration{day.cold_time};
         if (day.overload_factor > 0) set_.overload_factor = day.overload_factor;
-        if (day.tip_after > 0) set_.tip_after = Duration{day.tip_after};
+        if (day.tip_after > 0) set_.overload_after = Duration{day.tip_after};
         double busy = 0;
         for (const ColdWork& work : day.work) {
             ClassSettings c;
-            c.aim = Duration{day.aim > 0 ? day.aim : std::max(400.0, 4 * (work.cpu + work.wait))};
-            c.give_up = Duration{std::max(kPatience, 2 * c.aim.count())};
-            c.effect = Effect::Free;
+            c.latency_objective =
+                Duration{day.aim > 0 ? day.aim : std::max(400.0, 4 * (work.cpu + work.wait))};
+            c.request_timeout = Duration{std::max(kPatience, 2 * c.latency_objective.count())};
+            c.idempotency = Idempotency::Idempotent;
             set_.classes.push_back(c);
             mean_cpu_ += work.part * work.cpu;
             busy += work.part * (work.cpu + work.wait);
@@ -140,7 +141,7 @@
     }
 
     ColdOutcome run() {
-        double end = last_start_ + set_.cold_time.count() + 500;
+        double end = last_start_ + set_.slow_start_duration.count() + 500;
         while (!items_.empty() && items_.top().at < end) {
             Item item = items_.top();
             items_.pop();
@@ -204,10 +205,10 @@
         }
     }
 
-    ListEntry entry(std::size_t i) const {
-        ListEntry e;
-        e.server = ServerId(i + 1), e.zone = machines_[i].zone, e.kind = 0, e.size = machines_[i].size;
-        e.phase = machines_[i].listed ? Phase::Ready : Phase::Gone;
+    EndpointEntry entry(std::size_t i) const {
+        EndpointEntry e;
+        e.endpoint = EndpointId(i + 1), e.zone = machines_[i].zone, e.kind = 0, e.weight = machines_[i].size;
+        e.phase = machines_[i].listed ? Phase::Ready : Phase::Removed;
         if (machines_[i].started > 0) e.last_start = TimePoint{Duration{machines_[i].started}};
         return e;
     }
@@ -215,10 +216,10 @@
     void begin(std::size_t k) {
         Process& p = processes_[k];
         Settings set = set_;
-        set.me = day_.each_alone ? kNone : int(k);
+        set.node_index = day_.each_alone ? kNone : int(k);
         set.zone = int(k) % day_.zones;
         p.module = make_module(day_.twin, set, seed_ * 1000003 + k * 7919 + p.life * 104729 + 1);
-        ListUpdate list;
+        EndpointUpdate list;
         for (std::size_t i = 0; i < machines_.size(); ++i)
             if (machines_[i].listed) list.entries.push_back(entry(i));
         tell(k, list);
@@ -237,20 +238,20 @@
             if (it == p.open.end()) return;
             Open& open = it->second;
             Call call;
-            call.process = k, call.server = f->server - 1, call.life = p.life, call.request = f->request;
+            call.process = k, call.server = f->endpoint - 1, call.life = p.life, call.request = f->request;
             call.number = open.attempts++, call.cls = open.cls, call.sent = now_;
             open.calls.push_back(calls_.size());
             call.connects = connect(p, call.server);
             put(wire(), Kind::Reach, calls_.size());
-            if (f->limit.count() > 0) put(f->limit.count(), Kind::Expire, calls_.size());
+            if (f->timeout.count() > 0) put(f->timeout.count(), Kind::Expire, calls_.size());
             calls_.push_back(call);
-        } else if (const auto* r = std::get_if<Refuse>(&action)) {
+        } else if (const auto* r = std::get_if<Reject>(&action)) {
             p.open.erase(r->request);
         } else if (const auto* d = std::get_if<Fail>(&action)) {
             p.open.erase(d->request);
         } else if (const auto* q = std::get_if<Probe>(&action)) {
-            put(wire(), Kind::ProbeReach, k, q->server - 1, p.life);
-        } else if (const auto* w = std::get_if<WakeAt>(&action)) {
+            put(wire(), Kind::ProbeReach, k, q->endpoint - 1, p.life);
+        } else if (const auto* w = std::get_if<SetTimer>(&action)) {
             double at = std::max(now_, w->at.time_since_epoch().count());
             items_.push({at, ++order_, Kind::Wake, k, 0, p.life});
         }
@@ -273,7 +274,8 @@
     }
 
     void reached(Machine& m, double work) {
-        if (m.cold_start && now_ <= m.started + set_.cold_time.count()) m.reached.emplace_back(now_, work);
+        if (m.cold_start && now_ <= m.started + set_.slow_start_duration.count())
+            m.reached.emplace_back(now_, work);
     }
 
     void end(std::size_t n, Outcome outcome) {
@@ -285,7 +287,7 @@
         served_ += concluded;
         tell(call.process, AttemptEnded{call.request,
                                         call.number,
-                                        ServerId(call.server + 1),
+                                        EndpointId(call.server + 1),
                                         outcome,
                                         Duration{now_ - call.sent},
                                         concluded,
@@ -293,8 +295,10 @@
     }
 
     double warmth(const Machine& m, double at) const {
-        double age = (at - m.started) / set_.cold_time.count();
-        return age >= 1 ? 1 : set_.cold_from + (1 - set_.cold_from) * std::max(0.0, age);
+        double age = (at - m.started) / set_.slow_start_duration.count();
+        return age >= 1 ? 1
+                        : set_.slow_start_initial_capacity +
+                              (1 - set_.slow_start_initial_capacity) * std::max(0.0, age);
     }
 
     void fill(Machine& m) {
@@ -326,14 +330,14 @@
                 while (e.class_index + 1 < int(day_.work.size()) &&
                        draw >= day_.work[std::size_t(e.class_index)].part)
                     draw -= day_.work[std::size_t(e.class_index++)].part;
-                Duration patience = set_.classes[std::size_t(e.class_index)].give_up;
-                e.give_up_at = TimePoint{Duration{now_} + patience};
+                Duration patience = set_.classes[std::size_t(e.class_index)].request_timeout;
+                e.deadline = TimePoint{Duration{now_} + patience};
                 p.open[e.request].cls = e.class_index;
                 put(patience.count(), Kind::Gone, item.a, 0, e.request);
                 return tell(item.a, e);
             }
             case Kind::Wake:
-                if (processes_[item.a].life == item.c) tell(item.a, Woken{});
+                if (processes_[item.a].life == item.c) tell(item.a, TimerFired{});
                 return;
             case Kind::Reach: {
                 Call& call = calls_[item.a];
@@ -344,7 +348,7 @@
                 if ((day_.turns_away && m.cold_start && m.started > 0) ||
                     int(m.waiting.size()) >= kRoom * m.slots)
                     return put(day_.turned_away_after + wire(), Kind::Answer, item.a,
-                               std::size_t(Outcome::Full));
+                               std::size_t(Outcome::Rejected));
                 call.left = day_.work[std::size_t(call.cls)].cpu;
                 m.waiting.push_back(item.a);
                 return fill(m);
@@ -360,7 +364,8 @@
                         m.for_core.push_back(item.a);
                         return fill(m);
                     }
-                    if (m.cold_start && now_ <= m.started + set_.cold_time.count()) m.done += work.cpu;
+                    if (m.cold_start && now_ <= m.started + set_.slow_start_duration.count())
+                        m.done += work.cpu;
                     put(work.wait, Kind::CpuDone, item.a, 1, m.life);
                 } else {
                     --m.in_slots;
@@ -374,7 +379,7 @@
                 return end(item.a, Outcome::Timeout);
             case Kind::Gone: {
                 Process& p = processes_[item.a];
-                if (p.open.erase(item.c) && p.module) tell(item.a, ClientGone{item.c});
+                if (p.open.erase(item.c) && p.module) tell(item.a, ClientDisconnected{item.c});
                 return;
             }
             case Kind::ProbeReach:  // answered beside the work
@@ -384,7 +389,7 @@
                 if (processes_[item.a].life != item.c) return;
                 const Machine& m = machines_[item.b];
                 ProbeEnded e;
-                e.server = ServerId(item.b + 1), e.elapsed = Duration{1};
+                e.endpoint = EndpointId(item.b + 1), e.elapsed = Duration{1};
                 e.outcome = m.up ? Outcome::Ok : Outcome::ConnectFailed;
                 if (m.up && set_.probes_report_load)
                     e.report = {double(m.in_slots) + double(m.waiting.size()), double(m.waiting.size()), {}};
@@ -392,7 +397,7 @@
             }
             case Kind::List: {
                 if (!processes_[item.a].module) return;
-                return tell(item.a, ListUpdate{ListKind::Delta, {entry(item.b)}});
+                return tell(item.a, EndpointUpdate{UpdateKind::Delta, {entry(item.b)}});
             }
             case Kind::Down: {
                 Machine& m = machines_[item.a];
@@ -412,7 +417,7 @@
             }
             case Kind::Restart: {
                 Process& p = processes_[item.a];
-                if (day_.twin == Twin::ForgetsSends) return tell(item.a, Twinned{false});
+                if (day_.twin == Twin::ForgetsSends) return tell(item.a, HandoverPeerChanged{false});
                 if (p.module) {
                     p.module.reset();
                     ++p.life;
@@ -430,11 +435,12 @@
     }
 
     void judge() {
-        double could = 0, did = 0, tip = set_.tip_after.count(), windows = 0;
+        double could = 0, did = 0, tip = set_.overload_after.count(), windows = 0;
         for (Machine& m : machines_) {
             if (!m.cold_start) continue;
             auto area = [&](double from, double to) {  // of its warmth; past its cold time it is warm
-                double end = m.started + set_.cold_time.count(), cold_to = std::clamp(end, from, to);
+                double end = m.started + set_.slow_start_duration.count(),
+                       cold_to = std::clamp(end, from, to);
                 return (warmth(m, from) + warmth(m, cold_to)) / 2 * (cold_to - from) + (to - cold_to);
             };
             double sum = 0;
@@ -452,7 +458,7 @@
                 if (excess > outcome_.worst)
                     outcome_.worst = excess, outcome_.sent = sum / mean_cpu_, outcome_.budget = budget;
             }
-            could += day_.cores * m.size * area(m.started, m.started + set_.cold_time.count());
+            could += day_.cores * m.size * area(m.started, m.started + set_.slow_start_duration.count());
             did += m.done;
         }
         outcome_.part /= std::max(1.0, windows);
--- a/lab/model/clients.cpp
+++ b/lab/model/clients.cpp
@@ -338,8 +338,8 @@
         if (came == Came::Refused && advice && call.honours)
             wait = call.advised = std::clamp(*advice, Duration{}, std::max(Duration{}, habits.most_honoured));
         TimePoint at = now_ + std::max(wait, Duration{});
-        bool may = came != Came::Failed || cls.effect == Effect::Free ||
-                   (cls.effect == Effect::Guarded && cls.scope == Scope::All &&
+        bool may = came != Came::Failed || cls.effect == Idempotency::Idempotent ||
+                   (cls.effect == Idempotency::IdempotentWithKey && cls.scope == DeduplicationScope::All &&
                     at < call.may_run_since + cls.window);
         // One that would come back after its time does not wait for it either.
         if (!may || call.tries > habits.tries || at >= call.ends_at) {
@@ -433,7 +433,7 @@
         ask.call = call.id;
         ask.cls = call.cls;
         ask.tenant = call.tenant;
-        if (cls.effect == Effect::Guarded) ask.key = call.key;
+        if (cls.effect == Idempotency::IdempotentWithKey) ask.key = call.key;
         ask.work = call.work;
         ask.wait = call.wait;
         ask.patience = call.try_ends_at - now_;
--- a/lab/model/day.h
+++ b/lab/model/day.h
@@ -16,8 +16,8 @@
 
 struct ClassFigures {
     std::string name;
-    Effect effect = Effect::Free;
-    Scope scope = Scope::All;
+    Idempotency effect = Idempotency::Idempotent;
+    DeduplicationScope scope = DeduplicationScope::All;
     double share = 1;             ///< of first tries
     Duration work{15}, wait{35};  ///< CPU on a core of speed 1; waiting on others, which takes no CPU
     double spread = 1;            ///< coefficient of variation of both, lognormal
--- a/lab/play/forms.cpp
+++ b/lab/play/forms.cpp
@@ -86,7 +86,7 @@
 
 std::string request_text(const Day& day, const Ask& ask, Duration patience) {
     const ClassFigures& cls = day.classes[std::size_t(ask.cls)];
-    bool free = cls.effect == Effect::Free;
+    bool free = cls.effect == Idempotency::Idempotent;
     std::string text = fmt::format("{} {} HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: {:016x}\r\n",
                                    free ? "GET" : "POST", target_of(cls.name, ask.id), ask.id);
     if (ask.tenant >= 0) text += "X-Customer: " + day.tenants[std::size_t(ask.tenant)].name + "\r\n";
@@ -94,7 +94,7 @@
                         std::max(0.0, patience.count()) / 1000, ask.work.count(), ask.wait.count());
     text += ask.key ? fmt::format(",key={}\r\n", *ask.key) : "\r\n";
     if (ask.marked) text += "X-Second-Try: 1\r\n";
-    if (cls.effect == Effect::Guarded && ask.key)
+    if (cls.effect == Idempotency::IdempotentWithKey && ask.key)
         text += "Idempotency-Key: " + idempotency_key(*ask.key) + "\r\n";
     if (free) return text + "\r\n";
     std::string body = request_body(ask.id);
@@ -122,11 +122,11 @@
         return form;
     }
     const ClassFigures& cls = *found;
-    bool free = cls.effect == Effect::Free;
+    bool free = cls.effect == Idempotency::Idempotent;
     form.as_sent = message.method == (free ? "GET" : "POST") &&
                    message.target == target_of(cls.name, form.id) &&
                    message.body_view() == (free ? "" : request_body(form.id)) &&
-                   (cls.effect == Effect::Guarded) == !key.empty() &&
+                   (cls.effect == Idempotency::IdempotentWithKey) == !key.empty() &&
                    (key.empty() || (form.key && key == idempotency_key(*form.key)));
     return form;
 }
--- a/lab/play/node_config.cpp
+++ b/lab/play/node_config.cpp
@@ -13,11 +13,13 @@
 
 namespace {
 
-const char* word(Effect effect) {
-    return effect == Effect::Free ? "free" : effect == Effect::Guarded ? "guarded" : "single_shot";
+const char* word(Idempotency effect) {
+    return effect == Idempotency::Idempotent          ? "free"
+           : effect == Idempotency::IdempotentWithKey ? "guarded"
+                                                      : "single_shot";
 }
-const char* word(Scope scope) {
-    return scope == Scope::All ? "all" : scope == Scope::Zone ? "zone" : "cell";
+const char* word(DeduplicationScope scope) {
+    return scope == DeduplicationScope::All ? "all" : scope == DeduplicationScope::Zone ? "zone" : "cell";
 }
 
 json::array names(const std::vector<std::string>& from) {
--- a/lab/play/open_loop.cpp
+++ b/lab/play/open_loop.cpp
@@ -369,7 +369,7 @@
             }
             const ClassFigures& cls = day.classes[std::size_t(ask.cls)];
             ask.id = kHostileIds - 1;  // found in the bytes, and replaced
-            if (cls.effect == Effect::Guarded) ask.key = 1;
+            if (cls.effect == Idempotency::IdempotentWithKey) ask.key = 1;
             forms_.push_back(
                 make_template(day, ask, share_.give_up.count() > 0 ? share_.give_up : cls.give_up));
         }
--- a/lab/play/serve.cpp
+++ b/lab/play/serve.cpp
@@ -44,8 +44,8 @@
         text += fmt::format("[[class]]\nname = \"{}\"\npath = \"/{}\"\naim_ms = {:g}\ngive_up_ms = {:g}\n",
                             c.name, c.name, c.aim.count(), c.give_up.count());
         // Without discovery nobody knows of cells: a repeat is safe among all servers, or it is not told of.
-        if (c.effect == Effect::Free) text += "effect = \"free\"\n";
-        if (c.effect == Effect::Guarded && c.scope == Scope::All)
+        if (c.effect == Idempotency::Idempotent) text += "effect = \"free\"\n";
+        if (c.effect == Idempotency::IdempotentWithKey && c.scope == DeduplicationScope::All)
             text += fmt::format("effect = \"keyed\"\nscope = \"all\"\nwindow_ms = {:g}\n", c.window.count());
     }
     for (const std::string& server : servers) text += fmt::format("[[server]]\naddress = \"{}\"\n", server);
--- a/lab/play/server_shell.cpp
+++ b/lab/play/server_shell.cpp
@@ -170,7 +170,7 @@
         in.cls = form.cls;
         in.work = form.work.value_or(cls.work);
         in.wait = form.wait.value_or(cls.wait);
-        if (cls.effect == Effect::Guarded) in.key = form.key;
+        if (cls.effect == Idempotency::IdempotentWithKey) in.key = form.key;
         in.expires_in = form.expires_in;
         auto held = std::make_shared<RequestIn>(in);
         later([self = self_of(), held] { self->reach(*held); });
@@ -258,14 +258,17 @@
                          std::function<void(const ServerIs&)> tell, Options options)
     : loop_(loop), day_(day), tell_(std::move(tell)), options_(options), cuts_(day), random_(seed) {
     // Who drops a repeat of what: as the first keyed class says.
-    auto keyed = std::find_if(day.classes.begin(), day.classes.end(),
-                              [](const ClassFigures& c) { return c.effect == Effect::Guarded; });
-    Scope scope = keyed == day.classes.end() ? Scope::All : keyed->scope;
+    auto keyed = std::find_if(day.classes.begin(), day.classes.end(), [](const ClassFigures& c) {
+        return c.effect == Idempotency::IdempotentWithKey;
+    });
+    DeduplicationScope scope = keyed == day.classes.end() ? DeduplicationScope::All : keyed->scope;
     std::map<int, std::shared_ptr<Server::KeyMemory>> memories;
     std::map<std::string, std::size_t> places;
     for (std::size_t i = 0; i < day.servers.size(); ++i) {
         const ServerFigures& figures = day.servers[i];
-        int group = scope == Scope::All ? 0 : scope == Scope::Zone ? figures.zone : figures.cell;
+        int group = scope == DeduplicationScope::All    ? 0
+                    : scope == DeduplicationScope::Zone ? figures.zone
+                                                        : figures.cell;
         auto& memory = memories[group];
         if (!memory) memory = Server::make_memory();
         machines_.push_back(std::make_unique<Machine>(day, figures, memory, random_()));
--- a/lab/referee/referee.cpp
+++ b/lab/referee/referee.cpp
@@ -498,7 +498,8 @@
 
     bool refusal_binds(const Try& t) const {
         const ClassFigures& cls = day_->classes[std::size_t(t.cls)];
-        return cls.effect == Effect::SingleShot || (cls.effect == Effect::Guarded && cls.scope != Scope::All);
+        return cls.effect == Idempotency::NonIdempotent ||
+               (cls.effect == Idempotency::IdempotentWithKey && cls.scope != DeduplicationScope::All);
     }
 
     void refused_after(const Try& t, const Attempt& a, Ms at) {
@@ -519,23 +520,23 @@
                 pairs_due_ = std::min(pairs_due_, due);
             }
             if (!may_have_run(a)) continue;
-            if (cls.effect == Effect::SingleShot && !named_effect) {
+            if (cls.effect == Idempotency::NonIdempotent && !named_effect) {
                 named_effect = true;
                 breach(Rule::EffectTwice, added.arrived, t, added.server,
                        fmt::format("attempt {} arrived {}, though attempt {} may have run", added.no,
                                    s(added.arrived), a.no),
                        &added);
             }
-            if (cls.effect != Effect::Guarded) continue;
+            if (cls.effect != Idempotency::IdempotentWithKey) continue;
             if (!one_group(cls.scope, a.server, added.server) && !named_group) {
                 named_group = true;
-                breach(
-                    Rule::RepeatElsewhere, added.arrived, t, added.server,
-                    fmt::format(
-                        "attempt {} went to server {}, though attempt {} at server {} of another {} may "
-                        "have run",
-                        added.no, added.server, a.no, a.server, cls.scope == Scope::Zone ? "zone" : "cell"),
-                    &added);
+                breach(Rule::RepeatElsewhere, added.arrived, t, added.server,
+                       fmt::format(
+                           "attempt {} went to server {}, though attempt {} at server {} of another {} may "
+                           "have run",
+                           added.no, added.server, a.no, a.server,
+                           cls.scope == DeduplicationScope::Zone ? "zone" : "cell"),
+                       &added);
             }
             const Ms limit =
                 a.first_byte + cls.window.count() + troubles_.way(added.node, added.server) + slack_;
@@ -550,10 +551,11 @@
         }
     }
 
-    bool one_group(Scope scope, ServerNo a, ServerNo b) const {
+    bool one_group(DeduplicationScope scope, ServerNo a, ServerNo b) const {
         const ServerFigures& x = day_->servers[std::size_t(a)];
         const ServerFigures& y = day_->servers[std::size_t(b)];
-        return scope == Scope::All || (scope == Scope::Zone ? x.zone == y.zone : x.cell == y.cell);
+        return scope == DeduplicationScope::All ||
+               (scope == DeduplicationScope::Zone ? x.zone == y.zone : x.cell == y.cell);
     }
 
     void judge_copies(Ms now) {
@@ -670,7 +672,7 @@
     /// How long a try is remembered once it is over: an effect may be repeated long after it.
     Ms stays(const Try& t) const {
         const ClassFigures& cls = day_->classes[std::size_t(t.cls)];
-        if (cls.effect == Effect::Free) return kLinger;
+        if (cls.effect == Idempotency::Idempotent) return kLinger;
         return std::max(cls.window.count(), kEffectsLinger) + kLinger;
     }
 
--- a/lab/result/tally.cpp
+++ b/lab/result/tally.cpp
@@ -16,8 +16,9 @@
 constexpr std::size_t kWindow = 10;  // seconds of the worst window
 constexpr std::size_t kThirds = 3;
 constexpr const char* kThird[kThirds] = {"first", "second", "last"};
-constexpr std::pair<Effect, const char*> kEffects[] = {
-    {Effect::Free, "free"}, {Effect::Guarded, "keyed"}, {Effect::SingleShot, "single_shot"}};
+constexpr std::pair<Idempotency, const char*> kEffects[] = {{Idempotency::Idempotent, "free"},
+                                                            {Idempotency::IdempotentWithKey, "keyed"},
+                                                            {Idempotency::NonIdempotent, "single_shot"}};
 
 struct OpenCall {
     double began = 0;
--- a/lab/scenario/draw_arrivals.cpp
+++ b/lab/scenario/draw_arrivals.cpp
@@ -170,7 +170,7 @@
         std::vector<Latest> latest(day_.classes.size() * day_.tenants.size());
         for (Arrival& arrival : day_.arrivals) {
             const auto cls = static_cast<std::size_t>(arrival.cls);
-            if (day_.classes[cls].effect != Effect::Guarded) continue;
+            if (day_.classes[cls].effect != Idempotency::IdempotentWithKey) continue;
             Latest& last = latest[cls * day_.tenants.size() + static_cast<std::size_t>(arrival.tenant)];
             const bool again = repeated > 0 && lots.unit() < repeated && last.key != 0 &&
                                arrival.at - last.at < day_.classes[cls].window;
--- a/lab/scenario/draw_fleet.cpp
+++ b/lab/scenario/draw_fleet.cpp
@@ -105,10 +105,12 @@
             ClassFigures& each = day_.classes.emplace_back();
             const std::string &effect = block["effect"].name(), &scope = block["scope"].name();
             each.name = block.entry;
-            each.effect = effect == "free"      ? Effect::Free
-                          : effect == "guarded" ? Effect::Guarded
-                                                : Effect::SingleShot;
-            each.scope = scope == "all" ? Scope::All : scope == "zone" ? Scope::Zone : Scope::Cell;
+            each.effect = effect == "free"      ? Idempotency::Idempotent
+                          : effect == "guarded" ? Idempotency::IdempotentWithKey
+                                                : Idempotency::NonIdempotent;
+            each.scope = scope == "all"    ? DeduplicationScope::All
+                         : scope == "zone" ? DeduplicationScope::Zone
+                                           : DeduplicationScope::Cell;
             each.share = parts[i];
             each.work = drawer_.time(block, "work_ms");
             each.wait = drawer_.time(block, "wait_ms");
--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -7,42 +7,42 @@
 
 Settings settings_of(const Day& day, NodeNo node) {
     Settings set;
-    set.balancers = int(day.nodes.size());
-    set.me = int(node);
+    set.node_count = int(day.nodes.size());
+    set.node_index = int(node);
     set.zone = day.nodes[std::size_t(node)].zone;
     for (const ClassFigures& figures : day.classes) {
         ClassSettings& c = set.classes.emplace_back();
-        c.aim = figures.aim;
-        c.give_up = figures.give_up;
-        c.window = figures.window;
-        c.late_worth = figures.late_worth;
-        c.gain = figures.worth;
-        c.effect = figures.effect;
-        c.scope = figures.scope;
+        c.latency_objective = figures.aim;
+        c.request_timeout = figures.give_up;
+        c.deduplication_window = figures.window;
+        c.late_response_weight = figures.late_worth;
+        c.priority_weight = figures.worth;
+        c.idempotency = figures.effect;
+        c.deduplication_scope = figures.scope;
     }
     for (const TenantFigures& figures : day.tenants)
         set.tenants.push_back({figures.quota_rps, figures.share});
     const Limits& limits = day.limits;
-    set.must_ask = limits.must_ask;
-    set.watches = true;
+    set.polls_discovery = limits.must_ask;
+    set.watches_discovery = true;
     set.probes = limits.probes;
     set.probes_report_load = false;  // reports say what waits, not what is held
     set.cancel = limits.cancel;
-    set.second_copies = limits.second_copies;
+    set.allows_hedging = limits.second_copies;
     set.retry_after = limits.retry_after;
     set.max_attempts = limits.max_attempts;
     set.max_retry_after = limits.max_retry_after;
-    set.granularity = Duration{2};
+    set.clock_granularity = Duration{2};
     set.connect_timeout = limits.connect_timeout;
-    set.conn_idle = limits.conn_idle;
-    set.grace_to_answer = limits.grace;
-    set.cold_time = limits.cold_time;
-    set.cold_from = limits.cold_from;
+    set.connection_idle_timeout = limits.conn_idle;
+    set.response_grace = limits.grace;
+    set.slow_start_duration = limits.cold_time;
+    set.slow_start_initial_capacity = limits.cold_from;
     set.overload_factor = limits.overload_factor;
-    set.tip_after = limits.tip_after;
-    set.over_share_worth = limits.over_share_worth;
-    set.price_cross_zone = limits.price_cross_zone;
-    set.price_probe = limits.price_probe;
+    set.overload_after = limits.tip_after;
+    set.over_quota_weight = limits.over_share_worth;
+    set.cross_zone_cost = limits.price_cross_zone;
+    set.probe_cost = limits.price_probe;
     return set;
 }
 
--- a/lab/sim/sim_front.cpp
+++ b/lab/sim/sim_front.cpp
@@ -65,8 +65,8 @@
         if (auto back = front_.admission_.arrive(front_.scheduler_.now(), knock_)) return turn_away(*back);
         call.request.class_index = ask.cls;
         call.request.tenant = ask.tenant;
-        call.request.client_repeat = ask.marked;
-        call.request.give_up_at = came + ask.patience;
+        call.request.is_client_retry = ask.marked;
+        call.request.deadline = came + ask.patience;
         call.message = std::move(message);
         enter(State::Waiting);
         request_ = front_.engine_.submit(std::move(call), shared_from_this());
--- a/lab/sim/sim_pool.cpp
+++ b/lab/sim/sim_pool.cpp
@@ -17,7 +17,7 @@
         case Ended::Served:
             return Outcome::Ok;
         case Ended::NeverRan:
-            return Outcome::Full;
+            return Outcome::Rejected;
         case Ended::Reset:
             return Outcome::Reset;
         default:
@@ -33,7 +33,7 @@
       world_(world),
       events_(events),
       connect_timeout_(settings.connect_timeout),
-      idle_most_(settings.conn_idle * kIdlePart),
+      idle_most_(settings.connection_idle_timeout * kIdlePart),
       removal_binds_(!settings.removal_not_binding),
       most_connections_(most_connections),
       meddler_(meddler) {
@@ -58,17 +58,17 @@
 }
 
 void SimPool::servers(const Listing& listing) {
-    if (listing.update.kind == ListKind::Failed) return;
-    if (listing.update.kind != ListKind::Delta && removal_binds_)
-        for (ServerId id : sendable_) servers_[id].sendable = false;
+    if (listing.update.kind == UpdateKind::Failed) return;
+    if (listing.update.kind != UpdateKind::Delta && removal_binds_)
+        for (EndpointId id : sendable_) servers_[id].sendable = false;
     for (std::size_t i = 0; i < listing.update.entries.size(); ++i) {
-        const ListEntry& entry = listing.update.entries[i];
-        if (entry.server >= servers_.size()) servers_.resize(entry.server + 1);
-        Server& server = servers_[entry.server];
-        if (server.number == kNobody) sendable_.push_back(entry.server);
+        const EndpointEntry& entry = listing.update.entries[i];
+        if (entry.endpoint >= servers_.size()) servers_.resize(entry.endpoint + 1);
+        Server& server = servers_[entry.endpoint];
+        if (server.number == kNobody) sendable_.push_back(entry.endpoint);
         const std::string& address = listing.addresses[i];
         std::from_chars(address.data(), address.data() + address.size(), server.number);
-        server.sendable = entry.phase == Phase::Ready || (entry.phase == Phase::Gone && !removal_binds_);
+        server.sendable = entry.phase == Phase::Ready || (entry.phase == Phase::Removed && !removal_binds_);
         if (meddler_) {
             ToldPhase phase = entry.phase == Phase::Ready      ? ToldPhase::InService
                               : entry.phase == Phase::Draining ? ToldPhase::Terminating
@@ -76,7 +76,7 @@
             meddler_->told(hands_, server.number, phase);
         }
     }
-    std::erase_if(sendable_, [this](ServerId id) {
+    std::erase_if(sendable_, [this](EndpointId id) {
         if (servers_[id].sendable) return false;
         close_idle(id);
         servers_[id].number = kNobody;
@@ -85,7 +85,7 @@
 }
 
 /// Zero: there is no room for a further connection.
-ConnectionNo SimPool::take(ServerId id, Server& server) {
+ConnectionNo SimPool::take(EndpointId id, Server& server) {
     TimePoint now = scheduler_.now();
     while (!server.idle.empty()) {
         auto settled = [&](ConnectionNo c) { return now - links_.at(c).rested_at >= kSettle; };
@@ -130,7 +130,7 @@
     return true;
 }
 
-void SimPool::start(AttemptId id, ServerId to, std::shared_ptr<const Message> message, Duration patience) {
+void SimPool::start(AttemptId id, EndpointId to, std::shared_ptr<const Message> message, Duration patience) {
     Server* server = find(to);
     ConnectionNo number = server ? take(to, *server) : 0;
     attempts_[id] = number;
@@ -176,7 +176,7 @@
         scheduler_.cancel(std::exchange(link.timer, 0));
         // Guards rule 3: a drain may be told while the connection is still coming up.
         Server* server = find(link.server);
-        if (!server || !server->sendable) return finish(number, Outcome::Moot, nullptr, false);
+        if (!server || !server->sendable) return finish(number, Outcome::NotSent, nullptr, false);
     }
     begin(number, link);
 }
@@ -219,7 +219,7 @@
 void SimPool::finish(ConnectionNo number, Outcome outcome, const LinkAnswer* answer, bool reusable) {
     Link& link = links_.at(number);
     scheduler_.cancel(std::exchange(link.timer, 0));
-    ServerId to = link.server;
+    EndpointId to = link.server;
     AttemptId id = link.attempt;
     bool probe = link.probe, own = link.own;
     Duration took = scheduler_.now() - link.began;
@@ -271,7 +271,7 @@
     return written;
 }
 
-void SimPool::probe(ServerId to, Duration limit) {
+void SimPool::probe(EndpointId to, Duration limit) {
     Server* server = find(to);
     ConnectionNo number = server ? take(to, *server) : 0;
     if (number == 0) {
@@ -290,7 +290,7 @@
     if (link.state == State::Busy) begin(number, link);
 }
 
-void SimPool::close_idle(ServerId id) {
+void SimPool::close_idle(EndpointId id) {
     Server* server = find(id);
     if (!server) return;
     for (ConnectionNo number : std::exchange(server->idle, {})) forget(number, true);
--- a/lab/sim/sim_pool.h
+++ b/lab/sim/sim_pool.h
@@ -16,11 +16,11 @@
             std::size_t most_connections, Meddler* meddler);
 
     void servers(const Listing& listing) override;
-    void start(AttemptId id, ServerId server, std::shared_ptr<const Message> message,
+    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                Duration patience) override;
     bool stop(AttemptId id) override;
-    void probe(ServerId server, Duration limit) override;
-    void close_idle(ServerId server) override;
+    void probe(EndpointId server, Duration limit) override;
+    void close_idle(EndpointId server) override;
 
     void link_up(ConnectionNo connection);
     void link_refused(ConnectionNo connection);
@@ -35,7 +35,7 @@
     struct Link {
         State state = State::Connecting;
         bool probe = false, own = true;  // own: of the engine's; else a meddler's
-        ServerId server = 0;
+        EndpointId server = 0;
         AttemptId attempt;
         std::shared_ptr<const SimMessage> message;
         Duration patience{};
@@ -58,10 +58,10 @@
         }
     };
 
-    Server* find(ServerId id) {
+    Server* find(EndpointId id) {
         return id < servers_.size() && servers_[id].number != kNobody ? &servers_[id] : nullptr;
     }
-    ConnectionNo take(ServerId id, Server& server);
+    ConnectionNo take(EndpointId id, Server& server);
     void begin(ConnectionNo number, Link& link);
     void finish(ConnectionNo number, Outcome outcome, const LinkAnswer* answer, bool reusable);
     void forget(ConnectionNo number, bool close);
@@ -79,7 +79,7 @@
     Meddler* meddler_;
     Meddler::Hands hands_;
     std::vector<Server> servers_;  // by ServerId
-    std::vector<ServerId> sendable_;
+    std::vector<EndpointId> sendable_;
     boost::unordered_flat_map<ConnectionNo, Link> links_;
     boost::unordered_flat_map<AttemptId, ConnectionNo, IdHash, IdSame> attempts_;
     std::deque<std::pair<TimePoint, ConnectionNo>>
--- a/lab/sim/sim_watch.cpp
+++ b/lab/sim/sim_watch.cpp
@@ -8,7 +8,7 @@
 
 Phase phase_of(ToldPhase phase) {
     if (phase == ToldPhase::InService) return Phase::Ready;
-    return phase == ToldPhase::Terminating ? Phase::Draining : Phase::Gone;
+    return phase == ToldPhase::Terminating ? Phase::Draining : Phase::Removed;
 }
 
 }  // namespace
@@ -18,7 +18,7 @@
 
 void SimWatch::cached(const ListOut& known) {
     Listing listing = listing_of(known);
-    listing.update.kind = ListKind::Cached;
+    listing.update.kind = UpdateKind::Cached;
     if (known.complete && !known.members.empty()) happens(discovery::Known{known.revision});
     heard_(listing);
 }
@@ -75,26 +75,26 @@
     if (take && list) heard_(listing_of(*list));
     if (!failed) return;
     Listing listing;
-    listing.update.kind = ListKind::Failed;
+    listing.update.kind = UpdateKind::Failed;
     heard_(listing);
 }
 
 Listing SimWatch::listing_of(const ListOut& list) {
     Listing listing;
-    listing.update.kind = list.complete ? ListKind::Full : ListKind::Delta;
+    listing.update.kind = list.complete ? UpdateKind::Full : UpdateKind::Delta;
     listing.update.entries.reserve(list.members.size());
     listing.addresses.reserve(list.members.size());
     for (const Listed& member : list.members) {
         const ServerFigures& figures = day_.servers[std::size_t(member.server)];
-        ListEntry& entry = listing.update.entries.emplace_back();
+        EndpointEntry& entry = listing.update.entries.emplace_back();
         auto [known, fresh] = ids_.try_emplace(member.server, next_id_ + 1);
         if (fresh) ++next_id_;
-        entry.server = known->second;
+        entry.endpoint = known->second;
         entry.key = std::uint64_t(member.server) + 1;
         entry.zone = figures.zone;
         entry.kind = figures.kind;
         entry.cell = figures.cell;
-        entry.size = figures.size;
+        entry.weight = figures.size;
         entry.phase = phase_of(member.phase);
         if (member.started != TimePoint{}) entry.last_start = member.started;
         listing.addresses.push_back(std::to_string(member.server));
--- a/lab/sim/sim_watch.h
+++ b/lab/sim/sim_watch.h
@@ -32,8 +32,8 @@
     Scheduler& scheduler_;
     NodeWorld& world_;
     Heard heard_;
-    std::unordered_map<ServerNo, ServerId> ids_;  // looked up only; never walked but to be cut
-    ServerId next_id_ = 0;
+    std::unordered_map<ServerNo, EndpointId> ids_;  // looked up only; never walked but to be cut
+    EndpointId next_id_ = 0;
     discovery::Watch watch_;
     std::vector<std::pair<discovery::CallNo, ListCall>> out_;  // at most two
     TimerId timer_ = 0;
--- a/lab/tests/clients_test.cpp
+++ b/lab/tests/clients_test.cpp
@@ -24,7 +24,7 @@
     return (at - TimePoint{kStart}).count();
 }
 
-Day make_day(Effect effect, const std::vector<double>& arrivals, int nodes = 1) {
+Day make_day(Idempotency effect, const std::vector<double>& arrivals, int nodes = 1) {
     Day day;
     day.length = Duration{5000};
     ClassFigures cls;
@@ -138,7 +138,8 @@
             EXPECT_EQ(ask.id, unread) << "only what crossed a close on a used connection";
             EXPECT_EQ(line.asked, 0) << "on a fresh one";
         }
-        EXPECT_FALSE(call.may_have_run && day.classes[std::size_t(ask.cls)].effect == Effect::SingleShot);
+        EXPECT_FALSE(call.may_have_run &&
+                     day.classes[std::size_t(ask.cls)].effect == Idempotency::NonIdempotent);
         Duration most = day.classes[std::size_t(ask.cls)].give_up;
         EXPECT_LT(now, call.began + most);
         EXPECT_LE(ms(now + ask.patience), ms(call.began + most) + 1e-6);
@@ -230,7 +231,7 @@
                            {1, 5000, 0, 999, {0}},                 // beyond its time: over at once
                            {0, 300, 0, 200, {0, 1, 2, 3}},         // ignored, at once
                            {0, 300, 30, 200, {0, 31, 62, 93}}}) {  // ignored, after its own wait
-        Day day = make_day(Effect::SingleShot, {0});
+        Day day = make_day(Idempotency::NonIdempotent, {0});
         day.clients.honours = c.honours;
         day.clients.most_honoured = Duration{c.most};
         day.clients.retry_after_wait = Duration{c.wait};
@@ -246,7 +247,7 @@
 }
 
 TEST(Clients, APartOfThemHeedsAdvice) {
-    Day day = make_day(Effect::Free, Times(4000, 0));
+    Day day = make_day(Idempotency::Idempotent, Times(4000, 0));
     day.clients.honours = 0.3;
     day.clients.tries = 1;
     Host host(day);
@@ -258,7 +259,7 @@
 }
 
 TEST(Clients, ATryThatIsNotAnsweredIsGivenUpAndRepeatedWithinTheCallsTime) {
-    Host host(make_day(Effect::Free, {0}));
+    Host host(make_day(Idempotency::Idempotent, {0}));
     host.asked = [&](const Ask& ask) {
         if (!ask.repeat) host.answer(ask, Heard::Served, 500.5);  // crosses the close: it is too late
     };
@@ -275,26 +276,27 @@
 TEST(Clients, WhatMayHaveRunIsRepeatedOnlyAsItsClassAllows) {
     enum How { kFails, kTimesOut, kLost, kUnread, kRefuses, kUnreadTwice };
     struct Case {
-        Effect effect;
-        Scope scope;
+        Idempotency effect;
+        DeduplicationScope scope;
         double after;  ///< each try ends after this
         How how;
         std::size_t tries;
     };
     for (const Case& c :
-         std::vector<Case>{{Effect::Free, Scope::All, 150, kFails, 4},
-                           {Effect::Free, Scope::All, 150, kLost, 4},
-                           {Effect::SingleShot, Scope::All, 150, kFails, 1},
-                           {Effect::SingleShot, Scope::All, 150, kLost, 1},
-                           {Effect::SingleShot, Scope::All, 0, kTimesOut, 1},
-                           {Effect::SingleShot, Scope::All, 150, kUnread, 4},
-                           {Effect::SingleShot, Scope::All, 150, kRefuses, 4},
-                           {Effect::Guarded, Scope::Cell, 150, kFails, 1},
-                           {Effect::Guarded, Scope::Cell, 150, kRefuses, 4},
-                           {Effect::Guarded, Scope::All, 150, kFails, 3},
-                           {Effect::Guarded, Scope::All, 150, kUnread, 4},
-                           {Effect::Guarded, Scope::All, 150, kUnreadTwice, 4},  // its window has not begun
-                           {Effect::Guarded, Scope::All, 0, kTimesOut, 1}}) {
+         std::vector<Case>{{Idempotency::Idempotent, DeduplicationScope::All, 150, kFails, 4},
+                           {Idempotency::Idempotent, DeduplicationScope::All, 150, kLost, 4},
+                           {Idempotency::NonIdempotent, DeduplicationScope::All, 150, kFails, 1},
+                           {Idempotency::NonIdempotent, DeduplicationScope::All, 150, kLost, 1},
+                           {Idempotency::NonIdempotent, DeduplicationScope::All, 0, kTimesOut, 1},
+                           {Idempotency::NonIdempotent, DeduplicationScope::All, 150, kUnread, 4},
+                           {Idempotency::NonIdempotent, DeduplicationScope::All, 150, kRefuses, 4},
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::Cell, 150, kFails, 1},
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::Cell, 150, kRefuses, 4},
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::All, 150, kFails, 3},
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::All, 150, kUnread, 4},
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::All, 150, kUnreadTwice,
+                            4},  // its window has not begun
+                           {Idempotency::IdempotentWithKey, DeduplicationScope::All, 0, kTimesOut, 1}}) {
         Day day = make_day(c.effect, {0});  // a keyed class's window is 400 ms
         day.classes[0].scope = c.scope;
         Host host(day);
@@ -309,7 +311,7 @@
         host.run();
         EXPECT_EQ(host.asks.size(), c.tries) << int(c.effect) << int(c.scope) << ' ' << c.how;
         for (const auto& ask : host.asks) {
-            EXPECT_EQ(ask.key.has_value(), c.effect == Effect::Guarded);
+            EXPECT_EQ(ask.key.has_value(), c.effect == Idempotency::IdempotentWithKey);
             EXPECT_EQ(ask.key.value_or(77), 77u);
         }
         EXPECT_EQ(host.losses.size(), c.how == kLost || c.how == kUnread ? c.tries
@@ -320,7 +322,7 @@
 }
 
 TEST(Clients, TheImpatientLeaveForGoodEachAtAMomentOfItsOwn) {
-    Day day = make_day(Effect::Free, Times(4000, 0));
+    Day day = make_day(Idempotency::Idempotent, Times(4000, 0));
     day.clients.impatient = 0.06;
     Host host(day);
     host.run();
@@ -334,7 +336,7 @@
 }
 
 TEST(Clients, AWakeThatComesLateHidesNoWaiting) {
-    Host host(make_day(Effect::Free, {0, 500, 2000}));
+    Host host(make_day(Idempotency::Idempotent, {0, 500, 2000}));
     host.asked = [&](const Ask& ask) { host.answer(ask, Heard::Served); };
     host.wake = kNever;  // the host is held up
     host.now = t(1100);
@@ -351,7 +353,7 @@
 TEST(FrontLayer, SpreadsEvenlyAndNoticesADeathLate) {
     Times arrivals;
     for (int i = 0; i < 400; ++i) arrivals.push_back(i * 10);
-    Day day = make_day(Effect::Free, arrivals, 3);
+    Day day = make_day(Idempotency::Idempotent, arrivals, 3);
     day.nodes[2].zone = 1;  // all clients are in the first zone
     day.front_notice = Duration{500};
     Host host(day);
@@ -387,7 +389,7 @@
 }
 
 TEST(FrontLayer, UsesOtherZonesNodesAndFailsWhereThereIsNone) {
-    Day day = make_day(Effect::SingleShot, {0, 100, 200}, 2);
+    Day day = make_day(Idempotency::NonIdempotent, {0, 100, 200}, 2);
     day.nodes[0].zone = day.nodes[1].zone = 1;
     day.front_notice = Duration{0};
     day.clients.retry_after_wait = Duration{20};
@@ -411,7 +413,7 @@
 }
 
 TEST(Clients, ARequestThatCrossesACloseIsSentOnceMoreAndNeverTwice) {
-    Day day = make_day(Effect::SingleShot, {0, 100});
+    Day day = make_day(Idempotency::NonIdempotent, {0, 100});
     day.clients.tries = 0;
     Host host(day);
     host.asked = [&](const Ask& ask) {
@@ -431,7 +433,7 @@
 }
 
 TEST(Clients, ConnectionsAreReusedLatestFirstAndKeptUpToTheirMost) {
-    Day day = make_day(Effect::Free, {0, 0, 0, 0, 100, 101});
+    Day day = make_day(Idempotency::Idempotent, {0, 0, 0, 0, 100, 101});
     day.clients.connections_kept = 2;
     Host host(day);
     host.asked = [&](const Ask& ask) { host.answer(ask, Heard::Served, 10 + double(ask.call)); };
@@ -450,7 +452,7 @@
 TEST(Clients, OneTimeConnectionsStayAndAreBounded) {
     Times arrivals;
     for (std::size_t i = 0; i < kMostKeptForGood + 50; ++i) arrivals.push_back(double(i) * 0.1);
-    Day day = make_day(Effect::Free, arrivals);
+    Day day = make_day(Idempotency::Idempotent, arrivals);
     day.clients.once = 1;
     Host host(day);
     host.asked = [&](const Ask& ask) { host.answer(ask, Heard::Served, 0.05); };
@@ -460,7 +462,7 @@
 }
 
 TEST(Clients, WhoeverOfTheCrowdWasNotServedAsksSoonerThanHeThinksAndNoSoonerThanAdvised) {
-    Day day = make_day(Effect::Free, {}, 1);
+    Day day = make_day(Idempotency::Idempotent, {}, 1);
     day.clients.population = 1;
     day.clients.tries = 0;
     day.clients.think = Duration{2000};
@@ -493,7 +495,7 @@
 
 TEST(Clients, ACrowdThatThinksUnevenlyDoesNotStayInStep) {
     for (double spread : {0.0, 0.8}) {
-        Day day = make_day(Effect::Free, {}, 1);
+        Day day = make_day(Idempotency::Idempotent, {}, 1);
         day.classes[0].give_up = Duration{4000};
         day.clients.population = 100;
         day.clients.think = Duration{1000};
@@ -515,7 +517,7 @@
 }
 
 TEST(Clients, TheCrowdReconnectsAtOnceWhenItsNodeGoesAndStopsWithTheDay) {
-    Day day = make_day(Effect::Free, {0}, 2);
+    Day day = make_day(Idempotency::Idempotent, {0}, 2);
     day.clients.population = 50;
     day.front_notice = Duration{0};
     Host host(day);
@@ -542,7 +544,7 @@
 }
 
 TEST(Clients, AFloodIsRenewedAtABoundedRateAndEnds) {
-    Day day = make_day(Effect::Free, {4000});
+    Day day = make_day(Idempotency::Idempotent, {4000});
     Fault& fault = day.faults.emplace_back();
     fault.kind = FaultKind::ConnectionFlood;
     fault.at = Duration{1000};
@@ -566,7 +568,7 @@
 }
 
 TEST(Clients, HostileOnesSendEveryKindOfNoiseAndLeaveInTime) {
-    Day day = make_day(Effect::Free, {}, 2);
+    Day day = make_day(Idempotency::Idempotent, {}, 2);
     day.length = Duration{30000};
     Fault& fault = day.faults.emplace_back();
     fault.kind = FaultKind::Hostile;
@@ -592,7 +594,7 @@
 TEST(Clients, MemoryIsThatOfOpenCalls) {
     Times arrivals;
     for (int i = 0; i < 60000; ++i) arrivals.push_back(i * 0.02);
-    Host host(make_day(Effect::Free, arrivals, 2));
+    Host host(make_day(Idempotency::Idempotent, arrivals, 2));
     host.asked = [&](const Ask& ask) { host.answer(ask, Heard::Served, 2); };
     host.run();
     EXPECT_TRUE(host.core.done());
@@ -605,9 +607,9 @@
     auto pick = [&](std::uint64_t n) { return random() % n; };
     Times arrivals;
     for (int i = 0; i < 400; ++i) arrivals.push_back(double(i * 5));
-    Day day = make_day(Effect::Free, arrivals, 4);
+    Day day = make_day(Idempotency::Idempotent, arrivals, 4);
     day.length = Duration{2000};
-    for (Effect effect : {Effect::Guarded, Effect::SingleShot}) {
+    for (Idempotency effect : {Idempotency::IdempotentWithKey, Idempotency::NonIdempotent}) {
         day.classes.push_back(day.classes[0]);
         day.classes.back().effect = effect;
     }
--- a/lab/tests/engine_test.cpp
+++ b/lab/tests/engine_test.cpp
@@ -31,7 +31,7 @@
 
     explicit Servers(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
     void servers(const Listing&) override {}
-    void start(AttemptId id, ServerId, std::shared_ptr<const Message> message, Duration) override {
+    void start(AttemptId id, EndpointId, std::shared_ptr<const Message> message, Duration) override {
         auto [outcome, after] = fate(id);
         ++started;
         out_[{id.request, id.attempt}] = std::move(message);
@@ -43,10 +43,10 @@
         });
     }
     bool stop(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
-    void probe(ServerId server, Duration) override {
+    void probe(EndpointId server, Duration) override {
         scheduler_.post([this, server] { events->probe_ended(server, Duration{1}, Outcome::Ok, {}); });
     }
-    void close_idle(ServerId) override {}
+    void close_idle(EndpointId) override {}
 
     Fate fate;
     UpstreamEvents* events = nullptr;
@@ -80,8 +80,8 @@
         engine.connect(servers, registry);
         Listing listing;
         for (int i = 0; i < listed; ++i) {
-            ListEntry& entry = listing.update.entries.emplace_back();
-            entry.server = ServerId(i + 1);
+            EndpointEntry& entry = listing.update.entries.emplace_back();
+            entry.endpoint = EndpointId(i + 1);
             entry.zone = 0;
             listing.addresses.emplace_back();
         }
@@ -94,16 +94,17 @@
         set.cancel = true;
         set.retry_after = true;
         set.max_retry_after = Duration{1200};
-        set.grace_to_answer = Duration{8};
+        set.response_grace = Duration{8};
         set.probes = true;
-        set.price_probe = 0.03;
-        for (Effect effect : {Effect::Free, Effect::SingleShot, Effect::Guarded}) {
+        set.probe_cost = 0.03;
+        for (Idempotency effect :
+             {Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::IdempotentWithKey}) {
             ClassSettings c;
-            c.aim = Duration{150};
-            c.give_up = Duration{600};
-            c.window = Duration{2000};
-            c.late_worth = 0.5;
-            c.effect = effect;
+            c.latency_objective = Duration{150};
+            c.request_timeout = Duration{600};
+            c.deduplication_window = Duration{2000};
+            c.late_response_weight = 0.5;
+            c.idempotency = effect;
             set.classes.push_back(c);
         }
         return set;
@@ -111,7 +112,7 @@
     std::shared_ptr<Client> ask(int cls, double patience) {
         Call call;
         call.request.class_index = cls;
-        call.request.give_up_at = engine.now() + Duration{patience};
+        call.request.deadline = engine.now() + Duration{patience};
         call.message = std::make_shared<Body>(bodies);
         auto client = std::make_shared<Client>();
         ids.push_back(engine.submit(std::move(call), client));
@@ -179,7 +180,7 @@
     std::shared_ptr<Client> client;
     rig.servers.fate = [&](AttemptId id) {
         if (id.attempt == 0) rig.scheduler.call_at(TimePoint{Duration{5}}, [&] { client->left = true; });
-        return std::pair(Outcome::Full, 20.0);
+        return std::pair(Outcome::Rejected, 20.0);
     };
     client = rig.ask(0, 500);
     rig.run_to(400);
@@ -242,9 +243,9 @@
 TEST(Engine, HasServersOnceOneIsReady) {
     Rig rig(0);
     Listing listing;
-    for (Phase phase : {Phase::Draining, Phase::Gone}) {
-        ListEntry& entry = listing.update.entries.emplace_back();
-        entry.server = ServerId(listing.addresses.size() + 1);
+    for (Phase phase : {Phase::Draining, Phase::Removed}) {
+        EndpointEntry& entry = listing.update.entries.emplace_back();
+        entry.endpoint = EndpointId(listing.addresses.size() + 1);
         entry.phase = phase;
         listing.addresses.emplace_back();
     }
@@ -264,7 +265,7 @@
         Rig rig(int(1 + random.next() % 4), seed);
         rig.servers.fate = [&](AttemptId) {
             static constexpr Outcome kAll[] = {
-                Outcome::Ok,      Outcome::Ok,    Outcome::Error,         Outcome::Full,
+                Outcome::Ok,      Outcome::Ok,    Outcome::Error,         Outcome::Rejected,
                 Outcome::Timeout, Outcome::Reset, Outcome::ConnectFailed, Outcome::Ok};
             double after = random.uniform() < 0.15 ? -1 : 200 * random.uniform() * random.uniform();
             return std::pair(kAll[random.next() % 8], after);
--- a/lab/tests/explore_test.cpp
+++ b/lab/tests/explore_test.cpp
@@ -31,16 +31,17 @@
     set.cancel = true;
     set.retry_after = true;
     set.max_retry_after = Duration{1200};
-    set.grace_to_answer = Duration{8};
-    set.price_probe = 0.03;
+    set.response_grace = Duration{8};
+    set.probe_cost = 0.03;
     set.connect_timeout = Duration{75};
-    for (Effect effect : {Effect::Free, Effect::SingleShot, Effect::Guarded}) {
+    for (Idempotency effect :
+         {Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::IdempotentWithKey}) {
         ClassSettings c;
-        c.aim = Duration{150};
-        c.give_up = Duration{600};
-        c.window = Duration{2000};
-        c.late_worth = 0.5;
-        c.effect = effect;
+        c.latency_objective = Duration{150};
+        c.request_timeout = Duration{600};
+        c.deduplication_window = Duration{2000};
+        c.late_response_weight = 0.5;
+        c.idempotency = effect;
         set.classes.push_back(c);
     }
     set.tenants = {{100, 0.6}, {100, 0.4}};
@@ -54,7 +55,7 @@
 
     explicit Fleet(VirtualScheduler& scheduler) : scheduler_(scheduler) { does.fill(Does::Answers); }
     void servers(const Listing&) override {}
-    void start(AttemptId id, ServerId server, std::shared_ptr<const Message>, Duration) override {
+    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
         auto key = std::pair(id.request, id.attempt);
         out_[key] = server;
         double after = 1;
@@ -71,7 +72,7 @@
         });
     }
     bool stop(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
-    void probe(ServerId server, Duration limit) override {
+    void probe(EndpointId server, Duration limit) override {
         double after = 1;
         Outcome how = outcome(server, after);
         if (how == Outcome::Timeout) after = limit.count();
@@ -79,20 +80,20 @@
             events->probe_ended(server, Duration{after}, how, {});
         });
     }
-    void close_idle(ServerId) override {}
+    void close_idle(EndpointId) override {}
 
     std::array<Does, kServers> does;
     UpstreamEvents* events = nullptr;
 
 private:
-    Outcome outcome(ServerId server, double& after) const {
+    Outcome outcome(EndpointId server, double& after) const {
         switch (does[server % kServers]) {
             case Does::Silent:
                 return Outcome::Timeout;
             case Does::Errs:
                 return Outcome::Error;
             case Does::TurnsAway:
-                return Outcome::Full;
+                return Outcome::Rejected;
             case Does::Resets:
                 return Outcome::Reset;
             case Does::Unreachable:
@@ -107,7 +108,7 @@
     }
 
     VirtualScheduler& scheduler_;
-    std::map<std::pair<RequestId, int>, ServerId> out_;
+    std::map<std::pair<RequestId, int>, EndpointId> out_;
     std::array<std::array<TimePoint, 2>, kServers> free_at_{};
     std::uint64_t turn_ = 0;
 };
@@ -121,24 +122,24 @@
           listed_(listed) {
         fleet.events = &engine;
         engine.connect(fleet, *this);
-        list(ListKind::Full, (1 << listed) - 1);
+        list(UpdateKind::Full, (1 << listed) - 1);
     }
     /// Asked for a list, it has none to add: the caller says when one changes.
     void watch() override {
         scheduler.call_at(scheduler.now() + Duration{100}, [this] {
             Listing none;
-            none.update.kind = failing ? ListKind::Failed : ListKind::Delta;
+            none.update.kind = failing ? UpdateKind::Failed : UpdateKind::Delta;
             engine.listed(none);
         });
     }
-    void list(ListKind kind, int mask) {
+    void list(UpdateKind kind, int mask) {
         Listing listing;
         listing.update.kind = kind;
         for (int i = 0; i < listed_; ++i) {
             bool in = mask >> i & 1;
-            if (!in && kind == ListKind::Full) continue;
-            ListEntry& entry = listing.update.entries.emplace_back();
-            entry.server = ServerId(i);
+            if (!in && kind == UpdateKind::Full) continue;
+            EndpointEntry& entry = listing.update.entries.emplace_back();
+            entry.endpoint = EndpointId(i);
             entry.zone = 0;
             entry.phase = in ? Phase::Ready : Phase::Draining;
             listing.addresses.emplace_back();
@@ -175,8 +176,8 @@
         Call call;
         call.request.class_index = cls_;
         call.request.tenant = tenant_;
-        call.request.client_repeat = knock_.repeat;
-        call.request.give_up_at = now + Duration{patience_};
+        call.request.is_client_retry = knock_.repeat;
+        call.request.deadline = now + Duration{patience_};
         call.message = std::make_shared<Message>();
         entered_ = now;
         auto caller = std::make_shared<Hears>(*this);
@@ -246,10 +247,10 @@
         std::uint32_t what = event >> 18;
         switch (event & 0xf) {
             case 0:
-                node.list(ListKind::Full, int(what % 8));
+                node.list(UpdateKind::Full, int(what % 8));
                 break;
             case 1:
-                node.list(ListKind::Delta, int(what % 8));
+                node.list(UpdateKind::Delta, int(what % 8));
                 break;
             case 2:
                 node.failing = what & 1;
@@ -279,7 +280,7 @@
     // All heals.
     node.failing = false;
     node.fleet.does.fill(Fleet::Does::Answers);
-    node.list(ListKind::Full, 7);
+    node.list(UpdateKind::Full, 7);
     node.run_to(now + kHealsWithin);
     Seen seen;
     for (const auto& client : clients) {
--- a/lab/tests/play_rig.h
+++ b/lab/tests/play_rig.h
@@ -31,10 +31,10 @@
     ClassFigures look, buy, change;
     look.name = "look";
     buy.name = "buy";
-    buy.effect = Effect::SingleShot;
+    buy.effect = Idempotency::NonIdempotent;
     change.name = "change";
-    change.effect = Effect::Guarded;
-    change.scope = Scope::Cell;
+    change.effect = Idempotency::IdempotentWithKey;
+    change.scope = DeduplicationScope::Cell;
     change.window = Duration{6000};
     day.classes = {look, buy, change};
     for (ClassFigures& c : day.classes) {
--- a/lab/tests/referee_test.cpp
+++ b/lab/tests/referee_test.cpp
@@ -26,11 +26,11 @@
 Day a_day() {
     Day day;
     day.network = {{"a", "b"}, {{1, 3}, {3, 1}}, 1, 0, 0};
-    for (auto [effect, scope] : {std::pair{Effect::Free, Scope::All},
-                                 {Effect::SingleShot, Scope::All},
-                                 {Effect::Guarded, Scope::Cell},
-                                 {Effect::Guarded, Scope::All},
-                                 {Effect::Guarded, Scope::Zone}}) {
+    for (auto [effect, scope] : {std::pair{Idempotency::Idempotent, DeduplicationScope::All},
+                                 {Idempotency::NonIdempotent, DeduplicationScope::All},
+                                 {Idempotency::IdempotentWithKey, DeduplicationScope::Cell},
+                                 {Idempotency::IdempotentWithKey, DeduplicationScope::All},
+                                 {Idempotency::IdempotentWithKey, DeduplicationScope::Zone}}) {
         ClassFigures cls;
         cls.effect = effect;
         cls.scope = scope;
--- a/lab/tests/result_test.cpp
+++ b/lab/tests/result_test.cpp
@@ -134,7 +134,7 @@
 TEST(Tally, FloorsShowAClassThatIsStarvedAndWhen) {
     Day day = make_day();
     day.length = Duration(31000);  // thirds of 10 s from 1 s on
-    day.classes[1].effect = Effect::SingleShot;
+    day.classes[1].effect = Idempotency::NonIdempotent;
     Book book(day);
     CallId id = 1;
     for (int second = 1; second < 31; ++second) {
--- a/lab/tests/saboteurs_test.cpp
+++ b/lab/tests/saboteurs_test.cpp
@@ -93,7 +93,7 @@
 constexpr ServerNo kFirst = 6;  // servers at the start
 
 bool may_have_run(Outcome outcome) {
-    return outcome != Outcome::ConnectFailed && outcome != Outcome::Full && outcome != Outcome::Moot;
+    return outcome != Outcome::ConnectFailed && outcome != Outcome::Rejected && outcome != Outcome::NotSent;
 }
 
 class Saboteur : public Meddler {
--- a/lab/tests/scenario_test.cpp
+++ b/lab/tests/scenario_test.cpp
@@ -209,7 +209,7 @@
         double keyed = 0, repeats = 0;
         for (const Arrival& each : day.arrivals) {
             const ClassFigures& cls = day.classes[std::size_t(each.cls)];
-            ASSERT_EQ(each.key != 0, cls.effect == Effect::Guarded);
+            ASSERT_EQ(each.key != 0, cls.effect == Idempotency::IdempotentWithKey);
             if (each.key == 0) continue;
             ++keyed;
             const auto [known, fresh] = first.emplace(each.key, each);
--- a/lab/tests/watch_clocks_test.cpp
+++ b/lab/tests/watch_clocks_test.cpp
@@ -59,31 +59,31 @@
                 nodes[i].revision = revision, nodes[i].heard_at = now;
             if (std::holds_alternative<discovery::TellFailed>(action)) {
                 ++nodes[i].failed;
-                if (nodes[i].module) tell(i, ListUpdate{ListKind::Failed, {}});
+                if (nodes[i].module) tell(i, EndpointUpdate{UpdateKind::Failed, {}});
             }
             if (std::holds_alternative<discovery::TakeList>(action) && nodes[i].module)
-                tell(i, ListUpdate{ListKind::Delta, {}});
+                tell(i, EndpointUpdate{UpdateKind::Delta, {}});
         }
     }
     /// From now on each node has its module, which says when to ask again.
     void drive() {
         Settings set;
-        set.must_ask = set.watches = true;
+        set.polls_discovery = set.watches_discovery = true;
         set.probes = false;
-        set.balancers = int(nodes.size());
+        set.node_count = int(nodes.size());
         set.classes.resize(1);
         for (std::size_t i = 0; i < nodes.size(); ++i) {
-            set.me = int(i);
+            set.node_index = int(i);
             nodes[i].module.emplace(set, i * 31 + 7);
-            tell(i, ListUpdate{ListKind::Cached, {}});
+            tell(i, EndpointUpdate{UpdateKind::Cached, {}});
         }
     }
     void tell(std::size_t i, const Event& event) {
         Actions actions;
         nodes[i].module->handle(now, event, actions);
         for (const Action& action : actions) {
-            if (const auto* wake = std::get_if<WakeAt>(&action)) nodes[i].module_wake = wake->at;
-            if (std::holds_alternative<WatchList>(action))
+            if (const auto* wake = std::get_if<SetTimer>(&action)) nodes[i].module_wake = wake->at;
+            if (std::holds_alternative<WatchEndpoints>(action))
                 later[now].push_back(
                     [this, i] { hand(i, discovery::Asked{}); });  // never from inside the call
         }
@@ -158,7 +158,8 @@
             for (std::size_t i = 0; i < nodes.size(); ++i)
                 if (nodes[i].wake <= now) nodes[i].wake = TimePoint::max(), hand(i, discovery::WatchWoken{});
             for (std::size_t i = 0; i < nodes.size(); ++i)
-                if (nodes[i].module_wake <= now) nodes[i].module_wake = TimePoint::max(), tell(i, Woken{});
+                if (nodes[i].module_wake <= now)
+                    nodes[i].module_wake = TimePoint::max(), tell(i, TimerFired{});
         }
         now = end;
     }
--- a/src/admin/side.cpp
+++ b/src/admin/side.cpp
@@ -45,11 +45,11 @@
 }
 
 void Side::listed(const Listing& listing) {
-    const ListUpdate& update = listing.update;
-    if (update.kind == ListKind::Failed) return;
-    if (update.kind != ListKind::Delta) ids_.clear();
+    const EndpointUpdate& update = listing.update;
+    if (update.kind == UpdateKind::Failed) return;
+    if (update.kind != UpdateKind::Delta) ids_.clear();
     for (std::size_t i = 0; i < update.entries.size(); ++i)
-        if (update.entries[i].phase == Phase::Gone)
+        if (update.entries[i].phase == Phase::Removed)
             ids_.erase(listing.ids[i]);
         else
             ids_.insert(listing.ids[i]);
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -152,10 +152,10 @@
     Settings own{{},   {},     {}, room, settings.retry_after ? settings.max_retry_after : Duration{0},
                  seed, bounded};
     for (const ClassSettings& c : settings.classes) {
-        own.worth.push_back(c.gain);
-        own.give_up.push_back(c.give_up);
+        own.worth.push_back(c.priority_weight);
+        own.give_up.push_back(c.request_timeout);
     }
-    for (const TenantSettings& t : settings.tenants) own.shares.push_back(t.share);
+    for (const TenantSettings& t : settings.tenants) own.shares.push_back(t.fair_share);
     return AdmissionController(own);
 }
 
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -109,7 +109,7 @@
 
     /// Of a client's.
     void connection_opened(TimePoint now) { load_state_.opened(now); }
-    void listed(TimePoint now, const ListUpdate& update) { load_state_.listed(now, update); }
+    void listed(TimePoint now, const EndpointUpdate& update) { load_state_.listed(now, update); }
     /// To be called now and then: how the weather has changed since.
     std::optional<LoadState::Change> look(TimePoint now) { return load_state_.look(now); }
     const LoadState& load_state() const { return load_state_; }
--- a/src/admission/load_state.cpp
+++ b/src/admission/load_state.cpp
@@ -17,14 +17,14 @@
 constexpr int kOtherFor = 2;
 constexpr int kOverFor = 8;  // ... and before it is over
 
-bool sorted_has(const std::vector<ServerId>& ids, ServerId id) {
+bool sorted_has(const std::vector<EndpointId>& ids, EndpointId id) {
     return std::binary_search(ids.begin(), ids.end(), id);
 }
-void sorted_put(std::vector<ServerId>& ids, ServerId id) {
+void sorted_put(std::vector<EndpointId>& ids, EndpointId id) {
     auto at = std::lower_bound(ids.begin(), ids.end(), id);
     if (at == ids.end() || *at != id) ids.insert(at, id);
 }
-void sorted_drop(std::vector<ServerId>& ids, ServerId id) {
+void sorted_drop(std::vector<EndpointId>& ids, EndpointId id) {
     auto at = std::lower_bound(ids.begin(), ids.end(), id);
     if (at != ids.end() && *at == id) ids.erase(at);
 }
@@ -42,7 +42,7 @@
 
 std::size_t LoadState::bytes() const {
     return sizeof(*this) + classes_.capacity() * sizeof(Class) + tenants_.capacity() * sizeof(Tenant) +
-           (ready_.capacity() + draining_.capacity()) * sizeof(ServerId);
+           (ready_.capacity() + draining_.capacity()) * sizeof(EndpointId);
 }
 
 LoadState::Step& LoadState::step(TimePoint now) {
@@ -84,35 +84,35 @@
     ++s.answers;
 }
 
-void LoadState::listed(TimePoint now, const ListUpdate& update) {
-    if (update.kind == ListKind::Failed) return;
+void LoadState::listed(TimePoint now, const EndpointUpdate& update) {
+    if (update.kind == UpdateKind::Failed) return;
     step(now);
     std::size_t place = at_ % joined_.size();
-    std::vector<ServerId> before;
-    if (update.kind != ListKind::Delta) {
+    std::vector<EndpointId> before;
+    if (update.kind != UpdateKind::Delta) {
         before = std::exchange(ready_, {});
         draining_.clear();
     }
-    const std::vector<ServerId>& known = update.kind != ListKind::Delta ? before : ready_;
-    for (const ListEntry& entry : update.entries) {
-        bool was = sorted_has(known, entry.server);
+    const std::vector<EndpointId>& known = update.kind != UpdateKind::Delta ? before : ready_;
+    for (const EndpointEntry& entry : update.entries) {
+        bool was = sorted_has(known, entry.endpoint);
         if (entry.phase == Phase::Ready) {
             bool young = entry.last_start && now - *entry.last_start < kFresh;
             if (listed_ && !was && young && joined_[place] < UINT8_MAX) ++joined_[place];
-            sorted_put(ready_, entry.server);
-            sorted_drop(draining_, entry.server);
+            sorted_put(ready_, entry.endpoint);
+            sorted_drop(draining_, entry.endpoint);
             continue;
         }
         if (entry.phase == Phase::Draining) {
-            if (was && !sorted_has(draining_, entry.server) && left_[place] < UINT8_MAX) ++left_[place];
-            sorted_put(draining_, entry.server);
+            if (was && !sorted_has(draining_, entry.endpoint) && left_[place] < UINT8_MAX) ++left_[place];
+            sorted_put(draining_, entry.endpoint);
         } else {
-            sorted_drop(draining_, entry.server);
+            sorted_drop(draining_, entry.endpoint);
         }
-        sorted_drop(ready_, entry.server);
+        sorted_drop(ready_, entry.endpoint);
     }
     // What a node keeps from before its start says nothing of now.
-    listed_ = update.kind != ListKind::Cached || listed_;
+    listed_ = update.kind != UpdateKind::Cached || listed_;
 }
 
 void LoadState::sum_up() {
--- a/src/admission/load_state.h
+++ b/src/admission/load_state.h
@@ -51,7 +51,7 @@
     void ended(TimePoint now, int cls, bool served, Duration took);
     /// A server's answer, `took` after it was sent there.
     void answered(TimePoint now, int cls, Duration took);
-    void listed(TimePoint now, const ListUpdate& update);
+    void listed(TimePoint now, const EndpointUpdate& update);
 
     /// Whatever else happens, time passes: to be called now and then. The change since the last call, if any.
     std::optional<Change> look(TimePoint now);
@@ -102,7 +102,7 @@
     int wanted_for_ = 0;  // steps
     TimePoint since_{};
     std::optional<Change> change_;
-    std::vector<ServerId> ready_, draining_;  // as listed, sorted
+    std::vector<EndpointId> ready_, draining_;  // as listed, sorted
     bool listed_ = false;
     std::array<std::uint8_t, 40> left_{}, joined_{};  // by step: servers that began to drain, and new ones
 };
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -86,7 +86,7 @@
 /// How long a client may wait for the answer to what was taken last.
 Duration longest(const Settings& settings) {
     Duration most{0};
-    for (const ClassSettings& c : settings.classes) most = std::max(most, c.give_up);
+    for (const ClassSettings& c : settings.classes) most = std::max(most, c.request_timeout);
     return std::min(most, kDeadlineMost);
 }
 
@@ -106,7 +106,7 @@
         });
     }
     void listed(const Listing& listing) {
-        bool fresh = listing.update.kind == ListKind::Full || listing.update.kind == ListKind::Delta;
+        bool fresh = listing.update.kind == UpdateKind::Full || listing.update.kind == UpdateKind::Delta;
         if (waits_ && fresh) now();
     }
 
@@ -206,7 +206,7 @@
 void open_fleet(std::optional<membership::Side>& fleet, const Plan& plan, membership::Side::Shares shares) {
     if (!plan.fleet.on) return;
     try {
-        fleet.emplace(plan.fleet, plan.node.name, plan.node.settings.balancers, std::move(shares));
+        fleet.emplace(plan.fleet, plan.node.name, plan.node.settings.node_count, std::move(shares));
     } catch (const boost::system::system_error& error) {
         const auto& at = plan.fleet.listen;
         throw ConfigError(plan.fleet_listen_at + "\"" + at.address().to_string() + ":" +
@@ -284,7 +284,7 @@
     if (config.control)
         side.emplace(
             *config.control, counters, config.names.classes,
-            takeover::Store(folder, files, config.name, config.settings.cold_time),
+            takeover::Store(folder, files, config.name, config.settings.slow_start_duration),
             [&](std::uint64_t key, bool out, TimePoint since) {
                 asio::post(io, [&, key, out, since] {
                     if (rules)
--- a/src/app/node_config.cpp
+++ b/src/app/node_config.cpp
@@ -102,7 +102,7 @@
         at_least(config.sockets, "limits.sockets", kSocketsLeast);
         at_least(config.memory_mb, "limits.memory_mb", kMemoryLeast);
         config.settings = parse_settings(pairs_below(pairs, "settings."), config.names, &report);
-        config.settings.watches =
+        config.settings.watches_discovery =
             true;  // on sockets nothing comes by itself: a list that is pushed waits in an agent
     } catch (const std::runtime_error& error) {  // there are too many to go on
         report.faults.emplace_back(error.what());
--- a/src/app/plan.cpp
+++ b/src/app/plan.cpp
@@ -150,7 +150,7 @@
 
     void times(std::size_t i) {
         const ClassSettings& c = told_.classes[i].decisions.settings;
-        if (c.give_up >= c.aim) return;
+        if (c.request_timeout >= c.latency_objective) return;
         const char* key = file_.has(item("class", i, "give_up_ms")) ? "give_up_ms" : "aim_ms";
         file_.wrong(item("class", i, key), "a client gives up before the aim");
     }
@@ -158,8 +158,10 @@
     // Servers of which this is not known would all be taken for one group: a repeat could run twice.
     void scope(std::size_t i) {
         const ClassSettings& c = told_.classes[i].decisions.settings;
-        if (c.effect != Effect::Guarded || c.scope == Scope::All) return;
-        bool zone = c.scope == Scope::Zone;
+        if (c.idempotency != Idempotency::IdempotentWithKey ||
+            c.deduplication_scope == DeduplicationScope::All)
+            return;
+        bool zone = c.deduplication_scope == DeduplicationScope::Zone;
         for (std::size_t k = 0; k < told_.servers.size(); ++k) {
             const discovery::StaticServer& server = told_.servers[k];
             if (zone ? server.zone.empty() : server.cell == kNone)
@@ -172,8 +174,9 @@
 
     static void default_methods(Told::Class& c) {
         if (!c.route.methods.empty()) return;
-        if (c.decisions.settings.effect == Effect::Free) c.route.methods = {"GET", "HEAD", "OPTIONS"};
-        if (c.decisions.settings.effect == Effect::Guarded)
+        if (c.decisions.settings.idempotency == Idempotency::Idempotent)
+            c.route.methods = {"GET", "HEAD", "OPTIONS"};
+        if (c.decisions.settings.idempotency == Idempotency::IdempotentWithKey)
             c.route.methods = {"POST", "PUT", "PATCH", "DELETE"};
     }
 
@@ -232,9 +235,9 @@
     plan.profile = told.profile;
     plan.profile.trace_seed = plan.node.seed;
     Settings& settings = plan.node.settings = told.settings;
-    settings.balancers = told.node.nodes;
+    settings.node_count = told.node.nodes;
     settings.zone = index_of(names.zones, zone);
-    settings.must_ask = settings.watches = told.node.discovery.port() != 0;
+    settings.polls_discovery = settings.watches_discovery = told.node.discovery.port() != 0;
     for (const Told::Class& c : told.classes) {
         names.classes.push_back(c.decisions.name);
         settings.classes.push_back(c.decisions.settings);
@@ -244,7 +247,7 @@
         names.tenants.push_back(tenant.name);
         settings.tenants.push_back(tenant.settings);
     }
-    if (!settings.must_ask) plan.servers = told.servers;
+    if (!settings.polls_discovery) plan.servers = told.servers;
     plan.operators = told.operators;
     plan.log = told.log;
     plan.fleet = told.fleet;
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -170,8 +170,8 @@
 }
 
 void Rules::listed(const Listing& listing) {
-    if (listing.update.kind == ListKind::Failed) return;
-    if (listing.update.kind != ListKind::Delta) listed_.clear();
+    if (listing.update.kind == UpdateKind::Failed) return;
+    if (listing.update.kind != UpdateKind::Delta) listed_.clear();
     for (std::size_t i = 0; i < listing.ids.size() && i < listing.update.entries.size(); ++i) {
         if (listing.update.entries[i].phase == Phase::Ready)
             listed_.insert(listing.ids[i]);
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -81,13 +81,13 @@
 enum class Fate { Open, NeverRan, MayHaveRun };
 
 Fate fate_of(Outcome o) {
-    bool never = o == Outcome::Full || o == Outcome::ConnectFailed || o == Outcome::Moot;
+    bool never = o == Outcome::Rejected || o == Outcome::ConnectFailed || o == Outcome::NotSent;
     return never ? Fate::NeverRan : Fate::MayHaveRun;
 }
 
 struct Server {
-    ServerId id = 0;
-    ListEntry entry;
+    EndpointId id = 0;
+    EndpointEntry entry;
     bool listed = false, named = false;  // by this list; by the one before
     TimePoint listed_at{};               // when it was listed last
     int refs = 0;                        // attempts of requests that are still known
@@ -168,18 +168,19 @@
 
 }  // namespace
 
-class Balancer::Rules {
+class Balancer::Impl {
 public:
-    Rules(Settings settings, std::uint64_t seed) : set_(std::move(settings)), random_(seed) {
+    Impl(Settings settings, std::uint64_t seed) : set_(std::move(settings)), random_(seed) {
         double gain = 0;
         for (const ClassSettings& c : set_.classes) {
-            class_state_.emplace_back().floor_ms = c.aim.count() / 4;  // until the first answers
-            gain += c.gain;
+            class_state_.emplace_back().floor_ms =
+                c.latency_objective.count() / 4;  // until the first answers
+            gain += c.priority_weight;
         }
         mean_gain_ = set_.classes.empty() ? 1 : std::max(1e-9, gain / double(set_.classes.size()));
         tenants_.assign(set_.tenants.size(), {kBurst, TimePoint{}});
-        if (!set_.probes) set_.price_probe = 0;  // none is sent, whatever one would cost
-        double looks = kLookSpend / std::max(set_.price_probe, 1e-4);
+        if (!set_.probes) set_.probe_cost = 0;  // none is sent, whatever one would cost
+        double looks = kLookSpend / std::max(set_.probe_cost, 1e-4);
         bool told = set_.probes && set_.probes_report_load;  // ... and no dearer than what looks gain
         looks_most_ = told && looks >= kLookWidth ? int(looks) : 0;
     }
@@ -199,46 +200,53 @@
         done_.clear();
         if (!timers_.empty() && (!wake_ || timers_.top().at < *wake_)) {
             wake_ = timers_.top().at;
-            emit(WakeAt{*wake_});
+            emit(SetTimer{*wake_});
         }
     }
 
 private:
     // ---- Registry and drains
-    void on(const ListUpdate& update) {
-        if (!std::exchange(watching_, true) && set_.watches)
+    void on(const EndpointUpdate& update) {
+        if (!std::exchange(watching_, true) && set_.watches_discovery)
             start_timer(TimerKind::Rewatch, fleet_calls() * uniform(), 0, ++rewatch_epoch_);
-        if (update.kind == ListKind::Failed) {  // the old list stays; ask again, each gateway at its own time
+        if (update.kind ==
+            UpdateKind::Failed) {  // the old list stays; ask again, each gateway at its own time
             Duration first = std::max(kRewatchFirst, fleet_calls());
-            double times = set_.must_ask ? std::exp2(rewatch_tries_++) : 1;
+            double times = set_.polls_discovery ? std::exp2(rewatch_tries_++) : 1;
             Duration wait = uniform() * std::min(first * times, std::max(kRewatchMax, first));
             wait = std::max(kRewatchMin, wait);
-            return set_.watches ? start_timer(TimerKind::Rewatch, wait, 0, ++rewatch_epoch_) : void();
+            return set_.watches_discovery ? start_timer(TimerKind::Rewatch, wait, 0, ++rewatch_epoch_)
+                                          : void();
         }
-        if (update.kind != ListKind::Delta)  // a whole list: what it does not name has gone
-            for (Server& s : servers_) s.listed = false, s.named = s.entry.phase != Phase::Gone;
-        for (const ListEntry& entry : update.entries) apply(entry);
-        if (update.kind != ListKind::Cached) rewatch_tries_ = 0, forget_gone();
+        if (update.kind != UpdateKind::Delta)  // a whole list: what it does not name has gone
+            for (Server& s : servers_) s.listed = false, s.named = s.entry.phase != Phase::Removed;
+        for (const EndpointEntry& entry : update.entries) apply(entry);
+        if (update.kind != UpdateKind::Cached) rewatch_tries_ = 0, forget_gone();
         subset_stale_ = true;
     }
 
     // Guards against discovery, which knows nothing of servers out by hand: one that it lists, drops and
     // lists again stays out until the call back, and is cold then, since operators restart it meanwhile.
-    void on(const ByHand& e) {
+    void on(const AdminOverride& e) {
         subset_stale_ = true;
-        std::erase_if(back_, [this](const auto& b) { return now_ - b.second.second > 2 * set_.cold_time; });
-        if (e.out) return void(out_by_hand_.emplace(e.key, e.since));
+        std::erase_if(
+            back_, [this](const auto& b) { return now_ - b.second.second > 2 * set_.slow_start_duration; });
+        if (e.drained) return void(out_by_hand_.emplace(e.key, e.since));
         back_[e.key] = {out_by_hand_.contains(e.key) ? out_by_hand_[e.key] : e.since, e.since};
         out_by_hand_.erase(e.key);
         for (Server& s : servers_)
             if (!s.free && s.entry.key == e.key) start_anew(s);
     }
 
-    void on(const Twinned& e) { part_ = e.twin ? 0.5 : 1; }
-    void on(const Sharers& e) { set_.balancers = e.gateways, set_.me = e.me, subset_stale_ = true; }
+    void on(const HandoverPeerChanged& e) { part_ = e.peer_present ? 0.5 : 1; }
+    void on(const FleetSizeChanged& e) {
+        set_.node_count = e.node_count, set_.node_index = e.node_index, subset_stale_ = true;
+    }
 
     // Guards against gateways that call one place together: a call that waits too long is work lost for all.
-    Duration fleet_calls() const { return set_.must_ask * std::min(kListEach * set_.balancers, kListMost); }
+    Duration fleet_calls() const {
+        return set_.polls_discovery * std::min(kListEach * set_.node_count, kListMost);
+    }
 
     // Where servers are replaced by new ones for good, what is known of them must not grow for good.
     void forget_gone() {
@@ -254,7 +262,7 @@
         }
     }
 
-    std::size_t place(ServerId id) {
+    std::size_t place(EndpointId id) {
         auto found = std::ranges::find(servers_, true, &Server::free);
         if (found == servers_.end()) found = servers_.emplace(found);
         found->id = id, found->free = false, found->listed_at = now_, found->rank = random_();
@@ -264,18 +272,19 @@
         return i;
     }
 
-    void apply(const ListEntry& entry) {
-        auto [it, fresh] = index_.try_emplace(entry.server, 0);
-        if (fresh) it->second = place(entry.server);
+    void apply(const EndpointEntry& entry) {
+        auto [it, fresh] = index_.try_emplace(entry.endpoint, 0);
+        if (fresh) it->second = place(entry.endpoint);
         Server& s = servers_[it->second];
         bool restarted = entry.last_start && (!s.entry.last_start || *entry.last_start > *s.entry.last_start);
-        bool returned = !s.named && entry.phase != Phase::Gone && !set_.removal_not_binding;
+        bool returned = !s.named && entry.phase != Phase::Removed && !set_.removal_not_binding;
         if (restarted && (!s.started || *entry.last_start > *s.started)) s.started = entry.last_start;
-        s.listed = s.named = entry.phase != Phase::Gone;
-        s.seen_draining = entry.phase == Phase::Draining || (s.seen_draining && entry.phase == Phase::Gone);
+        s.listed = s.named = entry.phase != Phase::Removed;
+        s.seen_draining =
+            entry.phase == Phase::Draining || (s.seen_draining && entry.phase == Phase::Removed);
         s.entry = entry;
-        if (s.entry.size <= 0) s.entry.size = 1;
-        largest_ = std::max(largest_, s.entry.size);
+        if (s.entry.weight <= 0) s.entry.weight = 1;
+        largest_ = std::max(largest_, s.entry.weight);
         if (s.entry.key == 0) s.entry.key = s.id;
         if (fresh || restarted || returned) start_anew(s);
     }
@@ -317,7 +326,7 @@
             if (wanted == 0) here_ = order_.size();
         }
         if (!zoned() || here_ == 0) here_ = order_.size();  // nobody here: there is no crossing to save
-        for (std::size_t i : order_) total_size_ += set_.live_sizes ? 1 : servers_[i].entry.size;
+        for (std::size_t i : order_) total_size_ += set_.weights_track_load ? 1 : servers_[i].entry.weight;
         double busy = served_.left(now_, kRateOver) * total_size_ / 1000;  // held by servers, as of late
         width_ = std::max(width_at(arrivals_.value), std::min(order_.size(), std::size_t(kBusyRoom * busy)));
         for (Server& s : servers_) s.users = 0, s.member = false;
@@ -343,8 +352,8 @@
 
     std::size_t width_at(double first_tries) const {  // a second, of one gateway
         double n = std::max(1.0, double(order_.size()));
-        double member = set_.price_connection * set_.balancers / (100 * n) +
-                        set_.price_probe / (kProbeInterval.count() / 1000 * std::max(1.0, first_tries));
+        double member = set_.connection_cost * set_.node_count / (100 * n) +
+                        set_.probe_cost / (kProbeInterval.count() / 1000 * std::max(1.0, first_tries));
         double size = std::sqrt(kSubsetWorth / std::max(1e-9, member));
         return std::max(kSubsetLeast, std::size_t(std::min(size, double(order_.size()))));
     }
@@ -354,27 +363,27 @@
     void share_out_servers() {
         double quotas = 0;
         for (const TenantSettings& tenant : set_.tenants) quotas += tenant.quota_rps;
-        std::size_t shared = width_at(quotas / set_.balancers);
+        std::size_t shared = width_at(quotas / set_.node_count);
         if (quotas <= 0 || shared >= order_.size() || zoned() || set_.removal_not_binding) return;
         std::vector<std::uint64_t> keys;
         for (std::size_t i : order_) keys.push_back(mixed(servers_[i].entry.key));
-        const Subset& shares = shares_.of(keys, set_.balancers, set_.me, shared);
+        const Subset& shares = shares_.of(keys, set_.node_count, set_.node_index, shared);
         for (std::size_t k = 0; k < shares.users.size(); ++k)
             servers_[order_[k]].users = shares.mine[k] ? shares.users[k] : -1;
         std::stable_partition(order_.begin(), order_.end(), [&](auto i) { return servers_[i].users >= 0; });
     }
 
     double sharers() const {  // gateways that use a server, if all have subsets like this one's
-        return std::max(1.0, set_.balancers * double(width_) / std::max(1.0, double(order_.size())));
+        return std::max(1.0, set_.node_count * double(width_) / std::max(1.0, double(order_.size())));
     }
 
     // Two gateways hold no less at a server together than three do: part of each request's time is spent
     // waiting elsewhere, so one or two of them leave a server idle.
     double limit_min() const {
-        return std::min(std::max(1.0, kLimitLeast / set_.balancers), kLimitLeast / sharers());
+        return std::min(std::max(1.0, kLimitLeast / set_.node_count), kLimitLeast / sharers());
     }
 
-    bool zoned() const { return set_.price_cross_zone > kSubsetWorth; }
+    bool zoned() const { return set_.cross_zone_cost > kSubsetWorth; }
 
     int tier(const Server& s) const {  // own zone first where crossing costs; what nothing backs last
         if (!s.listed && now_ - s.answered_at > 3 * kProbeInterval) return 2;
@@ -386,7 +395,7 @@
     // loop: the fewer are Healthy, the more the others are probed.
     Duration probe_interval() const {
         double n = double(std::min(order_.size(), members_ + unhealthy_));
-        double per_s = kProbeSpend / std::max(set_.price_probe, 1e-4) * std::max(arrivals_.value, 1.0);
+        double per_s = kProbeSpend / std::max(set_.probe_cost, 1e-4) * std::max(arrivals_.value, 1.0);
         return std::clamp(Duration{1000 * n / per_s}, kProbeIntervalMin, kProbeInterval);
     }
 
@@ -411,7 +420,7 @@
     }
 
     void on(const ProbeEnded& e) {
-        auto it = index_.find(e.server);  // one that is late was counted when its time ran out
+        auto it = index_.find(e.endpoint);  // one that is late was counted when its time ran out
         if (it == index_.end() || !servers_[it->second].probe_open || e.elapsed > kProbeTimeout) return;
         Server& s = servers_[it->second];
         s.probe_open = false;
@@ -463,7 +472,7 @@
     bool may_try(const Server& s, const Request& r) const {
         if (set_.probes || s.own > 0) return false;
         bool any = unhealthy_ == order_.size() || now_ - s.shut_until > kProbeRestMost;
-        return any || cls(r).effect != Effect::SingleShot;
+        return any || cls(r).idempotency != Idempotency::NonIdempotent;
     }
 
     void note_success(Server& s) {
@@ -487,9 +496,11 @@
 
     // ---- Capacity and cold start
     double share(const Server& s) const {  // lower bound of the part of its capacity that a server has by now
-        if (!s.started || set_.cold_time.count() <= 0) return 1;
-        double age = (now_ - *s.started) / set_.cold_time;
-        return age >= 1 ? 1 : set_.cold_from + (1 - set_.cold_from) * std::max(0.0, age);
+        if (!s.started || set_.slow_start_duration.count() <= 0) return 1;
+        double age = (now_ - *s.started) / set_.slow_start_duration;
+        return age >= 1 ? 1
+                        : set_.slow_start_initial_capacity +
+                              (1 - set_.slow_start_initial_capacity) * std::max(0.0, age);
     }
 
     double floor_ms() const {
@@ -505,23 +516,24 @@
         // Drawn subsets cover all servers where many use each: then whoever widens its own sends no more.
         bool drawn = s.users == 0 && !s.member && s.health != Health::Unhealthy && sharers() > kColdDrawn;
         if (share(s) >= 1 || s.users < 0 || drawn) return share(s) >= 1;
-        std::erase_if(s.cold_sends, [this](const auto& a) { return a.first <= now_ - set_.tip_after; });
+        std::erase_if(s.cold_sends, [this](const auto& a) { return a.first <= now_ - set_.overload_after; });
         if (now_ >= s.cold_until) {
-            s.cold_span = set_.tip_after;
-            if (s.cold_until == TimePoint::min() && set_.balancers > 1) s.cold_span *= uniform();
+            s.cold_span = set_.overload_after;
+            if (s.cold_until == TimePoint::min() && set_.node_count > 1) s.cold_span *= uniform();
             s.cold_until = now_ + s.cold_span, s.cold_draw = uniform();
         }
         double senders = s.users > 0 ? s.users : 1.5 * sharers(), sent = 0;
-        Duration span = std::min(s.cold_span, std::max(now_, *s.started + set_.tip_after) - begun_);
+        Duration span = std::min(s.cold_span, std::max(now_, *s.started + set_.overload_after) - begun_);
         double budget = part_ * kColdMargin * set_.overload_factor * share(s) * carried(s);
-        budget *= span.count() / 1000 / std::min(double(set_.balancers), kColdSenders * senders);
+        budget *= span.count() / 1000 / std::min(double(set_.node_count), kColdSenders * senders);
         for (const auto& [at, its] : s.cold_sends) sent += its;
         return sent + kColdReserve * std::sqrt(sent * usual) + (1 - s.cold_draw) * usual <= budget;
     }
 
     // With a first one's connection; by warm answers too, as a cold server may be as quick.
     double cold_cost(const Request& r, const Server& s) const {
-        double most = kFloorMax * cls(r).aim.count(), known = std::max(state(r).floor_ms, state(r).warm_ms);
+        double most = kFloorMax * cls(r).latency_objective.count(),
+               known = std::max(state(r).floor_ms, state(r).warm_ms);
         double usual = state(r).answers > 0 ? known : most;
         return usual * (s.connected || !s.cold_sends.empty() ? 1 : kColdConnect);
     }
@@ -529,16 +541,16 @@
     // Usual times a second that such a server is seen to carry: by its slots, or as the most that each got
     // served of late for its size (what is served now falls by its own fall). Less if it answers slowly.
     double carried(const Server& s) const {
-        double size = set_.live_sizes ? 1 : s.entry.size;
-        double slots = std::max(1.0, slots_) * 1000 / 1.5 * (set_.live_sizes ? 1 : size / largest_);
-        double served = most_served_.left(now_, kServedFade) * set_.balancers * size;
+        double size = set_.weights_track_load ? 1 : s.entry.weight;
+        double slots = std::max(1.0, slots_) * 1000 / 1.5 * (set_.weights_track_load ? 1 : size / largest_);
+        double served = most_served_.left(now_, kServedFade) * set_.node_count * size;
         return std::max(slots, served) * std::min(1.0, fleet_pace() / pace(s));
     }
 
     double weight(Server& s) {
         if (now_ - s.weight_at <= kWeightAge) return s.weight;
         s.weight_at = now_;
-        return s.weight = s.entry.size * share(s) * std::clamp(fleet_pace() / pace(s), 0.3, 1.5);
+        return s.weight = s.entry.weight * share(s) * std::clamp(fleet_pace() / pace(s), 0.3, 1.5);
     }
 
     double held(const Server& s) const {  // own requests there, and others' as last reported
@@ -590,7 +602,7 @@
         auto settle = [ms](double& at) { at += (ms < at ? 0.04 : 0.02) * (ms - at); };
         settle(c.floor_ms), settle(c.seen_ms), share(s) >= 1 ? settle(c.warm_ms) : void();
         c.least = {std::min(c.seen_ms, c.least.left(now_, -kFloorRise)), now_};
-        double most = kFloorMax * cls(r).aim.count();
+        double most = kFloorMax * cls(r).latency_objective.count();
         if (c.answers >= kFloorKnown && c.least.value > most) most = kFloorOver * c.least.value;
         c.floor_ms = std::min(c.floor_ms, most), c.warm_ms = std::min(c.warm_ms, most);
         double each = total_size_ > 0 ? 0.2 * c.floor_ms / total_size_ : 0;
@@ -611,16 +623,16 @@
         const ClassSettings& c = cls(r);
         if (r.finished || r.streaming || now_ >= r.give_up_at) return false;
         if (int(r.attempts.size()) >= set_.max_attempts) return false;
-        if (r.open > 0 && !set_.second_copies) return false;
+        if (r.open > 0 && !set_.allows_hedging) return false;
         if (!in_use(s) || !cold_room(s, cold_cost(r, s))) return false;
         for (const Attempt& a : r.attempts) {
-            if (a.fate == Fate::NeverRan || c.effect == Effect::Free) continue;
-            if (c.effect == Effect::SingleShot) return false;
-            const ListEntry& first = servers_[a.server].entry;
-            r.repeat_by = std::min(r.repeat_by, a.sent + c.window - 2 * set_.granularity);
+            if (a.fate == Fate::NeverRan || c.idempotency == Idempotency::Idempotent) continue;
+            if (c.idempotency == Idempotency::NonIdempotent) return false;
+            const EndpointEntry& first = servers_[a.server].entry;
+            r.repeat_by = std::min(r.repeat_by, a.sent + c.deduplication_window - 2 * set_.clock_granularity);
             if (now_ >= r.repeat_by) return false;
-            if (c.scope == Scope::Zone && first.zone != s.entry.zone) return false;
-            if (c.scope == Scope::Cell && first.cell != s.entry.cell) return false;
+            if (c.deduplication_scope == DeduplicationScope::Zone && first.zone != s.entry.zone) return false;
+            if (c.deduplication_scope == DeduplicationScope::Cell && first.cell != s.entry.cell) return false;
         }
         return true;
     }
@@ -630,7 +642,7 @@
         if (here_ == order_.size()) return std::nullopt;
         // Exception: a request leaves its zone when that costs little of its worth, or part of its time is
         // gone and crossings of late were answered well enough: where all are busy they gain nothing.
-        double crossing = set_.price_cross_zone * mean_gain_ / std::max(1e-9, r.worth);
+        double crossing = set_.cross_zone_cost * mean_gain_ / std::max(1e-9, r.worth);
         bool late = now_ - r.arrived > 0.3 * (r.useful_until - r.arrived);
         if (crossing < kCrossCheap || (late && crossing < kCrossMost * crossed_well()))
             return pick_among(r, here_, order_.size());
@@ -697,13 +709,15 @@
         return turn_order_[k].second;
     }
 
-    bool crossing(const Server& s) const { return set_.price_cross_zone > 0 && s.entry.zone != set_.zone; }
+    bool crossing(const Server& s) const { return set_.cross_zone_cost > 0 && s.entry.zone != set_.zone; }
 
     bool idle(const Server& s) const { return held(s) < std::max(1.0, slots_); }
 
     // Two batches and the rest of one, and half as much again as answers to probes take in their median.
     // Guards against looks that are always late or stale, where batches are coarse or the way is long.
-    Duration look_time() const { return std::max({kLookLeast, 2.5 * set_.granularity, 1.5 * look_took_}); }
+    Duration look_time() const {
+        return std::max({kLookLeast, 2.5 * set_.clock_granularity, 1.5 * look_took_});
+    }
 
     bool look_is_out(const Server& s) const {
         return s.probe_open && now_ - s.probe_sent < look_time() - kClockStep;
@@ -750,22 +764,23 @@
     void on(const RequestArrived& e) {
         const ClassSettings& c = set_.classes[std::size_t(e.class_index)];
         Request& r = requests_[e.request];
-        r.id = e.request, r.cls = e.class_index, r.tenant = e.tenant, r.repeat = e.client_repeat;
-        r.arrived = now_, r.give_up_at = e.give_up_at, r.uploading = e.uploading;
-        Duration aim = c.aim + (e.effort ? c.aim_stretch * *e.effort : Duration{0});
-        r.useful_until = c.late_worth > 0 ? r.give_up_at : std::min(now_ + aim, r.give_up_at);
+        r.id = e.request, r.cls = e.class_index, r.tenant = e.tenant, r.repeat = e.is_client_retry;
+        r.arrived = now_, r.give_up_at = e.deadline, r.uploading = e.receiving_body;
+        Duration aim =
+            c.latency_objective + (e.effort ? c.latency_objective_per_effort * *e.effort : Duration{0});
+        r.useful_until = c.late_response_weight > 0 ? r.give_up_at : std::min(now_ + aim, r.give_up_at);
         r.looked = look_time() > std::max(kLookLeast, (r.useful_until - now_) / 4);
-        r.worth = c.gain * (r.repeat ? kRepeatWorth : 1);
-        if (e.tenant >= 0 && over_quota(e.tenant)) r.worth *= set_.over_share_worth;
+        r.worth = c.priority_weight * (r.repeat ? kRepeatWorth : 1);
+        if (e.tenant >= 0 && over_quota(e.tenant)) r.worth *= set_.over_quota_weight;
         arrivals_ = {arrivals_.left(now_, kRateOver) + (r.repeat ? 0 : 0.2), now_};
-        if (!r.repeat) mean_gain_ += 0.02 * (c.gain - mean_gain_);
+        if (!r.repeat) mean_gain_ += 0.02 * (c.priority_weight - mean_gain_);
         if (!r.repeat) retry_tokens_ = std::min(kBurst, retry_tokens_ + kRetryShare);
         enqueue(r);
     }
 
     bool over_quota(int tenant) {  // a token bucket of one second at this gateway's even part of the quota
         auto& [tokens, at] = tenants_[std::size_t(tenant)];
-        double quota = set_.tenants[std::size_t(tenant)].quota_rps / set_.balancers;
+        double quota = set_.tenants[std::size_t(tenant)].quota_rps / set_.node_count;
         if (quota <= 0) return false;
         tokens = std::min(std::max(kBurst, quota), tokens + quota * (now_ - at).count() / 1000);
         at = now_;
@@ -774,7 +789,7 @@
     }
 
     Duration start_by(const Request& r) const {  // latest useful start, from now
-        double usual = std::min(state(r).floor_ms, kFloorMax * cls(r).aim.count());
+        double usual = std::min(state(r).floor_ms, kFloorMax * cls(r).latency_objective.count());
         TimePoint by = r.useful_until - Duration{kAnswerTimes * usual * fleet_pace()};
         by -= std::min(kWire, (r.useful_until - r.arrived) / 10);
         // What has not been sent by half of its time is better told to come back while there is time for it.
@@ -826,7 +841,7 @@
         Server& s = servers_[i];
         r.queued = false;
         bool idled = s.connected && s.own == 0 && now_ - s.used_at > kIdleFrom;
-        if (idled && reaped() && uniform() >= kIdleGain) emit(Close{s.id}), idled = false;
+        if (idled && reaped() && uniform() >= kIdleGain) emit(CloseIdleConnections{s.id}), idled = false;
         s.used_at = now_;
         r.attempts.push_back({i, now_, Fate::Open, false, false, idled, int(held(s))});
         ++r.open, ++s.own, ++s.refs, s.last_send = now_;
@@ -837,14 +852,15 @@
     }
 
     void expect_answer(const Request& r, const Server& s) {
-        Duration patience = std::max(Duration{3 * state(r).floor_ms / share(s)}, 0.8 * cls(r).aim);
+        Duration patience =
+            std::max(Duration{3 * state(r).floor_ms / share(s)}, 0.8 * cls(r).latency_objective);
         start_timer(TimerKind::Overdue, patience, r.id, r.attempts.size() - 1);
     }
 
-    void on(const Uploaded& e) {  // a body that is long in coming says nothing of the server
+    void on(const RequestBodyReceived& e) {  // a body that is long in coming says nothing of the server
         Request* r = find(e.request);
         if (!r) return;
-        r->uploading = false, r->useful_until += e.give_up_at - r->give_up_at, r->give_up_at = e.give_up_at;
+        r->uploading = false, r->useful_until += e.deadline - r->give_up_at, r->give_up_at = e.deadline;
         if (r->open > 0) expect_answer(*r, servers_[r->attempts.back().server]);
     }
 
@@ -866,7 +882,7 @@
         bool lost = e.outcome == Outcome::Timeout || e.outcome == Outcome::Reset;
         (a.idled ? idle_loss_ : used_loss_) += kIdleGain * (lost - (a.idled ? idle_loss_ : used_loss_));
         judge(s, r, a, e);
-        if (e.concluded) conclude(r);
+        if (e.request_completed) conclude(r);
         if (!r.finished && r.open == 0 && !r.queued) retry(r, a.fate == Fate::MayHaveRun, e.replayable);
         if (r.finished) done_.push_back(r.id);
     }
@@ -884,7 +900,7 @@
             s.successes = 0, s.probe_rest = std::clamp(2 * s.probe_rest, kProbeRest, kProbeRestMost);
             s.shut_until = std::max(s.shut_until, now_ + s.probe_rest);
         }
-        if (e.outcome != Outcome::Full) return;
+        if (e.outcome != Outcome::Rejected) return;
         // One that drains, which the list tells late, turns all away at once and so is always the idlest:
         // else each request would go from one such to the next till its attempts are used up.
         auto open = [this](std::size_t i) { return usable(servers_[i]) && now_ >= servers_[i].shut_until; };
@@ -925,7 +941,8 @@
 
     void retry(Request& r, bool may_have_run, bool replayable) {
         bool allowed = int(r.attempts.size()) < set_.max_attempts && replayable;
-        if (may_have_run) allowed = allowed && cls(r).effect != Effect::SingleShot && retry_tokens_ >= 1;
+        if (may_have_run)
+            allowed = allowed && cls(r).idempotency != Idempotency::NonIdempotent && retry_tokens_ >= 1;
         if (!allowed) return give_up(r);
         if (may_have_run) retry_tokens_ -= 1;
         enqueue(r);
@@ -933,23 +950,25 @@
 
     bool may_refuse(const Request& r) const {
         const ClassSettings& c = cls(r);
-        if (c.effect == Effect::Free || (c.effect == Effect::Guarded && c.scope == Scope::All)) return true;
+        if (c.idempotency == Idempotency::Idempotent || (c.idempotency == Idempotency::IdempotentWithKey &&
+                                                         c.deduplication_scope == DeduplicationScope::All))
+            return true;
         return std::ranges::count(r.attempts, Fate::NeverRan, &Attempt::fate) == std::ssize(r.attempts);
     }
 
     void give_up(Request& r) {  // every final answer that is not a server's passes here
         if (r.finished) return;
         Duration after{0};
-        Duration patience = cls(r).give_up, rest = patience < kRestLeast ? patience / 4 : kRestLeast;
+        Duration patience = cls(r).request_timeout, rest = patience < kRestLeast ? patience / 4 : kRestLeast;
         if (set_.retry_after) after = std::min(set_.max_retry_after, rest + 2 * rest * uniform());
-        may_refuse(r) ? emit(Refuse{r.id, after}) : emit(Fail{r.id});
+        may_refuse(r) ? emit(Reject{r.id, after}) : emit(Fail{r.id});
         conclude(r);
     }
 
     void on(const StreamStarted& e) {
         if (Request* r = find(e.request)) r->streaming = true;
     }
-    void on(const ClientGone& e) { find(e.request) ? conclude(*find(e.request)) : void(); }
+    void on(const ClientDisconnected& e) { find(e.request) ? conclude(*find(e.request)) : void(); }
 
     void conclude(Request& r) {  // it is over, one way or another: call off what is still out
         r.finished = true, r.queued = false;
@@ -972,7 +991,7 @@
         timers_.push(Timer{now_ + std::max(in, Duration{0}), ++timer_order_, kind, subject, epoch});
     }
 
-    void on(const Woken&) {
+    void on(const TimerFired&) {
         if (wake_ && *wake_ <= now_ + kClockStep) wake_.reset();  // else one that was overtaken
         while (!timers_.empty() && timers_.top().at <= now_ + kClockStep) {
             Timer t = timers_.top();
@@ -984,7 +1003,7 @@
     void fire(const Timer& t) {  // a look's timer does nothing: the queue is served after every event
         if (t.kind == TimerKind::ProbeDue && servers_[t.subject].probe_epoch == t.epoch) probe(t.subject);
         if (t.kind == TimerKind::ProbeLate) late_probe(servers_[t.subject]);
-        if (t.kind == TimerKind::Rewatch && t.epoch == rewatch_epoch_) emit(WatchList{});
+        if (t.kind == TimerKind::Rewatch && t.epoch == rewatch_epoch_) emit(WatchEndpoints{});
         if (t.kind != TimerKind::Start && t.kind != TimerKind::Overdue) return;
         Request* r = find(t.subject);
         if (r && t.kind == TimerKind::Start && r->queued && r->attempts.size() == t.epoch) {
@@ -1005,9 +1024,9 @@
     TimePoint now_{};
     Actions* out_ = nullptr;
     std::vector<Server> servers_;
-    std::unordered_map<ServerId, std::size_t> index_;  // looked up only; never walked
-    std::unordered_map<RequestId, Request> requests_;  // looked up only; never walked
-    std::vector<Request*> queue_;                      // waiting, most urgent first
+    std::unordered_map<EndpointId, std::size_t> index_;  // looked up only; never walked
+    std::unordered_map<RequestId, Request> requests_;    // looked up only; never walked
+    std::vector<Request*> queue_;                        // waiting, most urgent first
     std::vector<RequestId> done_;
     Shares shares_;
     std::vector<std::size_t> ranked_, order_, group_;  // all; in use; one turn's
@@ -1036,17 +1055,17 @@
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
-    : rules_(std::make_unique<Rules>(std::move(settings), seed)) {}
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Balancer::~Balancer() = default;
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
 void Balancer::handle(TimePoint now, const Event& event, Actions& actions) {
-    rules_->handle(now, event, actions);
+    impl_->handle(now, event, actions);
 }
 
-std::size_t Balancer::avoided() const {
-    return rules_->avoided();
+std::size_t Balancer::unavailable_endpoints() const {
+    return impl_->avoided();
 }
 
 }  // namespace ochrehub
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -18,8 +18,8 @@
         member.entry.cell = in.find(at + "cell") ? in.whole<int>(at + "cell") : kNone;
         member.entry.phase = in.word<Phase>(
             at + "phase",
-            {{"in_service", Phase::Ready}, {"terminating", Phase::Draining}, {"terminated", Phase::Gone}});
-        member.entry.size = in.real_or(at + "size", 1);
+            {{"in_service", Phase::Ready}, {"terminating", Phase::Draining}, {"terminated", Phase::Removed}});
+        member.entry.weight = in.real_or(at + "size", 1);
         set_last_start(member.entry, in.real_or(at + "up_since_ms", 0));
     }
     return list;
--- a/src/discovery/server_list.h
+++ b/src/discovery/server_list.h
@@ -12,7 +12,7 @@
 struct ServerList {
     struct Member {
         std::string id, address;
-        ListEntry entry;  ///< its number is given by whoever keeps the ids
+        EndpointEntry entry;  ///< its number is given by whoever keeps the ids
     };
     std::uint64_t revision = 0;
     bool complete = false;
--- a/src/discovery/static_list.cpp
+++ b/src/discovery/static_list.cpp
@@ -42,18 +42,18 @@
 
 void StaticList::use(const std::vector<StaticServer>& servers) {
     listing_ = {};
-    listing_.update.kind = ListKind::Full;
-    std::unordered_map<std::string, ServerId> before = std::exchange(ids_, {});
+    listing_.update.kind = UpdateKind::Full;
+    std::unordered_map<std::string, EndpointId> before = std::exchange(ids_, {});
     for (const StaticServer& server : servers) {
         auto known = before.find(server.id());
-        ListEntry& entry = listing_.update.entries.emplace_back();
-        entry.server = known == before.end() ? ++next_id_ : known->second;
-        ids_.emplace(server.id(), entry.server);
+        EndpointEntry& entry = listing_.update.entries.emplace_back();
+        entry.endpoint = known == before.end() ? ++next_id_ : known->second;
+        ids_.emplace(server.id(), entry.endpoint);
         entry.key = hashed(server.id());
         entry.zone = index_or_new(names_.zones, server.zone);
         entry.kind = index_or_new(names_.kinds, server.kind);
         entry.cell = server.cell;
-        entry.size = server.size;
+        entry.weight = server.size;
         entry.phase = server.drain ? Phase::Draining : Phase::Ready;
         listing_.addresses.push_back(server.address);
         listing_.ids.push_back(server.id());
--- a/src/discovery/static_list.h
+++ b/src/discovery/static_list.h
@@ -39,8 +39,8 @@
     Names names_;
     Listed listed_;
     Listing listing_;
-    std::unordered_map<std::string, ServerId> ids_;  // of the servers listed; a number is never given twice
-    ServerId next_id_ = 0;
+    std::unordered_map<std::string, EndpointId> ids_;  // of the servers listed; a number is never given twice
+    EndpointId next_id_ = 0;
 };
 
 }  // namespace ochrehub::discovery
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -46,7 +46,7 @@
 
 void Watcher::cached(const ServerList& known) {
     Listing listing = listing_of(known);
-    listing.update.kind = ListKind::Cached;
+    listing.update.kind = UpdateKind::Cached;
     // The watch starts from there: it costs discovery the changes since, where the whole list and then a
     // watch are two calls, one of every line. Guards against a fleet that starts together and fills
     // discovery's queue.
@@ -88,7 +88,7 @@
     if (!failed) return;
     log_line(LogLevel::Warn, "discovery: %s", why_);
     Listing listing;
-    listing.update.kind = ListKind::Failed;
+    listing.update.kind = UpdateKind::Failed;
     listed_(listing);
 }
 
@@ -148,17 +148,17 @@
 
 Listing Watcher::listing_of(const ServerList& list) {
     Listing listing;
-    listing.update.kind = list.complete ? ListKind::Full : ListKind::Delta;
+    listing.update.kind = list.complete ? UpdateKind::Full : UpdateKind::Delta;
     for (const ServerList::Member& member : list.members) {
-        ListEntry& entry = listing.update.entries.emplace_back(member.entry);
+        EndpointEntry& entry = listing.update.entries.emplace_back(member.entry);
         auto [known, fresh] = ids_.try_emplace(member.id, next_id_ + 1);
         if (fresh) ++next_id_;
         entry.key = hashed(member.id);  // numbers are given as servers come, and differ from node to node
-        entry.server = known->second;
+        entry.endpoint = known->second;
         listing.addresses.push_back(member.address);
         listing.ids.push_back(member.id);
         // At once: the same list may name another process under its id.
-        if (!gone_stays_ && member.entry.phase == Phase::Gone) ids_.erase(known);
+        if (!gone_stays_ && member.entry.phase == Phase::Removed) ids_.erase(known);
     }
     if (!gone_stays_ && list.complete) forget_unnamed(list);
     return listing;
--- a/src/discovery/watcher.h
+++ b/src/discovery/watcher.h
@@ -58,8 +58,8 @@
     std::shared_ptr<http::Connection> idle_;  // to `discovery_`, for the next call
     const char* why_ = "";                    // of the last end, for the log
     TimerId timer_ = 0;
-    std::unordered_map<std::string, ServerId> ids_;  // of the servers listed; a number is never given twice
-    ServerId next_id_ = 0;
+    std::unordered_map<std::string, EndpointId> ids_;  // of the servers listed; a number is never given twice
+    EndpointId next_id_ = 0;
     bool gone_stays_;
 };
 
--- a/src/engine/decode.cpp
+++ b/src/engine/decode.cpp
@@ -11,27 +11,29 @@
     Settings set;
     names.zones = in.list("Azs");
     names.kinds = in.list("Flavors");
-    set.balancers = std::max(1, int(in.real("Balancers")));
-    set.me = int(in.real_or("Me", kNone));
+    set.node_count = std::max(1, int(in.real("Balancers")));
+    set.node_index = int(in.real_or("Me", kNone));
     set.zone = index_of(names.zones, in.text_or("Locality", ""));
     int classes = int(in.real("Services.count"));
     for (int i = 0; i < classes; ++i) {
         std::string at = "Services." + std::to_string(i) + ".";
         ClassSettings c;
         names.classes.emplace_back(in.text(at + "Name"));
-        c.aim = Duration{in.real(at + "OnTime")};
-        c.give_up = Duration{in.real(at + "GiveUp")};
-        c.gain = in.real_or(at + "Gain", 1);
-        c.late_worth = in.real_or(at + "LateWorth", 0);
-        c.aim_stretch = in.real_or(at + "AimStretch", 0);
+        c.latency_objective = Duration{in.real(at + "OnTime")};
+        c.request_timeout = Duration{in.real(at + "GiveUp")};
+        c.priority_weight = in.real_or(at + "Gain", 1);
+        c.late_response_weight = in.real_or(at + "LateWorth", 0);
+        c.latency_objective_per_effort = in.real_or(at + "AimStretch", 0);
         c.stream = in.flag_or(at + "Stream", false);
-        c.effect = in.word<Effect>(
-            at + "Effect",
-            {{"free", Effect::Free}, {"guarded", Effect::Guarded}, {"single_shot", Effect::SingleShot}});
-        if (c.effect == Effect::Guarded) {
-            c.scope = in.word<Scope>(at + "DedupScope",
-                                     {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}});
-            c.window = Duration{in.real(at + "Window")};
+        c.idempotency = in.word<Idempotency>(at + "Effect", {{"free", Idempotency::Idempotent},
+                                                             {"guarded", Idempotency::IdempotentWithKey},
+                                                             {"single_shot", Idempotency::NonIdempotent}});
+        if (c.idempotency == Idempotency::IdempotentWithKey) {
+            c.deduplication_scope =
+                in.word<DeduplicationScope>(at + "DedupScope", {{"all", DeduplicationScope::All},
+                                                                {"zone", DeduplicationScope::Zone},
+                                                                {"cell", DeduplicationScope::Cell}});
+            c.deduplication_window = Duration{in.real(at + "Window")};
         }
         set.classes.push_back(c);
     }
@@ -41,10 +43,11 @@
         names.tenants.emplace_back(in.text(at + "Name"));
         set.tenants.push_back({in.real_or(at + "QuotaRps", 0), in.real_or(at + "Share", 0)});
     }
-    set.must_ask = set.watches = in.word<bool>("Discovery", {{"ask", true}, {"push", false}});
+    set.polls_discovery = set.watches_discovery =
+        in.word<bool>("Discovery", {{"ask", true}, {"push", false}});
     set.probes = in.flag_or("Limits.Probes", false);
     set.cancel = in.flag_or("Limits.Cancel", false);
-    set.second_copies = in.flag_or("Limits.SecondCopies", false);
+    set.allows_hedging = in.flag_or("Limits.SecondCopies", false);
     set.retry_after = in.flag_or("Limits.RetryAfter", false);
     set.max_attempts = int(in.real_or("Limits.MaxAttempts", 1));
     set.max_retry_after = Duration{in.real_or("Limits.MaxRetryAfter", 0)};
@@ -53,30 +56,30 @@
     set.probes_report_load = in.text_or("LoadReport.How", "none") != "none" &&
                              std::find(columns.begin(), columns.end(), "inflight") != columns.end();
     set.removal_not_binding = in.flag_or("Safety.RemovalNotBinding", false);
-    set.live_sizes = in.find("Weights").value_or("") == "live";
+    set.weights_track_load = in.find("Weights").value_or("") == "live";
     set.connect_timeout = Duration{in.real_or("Limits.ConnectTimeout", 1000)};
-    set.conn_idle = Duration{in.real_or("Limits.ConnIdle", 10000)};
-    set.grace_to_answer = Duration{in.real_or("Safety.GraceToAnswer", 0)};
-    set.granularity = Duration{in.real_or("Granularity", 1)};
-    set.cold_time = Duration{in.real("Safety.Cold")};
-    set.cold_from = in.real("Safety.ColdFrom");
+    set.connection_idle_timeout = Duration{in.real_or("Limits.ConnIdle", 10000)};
+    set.response_grace = Duration{in.real_or("Safety.GraceToAnswer", 0)};
+    set.clock_granularity = Duration{in.real_or("Granularity", 1)};
+    set.slow_start_duration = Duration{in.real("Safety.Cold")};
+    set.slow_start_initial_capacity = in.real("Safety.ColdFrom");
     set.overload_factor = in.real("Safety.OverloadFactor");
-    set.tip_after = Duration{in.real("Safety.TipAfter")};
-    set.over_share_worth = in.real_or("OverShareWorth", 1);
-    set.price_cross_zone = in.real_or("Prices.CrossZone", 0);
-    set.price_probe = in.real_or("Prices.Probe", 0);
-    set.price_connection = in.real_or("Prices.Connection", 0);
+    set.overload_after = Duration{in.real("Safety.TipAfter")};
+    set.over_quota_weight = in.real_or("OverShareWorth", 1);
+    set.cross_zone_cost = in.real_or("Prices.CrossZone", 0);
+    set.probe_cost = in.real_or("Prices.Probe", 0);
+    set.connection_cost = in.real_or("Prices.Connection", 0);
     return set;
 }
 
-ListEntry make_entry(const Names& names, std::string_view zone, std::string_view kind) {
-    ListEntry entry;
+EndpointEntry make_entry(const Names& names, std::string_view zone, std::string_view kind) {
+    EndpointEntry entry;
     entry.zone = index_of(names.zones, zone);
     entry.kind = index_of(names.kinds, kind);
     return entry;
 }
 
-void set_last_start(ListEntry& entry, double ms) {
+void set_last_start(EndpointEntry& entry, double ms) {
     if (ms != 0) entry.last_start = TimePoint{Duration{ms}};
 }
 
@@ -94,7 +97,7 @@
         std::string_view key = pair.substr(0, at), value = pair.substr(at + 1);
         std::optional<double>* slot = key == "inflight" ? &load.inflight
                                       : key == "queue"  ? &load.queue
-                                      : key == "util"   ? &load.util
+                                      : key == "util"   ? &load.utilization
                                                         : nullptr;
         if (slot == nullptr || value == "-") continue;
         *slot = read_number<double>(value);
--- a/src/engine/decode.h
+++ b/src/engine/decode.h
@@ -16,10 +16,10 @@
 Settings parse_settings(const std::vector<std::string_view>& pairs, Names& names, Report* report = nullptr);
 
 /// A list entry in this zone and of this kind; the caller fills in the rest.
-ListEntry make_entry(const Names& names, std::string_view zone, std::string_view kind);
+EndpointEntry make_entry(const Names& names, std::string_view zone, std::string_view kind);
 
 /// Zero means that it started long ago.
-void set_last_start(ListEntry& entry, double ms);
+void set_last_start(EndpointEntry& entry, double ms);
 
 /// Reads "name:value,..." with `mark` between name and value; skips what it does not know, also a "TEXT " in
 /// front. Throws std::runtime_error on what is neither.
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -10,9 +10,10 @@
 Engine::Engine(Scheduler& scheduler, const Settings& settings, std::uint64_t seed)
     : scheduler_(scheduler),
       balancer_(settings, seed),
-      grace_(settings.grace_to_answer),
+      grace_(settings.response_grace),
       max_attempts_(settings.max_attempts) {
-    for (const ClassSettings& c : settings.classes) repeatable_.push_back(c.effect != Effect::SingleShot);
+    for (const ClassSettings& c : settings.classes)
+        repeatable_.push_back(c.idempotency != Idempotency::NonIdempotent);
 }
 
 // Where a node goes and its scheduler stays, nothing that it armed may run.
@@ -31,8 +32,8 @@
     request.id = id;
     request.caller = std::move(caller);
     request.message = std::move(call.message);
-    request.give_up_at = call.request.give_up_at;
-    request.uploading = call.request.uploading;
+    request.give_up_at = call.request.deadline;
+    request.uploading = call.request.receiving_body;
     std::size_t cls = std::size_t(call.request.class_index);
     request.repeatable = cls >= repeatable_.size() || repeatable_[cls];
     ++unanswered_;
@@ -56,7 +57,7 @@
         late->overdue = 0;
         log_line(LogLevel::Error, "request %llu was left unanswered", static_cast<unsigned long long>(id));
         conclude(*late, {Verdict::Failed, {}, true, nullptr});
-        post(ClientGone{id});
+        post(ClientDisconnected{id});
         drop_if_over(id);
     });
 }
@@ -74,7 +75,7 @@
         attempt.limit =
             scheduler_.call_at(give_up_at, [this, a = AttemptId{id, int(k)}] { attempt_late(a); });
     }
-    post(Uploaded{id, give_up_at});
+    post(RequestBodyReceived{id, give_up_at});
 }
 
 void Engine::depart(RequestId id) {
@@ -85,7 +86,7 @@
     stop_timer(request->overdue);
     --unanswered_;
     scheduler_.post([this, id] {
-        post(ClientGone{id});
+        post(ClientDisconnected{id});
         drop_if_over(id);
     });
 }
@@ -93,17 +94,17 @@
 void Engine::listed(const Listing& listing) {
     upstream_->servers(listing);
     const auto& entries = listing.update.entries;
-    auto ready = [](const ListEntry& entry) { return entry.phase == Phase::Ready; };
+    auto ready = [](const EndpointEntry& entry) { return entry.phase == Phase::Ready; };
     has_servers_ = has_servers_ || std::any_of(entries.begin(), entries.end(), ready);
     post(listing.update);
 }
 
 void Engine::by_hand(std::uint64_t key, bool out, TimePoint since) {
     upstream_->by_hand(key, out);
-    post(ByHand{key, out, since});
+    post(AdminOverride{key, out, since});
 }
 
-void Engine::probe_ended(ServerId server, Duration elapsed, Outcome outcome, LoadReport report) {
+void Engine::probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) {
     post(ProbeEnded{server, outcome, elapsed, report});
 }
 
@@ -139,10 +140,10 @@
         concluded_.clear();
         if (const auto* ended = std::get_if<AttemptEnded>(&event)) drop_if_over(ended->request);
         if (const auto* came = std::get_if<RequestArrived>(&event)) drop_if_over(came->request);
-        if (const auto* gone = std::get_if<ClientGone>(&event)) drop_if_over(gone->request);
+        if (const auto* gone = std::get_if<ClientDisconnected>(&event)) drop_if_over(gone->request);
     }
     draining_ = false;
-    if (counters_) counters_->avoided.set(std::int64_t(balancer_.avoided()));
+    if (counters_) counters_->avoided.set(std::int64_t(balancer_.unavailable_endpoints()));
 }
 
 void Engine::carry_out(const Action& action) {
@@ -151,7 +152,7 @@
             using T = std::decay_t<decltype(a)>;
             if constexpr (std::is_same_v<T, Forward>) {
                 forward(a);
-            } else if constexpr (std::is_same_v<T, Refuse>) {
+            } else if constexpr (std::is_same_v<T, Reject>) {
                 if (Request* r = find(a.request))
                     conclude(*r, {Verdict::Refused, a.retry_after, false, nullptr});
             } else if constexpr (std::is_same_v<T, Fail>) {
@@ -164,12 +165,12 @@
                 upstream_->stop(id);
                 end_attempt(id, {Outcome::Cancelled, {}, nullptr});
             } else if constexpr (std::is_same_v<T, Probe>) {
-                upstream_->probe(a.server, a.limit);
-            } else if constexpr (std::is_same_v<T, Close>) {
-                upstream_->close_idle(a.server);
-            } else if constexpr (std::is_same_v<T, WatchList>) {
+                upstream_->probe(a.endpoint, a.timeout);
+            } else if constexpr (std::is_same_v<T, CloseIdleConnections>) {
+                upstream_->close_idle(a.endpoint);
+            } else if constexpr (std::is_same_v<T, WatchEndpoints>) {
                 registry_->watch();
-            } else if constexpr (std::is_same_v<T, WakeAt>) {
+            } else if constexpr (std::is_same_v<T, SetTimer>) {
                 set_wake(a.at);
             } else {
                 static_assert(std::is_same_v<T, Log>);
@@ -205,18 +206,18 @@
     AttemptId id{action.request, int(request->attempts.size())};
     TimePoint now = scheduler_.now();
     Attempt& attempt = request->attempts.emplace_back();
-    attempt.server = action.server;
+    attempt.server = action.endpoint;
     attempt.sent = now;
-    attempt.begin_by = action.begin_by;
+    attempt.begin_by = action.send_deadline;
     ++request->open;
-    if (now >= request->give_up_at || action.limit.count() < 0 || !still_wanted(*request)) {
-        end_attempt(id, {Outcome::Moot, {}, nullptr});
+    if (now >= request->give_up_at || action.timeout.count() < 0 || !still_wanted(*request)) {
+        end_attempt(id, {Outcome::NotSent, {}, nullptr});
         return;
     }
     TimePoint until = request->give_up_at;
-    if (action.limit.count() > 0) until = std::min(until, now + action.limit);
+    if (action.timeout.count() > 0) until = std::min(until, now + action.timeout);
     if (!request->uploading) attempt.limit = scheduler_.call_at(until, [this, id] { attempt_late(id); });
-    upstream_->start(id, action.server, request->message, until - now);
+    upstream_->start(id, action.endpoint, request->message, until - now);
 }
 
 void Engine::attempt_late(AttemptId id) {
@@ -270,7 +271,7 @@
     stop_timer(wake_);
     wake_ = scheduler_.call_at(at, [this] {
         wake_ = 0;
-        post(Woken{});
+        post(TimerFired{});
     });
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -40,8 +40,8 @@
     void look_first(std::function<void()> look) { look_ = std::move(look); }
     void by_hand(std::uint64_t key, bool out, TimePoint since);
     /// Another process of this node lives, or no longer does.
-    void twinned(bool twin) { post(Twinned{twin}); }
-    void sharers(int gateways, int me) { post(Sharers{gateways < 1 ? 1 : gateways, me}); }
+    void twinned(bool twin) { post(HandoverPeerChanged{twin}); }
+    void sharers(int gateways, int me) { post(FleetSizeChanged{gateways < 1 ? 1 : gateways, me}); }
     /// Where the module's count of avoided servers goes; may be null.
     void count_in(Counters* counters) { counters_ = counters; }
     /// It may still be written: its request is unanswered, its time and the window for a repeat are not over,
@@ -49,7 +49,7 @@
     bool wanted(AttemptId id) override;
     bool may_repeat(AttemptId id) override;
     void attempt_ended(AttemptId id, AttemptResult result) override;
-    void probe_ended(ServerId server, Duration elapsed, Outcome outcome, LoadReport report) override;
+    void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) override;
 
     TimePoint now() const { return scheduler_.now(); }
     std::size_t open_requests() const { return unanswered_; }
@@ -61,7 +61,7 @@
 private:
     std::function<void()> look_;
     struct Attempt {
-        ServerId server = 0;
+        EndpointId server = 0;
         TimePoint sent{}, begin_by = TimePoint::max();
         TimerId limit = 0;
         bool ended = false;
--- a/src/engine/settings.cpp
+++ b/src/engine/settings.cpp
@@ -15,37 +15,41 @@
 
 Table<NamedClass> class_settings() {
     Table<ClassSettings> table{
-        config::word(
-            {.name = "effect",
-             .fallback = "single_shot",
-             .help = "may it run again? `free`: yes. `keyed`: servers drop a repeat of its key. "
-                     "`single_shot`: never",
-             .needs =
-                 [](std::string_view value) {
-                     return value == "keyed" ? std::vector<std::string_view>{"window_ms", "scope"}
-                                             : std::vector<std::string_view>{};
-                 }},
-            &ClassSettings::effect,
-            {{"free", Effect::Free}, {"keyed", Effect::Guarded}, {"single_shot", Effect::SingleShot}}),
+        config::word({.name = "effect",
+                      .fallback = "single_shot",
+                      .help = "may it run again? `free`: yes. `keyed`: servers drop a repeat of its key. "
+                              "`single_shot`: never",
+                      .needs =
+                          [](std::string_view value) {
+                              return value == "keyed" ? std::vector<std::string_view>{"window_ms", "scope"}
+                                                      : std::vector<std::string_view>{};
+                          }},
+                     &ClassSettings::idempotency,
+                     {{"free", Idempotency::Idempotent},
+                      {"keyed", Idempotency::IdempotentWithKey},
+                      {"single_shot", Idempotency::NonIdempotent}}),
         number({.name = "aim_ms", .fallback = "1000", .help = "an answer within this earns the full worth"},
-               &ClassSettings::aim, 1.0, kDay, kMilliseconds),
+               &ClassSettings::latency_objective, 1.0, kDay, kMilliseconds),
         number({.name = "give_up_ms",
                 .fallback = "10000",
                 .help = "how long a client waits that does not say so in `X-Expires-In`"},
-               &ClassSettings::give_up, 1.0, kDay, kMilliseconds),
+               &ClassSettings::request_timeout, 1.0, kDay, kMilliseconds),
         number({.name = "window_ms",
                 .help = "keyed: how long servers drop repeats, from the first attempt that may have run"},
-               &ClassSettings::window, 0.0, kDay, kMilliseconds),
+               &ClassSettings::deduplication_window, 0.0, kDay, kMilliseconds),
         config::word(
             {.name = "scope", .help = "keyed: which servers drop them: `all`, those of its `zone` or `cell`"},
-            &ClassSettings::scope, {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}}),
+            &ClassSettings::deduplication_scope,
+            {{"all", DeduplicationScope::All},
+             {"zone", DeduplicationScope::Zone},
+             {"cell", DeduplicationScope::Cell}}),
         number(
             {.name = "gain", .fallback = "1", .help = "worth of one request, beside that of other classes"},
-            &ClassSettings::gain, 0.0, 1e6),
+            &ClassSettings::priority_weight, 0.0, 1e6),
         number({.name = "late_worth",
                 .fallback = "0.5",
                 .help = "part of it that an answer behind the aim has; 0: it is given up there"},
-               &ClassSettings::late_worth, 0.0, 1.0)};
+               &ClassSettings::late_response_weight, 0.0, 1.0)};
     Table<NamedClass> named{config::text<NamedClass>(
         {.name = "name", .help = "what figures and rules call it", .needed = true}, &NamedClass::name)};
     config::join(named, table, &NamedClass::settings);
@@ -58,8 +62,8 @@
                 .fallback = "0",
                 .help = "requests a second, for all nodes together, that are within its share; 0: all"},
                &TenantSettings::quota_rps, 0.0, 1e9),
-        number({.name = "share", .fallback = "0", .help = "its part of the service"}, &TenantSettings::share,
-               0.0, 1.0)};
+        number({.name = "share", .fallback = "0", .help = "its part of the service"},
+               &TenantSettings::fair_share, 0.0, 1.0)};
     Table<NamedTenant> named{config::text<NamedTenant>(
         {.name = "name", .help = "as clients have it in `X-Customer`", .needed = true}, &NamedTenant::name)};
     config::join(named, table, &NamedTenant::settings);
@@ -77,13 +81,13 @@
         number({.name = "conn_idle_ms",
                 .fallback = "4000",
                 .help = "servers close a connection that stood idle for this: it is closed before"},
-               &Settings::conn_idle, 1.0, kDay, kMilliseconds),
+               &Settings::connection_idle_timeout, 1.0, kDay, kMilliseconds),
         flag({.name = "cancel", .fallback = "on", .help = "attempts that are no use any more are called off"},
              &Settings::cancel),
         flag({.name = "second_copies",
               .fallback = "off",
               .help = "two attempts of a request may be out at once"},
-             &Settings::second_copies),
+             &Settings::allows_hedging),
         flag({.name = "retry_after", .fallback = "on", .help = "refusals say when to come back"},
              &Settings::retry_after),
         number({.name = "max_retry_after_ms", .fallback = "1500", .help = "... and no later than this"},
@@ -95,17 +99,17 @@
         number({.name = "answer_grace_ms",
                 .fallback = "20",
                 .help = "how late behind a client's deadline a final answer still counts"},
-               &Settings::grace_to_answer, 2.0, kDay, kMilliseconds),
+               &Settings::response_grace, 2.0, kDay, kMilliseconds),
         number({.name = "cold_ms", .fallback = "5000", .help = "how long a server that has started is cold"},
-               &Settings::cold_time, 0.0, kDay, kMilliseconds),
+               &Settings::slow_start_duration, 0.0, kDay, kMilliseconds),
         number({.name = "cold_from", .fallback = "0.5", .help = "part of its capacity that it starts with"},
-               &Settings::cold_from, 0.01, 1.0),
+               &Settings::slow_start_initial_capacity, 0.01, 1.0),
         number({.name = "overload_factor",
                 .fallback = "3",
                 .help = "a cold server falls over when sent this many times what it can do"},
                &Settings::overload_factor, 1.0, 1e6),
         number({.name = "tip_after_ms", .fallback = "1500", .help = "... for this long"},
-               &Settings::tip_after, 1.0, kDay, kMilliseconds),
+               &Settings::overload_after, 1.0, kDay, kMilliseconds),
         flag({.name = "removal_not_binding",
               .fallback = "off",
               .help = "a server that leaves the list may still be sent to"},
@@ -116,15 +120,15 @@
     return {number({.name = "cross_zone",
                     .fallback = "0.06",
                     .help = "of an attempt in another zone, in requests; over 0.05 the own zone goes first"},
-                   &Settings::price_cross_zone, 0.0, 1e6),
+                   &Settings::cross_zone_cost, 0.0, 1e6),
             number({.name = "probe", .fallback = "0.2", .help = "of a probe; the dearer, the fewer"},
-                   &Settings::price_probe, 0.0, 1e6),
+                   &Settings::probe_cost, 0.0, 1e6),
             number({.name = "connection", .fallback = "0", .help = "of 100 connections to a server"},
-                   &Settings::price_connection, 0.0, 1e6),
+                   &Settings::connection_cost, 0.0, 1e6),
             number({.name = "over_share_worth",
                     .fallback = "1",
                     .help = "worth of a request over its tenant's quota, as a part"},
-                   &Settings::over_share_worth, 0.0, 1.0)};
+                   &Settings::over_quota_weight, 0.0, 1.0)};
 }
 
 Table<Settings> health_settings() {
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -58,7 +58,7 @@
 
 /// The server list as discovery words it, with an address for each entry.
 struct Listing {
-    ListUpdate update;
+    EndpointUpdate update;
     std::vector<std::string> addresses;  ///< one for each entry
     std::vector<std::string> ids;        ///< ... and what operators call it; empty where nobody does
 };
@@ -73,7 +73,7 @@
     /// Its request may be sent again where this attempt ends without an answer, though it may have run.
     virtual bool may_repeat(AttemptId /*id*/) { return true; }
     virtual void attempt_ended(AttemptId id, AttemptResult result) = 0;
-    virtual void probe_ended(ServerId server, Duration elapsed, Outcome outcome, LoadReport report) = 0;
+    virtual void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) = 0;
 };
 
 /// Carries attempts to servers. It picks none and sends nothing twice.
@@ -81,12 +81,12 @@
 public:
     virtual ~Upstream() = default;
     virtual void servers(const Listing& listing) = 0;
-    virtual void start(AttemptId id, ServerId server, std::shared_ptr<const Message> message,
+    virtual void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                        Duration patience) = 0;
     /// Gives an attempt up, its connection closed on return. False: it was never written whole.
     virtual bool stop(AttemptId id) = 0;
-    virtual void probe(ServerId server, Duration limit) = 0;
-    virtual void close_idle(ServerId server) = 0;
+    virtual void probe(EndpointId server, Duration limit) = 0;
+    virtual void close_idle(EndpointId server) = 0;
     /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out.
     /// For an upstream whose connections are up at once the module's own word is enough.
     virtual void by_hand(std::uint64_t /*key*/, bool /*out*/) {}
--- a/src/http/call_reader.cpp
+++ b/src/http/call_reader.cpp
@@ -32,7 +32,7 @@
         found = index_of(names_.classes, first_part(request.target));
         if (found == kNone) {
             reading.status = 404;
-        } else if (bool is_free = classes_[std::size_t(found)].effect == Effect::Free;
+        } else if (bool is_free = classes_[std::size_t(found)].idempotency == Idempotency::Idempotent;
                    request.method != (is_free ? "GET" : "POST")) {
             reading.status = 405;
             reading.allow = request.method == "GET" ? "POST" : "GET";
@@ -78,16 +78,17 @@
     for (const char* name : {"X-Trace-Id", "X-Customer", "X-Expires-In", "Idempotency-Key", "X-Object"})
         if (request.count(name) > 1) return wrong(400);
     if (needs_trace_id_ && request.header("X-Trace-Id").empty()) return wrong(400);
-    if (c.effect == Effect::Guarded && request.header("Idempotency-Key").empty()) return wrong(400);
-    call.client_repeat = request.header("X-Second-Try") == "1";
-    Duration patience = c.give_up;
+    if (c.idempotency == Idempotency::IdempotentWithKey && request.header("Idempotency-Key").empty())
+        return wrong(400);
+    call.is_client_retry = request.header("X-Second-Try") == "1";
+    Duration patience = c.request_timeout;
     if (std::string_view text = request.header("X-Expires-In"); !text.empty()) {
         auto seconds = read_number<double>(text);
         if (!seconds || !std::isfinite(*seconds) || *seconds < 0) return wrong(400);
         patience = Duration{1000 * std::min(*seconds, kPatienceMost)};
     }
     reading.patience = patience;
-    call.give_up_at = came + patience;
+    call.deadline = came + patience;
     if (std::string_view key = request.header("X-Object"); !key.empty())
         call.key = read_number<std::uint64_t>(key);
     return reading;
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -240,11 +240,11 @@
     CallReader::Reading reading = front_.calls().read(*request, came_);
     class_ = reading.call.request.class_index, tenant_ = reading.call.request.tenant;
     patience_ = reading.patience;
-    reading.call.request.uploading = bool(upload_);
+    reading.call.request.receiving_body = bool(upload_);
     if (!upload_) figured_ = front_.figures().came(class_, tenant_, heard_);
     entered_ = front_.engine().now();
     knock_ = {reading.call.request.class_index, reading.call.request.tenant,
-              reading.call.request.client_repeat, number_};
+              reading.call.request.is_client_retry, number_};
     if (overloaded_) return refuse(front_.admission().turn_away(entered_, knock_));
     if (reading.status != 200) {
         close_after_ = true;
--- a/src/http/server_pool.cpp
+++ b/src/http/server_pool.cpp
@@ -52,13 +52,13 @@
 /// But for the platform, what a server answers counts as long as it does not say that the fault is its own.
 Outcome outcome_of(const Connection::Result& result, HttpProfile::Pass pass) {
     using End = Connection::End;
-    if (result.end == End::NotSent) return result.reusable ? Outcome::Moot : Outcome::ConnectFailed;
+    if (result.end == End::NotSent) return result.reusable ? Outcome::NotSent : Outcome::ConnectFailed;
     if (result.end == End::Broken) return Outcome::Reset;
     if (result.end == End::Garbage || result.end == End::TooLarge) return Outcome::Error;
     int status = result.answer->status;
     if (status == 200) return Outcome::Ok;
     bool turned_away = (status == 503 || status == 504) && result.answer->header("X-Never-Ran") == "1";
-    if (turned_away) return Outcome::Full;
+    if (turned_away) return Outcome::Rejected;
     return pass != HttpProfile::Pass::Only200 && status >= 200 && status < 500 ? Outcome::Ok : Outcome::Error;
 }
 
@@ -79,7 +79,7 @@
       pool_(pool),
       events_(events),
       connect_timeout_(settings.connect_timeout),
-      idle_most_(idle_most(settings.conn_idle)),
+      idle_most_(idle_most(settings.connection_idle_timeout)),
       removal_binds_(!settings.removal_not_binding),
       most_connections_(most_connections),
       profile_(profile),
@@ -90,15 +90,15 @@
 }
 
 void ServerPool::servers(const Listing& listing) {
-    if (listing.update.kind == ListKind::Failed) return;
-    if (listing.update.kind != ListKind::Delta && removal_binds_)
+    if (listing.update.kind == UpdateKind::Failed) return;
+    if (listing.update.kind != UpdateKind::Delta && removal_binds_)
         for (auto& [id, server] : servers_) server.sendable = false;
     for (std::size_t i = 0; i < listing.update.entries.size(); ++i) {
-        const ListEntry& entry = listing.update.entries[i];
-        Server& server = servers_[entry.server];
+        const EndpointEntry& entry = listing.update.entries[i];
+        Server& server = servers_[entry.endpoint];
         auto address = parse_address(listing.addresses[i]);
         if (address != server.address) {  // it has moved
-            close_idle(entry.server);
+            close_idle(entry.endpoint);
             server.answers = 0;
         }
         // Guards against connections of its earlier process: its machine may have vanished without a word.
@@ -106,8 +106,8 @@
             close_idle_before(server, *entry.last_start);
         server.last_start = entry.last_start;
         server.address = address;
-        server.key = entry.key != 0 ? entry.key : entry.server;
-        server.sendable = entry.phase == Phase::Ready || (entry.phase == Phase::Gone && !removal_binds_);
+        server.key = entry.key != 0 ? entry.key : entry.endpoint;
+        server.sendable = entry.phase == Phase::Ready || (entry.phase == Phase::Removed && !removal_binds_);
     }
     // Nothing new goes to the others, and what is out there needs no more than its connection.
     for (auto it = servers_.begin(); it != servers_.end();) {
@@ -116,7 +116,7 @@
     }
 }
 
-ServerPool::ConnectionPtr ServerPool::connection_to(ServerId id) {
+ServerPool::ConnectionPtr ServerPool::connection_to(EndpointId id) {
     Server* known = find(id);
     if (!known) return nullptr;
     Server& server = *known;
@@ -160,7 +160,7 @@
 }
 
 /// What an exchange has shown of its server.
-void ServerPool::learn(ServerId id, const Connection::Result& result, bool doubted) {
+void ServerPool::learn(EndpointId id, const Connection::Result& result, bool doubted) {
     if (result.unasked) beware();
     Server* server = find(id);
     if (!server || doubted || result.end != Connection::End::Answered || result.answer->status != 200) return;
@@ -180,7 +180,8 @@
     return true;
 }
 
-void ServerPool::start(AttemptId id, ServerId to, std::shared_ptr<const Message> message, Duration patience) {
+void ServerPool::start(AttemptId id, EndpointId to, std::shared_ptr<const Message> message,
+                       Duration patience) {
     auto request = std::static_pointer_cast<const HttpMessage>(std::move(message));
     // Guards against half a body that would look whole.
     ConnectionPtr connection = request->replayable() ? connection_to(to) : nullptr;
@@ -227,7 +228,7 @@
     });
 }
 
-void ServerPool::attempt_done(AttemptId id, ServerId server, const ConnectionPtr& connection,
+void ServerPool::attempt_done(AttemptId id, EndpointId server, const ConnectionPtr& connection,
                               Connection::Result result, bool doubted) {
     attempts_.erase(id);
     learn(server, result, doubted);
@@ -247,7 +248,7 @@
     events_.attempt_ended(id, std::move(told));
 }
 
-void ServerPool::give_back(ServerId id, const ConnectionPtr& connection, bool reusable) {
+void ServerPool::give_back(EndpointId id, const ConnectionPtr& connection, bool reusable) {
     if (!reusable || connections_ > most_connections_ || !may_send(id, connection->to())) {
         connection->close();
         --connections_;
@@ -272,7 +273,7 @@
     return connection->close();
 }
 
-void ServerPool::probe(ServerId to, Duration limit) {
+void ServerPool::probe(EndpointId to, Duration limit) {
     auto began = Connection::Steady::now();
     auto took = [began] { return Duration{Connection::Steady::now() - began}; };
     ConnectionPtr connection = connection_to(to);
@@ -307,7 +308,7 @@
         });
 }
 
-void ServerPool::close_idle(ServerId id) {
+void ServerPool::close_idle(EndpointId id) {
     Server* server = find(id);
     if (!server) return;
     for (const ConnectionPtr& connection : server->idle) connection->close();
--- a/src/http/server_pool.h
+++ b/src/http/server_pool.h
@@ -43,11 +43,11 @@
                Counters* counters = nullptr, const Reuse& reuse = {});
 
     void servers(const Listing& listing) override;
-    void start(AttemptId id, ServerId server, std::shared_ptr<const Message> message,
+    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                Duration patience) override;
     bool stop(AttemptId id) override;
-    void probe(ServerId server, Duration limit) override;
-    void close_idle(ServerId server) override;
+    void probe(EndpointId server, Duration limit) override;
+    void close_idle(EndpointId server) override;
     void by_hand(std::uint64_t key, bool out) override;
     /// No more connections than this from now on, idle ones that are over it included.
     void keep_to(std::size_t most_connections);
@@ -76,20 +76,20 @@
         }
     };
 
-    Server* find(ServerId id) {
+    Server* find(EndpointId id) {
         auto it = servers_.find(id);
         return it == servers_.end() ? nullptr : &it->second;
     }
-    bool may_send(ServerId id, const Connection::Endpoint& at) {
+    bool may_send(EndpointId id, const Connection::Endpoint& at) {
         Server* server = find(id);
         return server && server->sendable && server->address == at && !out_.contains(server->key);
     }
-    ConnectionPtr connection_to(ServerId id);
+    ConnectionPtr connection_to(EndpointId id);
     void close_idle_before(Server& server, TimePoint start);
-    void give_back(ServerId id, const ConnectionPtr& connection, bool reusable);
-    void attempt_done(AttemptId id, ServerId server, const ConnectionPtr& connection,
+    void give_back(EndpointId id, const ConnectionPtr& connection, bool reusable);
+    void attempt_done(AttemptId id, EndpointId server, const ConnectionPtr& connection,
                       Connection::Result result, bool doubted);
-    void learn(ServerId id, const Connection::Result& result, bool doubted);
+    void learn(EndpointId id, const Connection::Result& result, bool doubted);
     Duration soonest(const Server& server) const;
     void beware();
     void retire_idle();
@@ -107,8 +107,8 @@
     Reuse reuse_;
     double spare_ = 0;  // handshakes for connections that need not rest
     Connection::Steady::time_point wary_until_{};
-    std::unordered_set<std::uint64_t> out_;         // keys of servers out by hand
-    std::unordered_map<ServerId, Server> servers_;  // those that may be sent to; what has left is forgotten
+    std::unordered_set<std::uint64_t> out_;           // keys of servers out by hand
+    std::unordered_map<EndpointId, Server> servers_;  // those that may be sent to; what has left is forgotten
     std::unordered_map<AttemptId, ConnectionPtr, IdHash, IdSame> attempts_;
     boost::asio::steady_timer sweep_;
 };
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -118,12 +118,12 @@
     static constexpr std::array<std::pair<std::string_view, Outcome>, 8> kWords{{
         {"ok", Outcome::Ok},
         {"error", Outcome::Error},
-        {"full", Outcome::Full},
+        {"full", Outcome::Rejected},
         {"timeout", Outcome::Timeout},
         {"connect_failed", Outcome::ConnectFailed},
         {"reset", Outcome::Reset},
         {"cancelled", Outcome::Cancelled},
-        {"moot", Outcome::Moot},
+        {"moot", Outcome::NotSent},
     }};
     for (const auto& [word, meaning] : kWords)
         if (word == text) return meaning;
@@ -183,20 +183,20 @@
     if (name == "ATTEMPT_END") return attempt_end(out);
     if (name == "PROBE_RESULT") {
         need(6);
-        ProbeEnded e{number<ServerId>(fields_[2], "host"), outcome(fields_[4]),
+        ProbeEnded e{number<EndpointId>(fields_[2], "host"), outcome(fields_[4]),
                      Duration{real(fields_[3], "elapsed")}, report(fields_[5])};
         return deliver(instance(fields_[1]), e, out);
     }
     if (name == "ALARM") {
         need(3);
-        return deliver(instance(fields_[1]), Woken{}, out);
+        return deliver(instance(fields_[1]), TimerFired{}, out);
     }
     if (name == "REGISTRY") {
         need(5);
         list_for_ = &instance(fields_[1]);
         unsigned kind = number<unsigned>(fields_[2], "list kind");
         if (kind > 3) bad("unknown list kind '" + std::string(fields_[2]) + "'");
-        list_.kind = ListKind(kind);
+        list_.kind = UpdateKind(kind);
         list_.entries.clear();
         hosts_due_ = fields_[4] == "-" ? 0 : number<std::uint64_t>(fields_[4], "number of entries");
         if (hosts_due_ == 0) list_done(out);
@@ -207,7 +207,7 @@
         Instance& to = instance(fields_[1]);
         if (auto id = to.find(fields_[2])) {
             to.conclude(*id);
-            deliver(to, ClientGone{*id}, out);
+            deliver(to, ClientDisconnected{*id}, out);
             to.drop_if_over(*id);
         }
         return;
@@ -235,13 +235,13 @@
 
 void Wire::take_host(std::string& out) {
     need(8);
-    ListEntry e = make_entry(list_for_->names, fields_[2], fields_[3]);
-    e.server = number<ServerId>(fields_[1], "host");
+    EndpointEntry e = make_entry(list_for_->names, fields_[2], fields_[3]);
+    e.endpoint = number<EndpointId>(fields_[1], "host");
     e.cell = fields_[4] == "-" ? kNone : number<int>(fields_[4], "pod");
     unsigned phase = number<unsigned>(fields_[5], "phase");
     if (phase > 2) bad("unknown phase '" + std::string(fields_[5]) + "'");
     e.phase = Phase(phase);
-    e.size = fields_[6] == "-" ? 1 : real(fields_[6], "size");
+    e.weight = fields_[6] == "-" ? 1 : real(fields_[6], "size");
     set_last_start(e, fields_[7] == "-" ? 0 : real(fields_[7], "last start"));
     list_.entries.push_back(e);
     if (--hosts_due_ == 0) list_done(out);
@@ -281,8 +281,8 @@
     e.tenant = index_of(to.names.tenants, fields_[6]);
     flag(fields_[3], "write mark");
     if (fields_[4] != "-") e.key = number<std::uint64_t>(fields_[4], "key");
-    e.give_up_at = TimePoint{Duration{real(fields_[5], "give-up time")}};
-    e.client_repeat = flag(fields_[7], "repeat mark");
+    e.deadline = TimePoint{Duration{real(fields_[5], "give-up time")}};
+    e.is_client_retry = flag(fields_[7], "repeat mark");
     if (fields_[8] != "-") e.effort = Duration{real(fields_[8], "effort")};
     if (to.find(fields_[2])) bad("request '" + std::string(fields_[2]) + "' came twice");
     e.request = to.add(fields_[2]);
@@ -295,17 +295,17 @@
     Instance& to = instance(fields_[1]);
     AttemptEnded e;
     e.attempt = number<int>(fields_[3], "attempt");
-    e.server = number<ServerId>(fields_[4], "host");
+    e.endpoint = number<EndpointId>(fields_[4], "host");
     e.outcome = outcome(fields_[5]);
     e.elapsed = Duration{real(fields_[6], "elapsed")};
-    e.concluded = flag(fields_[7], "end mark");
+    e.request_completed = flag(fields_[7], "end mark");
     e.report = report(fields_[8]);
     auto id = to.find(fields_[2]);
     if (!id) return;
     e.request = *id;
     Instance::Live& live = to.live.at(*id);
     --live.open;
-    if (e.concluded) live.concluded = true;
+    if (e.request_completed) live.concluded = true;
     deliver(to, e, out);
     to.drop_if_over(*id);
 }
@@ -346,9 +346,9 @@
             if constexpr (std::is_same_v<T, Forward>) {
                 begin("FORWARD");
                 ++request(a.request).open;
-                number_after_space(a.server);
-                number_after_space(a.limit.count());
-            } else if constexpr (std::is_same_v<T, Refuse>) {
+                number_after_space(a.endpoint);
+                number_after_space(a.timeout.count());
+            } else if constexpr (std::is_same_v<T, Reject>) {
                 begin("OVERLOAD_REPLY");
                 request(a.request).concluded = true;
                 number_after_space(a.retry_after.count());
@@ -363,14 +363,14 @@
                 number_after_space(a.attempt);
             } else if constexpr (std::is_same_v<T, Probe>) {
                 begin("HEALTH_CHECK");
-                number_after_space(a.server);
-            } else if constexpr (std::is_same_v<T, Close>) {
+                number_after_space(a.endpoint);
+            } else if constexpr (std::is_same_v<T, CloseIdleConnections>) {
                 begin("CLOSE");
-                number_after_space(a.server);
-            } else if constexpr (std::is_same_v<T, WatchList>) {
+                number_after_space(a.endpoint);
+            } else if constexpr (std::is_same_v<T, WatchEndpoints>) {
                 begin("TRACK");
                 out += " 1";
-            } else if constexpr (std::is_same_v<T, WakeAt>) {
+            } else if constexpr (std::is_same_v<T, SetTimer>) {
                 begin("NOTIFY_ME");
                 out += " wake";
                 number_after_space(a.at.time_since_epoch().count());
--- a/src/wire.h
+++ b/src/wire.h
@@ -66,7 +66,7 @@
     TimePoint now_{};
     Instance* list_for_ = nullptr;
     std::uint64_t hosts_due_ = 0;
-    ListUpdate list_;
+    EndpointUpdate list_;
 };
 
 }  // namespace ochrehub
--- a/tests/balancer/drawn_settings_test.cpp
+++ b/tests/balancer/drawn_settings_test.cpp
@@ -42,9 +42,9 @@
     explicit DrawnDay(const Drawn& d) : d_(d), random_(d.seed * 77 + 5) {
         servers_.resize(std::size_t(d.servers));
         for (auto& s : servers_) s.free_at.assign(std::size_t(d.slots), 0);
-        for (int g = 0; g < d.set.balancers; ++g) {
+        for (int g = 0; g < d.set.node_count; ++g) {
             Settings set = d.set;
-            set.me = g;
+            set.node_index = g;
             set.zone = d.zones > 1 ? g % d.zones : (d.zones == 1 ? 0 : kNone);
             zone_of_.push_back(g % std::max(1, d.zones));
             gates_.push_back(std::make_unique<Balancer>(set, d.seed * 131 + std::uint64_t(g)));
@@ -54,7 +54,7 @@
     }
 
     void run() {
-        for (int g = 0; g < d_.set.balancers; ++g) tell_list(g, ListKind::Cached);
+        for (int g = 0; g < d_.set.node_count; ++g) tell_list(g, UpdateKind::Cached);
         double mean = 0, sum = 0;
         for (std::size_t c = 0; c < d_.mix.size(); ++c) mean += d_.mix[c] * d_.took_ms[c], sum += d_.mix[c];
         mean /= sum;
@@ -96,7 +96,7 @@
     };
     struct Request {
         int gate, cls, tenant;
-        double came, give_up_at;
+        double came, deadline;
         bool answered = false, gone = false, concluded = false;
         std::vector<Attempt> attempts;
     };
@@ -111,7 +111,7 @@
     }
     /// To a gateway, in its next batch.
     void hand(double when, std::function<void()> what) {
-        double step = d_.set.granularity.count();
+        double step = d_.set.clock_granularity.count();
         at(std::ceil(when / step - 1e-9) * step, std::move(what));
     }
     bool down(int s) const {
@@ -121,15 +121,15 @@
     int zone(int s) const { return s % std::max(1, d_.zones); }
     double way(int g, int s) const { return zone(s) == zone_of_[std::size_t(g)] ? d_.way_ms : d_.cross_ms; }
 
-    ListEntry listed(int s) const {
-        ListEntry e = entry(ServerId(s + 1), d_.zones > 0 ? zone(s) : kNone, s % std::max(1, d_.cells));
+    EndpointEntry listed(int s) const {
+        EndpointEntry e = entry(EndpointId(s + 1), d_.zones > 0 ? zone(s) : kNone, s % std::max(1, d_.cells));
         const Server& it = servers_[std::size_t(s)];
         if (it.draining) e.phase = Phase::Draining;
         if (it.started > 0) e.last_start = testing::at(it.started);
         return e;
     }
-    void tell_list(int g, ListKind kind) {
-        ListUpdate update{kind, {}};
+    void tell_list(int g, UpdateKind kind) {
+        EndpointUpdate update{kind, {}};
         for (int s = 0; s < d_.servers; ++s) update.entries.push_back(listed(s));
         tell(g, update);
     }
@@ -140,19 +140,19 @@
             if (d_.fault == Fault::Drain || d_.fault == Fault::Restart) it.draining = true;
         }
         if (d_.fault == Fault::Drain || d_.fault == Fault::Restart)
-            for (int g = 0; g < d_.set.balancers; ++g)
+            for (int g = 0; g < d_.set.node_count; ++g)
                 hand(now_ + 200 * uniform(), [this, g] {
-                    told_.resize(std::size_t(d_.set.balancers), 1e18);
+                    told_.resize(std::size_t(d_.set.node_count), 1e18);
                     told_[std::size_t(g)] = now_;
-                    tell_list(g, ListKind::Delta);
+                    tell_list(g, UpdateKind::Delta);
                 });
         if (d_.fault == Fault::Restart || d_.fault == Fault::Crash)
             at(d_.fault_till, [this] {
                 for (int s = 0; s < d_.struck; ++s)
                     servers_[std::size_t(s)].draining = false, servers_[std::size_t(s)].started = now_;
                 told_.clear();
-                for (int g = 0; g < d_.set.balancers; ++g)
-                    hand(now_ + 200 * uniform(), [this, g] { tell_list(g, ListKind::Delta); });
+                for (int g = 0; g < d_.set.node_count; ++g)
+                    hand(now_ + 200 * uniform(), [this, g] { tell_list(g, UpdateKind::Delta); });
             });
     }
 
@@ -171,26 +171,25 @@
             x -= d_.mix[c];
         }
         r.tenant = d_.set.tenants.empty() ? kNone : int(random_() % d_.set.tenants.size());
-        r.gate = int(random_() % std::uint64_t(d_.set.balancers));
+        r.gate = int(random_() % std::uint64_t(d_.set.node_count));
         r.came = now_;
-        r.give_up_at = now_ + d_.set.classes[std::size_t(r.cls)].give_up.count();
+        r.deadline = now_ + d_.set.classes[std::size_t(r.cls)].request_timeout.count();
         hand(now_, [this, id] {
             Request& q = requests_[id];
             ++by_class[std::size_t(q.cls)].asked, ++by_tenant[std::size_t(std::max(0, q.tenant))].asked;
             RequestArrived e;
-            e.request = id, e.class_index = q.cls, e.tenant = q.tenant,
-            e.give_up_at = testing::at(q.give_up_at);
+            e.request = id, e.class_index = q.cls, e.tenant = q.tenant, e.deadline = testing::at(q.deadline);
             tell(q.gate, e);
         });
         if (uniform() < d_.leave)
-            hand(now_ + uniform() * d_.set.classes[std::size_t(r.cls)].give_up.count(), [this, id] {
+            hand(now_ + uniform() * d_.set.classes[std::size_t(r.cls)].request_timeout.count(), [this, id] {
                 Request& q = requests_[id];
                 if (q.answered) return;
                 q.gone = true;
-                tell(q.gate, ClientGone{id});
+                tell(q.gate, ClientDisconnected{id});
             });
         else
-            at(r.give_up_at + d_.grace_ms + 2 * d_.set.granularity.count(), [this, id] {
+            at(r.deadline + d_.grace_ms + 2 * d_.set.clock_granularity.count(), [this, id] {
                 Request& q = requests_[id];
                 if (!q.answered && !q.gone)
                     broken("rule 1: late answer, request " + std::to_string(id)), q.gone = true;
@@ -201,18 +200,19 @@
         Actions actions;
         gates_[std::size_t(g)]->handle(testing::at(now_), event, actions);
         for (const Action& a : actions) {
-            if (auto* w = std::get_if<WakeAt>(&a)) {
-                hand(w->at.time_since_epoch().count(), [this, g] { tell(g, Woken{}); });
+            if (auto* w = std::get_if<SetTimer>(&a)) {
+                hand(w->at.time_since_epoch().count(), [this, g] { tell(g, TimerFired{}); });
             } else if (auto* f = std::get_if<Forward>(&a)) {
                 send(g, *f);
             } else if (auto* p = std::get_if<Probe>(&a)) {
                 if (!d_.set.probes) broken("a probe where none is allowed");
-                probe(g, int(p->server) - 1);
-            } else if (auto* x = std::get_if<Refuse>(&a)) {
+                probe(g, int(p->endpoint) - 1);
+            } else if (auto* x = std::get_if<Reject>(&a)) {
                 Request& r = requests_[x->request];
                 const ClassSettings& k = d_.set.classes[std::size_t(r.cls)];
-                bool free =
-                    k.effect == Effect::Free || (k.effect == Effect::Guarded && k.scope == Scope::All);
+                bool free = k.idempotency == Idempotency::Idempotent ||
+                            (k.idempotency == Idempotency::IdempotentWithKey &&
+                             k.deduplication_scope == DeduplicationScope::All);
                 if (!free)
                     for (auto& t : r.attempts)
                         if (!never_ran(t)) broken("rule 2: refused though it may have run");
@@ -227,40 +227,42 @@
         }
     }
     static bool never_ran(const Attempt& t) {
-        return t.ended && (t.outcome == Outcome::Full || t.outcome == Outcome::ConnectFailed ||
-                           t.outcome == Outcome::Moot);
+        return t.ended && (t.outcome == Outcome::Rejected || t.outcome == Outcome::ConnectFailed ||
+                           t.outcome == Outcome::NotSent);
     }
     void final_answer(RequestId id, int& count) {
         Request& r = requests_[id];
         if (r.answered) broken("rule 1: two answers");
         if (r.gone) return;
         r.answered = true;
-        if (now_ > r.give_up_at + d_.grace_ms) broken("rule 1: an answer that is late");
+        if (now_ > r.deadline + d_.grace_ms) broken("rule 1: an answer that is late");
         ++count;
     }
 
     void send(int g, const Forward& f) {
         Request& r = requests_[f.request];
         const ClassSettings& c = d_.set.classes[std::size_t(r.cls)];
-        int s = int(f.server) - 1;
+        int s = int(f.endpoint) - 1;
         Server& it = servers_[std::size_t(s)];
         if (r.answered) broken("rule 1: sent after its end");
         if (r.gone) broken("begun for a client that has gone");
-        if (now_ >= r.give_up_at) broken("rule 1: sent after its time");
+        if (now_ >= r.deadline) broken("rule 1: sent after its time");
         if (int(r.attempts.size()) >= d_.set.max_attempts) broken("more attempts than allowed");
         if (it.draining && !told_.empty() && now_ > told_[std::size_t(g)])
             broken("rule 3: sent to one that drains");
         for (auto& t : r.attempts) {
             if (!t.ended) broken("two attempts at once");
-            if (never_ran(t) || c.effect == Effect::Free) continue;
-            if (c.effect == Effect::SingleShot) broken("rule 2: unsafe, sent again");
-            if (now_ > t.sent + c.window.count()) broken("rule 2: behind the window");
-            if (c.scope == Scope::Zone && zone(t.server) != zone(s)) broken("rule 2: another zone");
-            if (c.scope == Scope::Cell && t.server % d_.cells != s % d_.cells) broken("rule 2: another cell");
+            if (never_ran(t) || c.idempotency == Idempotency::Idempotent) continue;
+            if (c.idempotency == Idempotency::NonIdempotent) broken("rule 2: unsafe, sent again");
+            if (now_ > t.sent + c.deduplication_window.count()) broken("rule 2: behind the window");
+            if (c.deduplication_scope == DeduplicationScope::Zone && zone(t.server) != zone(s))
+                broken("rule 2: another zone");
+            if (c.deduplication_scope == DeduplicationScope::Cell && t.server % d_.cells != s % d_.cells)
+                broken("rule 2: another cell");
         }
         int n = int(r.attempts.size());
         r.attempts.push_back({s, now_});
-        double give_up = std::min(r.give_up_at, f.limit.count() > 0 ? now_ + f.limit.count() : 1e18);
+        double give_up = std::min(r.deadline, f.timeout.count() > 0 ? now_ + f.timeout.count() : 1e18);
         auto answer = [&](double when, Outcome how) {
             if (when >= give_up) when = give_up, how = Outcome::Timeout;
             RequestId id = f.request;
@@ -271,9 +273,9 @@
             if (d_.fault == Fault::Errors) return answer(there + way(g, s) + 1, Outcome::Error);
             if (d_.fault == Fault::Crash) return answer(there + way(g, s), Outcome::ConnectFailed);
             if (d_.fault == Fault::Hang) return answer(1e18, Outcome::Timeout);
-            if (d_.fault == Fault::Full) return answer(there + way(g, s), Outcome::Full);
+            if (d_.fault == Fault::Full) return answer(there + way(g, s), Outcome::Rejected);
         }
-        if (it.draining) return answer(there + way(g, s), Outcome::Full);
+        if (it.draining) return answer(there + way(g, s), Outcome::Rejected);
         hand_in(there, g, f.request, n, s, give_up);
     }
     void hand_in(double there, int g, RequestId id, int n, int s, double give_up) {
@@ -286,13 +288,15 @@
             };
             std::erase_if(it.leaves, [&](double t) { return t <= now_; });
             auto first = std::min_element(it.free_at.begin(), it.free_at.end());
-            if (*first - now_ > 8 * mean_) return answer(now_ + way(g, s), Outcome::Full);
+            if (*first - now_ > 8 * mean_) return answer(now_ + way(g, s), Outcome::Rejected);
             std::lognormal_distribution<double> took(
                 std::log(d_.took_ms[std::size_t(r.cls)]) - d_.spread * d_.spread / 2, d_.spread);
-            double age = d_.set.cold_time.count() > 0 && it.started > 0
-                             ? (now_ - it.started) / d_.set.cold_time.count()
+            double age = d_.set.slow_start_duration.count() > 0 && it.started > 0
+                             ? (now_ - it.started) / d_.set.slow_start_duration.count()
                              : 1;
-            double part = age >= 1 ? 1 : d_.set.cold_from + (1 - d_.set.cold_from) * age;
+            double part = age >= 1 ? 1
+                                   : d_.set.slow_start_initial_capacity +
+                                         (1 - d_.set.slow_start_initial_capacity) * age;
             double done = std::max(*first, now_) + took(random_) / part;
             *first = done;
             it.leaves.push_back(done);
@@ -309,9 +313,10 @@
             r.answered = true;
             Group& c = by_class[std::size_t(r.cls)];
             ++c.served, ++by_tenant[std::size_t(std::max(0, r.tenant))].served;
-            c.on_time += now_ - r.came <= d_.set.classes[std::size_t(r.cls)].aim.count();
+            c.on_time += now_ - r.came <= d_.set.classes[std::size_t(r.cls)].latency_objective.count();
         }
-        AttemptEnded e{id, n, ServerId(t.server + 1), how, Duration{now_ - t.sent}, r.answered || r.gone, {}};
+        AttemptEnded e{id, n, EndpointId(t.server + 1), how, Duration{now_ - t.sent}, r.answered || r.gone,
+                       {}};
         if (how == Outcome::Cancelled) {  // not within the call that cancels
             hand(now_ + 1e-3, [this, e, g = r.gate] { tell(g, e); });
             return;
@@ -329,7 +334,7 @@
         double took = 2 * way(g, s) + 0.3;
         LoadReport report;
         if (d_.set.probes_report_load) report = {n, std::max(0.0, n - d_.slots), {}};
-        hand(now_ + took, [=, this] { tell(g, ProbeEnded{ServerId(s + 1), how, Duration{took}, report}); });
+        hand(now_ + took, [=, this] { tell(g, ProbeEnded{EndpointId(s + 1), how, Duration{took}, report}); });
     }
 
     Drawn d_;
@@ -364,24 +369,24 @@
     d.load = pick({0.05, 0.2, 0.4, 0.6});
     d.leave = pick({0, 0, 0.05});
     Settings& s = d.set;
-    s.balancers = int(pick({1, 2, 3, 6}));
-    s.granularity = Duration{pick({0.5, 1, 2, 5, 10, 20})};
+    s.node_count = int(pick({1, 2, 3, 6}));
+    s.clock_granularity = Duration{pick({0.5, 1, 2, 5, 10, 20})};
     s.probes = u() < 0.5;
     s.probes_report_load = s.probes && u() < 0.5;
     s.cancel = u() < 0.5;
-    s.second_copies = u() < 0.3;
+    s.allows_hedging = u() < 0.3;
     s.retry_after = u() < 0.5;
     s.max_retry_after = Duration{pick({300, 1200, 10'000})};
     s.max_attempts = int(pick({1, 2, 3, 5}));
-    s.cold_time = Duration{pick({0, 3000, 10'000})};
-    s.cold_from = pick({0.1, 0.3, 0.8});
+    s.slow_start_duration = Duration{pick({0, 3000, 10'000})};
+    s.slow_start_initial_capacity = pick({0.1, 0.3, 0.8});
     s.overload_factor = pick({1.5, 2.5, 4});
-    s.tip_after = Duration{pick({300, 1000, 3000})};
-    s.over_share_worth = pick({0, 0.2, 1});
-    s.price_cross_zone = pick({0, 0.02, 0.08, 0.4});
-    s.price_probe = pick({0, 0.002, 0.03, 0.06});
-    s.price_connection = pick({0, 0.05, 0.5});
-    s.live_sizes = u() < 0.3;
+    s.overload_after = Duration{pick({300, 1000, 3000})};
+    s.over_quota_weight = pick({0, 0.2, 1});
+    s.cross_zone_cost = pick({0, 0.02, 0.08, 0.4});
+    s.probe_cost = pick({0, 0.002, 0.03, 0.06});
+    s.connection_cost = pick({0, 0.05, 0.5});
+    s.weights_track_load = u() < 0.3;
     double unit = logu(1, 300);  // ms of a request
     int classes = 1 + int(random() % 5);
     for (int c = 0; c < classes; ++c) {
@@ -389,15 +394,17 @@
         double took = unit * logu(0.4, 2.5);
         d.took_ms.push_back(took);
         d.mix.push_back(logu(0.1, 1));
-        double least = took * (1 + 2.5 * d.spread) + 2 * d.cross_ms + 2 * s.granularity.count();
-        k.aim = Duration{least * logu(1.2, 12)};
-        k.give_up = k.aim * pick({1, 1.5, 4});
-        k.window = Duration{k.give_up.count() * pick({0.3, 1, 5})};
-        k.late_worth = pick({0, 0.3, 0.8});
-        k.gain = logu(0.3, 10);
+        double least = took * (1 + 2.5 * d.spread) + 2 * d.cross_ms + 2 * s.clock_granularity.count();
+        k.latency_objective = Duration{least * logu(1.2, 12)};
+        k.request_timeout = k.latency_objective * pick({1, 1.5, 4});
+        k.deduplication_window = Duration{k.request_timeout.count() * pick({0.3, 1, 5})};
+        k.late_response_weight = pick({0, 0.3, 0.8});
+        k.priority_weight = logu(0.3, 10);
         double e = u();
-        k.effect = e < 0.4 ? Effect::Free : e < 0.7 ? Effect::Guarded : Effect::SingleShot;
-        k.scope = Scope(int(random() % 3));
+        k.idempotency = e < 0.4   ? Idempotency::Idempotent
+                        : e < 0.7 ? Idempotency::IdempotentWithKey
+                                  : Idempotency::NonIdempotent;
+        k.deduplication_scope = DeduplicationScope(int(random() % 3));
         s.classes.push_back(k);
     }
     int tenants = int(pick({0, 0, 2, 4}));
@@ -441,13 +448,13 @@
             d.took_ms = {300}, d.mix = {1}, d.spread = 0.3, d.load = load, d.length_ms = 30'000;
             d.fault = Fault::Full, d.struck = 1;
             Settings set;
-            set.balancers = 1, set.probes = true, set.probes_report_load = false, set.cancel = true;
-            set.granularity = Duration{1}, set.max_attempts = 3;
-            set.price_probe = price, set.price_connection = 0.05;
+            set.node_count = 1, set.probes = true, set.probes_report_load = false, set.cancel = true;
+            set.clock_granularity = Duration{1}, set.max_attempts = 3;
+            set.probe_cost = price, set.connection_cost = 0.05;
             ClassSettings unsafe;
-            unsafe.aim = Duration{800}, unsafe.give_up = Duration{1200}, unsafe.gain = 1,
-            unsafe.late_worth = 0.5;
-            unsafe.effect = Effect::SingleShot;
+            unsafe.latency_objective = Duration{800}, unsafe.request_timeout = Duration{1200},
+            unsafe.priority_weight = 1, unsafe.late_response_weight = 0.5;
+            unsafe.idempotency = Idempotency::NonIdempotent;
             set.classes = {unsafe};
             d.set = set;
             DrawnDay day(d);
