--- a/tests/balancer/four_rules_test.cpp
+++ b/tests/balancer/four_rules_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Sent {
-    ServerId server;
+    EndpointId server;
     double when;
     std::optional<Outcome> outcome;
 };
@@ -29,7 +29,7 @@
         : random_(c.seed), settings_(make_settings()), gateway_(tuned(settings_, c), c.seed) {}
 
     void run(double length) {
-        push_list(ListKind::Cached);
+        push_list(UpdateKind::Cached);
         for (now_ = 1; now_ < length; now_ += 1 + double(random_() % 4)) {
             take(gateway_.run_to(now_));
             finish_due_attempts();
@@ -52,7 +52,7 @@
 private:
     struct Client {
         int cls;
-        double give_up_at;
+        double deadline;
         bool answered = false;
         std::vector<Sent> attempts;
     };
@@ -64,32 +64,32 @@
     };
 
     static Settings tuned(Settings& set, const Case& c) {
-        set.second_copies = c.second_copies;
+        set.allows_hedging = c.second_copies;
         set.probes_report_load = c.report_load;
         set.cancel = c.seed % 2 == 0;
         return set;
     }
 
-    void push_list(ListKind kind) {
-        std::vector<ListEntry> entries;
-        for (ServerId id = 1; id <= 8; ++id) {
+    void push_list(UpdateKind kind) {
+        std::vector<EndpointEntry> entries;
+        for (EndpointId id = 1; id <= 8; ++id) {
             auto e = entry(id, int(id % 2), int(id % 4));
             e.phase = phase_[id];
             if (started_[id] > 0) e.last_start = at(started_[id]);
-            if (e.phase == Phase::Gone && kind != ListKind::Delta) continue;
+            if (e.phase == Phase::Removed && kind != UpdateKind::Delta) continue;
             entries.push_back(e);
         }
         take(gateway_.list(now_, entries, kind));
     }
 
     void change_list() {
-        ServerId id = 1 + ServerId(random_() % 8);
+        EndpointId id = 1 + EndpointId(random_() % 8);
         switch (random_() % 4) {
             case 0:
                 phase_[id] = Phase::Draining;
                 break;
             case 1:
-                phase_[id] = Phase::Gone;
+                phase_[id] = Phase::Removed;
                 break;
             case 2:
                 phase_[id] = Phase::Ready;
@@ -99,7 +99,7 @@
                 phase_[id] = Phase::Ready;
                 break;
         }
-        push_list(random_() % 2 == 0 ? ListKind::Delta : ListKind::Full);
+        push_list(random_() % 2 == 0 ? UpdateKind::Delta : UpdateKind::Full);
     }
 
     void arrive() {
@@ -107,14 +107,14 @@
         Client& r = requests_[id];
         r.cls = int(random_() % 5);
         double patience = 100 + double(random_() % 900);
-        r.give_up_at = now_ + patience;
+        r.deadline = now_ + patience;
         take(gateway_.arrive(now_, id, r.cls, patience));
     }
 
     void answer_probes() {
         auto probes = std::move(probes_);
         probes_.clear();
-        for (ServerId s : probes) {
+        for (EndpointId s : probes) {
             unsigned dice = unsigned(random_() % 10);
             if (dice == 0) continue;
             take(gateway_.probe(now_, s, dice == 1 ? Outcome::ConnectFailed : Outcome::Ok,
@@ -144,54 +144,54 @@
     void take(const Actions& actions) {
         for (const Action& action : actions) {
             if (const auto* f = std::get_if<Forward>(&action)) sent(*f);
-            if (const auto* p = std::get_if<Probe>(&action)) probes_.push_back(p->server);
-            if (const auto* a = std::get_if<Refuse>(&action)) refused(a->request);
+            if (const auto* p = std::get_if<Probe>(&action)) probes_.push_back(p->endpoint);
+            if (const auto* a = std::get_if<Reject>(&action)) refused(a->request);
             if (const auto* a = std::get_if<Fail>(&action)) conclude(a->request);
         }
     }
 
     static bool never_ran(const Sent& s) {
-        return s.outcome == Outcome::Full || s.outcome == Outcome::ConnectFailed ||
-               s.outcome == Outcome::Moot;
+        return s.outcome == Outcome::Rejected || s.outcome == Outcome::ConnectFailed ||
+               s.outcome == Outcome::NotSent;
     }
 
     void sent(const Forward& f) {
         Client& r = requests_.at(f.request);
         EXPECT_FALSE(r.answered) << "rule 1: sent after its end";
-        EXPECT_LT(now_, r.give_up_at) << "rule 1: sent after the client gave up";
+        EXPECT_LT(now_, r.deadline) << "rule 1: sent after the client gave up";
         EXPECT_LT(r.attempts.size(), 4u);
-        EXPECT_EQ(phase_[f.server], Phase::Ready) << "rule 3";
+        EXPECT_EQ(phase_[f.endpoint], Phase::Ready) << "rule 3";
         for (const Sent& earlier : r.attempts) {
             if (!earlier.outcome) {
-                EXPECT_TRUE(settings_.second_copies) << "rule 2: two attempts at once";
+                EXPECT_TRUE(settings_.allows_hedging) << "rule 2: two attempts at once";
             }
             if (never_ran(earlier) || r.cls == 0) continue;
             EXPECT_NE(r.cls, 1) << "rule 2: an unsafe request sent again";
             EXPECT_LT(now_ - earlier.when, 1500) << "rule 2: past the window";
             if (r.cls == 3) {
-                EXPECT_EQ(earlier.server % 2, f.server % 2) << "rule 2: another zone";
+                EXPECT_EQ(earlier.server % 2, f.endpoint % 2) << "rule 2: another zone";
             }
             if (r.cls == 4) {
-                EXPECT_EQ(earlier.server % 4, f.server % 4) << "rule 2: another cell";
+                EXPECT_EQ(earlier.server % 4, f.endpoint % 4) << "rule 2: another cell";
             }
         }
-        check_cold(f.server);
+        check_cold(f.endpoint);
         int attempt = int(r.attempts.size());
-        r.attempts.push_back({f.server, now_, std::nullopt});
+        r.attempts.push_back({f.endpoint, now_, std::nullopt});
         ++sends_;
         static constexpr Outcome kOutcomes[] = {Outcome::Ok,    Outcome::Ok,      Outcome::Ok,
-                                                Outcome::Ok,    Outcome::Error,   Outcome::Full,
+                                                Outcome::Ok,    Outcome::Error,   Outcome::Rejected,
                                                 Outcome::Reset, Outcome::Timeout, Outcome::ConnectFailed};
         Outcome outcome = kOutcomes[random_() % std::size(kOutcomes)];
-        double when = outcome == Outcome::Timeout ? r.give_up_at : now_ + 5 + double(random_() % 200);
-        if (when >= r.give_up_at) {
+        double when = outcome == Outcome::Timeout ? r.deadline : now_ + 5 + double(random_() % 200);
+        if (when >= r.deadline) {
             outcome = Outcome::Timeout;
-            when = r.give_up_at;
+            when = r.deadline;
         }
         due_.emplace(when, Due{f.request, attempt, outcome, now_});
     }
 
-    void check_cold(ServerId server) {
+    void check_cold(EndpointId server) {
         auto& times = cold_[server];
         double age = now_ - started_[server];
         if (started_[server] == 0 || age > 8000) return;
@@ -215,7 +215,7 @@
     void conclude(RequestId id) {
         Client& r = requests_.at(id);
         EXPECT_FALSE(r.answered) << "rule 1: two final answers";
-        EXPECT_LE(now_, r.give_up_at + 5) << "rule 1: a final answer that is late";
+        EXPECT_LE(now_, r.deadline + 5) << "rule 1: a final answer that is late";
         r.answered = true;
         ++answers_;
     }
@@ -223,7 +223,7 @@
     void check_overdue() {
         for (auto it = requests_.lower_bound(checked_); it != requests_.end(); ++it) {
             if (it->second.answered) continue;
-            ASSERT_LE(now_, it->second.give_up_at + 10) << "request " << it->first;
+            ASSERT_LE(now_, it->second.deadline + 10) << "request " << it->first;
         }
         while (requests_.contains(checked_) && requests_.at(checked_).answered) ++checked_;
     }
@@ -235,12 +235,12 @@
     RequestId next_ = 1, checked_ = 1;
     std::map<RequestId, Client> requests_;
     std::multimap<double, Due> due_;
-    std::vector<ServerId> probes_;
-    std::map<ServerId, Phase> phase_{{1, Phase::Ready}, {2, Phase::Ready}, {3, Phase::Ready},
-                                     {4, Phase::Ready}, {5, Phase::Ready}, {6, Phase::Ready},
-                                     {7, Phase::Ready}, {8, Phase::Ready}};
-    std::map<ServerId, double> started_;
-    std::map<ServerId, std::vector<double>> cold_;
+    std::vector<EndpointId> probes_;
+    std::map<EndpointId, Phase> phase_{{1, Phase::Ready}, {2, Phase::Ready}, {3, Phase::Ready},
+                                       {4, Phase::Ready}, {5, Phase::Ready}, {6, Phase::Ready},
+                                       {7, Phase::Ready}, {8, Phase::Ready}};
+    std::map<EndpointId, double> started_;
+    std::map<EndpointId, std::vector<double>> cold_;
     std::size_t sends_ = 0, answers_ = 0;
 };
 
--- a/tests/balancer/manual_overrides_rules_test.cpp
+++ b/tests/balancer/manual_overrides_rules_test.cpp
@@ -8,14 +8,14 @@
 namespace ochrehub::testing {
 namespace {
 
-ByHand out(std::uint64_t key) {
+AdminOverride out(std::uint64_t key) {
     return {key, true, {}};
 }
 
 /// How many of `many` requests went to each server, one after the other from `ms` on.
-std::map<ServerId, int> sends(Gateway& g, double ms, int many) {
+std::map<EndpointId, int> sends(Gateway& g, double ms, int many) {
     static RequestId id = 0;
-    std::map<ServerId, int> counts;
+    std::map<EndpointId, int> counts;
     for (int i = 0; i < many; ++i, ++id) {
         double now = ms + 60 * i;
         g.run_to(now);
@@ -28,17 +28,17 @@
 }
 
 // Told by how many its parts are divided, it does as one that was set so from the start.
-TEST(Sharers, CountAsTheSettingsNumbersWould) {
+TEST(FleetSizeChanged, CountAsTheSettingsNumbersWould) {
     Settings few = unprobed(), many = unprobed();
-    for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->price_connection = 2;
-    many.balancers = 6, many.me = 2;
-    auto play = [](Settings set, std::optional<Sharers> told) {
+    for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->connection_cost = 2;
+    many.node_count = 6, many.node_index = 2;
+    auto play = [](Settings set, std::optional<FleetSizeChanged> told) {
         Gateway g(std::move(set));
         if (told) g.tell(0, *told);
-        std::vector<ListEntry> list;
-        for (ServerId id = 1; id <= 40; ++id) list.push_back(entry(id));
+        std::vector<EndpointEntry> list;
+        for (EndpointId id = 1; id <= 40; ++id) list.push_back(entry(id));
         g.list(0, list);
-        std::vector<std::optional<ServerId>> all;
+        std::vector<std::optional<EndpointId>> all;
         for (RequestId id = 0; id < 200; ++id) {
             double now = 10 + 7 * double(id);
             g.run_to(now);
@@ -48,12 +48,12 @@
         return all;
     };
     auto set = play(many, std::nullopt);
-    EXPECT_EQ(play(few, Sharers{6, 2}), set);
+    EXPECT_EQ(play(few, FleetSizeChanged{6, 2}), set);
     EXPECT_NE(play(few, std::nullopt), set);
-    EXPECT_EQ(play(many, Sharers{1, kNone}), play(few, Sharers{1, kNone}));
+    EXPECT_EQ(play(many, FleetSizeChanged{1, kNone}), play(few, FleetSizeChanged{1, kNone}));
 }
 
-TEST(ByHand, OutWhateverTheListSaysUntilTheCallBack) {
+TEST(AdminOverride, OutWhateverTheListSaysUntilTheCallBack) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     g.tell(10, out(1));
@@ -61,24 +61,25 @@
     g.list(500, {entry(2)});
     g.list(600, {entry(1), entry(2)});  // left and came back
     EXPECT_EQ(sends(g, 700, 6)[1], 0);
-    ListEntry renumbered = entry(7);  // discovery's client forgot it meanwhile: another number, the same key
+    EndpointEntry renumbered =
+        entry(7);  // discovery's client forgot it meanwhile: another number, the same key
     renumbered.key = 1;
     renumbered.last_start = at(1100);
     g.list(1200, {renumbered, entry(2)});
     auto counts = sends(g, 1300, 6);
     EXPECT_EQ(counts[1] + counts[7], 0);
     g.tell(2000, out(1));  // twice out, once back
-    g.tell(2100, ByHand{1, false, at(2100)});
+    g.tell(2100, AdminOverride{1, false, at(2100)});
     EXPECT_GT(sends(g, 2200, 20)[7], 0);
 }
 
-TEST(ByHand, TheReturnIsColdAndHasTrafficSoon) {
+TEST(AdminOverride, TheReturnIsColdAndHasTrafficSoon) {
     auto sent_in_a_span = [](bool by_hand) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
         if (by_hand) {
             g.tell(5, out(1));
-            g.tell(10, ByHand{1, false, at(10)});
+            g.tell(10, AdminOverride{1, false, at(10)});
         }
         int to_it = 0;
         for (int i = 0; i < 1900; ++i) {  // more than a cold one stands, and none of it waits
@@ -95,20 +96,20 @@
     EXPECT_LT(cold, warm / 2);
 }
 
-TEST(ByHand, AllOutMeansRefusedAtOnce) {
+TEST(AdminOverride, AllOutMeansRefusedAtOnce) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     g.tell(10, out(1));
     g.tell(11, out(2));
     for (int cls : {0, 1, 4}) {
         Actions actions = g.arrive(20, RequestId(cls), cls);
-        EXPECT_EQ(all_of<Refuse>(actions).size(), 1u) << cls;
+        EXPECT_EQ(all_of<Reject>(actions).size(), 1u) << cls;
     }
-    g.tell(30, ByHand{2, false, at(30)});
+    g.tell(30, AdminOverride{2, false, at(30)});
     EXPECT_TRUE(sent_to(g.arrive(40, 9)));
 }
 
-TEST(ByHand, TheyCountAsAvoidedWhileTheyAreListed) {
+TEST(AdminOverride, TheyCountAsAvoidedWhileTheyAreListed) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2), entry(3)});
     EXPECT_EQ(g.avoided(), 0u);
@@ -127,11 +128,11 @@
         Gateway g(unprobed());
         g.list(0, {entry(1)});
         RequestArrived e;
-        e.request = 1, e.class_index = 1, e.give_up_at = at(1010), e.uploading = uploading;
+        e.request = 1, e.class_index = 1, e.deadline = at(1010), e.receiving_body = uploading;
         ASSERT_TRUE(sent_to(g.tell(10, e)));
         g.run_to(3000);  // long past its time
         if (!uploading) continue;
-        g.tell(3000, Uploaded{1, at(4000)});
+        g.tell(3000, RequestBodyReceived{1, at(4000)});
         g.run_to(3390);
         EXPECT_FALSE(all_of<Log>(g.run_to(3390)).size());
         g.ok(3395, 1, 1, 395);
@@ -148,7 +149,7 @@
         Actions actions =
             g.tell(20, AttemptEnded{1, 0, *to, Outcome::ConnectFailed, Duration{10}, false, {}, replayable});
         EXPECT_EQ(sent_to(actions).has_value(), replayable);
-        EXPECT_EQ(all_of<Refuse>(actions).size(),
+        EXPECT_EQ(all_of<Reject>(actions).size(),
                   replayable ? 0u : 1u);  // it never ran: the client may try again
     }
 }
--- a/tests/balancer/other_settings_test.cpp
+++ b/tests/balancer/other_settings_test.cpp
@@ -22,7 +22,7 @@
               double patience = 1000) {
     Served all;
     RequestId id = RequestId(g.now * 1000) + 1;
-    auto answer = [&](ServerId s) {
+    auto answer = [&](EndpointId s) {
         auto [outcome, took] = serve(s, g.now);
         all.served += outcome == Outcome::Ok && g.now >= from_ms;
         return std::pair{outcome, took};
@@ -30,9 +30,9 @@
     for (double t = g.now + 1; t < to_ms; t += 1000 / per_s) {
         all.asked += t >= from_ms;
         g.play(
-            t, g.arrive(t, ++id, cls, patience), answer, [](ServerId) { return 0.0; }, [](ServerId) {});
+            t, g.arrive(t, ++id, cls, patience), answer, [](EndpointId) { return 0.0; }, [](EndpointId) {});
         g.play(
-            t + 1000 / per_s * 0.99, {}, answer, [](ServerId) { return 0.0; }, [](ServerId) {});
+            t + 1000 / per_s * 0.99, {}, answer, [](EndpointId) { return 0.0; }, [](EndpointId) {});
     }
     return all;
 }
@@ -42,12 +42,13 @@
     for (double aim : {170.0, 150.0, 130.0})
         for (bool late : {false, true}) {
             Settings set = unprobed();
-            for (ClassSettings& c : set.classes) c.aim = Duration{aim}, c.late_worth = late ? 0.5 : 0;
+            for (ClassSettings& c : set.classes)
+                c.latency_objective = Duration{aim}, c.late_response_weight = late ? 0.5 : 0;
             Gateway g(set);
             g.list(0, {entry(1), entry(2), entry(3), entry(4)});
             std::mt19937 random(7);
             std::lognormal_distribution<double> took(std::log(100), 0.1);
-            auto serve = [&](ServerId, double) { return std::pair{Outcome::Ok, took(random)}; };
+            auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, took(random)}; };
             EXPECT_GT(steady(g, 10'000, 25'000, 400, serve).share(), 0.98) << aim << (late ? ", late" : "");
         }
 }
@@ -57,10 +58,10 @@
 TEST(Queue, ADeadlineOfAFewMillisecondsIsNotRefusedAsItComes) {
     for (double deadline : {5.0, 8.0, 20.0}) {
         Settings set = unprobed();
-        for (ClassSettings& c : set.classes) c.aim = c.give_up = Duration{deadline};
+        for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{deadline};
         Gateway g(set);
         g.list(0, {entry(1)});
-        auto serve = [&](ServerId, double) { return std::pair{Outcome::Ok, 0.42 * deadline}; };
+        auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, 0.42 * deadline}; };
         EXPECT_GT(steady(g, 1000, 10'000, 40, serve, 0, deadline).share(), 0.98) << deadline;
     }
 }
@@ -68,11 +69,11 @@
 // ... and yet a long slow spell teaches nothing: limits stay where they are at slow servers.
 TEST(Usual, ASlowSpellIsNotTakenForTheUsualWhereAimsAreWide) {
     Settings set = unprobed();
-    for (ClassSettings& c : set.classes) c.aim = Duration{150}, c.late_worth = 0.5;
+    for (ClassSettings& c : set.classes) c.latency_objective = Duration{150}, c.late_response_weight = 0.5;
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
-    auto soon = [](ServerId, double) { return std::pair{Outcome::Ok, 20.0}; };
-    auto slow = [](ServerId, double) { return std::pair{Outcome::Ok, 200.0}; };
+    auto soon = [](EndpointId, double) { return std::pair{Outcome::Ok, 20.0}; };
+    auto slow = [](EndpointId, double) { return std::pair{Outcome::Ok, 200.0}; };
     steady(g, 0, 5000, 100, soon);
     steady(g, 5000, 35'000, 200, slow);
     int held = 0;
@@ -84,7 +85,7 @@
 std::vector<double> tried_at_one_that_errs(Gateway& g, double till_ms, double end_ms, int cls) {
     g.list(0, {entry(1), entry(2), entry(3), entry(4)});
     std::vector<double> tried;
-    auto serve = [&](ServerId s, double now) {
+    auto serve = [&](EndpointId s, double now) {
         if (s == 1) tried.push_back(now);
         return std::pair{s == 1 && now > 1000 && now < till_ms ? Outcome::Error : Outcome::Ok, 20.0};
     };
@@ -118,7 +119,7 @@
     for (Outcome down : {Outcome::ConnectFailed, Outcome::Error, Outcome::Timeout}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2), entry(3)});
-        auto serve = [&](ServerId, double now) {
+        auto serve = [&](EndpointId, double now) {
             return std::pair{now > 5000 && now < 25'000 ? down : Outcome::Ok, 20.0};
         };
         EXPECT_GT(steady(g, 35'000, 45'000, 50, serve, 1).share(), 0.98) << int(down);
@@ -132,34 +133,35 @@
 
 /// As a platform hands events over: in batches `granularity` apart, timers before answers. Probes are
 /// answered `way_ms` after they were sent; requests have 150 ms.
-Looked in_batches(double granularity, double way_ms, bool looks, double per_s = 200, ServerId servers = 4,
+Looked in_batches(double granularity, double way_ms, bool looks, double per_s = 200, EndpointId servers = 4,
                   double took = 20) {
     Settings set = make_settings();
     set.probes_report_load = looks;
-    set.granularity = Duration{granularity};
-    for (ClassSettings& c : set.classes) c.aim = c.give_up = Duration{150};
+    set.clock_granularity = Duration{granularity};
+    for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{150};
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
     Looked all;
     std::multimap<double, Event> answers;
     std::map<RequestId, double> came;
-    std::map<ServerId, double> held;
+    std::map<EndpointId, double> held;
     RequestId id = 0;
     auto take = [&](const Actions& actions) {
         for (const Action& action : actions) {
             if (const auto* f = std::get_if<Forward>(&action)) {
                 all.waited_ms += g.now - came[f->request];
-                ++held[f->server];
+                ++held[f->endpoint];
                 answers.emplace(
                     g.now + took,
-                    AttemptEnded{f->request, 0, f->server, Outcome::Ok, Duration{took}, true, {}});
+                    AttemptEnded{f->request, 0, f->endpoint, Outcome::Ok, Duration{took}, true, {}});
             } else if (const auto* p = std::get_if<Probe>(&action)) {
                 ++all.probes;
-                double n = held[p->server];
+                double n = held[p->endpoint];
                 LoadReport report{n, std::max(0.0, n - 16), {}};
-                answers.emplace(g.now + way_ms, ProbeEnded{p->server, Outcome::Ok, Duration{way_ms}, report});
+                answers.emplace(g.now + way_ms,
+                                ProbeEnded{p->endpoint, Outcome::Ok, Duration{way_ms}, report});
             }
         }
     };
@@ -171,7 +173,7 @@
             answers.erase(answers.begin());
             if (const auto* end = std::get_if<AttemptEnded>(&event)) {
                 all.served += t - came[end->request] <= 150;
-                --held[end->server];
+                --held[end->endpoint];
             }
             take(g.tell(t, event));
         }
@@ -212,13 +214,13 @@
 // A subset was kept small for the price of probes that nobody sends.
 TEST(Subset, WithoutProbesTheirPriceKeepsNoServerIdle) {
     Settings set = unprobed();
-    set.price_probe = 0.03;
+    set.probe_cost = 0.03;
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId s = 1; s <= 12; ++s) fleet.push_back(entry(s));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= 12; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
-    std::set<ServerId> used;
-    auto serve = [&](ServerId s, double) {
+    std::set<EndpointId> used;
+    auto serve = [&](EndpointId s, double) {
         used.insert(s);
         return std::pair{Outcome::Ok, 20.0};
     };
@@ -228,16 +230,16 @@
 
 // One that turned work away was left for 150 to 450 ms, also where nobody else could take it.
 TEST(Attempts, TheLastServerThatIsLeftIsNotLeftForTurningWorkAway) {
-    for (ServerId servers : {1u, 2u}) {
+    for (EndpointId servers : {1u, 2u}) {
         Settings set = unprobed();
-        for (ClassSettings& c : set.classes) c.aim = c.give_up = Duration{100};
+        for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{100};
         Gateway g(set);
-        std::vector<ListEntry> fleet;
-        for (ServerId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
+        std::vector<EndpointEntry> fleet;
+        for (EndpointId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
         g.list(0, fleet);
         int n = 0;
-        auto serve = [&](ServerId, double) {
-            return ++n % 25 == 0 ? std::pair{Outcome::Full, 1.0} : std::pair{Outcome::Ok, 10.0};
+        auto serve = [&](EndpointId, double) {
+            return ++n % 25 == 0 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 10.0};
         };
         EXPECT_GT(steady(g, 1000, 20'000, 100, serve, 0, 100).share(), 0.94) << servers;
     }
@@ -249,13 +251,13 @@
         Settings set = unprobed();
         set.retry_after = true;
         set.max_retry_after = Duration{1200};
-        for (ClassSettings& c : set.classes) c.aim = c.give_up = Duration{deadline};
+        for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{deadline};
         Gateway g(set);
         g.list(0, {});
         double least = 1e9, most = 0;
         for (RequestId id = 0; id < 200; ++id) {
             g.arrive(g.now + 10, id, 0, deadline);
-            for (const Refuse& r : all_of<Refuse>(g.run_to(g.now + deadline))) {
+            for (const Reject& r : all_of<Reject>(g.run_to(g.now + deadline))) {
                 least = std::min(least, r.retry_after.count());
                 most = std::max(most, r.retry_after.count());
             }
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Opens a connection to each of the servers, so that a limit above one holds there.
-void warm_up(Gateway& g, const std::vector<ServerId>& servers, double ms = 1) {
+void warm_up(Gateway& g, const std::vector<EndpointId>& servers, double ms = 1) {
     RequestId id = 1'000'000;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         auto to = sent_to(g.arrive(ms + 2 * double(i), id + i));
@@ -22,22 +22,22 @@
 TEST(Rotation, ServesEqualServersInTurn) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2), entry(3)});
-    std::map<ServerId, int> sends;
+    std::map<EndpointId, int> sends;
     for (int i = 0; i < 9; ++i) {
         auto to = sent_to(g.arrive(10 + 100 * i, RequestId(i)));
         ASSERT_TRUE(to);
         ++sends[*to];
         g.ok(60 + 100 * i, RequestId(i), *to);
     }
-    EXPECT_EQ(sends, (std::map<ServerId, int>{{1, 3}, {2, 3}, {3, 3}}));
+    EXPECT_EQ(sends, (std::map<EndpointId, int>{{1, 3}, {2, 3}, {3, 3}}));
 }
 
 TEST(Rotation, FollowsListWeightsSmoothly) {
     Gateway g(unprobed());
     auto heavy = entry(1);
-    heavy.size = 3;
+    heavy.weight = 3;
     g.list(0, {heavy, entry(2)});
-    std::map<ServerId, int> sends;
+    std::map<EndpointId, int> sends;
     int longest = 0, run = 0;
     warm_up(g, {1, 2});
     for (int i = 0; i < 40; ++i) {
@@ -69,14 +69,14 @@
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
-    auto failing = [](ServerId s) { return s == 1 ? Outcome::Timeout : Outcome::Ok; };
+    auto failing = [](EndpointId s) { return s == 1 ? Outcome::Timeout : Outcome::Ok; };
     int failures = 0;
     double ejected_at = 0;
     for (double t = 0; t < 20000 && ejected_at == 0; t += 10) {
         for (const Action& a : g.run_to(t))
             if (const auto* p = std::get_if<Probe>(&a)) {
-                failures += p->server == 1;
-                if (!all_of<Log>(g.probe(t, p->server, failing(p->server))).empty()) ejected_at = t;
+                failures += p->endpoint == 1;
+                if (!all_of<Log>(g.probe(t, p->endpoint, failing(p->endpoint))).empty()) ejected_at = t;
             }
     }
     EXPECT_EQ(failures, 3);
@@ -92,8 +92,8 @@
     for (double t = ejected_at + 10; t < ejected_at + 20000 && !back; t += 10) {
         for (const Action& a : g.run_to(t))
             if (const auto* p = std::get_if<Probe>(&a)) {
-                successes += p->server == 1;
-                g.probe(t, p->server, Outcome::Ok);
+                successes += p->endpoint == 1;
+                g.probe(t, p->endpoint, Outcome::Ok);
             }
         RequestId id = RequestId(t * 10);
         for (RequestId k = 0; k < 2; ++k) {
@@ -111,7 +111,7 @@
     Gateway g;
     g.list(0, {entry(1)});
     int n = 0;
-    auto flapping = [&n](ServerId) {
+    auto flapping = [&n](EndpointId) {
         return ++n % 3 == 0 ? Outcome::Ok : Outcome::Timeout;
     };  // never three in a row
     EXPECT_TRUE(all_of<Log>(g.run_probed(30000, flapping)).empty());
@@ -128,13 +128,13 @@
 TEST(Health, ProbeIntervalStaysBelowFiveSeconds) {
     Gateway g;
     g.list(0, {entry(1), entry(2), entry(3)});
-    std::map<ServerId, double> last;
+    std::map<EndpointId, double> last;
     for (double t = 0; t < 30000; t += 5)
         for (const Action& a : g.run_to(t))
             if (const auto* p = std::get_if<Probe>(&a)) {
-                EXPECT_LE(t - last[p->server], 2010);
-                last[p->server] = t;
-                g.probe(t, p->server, Outcome::Ok);
+                EXPECT_LE(t - last[p->endpoint], 2010);
+                last[p->endpoint] = t;
+                g.probe(t, p->endpoint, Outcome::Ok);
             }
     EXPECT_EQ(last.size(), 3u);
 }
@@ -142,12 +142,12 @@
 TEST(Health, AllUnhealthyMeansWaitingThenAnEndInTime) {
     Gateway g;
     g.list(0, {entry(1), entry(2)});
-    g.run_probed(10000, [](ServerId) { return Outcome::ConnectFailed; });
+    g.run_probed(10000, [](EndpointId) { return Outcome::ConnectFailed; });
     auto arrived = g.arrive(10001, 1, 1);
     EXPECT_FALSE(sent_to(arrived));
-    EXPECT_TRUE(all_of<Refuse>(arrived).empty());  // it waits for recovery
+    EXPECT_TRUE(all_of<Reject>(arrived).empty());  // it waits for recovery
     auto later = g.run_to(10401);
-    EXPECT_EQ(all_of<Refuse>(later).size(), 1u);  // and is refused before its aim has passed
+    EXPECT_EQ(all_of<Reject>(later).size(), 1u);  // and is refused before its aim has passed
 }
 
 // Servers answer few probes a second well. Those left Healthy paid for all probes, so that the fewer they
@@ -155,12 +155,12 @@
 // the fleet stayed Unhealthy for as long as clients asked.
 TEST(Health, AFleetThatAnswersTwoProbesASecondComesBackUnderAStorm) {
     Settings set = make_settings();
-    set.price_probe = 0.03;
+    set.probe_cost = 0.03;
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId s = 1; s <= 10; ++s) fleet.push_back(entry(s));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= 10; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
-    std::map<ServerId, std::vector<double>> probes;
+    std::map<EndpointId, std::vector<double>> probes;
     std::map<RequestId, int> attempts;
     RequestId id = 0;
     int served = 0;
@@ -173,16 +173,16 @@
             for (const Action& a : g.arrive(t, ++id)) actions.push_back(a);
         for (std::size_t i = 0; i < actions.size(); ++i) {
             if (const auto* p = std::get_if<Probe>(&actions[i])) {
-                auto& last = probes[p->server];
+                auto& last = probes[p->endpoint];
                 // Another gateway's probes count too: of this one's, one in 500 ms is answered well.
                 bool well = last.empty() || t - last.back() >= 500;
                 if (well) last.push_back(t);
                 Outcome up = well ? Outcome::Ok : Outcome::Error;
-                auto more = g.probe(t, p->server, down ? Outcome::ConnectFailed : up);
+                auto more = g.probe(t, p->endpoint, down ? Outcome::ConnectFailed : up);
                 actions.insert(actions.end(), more.begin(), more.end());
             } else if (const auto* f = std::get_if<Forward>(&actions[i])) {
                 Outcome came = down ? Outcome::ConnectFailed : Outcome::Ok;
-                auto more = g.end(t, f->request, attempts[f->request]++, f->server, came, 2, !down);
+                auto more = g.end(t, f->request, attempts[f->request]++, f->endpoint, came, 2, !down);
                 actions.insert(actions.end(), more.begin(), more.end());
                 if (!down && t > 13000) ++served;
             }
@@ -193,12 +193,12 @@
 }
 
 TEST(Registry, RemovedDrainingAndGoneHostsGetNothing) {
-    for (Phase phase : {Phase::Draining, Phase::Gone}) {
+    for (Phase phase : {Phase::Draining, Phase::Removed}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
         auto leaving = entry(1);
         leaving.phase = phase;
-        g.list(10, {leaving}, ListKind::Delta);
+        g.list(10, {leaving}, UpdateKind::Delta);
         for (RequestId i = 0; i < 6; ++i) {
             auto to = sent_to(g.arrive(20 + 100 * double(i), i));
             ASSERT_TRUE(to);
@@ -208,7 +208,7 @@
     }
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
-    g.list(10, {entry(2)}, ListKind::Full);  // missing from a full list: removed
+    g.list(10, {entry(2)}, UpdateKind::Full);  // missing from a full list: removed
     for (RequestId i = 0; i < 4; ++i) {
         auto to = sent_to(g.arrive(20 + 100 * double(i), i));
         ASSERT_TRUE(to);
@@ -223,27 +223,27 @@
     Gateway g(set);
     g.list(0, {entry(1)});
     auto gone = entry(1);
-    gone.phase = Phase::Gone;
-    g.list(10, {gone}, ListKind::Delta);
-    EXPECT_EQ(sent_to(g.arrive(20, 1)), ServerId{1});
+    gone.phase = Phase::Removed;
+    g.list(10, {gone}, UpdateKind::Delta);
+    EXPECT_EQ(sent_to(g.arrive(20, 1)), EndpointId{1});
     g.ok(60, 1, 1);
     auto draining = entry(1);
     draining.phase = Phase::Draining;
-    g.list(70, {draining}, ListKind::Delta);
-    g.list(80, {gone}, ListKind::Delta);
+    g.list(70, {draining}, UpdateKind::Delta);
+    g.list(80, {gone}, UpdateKind::Delta);
     EXPECT_FALSE(sent_to(g.arrive(90, 2)));
 }
 
 TEST(Registry, SubscribesAndAsksAgainAfterAFailure) {
     Settings set = unprobed();
-    set.must_ask = set.watches = true;
+    set.polls_discovery = set.watches_discovery = true;
     Gateway g(set);
-    g.list(0, {entry(1)}, ListKind::Cached);
-    EXPECT_EQ(all_of<WatchList>(g.run_to(50)).size(), 1u);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
+    EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(50)).size(), 1u);
     for (int i = 0; i < 3; ++i) {
-        EXPECT_TRUE(all_of<WatchList>(g.list(g.now + 10, {}, ListKind::Failed)).empty());
+        EXPECT_TRUE(all_of<WatchEndpoints>(g.list(g.now + 10, {}, UpdateKind::Failed)).empty());
         auto again = g.run_to(g.now + 7000);
-        EXPECT_EQ(all_of<WatchList>(again).size(), 1u);
+        EXPECT_EQ(all_of<WatchEndpoints>(again).size(), 1u);
     }
     EXPECT_TRUE(sent_to(g.arrive(g.now + 1, 1)));  // the old list stays in force
 }
@@ -252,20 +252,20 @@
 // that drains.
 TEST(Registry, AnAgentIsWatchedFromTheFirstMomentAndAgainWithinASecondHoweverLargeTheFleet) {
     Settings set = unprobed();
-    set.watches = true;
-    set.balancers = 300;
+    set.watches_discovery = true;
+    set.node_count = 300;
     Gateway g(set);
-    g.list(0, {entry(1)}, ListKind::Cached);
-    EXPECT_EQ(all_of<WatchList>(g.run_to(1)).size(), 1u);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
+    EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(1)).size(), 1u);
     for (int i = 0; i < 8; ++i) {
-        g.list(g.now + 10, {}, ListKind::Failed);
-        EXPECT_EQ(all_of<WatchList>(g.run_to(g.now + 800)).size(), 1u);
+        g.list(g.now + 10, {}, UpdateKind::Failed);
+        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(g.now + 800)).size(), 1u);
     }
 }
 
 TEST(Attempts, OutcomesThatProveItNeverRanAreTriedElsewhereForEveryClass) {
     for (int cls = 0; cls < 3; ++cls)
-        for (Outcome outcome : {Outcome::Full, Outcome::ConnectFailed}) {
+        for (Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed}) {
             Gateway g(unprobed());
             g.list(0, {entry(1), entry(2)});
             auto first = sent_to(g.arrive(10, 1, cls));
@@ -285,7 +285,7 @@
         auto after = g.end(15, 1, 0, *to, outcome, 5);
         EXPECT_FALSE(sent_to(after));
         EXPECT_EQ(all_of<Fail>(after).size(), 1u);
-        EXPECT_TRUE(all_of<Refuse>(after).empty());
+        EXPECT_TRUE(all_of<Reject>(after).empty());
     }
 }
 
@@ -306,16 +306,16 @@
         g.list(0, {entry(1)});
         auto sends = all_of<Forward>(g.arrive(10, 1));
         ASSERT_EQ(sends.size(), 1u);
-        EXPECT_DOUBLE_EQ(sends[0].limit.count(), cancel ? 400 : 0);
+        EXPECT_DOUBLE_EQ(sends[0].timeout.count(), cancel ? 400 : 0);
         auto after = g.end(410, 1, 0, 1, Outcome::Timeout, 400);
-        EXPECT_EQ(all_of<Refuse>(after).size(), 1u);
+        EXPECT_EQ(all_of<Reject>(after).size(), 1u);
     }
 }
 
 TEST(Attempts, RetryBudgetEndsARunOfErrors) {
     Gateway g(unprobed());
-    std::vector<ListEntry> servers;
-    for (ServerId id = 1; id <= 20; ++id) servers.push_back(entry(id));
+    std::vector<EndpointEntry> servers;
+    for (EndpointId id = 1; id <= 20; ++id) servers.push_back(entry(id));
     g.list(0, servers);
     int retried = 0;
     for (RequestId i = 0; i < 60; ++i) {
@@ -339,7 +339,7 @@
     ASSERT_TRUE(sent_to(g.arrive(10, 1)));      // one at a time until a connection stands
     EXPECT_FALSE(sent_to(g.arrive(11, 2, 1)));  // waits here
     auto later = g.run_to(411);
-    auto refused = all_of<Refuse>(later);
+    auto refused = all_of<Reject>(later);
     ASSERT_EQ(refused.size(), 1u);
     EXPECT_EQ(refused[0].request, 2u);
     EXPECT_GT(refused[0].retry_after.count(), 0);
@@ -348,7 +348,7 @@
 
 TEST(Queue, TheMostWorthGoesFirst) {
     Settings set = unprobed();
-    set.classes[1].gain = 10;
+    set.classes[1].priority_weight = 10;
     Gateway g(set);
     g.list(0, {entry(1)});
     ASSERT_TRUE(sent_to(g.arrive(10, 1)));
@@ -367,10 +367,10 @@
     int served = 0;
     for (RequestId i = 0; i < 400; ++i) {  // forty seconds, the first twenty of them slow
         double t = 10 + 100 * double(i);
-        auto serve = [&](ServerId) { return std::pair{Outcome::Ok, i < 200 ? 440.0 : 50.0}; };
-        auto count = [&](ServerId) { served += i >= 300; };
+        auto serve = [&](EndpointId) { return std::pair{Outcome::Ok, i < 200 ? 440.0 : 50.0}; };
+        auto count = [&](EndpointId) { served += i >= 300; };
         g.play(
-            t + 99, g.arrive(t, i), serve, [](ServerId) { return 0.0; }, count);
+            t + 99, g.arrive(t, i), serve, [](EndpointId) { return 0.0; }, count);
     }
     EXPECT_GE(served, 90);  // of the last hundred
 }
@@ -378,8 +378,8 @@
 // A single request of each of two gateways leaves a server idle while it waits elsewhere.
 TEST(Queue, ASlowSpellLeavesTwoGatewaysThreeRequestsAServer) {
     Settings set = unprobed();
-    set.balancers = 2;
-    set.classes[0].late_worth = 0.5;
+    set.node_count = 2;
+    set.classes[0].late_response_weight = 0.5;
     Gateway g(set);
     g.list(0, {entry(1), entry(2), entry(3)});
     for (RequestId id = 1; id <= 100; ++id) {
@@ -394,20 +394,20 @@
 // Told to come back while there is time for that: behind the half it is too late to be of use to anybody.
 TEST(Queue, WhatNoServerTakesIsGivenUpBeforeHalfOfItsTime) {
     Settings set = unprobed();
-    for (ClassSettings& c : set.classes) c.late_worth = 0.5;
+    for (ClassSettings& c : set.classes) c.late_response_weight = 0.5;
     for (int cls : {0, 1, 2}) {
         Gateway g(set);
         g.list(0, {});
-        EXPECT_TRUE(all_of<Refuse>(g.arrive(10, 1, cls, 800)).empty());
-        EXPECT_TRUE(all_of<Refuse>(g.run_to(10 + 0.46 * 800)).empty());
-        EXPECT_EQ(all_of<Refuse>(g.run_to(10 + 0.48 * 800)).size(), 1u);
+        EXPECT_TRUE(all_of<Reject>(g.arrive(10, 1, cls, 800)).empty());
+        EXPECT_TRUE(all_of<Reject>(g.run_to(10 + 0.46 * 800)).empty());
+        EXPECT_EQ(all_of<Reject>(g.run_to(10 + 0.48 * 800)).size(), 1u);
     }
 }
 
 // An answer that would most likely come too late is not worth a server's time while all are slow.
 TEST(Queue, NothingIsStartedThatCouldNotBeAnsweredInMoreThanTheUsualTime) {
     Settings set = unprobed();
-    set.classes[0].late_worth = 0.5;
+    set.classes[0].late_response_weight = 0.5;
     Gateway g(set);
     g.list(0, {entry(1)});
     for (RequestId id = 1; id <= 60; ++id)
@@ -418,7 +418,7 @@
 
 TEST(ColdStart, SendsInAnySpanStayInsideThisGatewaysShare) {
     Settings set = unprobed();
-    set.balancers = 3;
+    set.node_count = 3;
     Gateway g(set);
     auto cold = entry(1);
     cold.last_start = at(0);
@@ -447,11 +447,11 @@
     Settings set = unprobed();
     set.classes.resize(1);
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
     RequestId id = 0;
-    std::multimap<double, std::pair<RequestId, ServerId>> under_way;
+    std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
     int sends = 0;
     double took = 60;
     auto play = [&](double from, double to) {  // 100 a second
@@ -463,22 +463,22 @@
                 add(g.ok(t, under_way.begin()->second.first, under_way.begin()->second.second, took));
             add(g.arrive(t, ++id, 0, 300));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + took, std::pair(f.request, f.server));
+                under_way.emplace(t + took, std::pair(f.request, f.endpoint));
                 ++sends;
             }
         }
     };
     play(1, 10000);
     EXPECT_GT(sends, 800);
-    for (ListEntry& e : fleet) e.phase = Phase::Gone;
-    g.list(10000, fleet, ListKind::Delta);
+    for (EndpointEntry& e : fleet) e.phase = Phase::Removed;
+    g.list(10000, fleet, UpdateKind::Delta);
     play(10001, 19000);
     g.run_to(19999);
-    for (ListEntry& e : fleet) {
-        e = entry(e.server + 6);
+    for (EndpointEntry& e : fleet) {
+        e = entry(e.endpoint + 6);
         e.last_start = at(20000);
     }
-    g.list(20000, fleet, ListKind::Delta);
+    g.list(20000, fleet, UpdateKind::Delta);
     took = 180;
     play(20001, 22000);
     EXPECT_GE(sends, 106);
@@ -490,9 +490,9 @@
 TEST(ColdStart, AHeavySendCountsForAsManyLightOnesAsItTakes) {
     auto sends_of = [](int cls) {
         Settings set = unprobed();
-        set.classes[1].effect = Effect::Free;
+        set.classes[1].idempotency = Idempotency::Idempotent;
         Gateway g(set);
-        std::vector<ListEntry> fleet = {entry(1), entry(2)};
+        std::vector<EndpointEntry> fleet = {entry(1), entry(2)};
         g.list(0, fleet);
         RequestId id = 0;
         auto taking = [](int of) { return of == 0 ? 10.0 : 100.0; };
@@ -500,10 +500,10 @@
             int of = int(++id % 2);
             if (auto to = sent_to(g.arrive(t, id, of))) g.ok(t + taking(of), id, *to, taking(of));
         }
-        for (ListEntry& e : fleet) e.phase = Phase::Draining;
+        for (EndpointEntry& e : fleet) e.phase = Phase::Draining;
         fleet.push_back(entry(3));
         fleet[2].last_start = at(20002);
-        g.list(20002, fleet, ListKind::Delta);
+        g.list(20002, fleet, UpdateKind::Delta);
         int sends = 0;
         std::multimap<double, RequestId> under_way;
         for (double t = 20003; t < 21900; t += 5) {
@@ -513,7 +513,7 @@
                 add(g.ok(t, under_way.begin()->second, 3, taking(cls)));
             add(g.arrive(t, ++id, cls, 400));
             for (const Forward& f : all_of<Forward>(all)) {
-                EXPECT_EQ(f.server, 3u);
+                EXPECT_EQ(f.endpoint, 3u);
                 under_way.emplace(t + taking(cls), f.request);
                 ++sends;
             }
@@ -532,7 +532,7 @@
         set.classes.resize(1);
         Gateway g(set);
         auto large = entry(1), cold = entry(2);
-        large.size = 4, cold.size = size, cold.last_start = at(10'002);
+        large.weight = 4, cold.weight = size, cold.last_start = at(10'002);
         g.list(0, {large});
         RequestId id = 0;
         for (double t = 10; t < 10'000;
@@ -545,7 +545,7 @@
         for (double t = 10'003; t < 12'000; t += 5) {
             auto sent = all_of<Forward>(g.arrive(t, ++id, 0, 100));
             for (std::size_t n = 0; n < sent.size(); ++n) {
-                auto more = all_of<Forward>(g.ok(t + 1, sent[n].request, sent[n].server, 10));
+                auto more = all_of<Forward>(g.ok(t + 1, sent[n].request, sent[n].endpoint, 10));
                 sent.insert(sent.end(), more.begin(), more.end());
             }
             sends += int(sent.size());
@@ -565,7 +565,8 @@
     auto cold = entry(1);
     cold.last_start = at(1000);
     double most = 0,
-           usual = set.classes[0].aim.count() / 4;  // what a request takes; nothing answered says otherwise
+           usual = set.classes[0].latency_objective.count() /
+                   4;  // what a request takes; nothing answered says otherwise
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         std::vector<double> sends;
         for (int life = 0; life < 12; ++life) {
@@ -577,7 +578,7 @@
                 auto to = sent_to(g.arrive(t, i));
                 if (!to) continue;
                 sends.push_back(t);
-                g.end(t + 1, i, 0, *to, Outcome::Full, usual);
+                g.end(t + 1, i, 0, *to, Outcome::Rejected, usual);
             }
         }
         for (std::size_t i = 0; i < sends.size(); ++i) {
@@ -595,8 +596,9 @@
 TEST(ColdStart, ASendThatOpensAConnectionCountsForMore) {
     Settings set = unprobed();
     set.classes.resize(1);
-    set.balancers = 60;
-    double usual = set.classes[0].aim.count() / 4;  // what a request takes; nothing answered says otherwise
+    set.node_count = 60;
+    double usual = set.classes[0].latency_objective.count() /
+                   4;  // what a request takes; nothing answered says otherwise
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 600; ++seed) {
         Gateway g(set, seed);
@@ -607,7 +609,7 @@
         for (RequestId i = 1; i < 200; ++i) {
             auto to = sent_to(g.arrive(3001 + 10 * double(i), i));
             sent += to.has_value();
-            if (to) g.end(3002 + 10 * double(i), i, 0, *to, Outcome::Full, usual);
+            if (to) g.end(3002 + 10 * double(i), i, 0, *to, Outcome::Rejected, usual);
         }
     }
     double budget = 0.75 * 2.5 * 0.475 * 2 * 1000 / 1.5 / usual / 60;  // of each, at the span's end
@@ -619,9 +621,9 @@
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1)});
-    g.run_probed(4000, [](ServerId) { return Outcome::Ok; });
-    g.run_probed(14000, [](ServerId) { return Outcome::ConnectFailed; });
-    g.run_probed(20000, [](ServerId) { return Outcome::Ok; });
+    g.run_probed(4000, [](EndpointId) { return Outcome::Ok; });
+    g.run_probed(14000, [](EndpointId) { return Outcome::ConnectFailed; });
+    g.run_probed(20000, [](EndpointId) { return Outcome::Ok; });
     int sends = 0;
     for (RequestId i = 0; i < 100; ++i) {
         auto to = sent_to(g.arrive(20001 + double(i), i));
@@ -638,15 +640,15 @@
 TEST_P(ColdHost, IsNotPushedOverByTheSumOfAllGateways) {
     int gateways = GetParam();
     Settings set = unprobed();
-    set.balancers = gateways;
-    set.cold_time = Duration{8000};
+    set.node_count = gateways;
+    set.slow_start_duration = Duration{8000};
     std::vector<double> sends;
     for (int k = 0; k < gateways; ++k) {
         Gateway g(set, std::uint64_t(k) * 7919 + 1);
         auto cold = entry(1);
         cold.last_start = at(1000);
         g.list(1, {entry(1)});
-        g.list(1001 + 50.0 * k / gateways, {cold}, ListKind::Delta);
+        g.list(1001 + 50.0 * k / gateways, {cold}, UpdateKind::Delta);
         double gap = std::max(20.0, gateways / 0.5);  // up to 500 requests a second in all
         for (RequestId i = 0;; ++i) {
             double t = 1100 + gap * (double(i) + double(k) / gateways);
@@ -656,7 +658,7 @@
             auto sent = all_of<Forward>(g.arrive(t, i));
             for (std::size_t n = 0; n < sent.size(); ++n) {
                 sends.push_back(t);
-                auto more = all_of<Forward>(g.ok(t + 5, sent[n].request, sent[n].server, 50 / share));
+                auto more = all_of<Forward>(g.ok(t + 5, sent[n].request, sent[n].endpoint, 50 / share));
                 sent.insert(sent.end(), more.begin(), more.end());
             }
         }
@@ -677,24 +679,24 @@
 // it almost idle until it counted as warm, while the others queued.
 TEST(ColdStart, IsNotLeftIdleWhereFewOfManyGatewaysUseIt) {
     Settings set = make_settings();
-    set.balancers = 100;
-    set.price_probe = 0.08;
-    set.cold_time = Duration{8000};
-    std::vector<ListEntry> fleet;
-    for (ServerId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
+    set.node_count = 100;
+    set.probe_cost = 0.08;
+    set.slow_start_duration = Duration{8000};
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
     std::vector<double> sends;  // to the first twenty, which start together
     for (int k = 0; k < 100; ++k) {
-        set.me = k;
+        set.node_index = k;
         Gateway g(set, std::uint64_t(k) * 7919 + 1);
         g.list(0, fleet);
         RequestId id = 0;
         for (double t = 10.0 + k / 2.0; t < 9000; t += 60) {
             if (t > 1010 && t < 1071) {
-                std::vector<ListEntry> fresh(fleet.begin(), fleet.begin() + 20);
-                for (ListEntry& one : fresh) one.last_start = at(1000);
-                g.list(t - 1, fresh, ListKind::Delta);
+                std::vector<EndpointEntry> fresh(fleet.begin(), fleet.begin() + 20);
+                for (EndpointEntry& one : fresh) one.last_start = at(1000);
+                g.list(t - 1, fresh, UpdateKind::Delta);
             }
-            g.run_probed(t, [](ServerId) { return Outcome::Ok; });
+            g.run_probed(t, [](EndpointId) { return Outcome::Ok; });
             auto to = sent_to(g.arrive(t, ++id));
             if (!to) continue;
             double share = *to > 20 || t < 1071 ? 1 : 0.3 + 0.7 * (t - 1000) / 8000;
@@ -719,12 +721,12 @@
     auto sends_at = [](bool live, double warm_size) {
         Settings set = unprobed();
         set.classes.resize(1);
-        set.live_sizes = live;
+        set.weights_track_load = live;
         Gateway g(set);
-        std::vector<ListEntry> fleet = {entry(1), entry(2), entry(3)};
-        for (ListEntry& e : fleet) e.size = warm_size;
+        std::vector<EndpointEntry> fleet = {entry(1), entry(2), entry(3)};
+        for (EndpointEntry& e : fleet) e.weight = warm_size;
         g.list(0, fleet);
-        std::multimap<double, std::pair<RequestId, ServerId>> under_way;
+        std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
         RequestId id = 0;
         int sends = 0;
         for (double t = 1; t < 22'000; t += 10) {
@@ -739,8 +741,8 @@
                 add(g.ok(t, under_way.begin()->second.first, under_way.begin()->second.second, 50));
             add(g.arrive(t, ++id, 0, 400));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + 50, std::pair(f.request, f.server));
-                sends += f.server == 4;
+                under_way.emplace(t + 50, std::pair(f.request, f.endpoint));
+                sends += f.endpoint == 4;
             }
         }
         return sends;
@@ -759,9 +761,9 @@
         Settings set = unprobed();
         set.classes.resize(1);
         Gateway g(set);
-        std::vector<ListEntry> fleet = {entry(1), entry(2), entry(3)};
+        std::vector<EndpointEntry> fleet = {entry(1), entry(2), entry(3)};
         g.list(0, fleet);
-        std::multimap<double, std::pair<RequestId, ServerId>> under_way;
+        std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
         RequestId id = 0;
         int sent = 0;
         for (double t = 1; t < 1500; t += 10) {
@@ -778,8 +780,8 @@
             }
             add(g.arrive(t, ++id, 0, 4000));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + 50, std::pair(f.request, f.server));
-                sent += f.server == 4;
+                under_way.emplace(t + 50, std::pair(f.request, f.endpoint));
+                sent += f.endpoint == 4;
             }
         }
         return sent;
@@ -792,20 +794,20 @@
 // to nobody got nothing till it was warm.
 TEST(Subset, WhereNoQuotaIsToldNobodyIsGivenServers) {
     Settings set = make_settings();
-    set.balancers = 3;
-    set.me = 0;
-    set.price_probe = 0.08;
+    set.node_count = 3;
+    set.node_index = 0;
+    set.probe_cost = 0.08;
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId id = 1; id <= 12; ++id) {
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId id = 1; id <= 12; ++id) {
         fleet.push_back(entry(id));
         fleet.back().last_start = at(1);
     }
     g.list(1, fleet);
-    std::set<ServerId> used;
+    std::set<EndpointId> used;
     RequestId id = 0;
     for (double t = 10; t < 7000; t += 10) {
-        g.run_probed(t, [](ServerId) { return Outcome::Ok; });
+        g.run_probed(t, [](EndpointId) { return Outcome::Ok; });
         if (auto to = sent_to(g.arrive(t, ++id))) {
             used.insert(*to);
             g.ok(t + 5, id, *to, 5);
@@ -818,26 +820,26 @@
 // uses further servers beside those it is given, and no others in their place.
 TEST(Subset, WhatAGatewayIsGivenDoesNotFollowItsLoad) {
     Settings set = make_settings();
-    set.balancers = 100;
-    set.price_probe = 0.08;
+    set.node_count = 100;
+    set.probe_cost = 0.08;
     set.tenants = {{1600, 1}};  // 16 a second for each gateway, which is worth four servers
-    std::vector<ListEntry> fleet;
-    for (ServerId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
     auto probed = [&](int me, double gap) {
-        set.me = me;
+        set.node_index = me;
         Gateway g(set, std::uint64_t(me) * 7919 + 1);
         g.list(1, fleet);
-        std::set<ServerId> servers;
+        std::set<EndpointId> servers;
         RequestId id = 0;
         for (double t = 10; t < 20000; t += gap) {
-            for (const Probe& p : all_of<Probe>(g.run_probed(t, [](ServerId) { return Outcome::Ok; })))
-                if (t > 15000) servers.insert(p.server);
+            for (const Probe& p : all_of<Probe>(g.run_probed(t, [](EndpointId) { return Outcome::Ok; })))
+                if (t > 15000) servers.insert(p.endpoint);
             if (auto to = sent_to(g.arrive(t, ++id))) g.ok(t + 5, id, *to, 5);
         }
         return servers;
     };
     for (int me = 0; me < 100; me += 5) {
-        std::set<ServerId> quiet = probed(me, 300), usual = probed(me, 60), busy = probed(me, 25);
+        std::set<EndpointId> quiet = probed(me, 300), usual = probed(me, 60), busy = probed(me, 25);
         EXPECT_EQ(quiet.size(), 3u) << me;
         EXPECT_GE(usual.size(), 4u) << me;
         EXPECT_GE(busy.size(), 6u) << me;
@@ -848,7 +850,7 @@
 
 TEST(ColdStart, ARestartCountsAtOnceThoughTheHostWasJustWeighed) {
     Settings set = unprobed();
-    set.balancers = 1000;
+    set.node_count = 1000;
     int sends = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         Gateway g(set, seed);
@@ -857,7 +859,7 @@
         g.ok(1010, 1, 1, 10);
         auto cold = entry(1);
         cold.last_start = at(1015);
-        g.list(1020, {cold}, ListKind::Delta);
+        g.list(1020, {cold}, UpdateKind::Delta);
         sends += sent_to(g.arrive(1030, 2)).has_value();
     }
     EXPECT_LE(sends, 20);  // a warm host would be sent all two hundred
@@ -865,21 +867,21 @@
 
 TEST(Subset, ProbesOfManyGatewaysStayFewAndWhatFailsIsMadeUpFor) {
     Settings set = make_settings();
-    set.balancers = 1000;
-    set.price_connection = 0.03;
+    set.node_count = 1000;
+    set.connection_cost = 0.03;
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId id = 1; id <= 200; ++id) fleet.push_back(entry(id));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId id = 1; id <= 200; ++id) fleet.push_back(entry(id));
     g.list(0, fleet);
-    std::set<ServerId> probed, later;
-    auto all = g.run_probed(5000, [](ServerId) { return Outcome::Ok; });
-    for (const Probe& p : all_of<Probe>(all)) probed.insert(p.server);
+    std::set<EndpointId> probed, later;
+    auto all = g.run_probed(5000, [](EndpointId) { return Outcome::Ok; });
+    for (const Probe& p : all_of<Probe>(all)) probed.insert(p.endpoint);
     EXPECT_GE(probed.size(), 3u);
     EXPECT_LE(probed.size(), 20u);
     auto lost = g.run_probed(
-        15000, [&](ServerId id) { return probed.count(id) ? Outcome::ConnectFailed : Outcome::Ok; });
+        15000, [&](EndpointId id) { return probed.count(id) ? Outcome::ConnectFailed : Outcome::Ok; });
     for (const Probe& p : all_of<Probe>(lost))
-        if (!probed.count(p.server)) later.insert(p.server);
+        if (!probed.count(p.endpoint)) later.insert(p.endpoint);
     EXPECT_GE(later.size(), probed.size());
     auto to = sent_to(g.arrive(15001, 1));
     ASSERT_TRUE(to);
@@ -889,10 +891,10 @@
 TEST(Subset, AFewGatewaysWithManyRequestsUseEveryServer) {
     Settings set = unprobed();
     Gateway g(set);
-    std::vector<ListEntry> fleet;
-    for (ServerId id = 1; id <= 12; ++id) fleet.push_back(entry(id));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId id = 1; id <= 12; ++id) fleet.push_back(entry(id));
     g.list(0, fleet);
-    std::set<ServerId> used;
+    std::set<EndpointId> used;
     for (RequestId i = 0; i < 200; ++i) {
         auto to = sent_to(g.arrive(1000 + 10.0 * double(i), i));
         ASSERT_TRUE(to);
@@ -916,7 +918,7 @@
     ASSERT_EQ(asked.size(), 2u);
     EXPECT_FALSE(sent_to(arrived));
     EXPECT_FALSE(sent_to(g.probe(3001, 1, Outcome::Ok, 3, 2)));
-    EXPECT_EQ(sent_to(g.probe(3001, 2, Outcome::Ok, 0, 0)), ServerId{2});
+    EXPECT_EQ(sent_to(g.probe(3001, 2, Outcome::Ok, 0, 0)), EndpointId{2});
 }
 
 TEST(Look, AServerThatDoesNotAnswerIsPassedOver) {
@@ -924,7 +926,7 @@
     g.list(0, {entry(1), entry(2)});
     ASSERT_EQ(all_of<Probe>(g.arrive(3000, 1)).size(), 2u);
     EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 1, 0)));
-    EXPECT_EQ(sent_to(g.run_to(3010)), ServerId{2});
+    EXPECT_EQ(sent_to(g.run_to(3010)), EndpointId{2});
 }
 
 TEST(Look, ARequestWaitsHereWhileEveryServerIsTooFull) {
@@ -939,15 +941,15 @@
 TEST(Look, ReportsThatOwnRequestsContradictAreNotBelieved) {
     Gateway g(looking());
     g.list(0, {entry(1), entry(2)});
-    std::map<ServerId, int> sends;
+    std::map<EndpointId, int> sends;
     for (RequestId i = 0; i < 100; ++i) {
         double t = 3000 + 20 * double(i);
         // 1 always says that it is idle, and turns away what it gets; 2 holds one of another gateway's.
-        auto serve = [](ServerId s) {
-            return s == 1 ? std::pair{Outcome::Full, 1.0} : std::pair{Outcome::Ok, 13.0};
+        auto serve = [](EndpointId s) {
+            return s == 1 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 13.0};
         };
-        auto report = [](ServerId s) { return s == 1 ? 0.0 : 1.0; };
-        g.play(t + 19, g.arrive(t, i), serve, report, [&](ServerId s) { sends[s] += i >= 20; });
+        auto report = [](EndpointId s) { return s == 1 ? 0.0 : 1.0; };
+        g.play(t + 19, g.arrive(t, i), serve, report, [&](EndpointId s) { sends[s] += i >= 20; });
     }
     EXPECT_GT(sends[2], 2 * sends[1]);
 }
@@ -956,7 +958,7 @@
 // of the result.
 TEST(Look, IsNotMadeWhereTwoCostMoreThanTheyGain) {
     Settings set = looking();
-    set.price_probe = 0.05;
+    set.probe_cost = 0.05;
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
     std::size_t looks = 0;
@@ -966,7 +968,7 @@
         Actions actions = g.arrive(t, i);
         for (const Probe& p : all_of<Probe>(actions)) {
             ++looks;
-            for (const Action& a : g.probe(t + 1, p.server, Outcome::Ok, 0, 0)) actions.push_back(a);
+            for (const Action& a : g.probe(t + 1, p.endpoint, Outcome::Ok, 0, 0)) actions.push_back(a);
         }
         auto to = sent_to(actions);
         if (!to) continue;
@@ -981,28 +983,28 @@
 // behind it.
 TEST(Attempts, ARepeatOfWhatMayHaveRunSaysByWhenItMustBeWritten) {
     Settings set = unprobed();
-    set.classes[2].window = Duration{300};
-    set.granularity = Duration{2};
+    set.classes[2].deduplication_window = Duration{300};
+    set.clock_granularity = Duration{2};
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
     auto first = all_of<Forward>(g.arrive(100, 1, 2));
     ASSERT_EQ(first.size(), 1u);
-    EXPECT_EQ(first[0].begin_by, TimePoint::max()) << "no repeat";
-    auto again = all_of<Forward>(g.end(150, 1, 0, first[0].server, Outcome::Reset));
+    EXPECT_EQ(first[0].send_deadline, TimePoint::max()) << "no repeat";
+    auto again = all_of<Forward>(g.end(150, 1, 0, first[0].endpoint, Outcome::Reset));
     ASSERT_EQ(again.size(), 1u);
-    EXPECT_EQ(again[0].begin_by, at(100 + 300 - 4));
-    g.end(155, 1, 1, again[0].server, Outcome::Ok, 5, true);
+    EXPECT_EQ(again[0].send_deadline, at(100 + 300 - 4));
+    g.end(155, 1, 1, again[0].endpoint, Outcome::Ok, 5, true);
     auto free = all_of<Forward>(g.arrive(160, 2, 0));
     ASSERT_EQ(free.size(), 1u);
-    auto more = all_of<Forward>(g.end(170, 2, 0, free[0].server, Outcome::Reset));
+    auto more = all_of<Forward>(g.end(170, 2, 0, free[0].endpoint, Outcome::Reset));
     ASSERT_EQ(more.size(), 1u);
-    EXPECT_EQ(more[0].begin_by, TimePoint::max()) << "may be repeated at any time";
+    EXPECT_EQ(more[0].send_deadline, TimePoint::max()) << "may be repeated at any time";
 }
 
 // Nothing was sent but what was worth more than the mean, and what had waited, if its turn came.
 TEST(Zones, WhereTheOwnZoneHasNobodyTheOthersAreAskedAtOnce) {
     Settings set = unprobed();
-    set.price_cross_zone = 0.2;
+    set.cross_zone_cost = 0.2;
     Gateway g(set);
     g.list(0, {entry(1, 1), entry(2, 2)});
     int served = 0;
@@ -1017,38 +1019,38 @@
 
 TEST(Zones, ADearCrossingIsMadeOnlyWhenTimeRunsShort) {
     Settings set = unprobed();
-    set.price_cross_zone = 0.2;
+    set.cross_zone_cost = 0.2;
     Gateway g(set);
     g.list(0, {entry(1, 0), entry(2, 1)});
-    EXPECT_EQ(sent_to(g.arrive(10, 1)), ServerId{1});
+    EXPECT_EQ(sent_to(g.arrive(10, 1)), EndpointId{1});
     EXPECT_FALSE(sent_to(g.arrive(11, 2)));  // the local one takes one at a time until it has answered
-    EXPECT_EQ(sent_to(g.arrive(200, 3)), ServerId{2});  // the second has waited long enough by now
+    EXPECT_EQ(sent_to(g.arrive(200, 3)), EndpointId{2});  // the second has waited long enough by now
 }
 
 // Where crossing is cheap all zones are one rotation, and half of the requests of a quiet node crossed for
 // nothing.
 TEST(Zones, ACheapCrossingCountsAsOneRequestMoreHeldThere) {
     Settings set = unprobed();
-    set.price_cross_zone = 0.01;
+    set.cross_zone_cost = 0.01;
     Gateway g(set);
     g.list(0, {entry(1, 0), entry(2, 1)});
     warm_up(g, {1, 2});
     for (RequestId i = 1; i <= 20; ++i) {
         double t = 100 * double(i);
-        EXPECT_EQ(sent_to(g.arrive(t, i)), ServerId{1});
+        EXPECT_EQ(sent_to(g.arrive(t, i)), EndpointId{1});
         g.ok(t + 50, i, 1);
     }
     // A zone with more callers than servers still spreads.
-    std::map<ServerId, int> sends;
+    std::map<EndpointId, int> sends;
     for (RequestId i = 100; i < 104; ++i)
-        for (const Forward& f : all_of<Forward>(g.arrive(3000 + double(i), i))) ++sends[f.server];
+        for (const Forward& f : all_of<Forward>(g.arrive(3000 + double(i), i))) ++sends[f.endpoint];
     EXPECT_GE(sends[2], 1);
 }
 
 // Overloaded zones sent each other what neither could serve, at a high price.
 TEST(Zones, WhereCrossingsFailADearOneIsNotMade) {
     Settings set = unprobed();
-    set.price_cross_zone = 0.2;
+    set.cross_zone_cost = 0.2;
     Gateway g(set);
     g.list(0, {entry(1, 0), entry(2, 1)});
     g.arrive(10, 1);  // keeps the local one busy
@@ -1056,7 +1058,7 @@
     for (RequestId i = 2; i < 42; ++i) {
         double t = 20 + 10 * double(i);
         auto sent = all_of<Forward>(g.arrive(t, i, 1));
-        for (const Forward& f : sent) g.end(t + 5, f.request, 0, f.server, Outcome::Full, 5);
+        for (const Forward& f : sent) g.end(t + 5, f.request, 0, f.endpoint, Outcome::Rejected, 5);
         crossed += int(sent.size());
     }
     EXPECT_LE(crossed, 8);
@@ -1066,10 +1068,10 @@
     auto probes_in_ten_seconds = [](bool asked) {
         Gateway g(looking());
         g.list(0, {entry(1)});
-        g.run_probed(2999, [](ServerId) { return Outcome::Ok; });
+        g.run_probed(2999, [](EndpointId) { return Outcome::Ok; });
         std::size_t by_interval = 0;
         for (double t = 3000; t < 13000; t += 100) {
-            auto some = g.run_probed(t, [](ServerId) { return Outcome::Ok; });
+            auto some = g.run_probed(t, [](EndpointId) { return Outcome::Ok; });
             by_interval += all_of<Probe>(some).size();
             if (!asked) continue;
             g.arrive(t, RequestId(t));
@@ -1087,15 +1089,15 @@
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
-    g.run_probed(3000, [](ServerId) { return Outcome::Ok; });
-    std::map<ServerId, int> sends;
+    g.run_probed(3000, [](EndpointId) { return Outcome::Ok; });
+    std::map<EndpointId, int> sends;
     for (RequestId i = 0; i < 40; ++i) {
-        g.run_probed(3000 + 20 * double(i), [](ServerId) { return Outcome::Ok; });
+        g.run_probed(3000 + 20 * double(i), [](EndpointId) { return Outcome::Ok; });
         auto sent = all_of<Forward>(g.arrive(3000 + 20 * double(i), i));
         for (std::size_t n = 0; n < sent.size(); ++n) {
-            ++sends[sent[n].server];
+            ++sends[sent[n].endpoint];
             auto more = all_of<Forward>(
-                sent[n].server == 1
+                sent[n].endpoint == 1
                     ? g.end(g.now + 1, sent[n].request, 0, 1, Outcome::ConnectFailed, 1)
                     : g.end(g.now + 1, sent[n].request, n > 0 ? 1 : 0, 2, Outcome::Ok, 5, true));
             sent.insert(sent.end(), more.begin(), more.end());
@@ -1103,7 +1105,7 @@
     }
     EXPECT_LE(sends[1], 3);
     EXPECT_GE(sends[2], 35);
-    auto quiet = g.run_probed(9000, [](ServerId) { return Outcome::Ok; });
+    auto quiet = g.run_probed(9000, [](EndpointId) { return Outcome::Ok; });
     EXPECT_TRUE(all_of<Log>(quiet).empty());
 }
 
@@ -1111,19 +1113,19 @@
 // when its attempts were used up.
 TEST(Attempts, AServerThatTurnsWorkAwayIsLeftForAMoment) {
     Gateway g(unprobed());
-    std::vector<ListEntry> fleet;
-    for (ServerId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
     int turned_away = 0, served = 0, refused = 0;
     for (RequestId i = 0; i < 400; ++i) {
         Actions actions = g.arrive(10 + 5 * double(i), i);
         for (int attempt = 0; !actions.empty();) {
             auto to = sent_to(actions);
-            refused += int(all_of<Refuse>(actions).size());
+            refused += int(all_of<Reject>(actions).size());
             if (!to) break;
             bool drains = *to <= 4;
             (drains ? turned_away : served) += 1;
-            actions = g.end(g.now + 0.5, i, attempt++, *to, drains ? Outcome::Full : Outcome::Ok,
+            actions = g.end(g.now + 0.5, i, attempt++, *to, drains ? Outcome::Rejected : Outcome::Ok,
                             drains ? 0.5 : 20, !drains);
         }
     }
@@ -1140,7 +1142,7 @@
         Settings set = make_settings();
         Gateway g(set);
         g.list(0, {entry(1), entry(2), entry(3)});
-        g.run_probed(3000, [](ServerId) { return Outcome::Ok; });
+        g.run_probed(3000, [](EndpointId) { return Outcome::Ok; });
         std::size_t ejected = 0;
         for (RequestId i = 0; i < 300; ++i) {
             double t = 3000 + 5 * double(i);
@@ -1148,9 +1150,9 @@
                 kind == 1 ? i / 3 % 6 < 3 : (i * 7919 + i / 3) % 5 < 2;  // resets: three straight, too
             auto sent = all_of<Forward>(g.arrive(t, i, 1));
             for (const Forward& f : sent) {
-                bool bad = everywhere ? some : f.server == 1;
-                auto after = bad ? g.end(t + 2, f.request, 0, f.server, outcome, 2)
-                                 : g.ok(t + 2, f.request, f.server, 2);
+                bool bad = everywhere ? some : f.endpoint == 1;
+                auto after = bad ? g.end(t + 2, f.request, 0, f.endpoint, outcome, 2)
+                                 : g.ok(t + 2, f.request, f.endpoint, 2);
                 ejected += all_of<Log>(after).size();
             }
         }
@@ -1169,14 +1171,14 @@
         set.cancel = true;
         Gateway g(set);
         g.list(0, {entry(1), entry(2)});
-        std::set<ServerId> open;
+        std::set<EndpointId> open;
         std::size_t lost = 0, closed = 0;
         for (RequestId i = 0; i < 200; ++i) {
             double t = 1000 + 1000 * double(i);
             g.run_to(t);
             auto sent = g.arrive(t, i, 1);
-            for (const Close& c : all_of<Close>(sent)) {
-                open.erase(c.server);
+            for (const CloseIdleConnections& c : all_of<CloseIdleConnections>(sent)) {
+                open.erase(c.endpoint);
                 closed += 1;
             }
             auto to = sent_to(sent);
@@ -1201,19 +1203,19 @@
 TEST(Tenants, ARequestWithinASmallPartOfAQuotaIsNoSurplus) {
     Settings set = unprobed();
     set.tenants = {{0.05, 0.5}};
-    set.over_share_worth = 0.1;
+    set.over_quota_weight = 0.1;
     Gateway g(set);
     g.list(0, {entry(1)});
     ASSERT_TRUE(sent_to(g.arrive(5000, 1)));
     RequestArrived repeat;
     repeat.request = 2;
-    repeat.give_up_at = at(12000);
-    repeat.client_repeat = true;
+    repeat.deadline = at(12000);
+    repeat.is_client_retry = true;
     g.tell(5010, repeat);
     RequestArrived first = repeat;
     first.request = 3;
     first.tenant = 0;
-    first.client_repeat = false;
+    first.is_client_retry = false;
     g.tell(5020, first);
     auto sent = all_of<Forward>(g.ok(5050, 1, 1, 50));
     ASSERT_FALSE(sent.empty());
@@ -1223,7 +1225,7 @@
 // A gateway with few events left requests waiting for the next arrival though room had come.
 TEST(Queue, AWaitingRequestIsLookedAtAgainWithoutAnotherEvent) {
     Settings set = unprobed();
-    set.balancers = 4;  // limits below one: sends to one server are spaced
+    set.node_count = 4;  // limits below one: sends to one server are spaced
     Gateway g(set);
     g.list(0, {entry(1)});
     g.arrive(5000, 1);
@@ -1236,12 +1238,12 @@
 TEST(Determinism, TheSameEventsAndSeedGiveTheSameActions) {
     auto trace = [] {
         Gateway g(looking(), 42);
-        std::vector<std::pair<std::size_t, ServerId>> all;
+        std::vector<std::pair<std::size_t, EndpointId>> all;
         auto note = [&](const Actions& actions) {
             for (const Action& a : actions) {
-                ServerId to = 0;
-                if (const auto* f = std::get_if<Forward>(&a)) to = f->server;
-                if (const auto* p = std::get_if<Probe>(&a)) to = p->server;
+                EndpointId to = 0;
+                if (const auto* f = std::get_if<Forward>(&a)) to = f->endpoint;
+                if (const auto* p = std::get_if<Probe>(&a)) to = p->endpoint;
                 all.emplace_back(a.index(), to);
             }
         };
@@ -1251,7 +1253,7 @@
             Actions arrived = g.arrive(t, i, int(i % 5));
             note(arrived);
             for (const Probe& p : all_of<Probe>(arrived))
-                note(g.probe(t + 1, p.server, Outcome::Ok, i % 3, 0));
+                note(g.probe(t + 1, p.endpoint, Outcome::Ok, i % 3, 0));
             note(g.run_to(t + 6));
         }
         return all;
@@ -1266,8 +1268,8 @@
 // than it answers.
 TEST(Registry, AHundredGatewaysShareDiscoverysQueue) {
     Settings set = unprobed();
-    set.must_ask = set.watches = true;
-    set.balancers = 100;
+    set.polls_discovery = set.watches_discovery = true;
+    set.node_count = 100;
     std::vector<Gateway> gateways;
     for (std::uint64_t n = 0; n < 100; ++n) gateways.emplace_back(set, n + 1);
     constexpr double kWork = 50, kPatience = 2000;
@@ -1277,16 +1279,17 @@
         std::vector<bool> watches(100, false);
         std::multimap<double, std::pair<std::size_t, bool>>
             ends;  // of calls: whose, and whether it was served
-        for (auto& g : gateways) g.list(from, {entry(1)}, from == 0 ? ListKind::Cached : ListKind::Failed);
+        for (auto& g : gateways)
+            g.list(from, {entry(1)}, from == 0 ? UpdateKind::Cached : UpdateKind::Failed);
         for (double now = from; now < from + 30'000; now += 1) {
             for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin())) {
                 auto [who, served] = ends.begin()->second;
                 watches[who] = served;
                 failed += !served;
-                gateways[who].list(now, {}, served ? ListKind::Delta : ListKind::Failed);
+                gateways[who].list(now, {}, served ? UpdateKind::Delta : UpdateKind::Failed);
             }
             for (std::size_t n = 0; n < gateways.size(); ++n)
-                if (!all_of<WatchList>(gateways[n].run_to(now)).empty()) {
+                if (!all_of<WatchEndpoints>(gateways[n].run_to(now)).empty()) {
                     free_at = std::max(now, free_at) + kWork;
                     bool served = free_at <= now + kPatience;
                     ends.emplace(std::min(free_at, now + kPatience), std::pair{n, served});
@@ -1304,15 +1307,15 @@
 TEST(Registry, AsksWithinSecondsInAnyFleet) {
     for (int gateways : {0, 1, 3, 100, 10'000, 1'000'000}) {
         Settings set = unprobed();
-        set.must_ask = set.watches = true;
-        set.balancers = std::max(1, gateways);
-        set.me = set.balancers - 1;
+        set.polls_discovery = set.watches_discovery = true;
+        set.node_count = std::max(1, gateways);
+        set.node_index = set.node_count - 1;
         Gateway g(set);
-        g.list(0, {entry(1)}, ListKind::Cached);
-        EXPECT_EQ(all_of<WatchList>(g.run_to(10'000)).size(), 1u) << gateways;
+        g.list(0, {entry(1)}, UpdateKind::Cached);
+        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(10'000)).size(), 1u) << gateways;
         for (double failed : {10'001.0, 50'001.0, 100'001.0}) {
-            g.list(failed, {}, ListKind::Failed);
-            EXPECT_EQ(all_of<WatchList>(g.run_to(failed + 30'000)).size(), 1u) << gateways;
+            g.list(failed, {}, UpdateKind::Failed);
+            EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(failed + 30'000)).size(), 1u) << gateways;
         }
     }
 }
@@ -1322,14 +1325,14 @@
 // rest of it.
 TEST(Registry, AsksAgainSoonHoweverOftenItsCallsFailed) {
     Settings set = unprobed();
-    set.must_ask = set.watches = true;
+    set.polls_discovery = set.watches_discovery = true;
     Gateway g(set);
-    g.list(0, {entry(1)}, ListKind::Cached);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
     double asked = 0, longest = 0;
     for (int failures = 0; failures < 12; ++failures) {
-        g.tell(asked + 170, ListUpdate{ListKind::Failed, {}});
+        g.tell(asked + 170, EndpointUpdate{UpdateKind::Failed, {}});
         double from = asked + 170, now = from;
-        while (now < from + 10'000 && all_of<WatchList>(g.run_to(now)).empty()) now += 5;
+        while (now < from + 10'000 && all_of<WatchEndpoints>(g.run_to(now)).empty()) now += 5;
         ASSERT_LT(now, from + 10'000);
         asked = now;
         longest = std::max(longest, asked - from);
@@ -1343,8 +1346,8 @@
 
 TEST(Registry, WhatHasLongGoneIsForgotten) {
     Gateway g(unprobed());
-    auto replace = [&](ServerId from, ServerId to) {
-        for (ServerId id = from; id < to; ++id) g.list(1000.0 * id, {entry(id), entry(id + 1)});
+    auto replace = [&](EndpointId from, EndpointId to) {
+        for (EndpointId id = from; id < to; ++id) g.list(1000.0 * id, {entry(id), entry(id + 1)});
     };
     replace(1, 200);
     std::size_t before = mallinfo2().uordblks;  // zero under the sanitizers, which have memory of their own
@@ -1358,20 +1361,20 @@
 
 TEST(Calm, StrayEventsAndAnEmptyListDoNoHarm) {
     Gateway g;
-    g.tell(0, Woken{});
+    g.tell(0, TimerFired{});
     g.end(1, 77, 0, 5, Outcome::Ok);
     g.probe(2, 5, Outcome::Ok);
-    g.tell(3, ClientGone{77});
+    g.tell(3, ClientDisconnected{77});
     g.tell(3, StreamStarted{77, 0});
     g.list(4, {});
     EXPECT_FALSE(sent_to(g.arrive(5, 1)));
     auto ended = g.run_to(1005);
-    EXPECT_EQ(all_of<Refuse>(ended).size(), 1u);
+    EXPECT_EQ(all_of<Reject>(ended).size(), 1u);
     g.list(1100, {entry(1)});
     ASSERT_TRUE(sent_to(g.arrive(1200, 2)));
     g.end(1210, 2, 9, 1, Outcome::Ok);  // an attempt that was never made
-    g.tell(1220, ClientGone{2});
-    EXPECT_FALSE(sent_to(g.end(1230, 2, 0, 1, Outcome::Full, 30)));  // it is over: nothing more goes out
+    g.tell(1220, ClientDisconnected{2});
+    EXPECT_FALSE(sent_to(g.end(1230, 2, 0, 1, Outcome::Rejected, 30)));  // it is over: nothing more goes out
 }
 
 }  // namespace
--- a/tests/bench_side.h
+++ b/tests/bench_side.h
@@ -14,13 +14,13 @@
     return TimePoint{Duration{ms}};
 }
 
-inline ClassSettings make_class(Effect effect, Scope scope = Scope::All) {
+inline ClassSettings make_class(Idempotency effect, DeduplicationScope scope = DeduplicationScope::All) {
     ClassSettings c;
-    c.aim = Duration{400};
-    c.give_up = Duration{1000};
-    c.window = Duration{1500};
-    c.effect = effect;
-    c.scope = scope;
+    c.latency_objective = Duration{400};
+    c.request_timeout = Duration{1000};
+    c.deduplication_window = Duration{1500};
+    c.idempotency = effect;
+    c.deduplication_scope = scope;
     return c;
 }
 
@@ -28,14 +28,16 @@
 inline Settings make_settings() {
     Settings set;
     set.zone = 0;
-    set.classes = {make_class(Effect::Free), make_class(Effect::SingleShot), make_class(Effect::Guarded),
-                   make_class(Effect::Guarded, Scope::Zone), make_class(Effect::Guarded, Scope::Cell)};
+    set.classes = {make_class(Idempotency::Idempotent), make_class(Idempotency::NonIdempotent),
+                   make_class(Idempotency::IdempotentWithKey),
+                   make_class(Idempotency::IdempotentWithKey, DeduplicationScope::Zone),
+                   make_class(Idempotency::IdempotentWithKey, DeduplicationScope::Cell)};
     set.max_attempts = 4;
-    set.cold_time = Duration{8000};
-    set.cold_from = 0.3;
+    set.slow_start_duration = Duration{8000};
+    set.slow_start_initial_capacity = 0.3;
     set.overload_factor = 2.5;
-    set.tip_after = Duration{2000};
-    set.price_probe = 0.002;
+    set.overload_after = Duration{2000};
+    set.probe_cost = 0.002;
     return set;
 }
 
@@ -45,9 +47,9 @@
     return set;
 }
 
-inline ListEntry entry(ServerId id, int zone = 0, int cell = 0) {
-    ListEntry e;
-    e.server = id;
+inline EndpointEntry entry(EndpointId id, int zone = 0, int cell = 0) {
+    EndpointEntry e;
+    e.endpoint = id;
     e.zone = zone;
     e.kind = 0;
     e.cell = cell;
@@ -64,27 +66,27 @@
         Actions actions;
         balancer_.handle(at(ms), event, actions);
         for (const Action& a : actions)
-            if (const auto* wake = std::get_if<WakeAt>(&a)) wakes_.insert(wake->at);
+            if (const auto* wake = std::get_if<SetTimer>(&a)) wakes_.insert(wake->at);
         return actions;
     }
-    Actions list(double ms, std::vector<ListEntry> entries, ListKind kind = ListKind::Full) {
-        return tell(ms, ListUpdate{kind, std::move(entries)});
+    Actions list(double ms, std::vector<EndpointEntry> entries, UpdateKind kind = UpdateKind::Full) {
+        return tell(ms, EndpointUpdate{kind, std::move(entries)});
     }
     Actions arrive(double ms, RequestId id, int cls = 0, double patience = 1000) {
         RequestArrived e;
         e.request = id;
         e.class_index = cls;
-        e.give_up_at = at(ms + patience);
+        e.deadline = at(ms + patience);
         return tell(ms, e);
     }
-    Actions end(double ms, RequestId id, int attempt, ServerId server, Outcome outcome, double elapsed = 50,
+    Actions end(double ms, RequestId id, int attempt, EndpointId server, Outcome outcome, double elapsed = 50,
                 bool concluded = false) {
         return tell(ms, AttemptEnded{id, attempt, server, outcome, Duration{elapsed}, concluded, {}});
     }
-    Actions ok(double ms, RequestId id, ServerId server, double elapsed = 50) {
+    Actions ok(double ms, RequestId id, EndpointId server, double elapsed = 50) {
         return end(ms, id, 0, server, Outcome::Ok, elapsed, true);
     }
-    Actions probe(double ms, ServerId server, Outcome outcome, std::optional<double> inflight = {},
+    Actions probe(double ms, EndpointId server, Outcome outcome, std::optional<double> inflight = {},
                   std::optional<double> queue = {}) {
         return tell(ms, ProbeEnded{server, outcome, Duration{1}, LoadReport{inflight, queue, {}}});
     }
@@ -94,7 +96,7 @@
         while (!wakes_.empty() && *wakes_.begin() <= at(ms)) {
             TimePoint due = *wakes_.begin();
             wakes_.erase(wakes_.begin());
-            Actions some = tell(std::max(now, due.time_since_epoch().count()), Woken{});
+            Actions some = tell(std::max(now, due.time_since_epoch().count()), TimerFired{});
             all.insert(all.end(), some.begin(), some.end());
         }
         return all;
@@ -107,7 +109,7 @@
             Actions some = run_to(wakes_.begin()->time_since_epoch().count());
             for (std::size_t i = 0; i < some.size(); ++i)
                 if (const auto* p = std::get_if<Probe>(&some[i])) {
-                    Actions more = probe(now, p->server, answer(p->server));
+                    Actions more = probe(now, p->endpoint, answer(p->endpoint));
                     some.insert(some.end(), more.begin(), more.end());
                 }
             all.insert(all.end(), some.begin(), some.end());
@@ -124,19 +126,19 @@
         auto take = [&](const Actions& actions) {
             for (const Action& action : actions) {
                 if (const auto* f = std::get_if<Forward>(&action)) {
-                    seen(f->server);
-                    auto [outcome, elapsed] = serve(f->server);
+                    seen(f->endpoint);
+                    auto [outcome, elapsed] = serve(f->endpoint);
                     int attempt = attempts_[f->request]++;
                     ends_.emplace(now + elapsed, AttemptEnded{f->request,
                                                               attempt,
-                                                              f->server,
+                                                              f->endpoint,
                                                               outcome,
                                                               Duration{elapsed},
                                                               outcome == Outcome::Ok,
                                                               {}});
                 } else if (const auto* p = std::get_if<Probe>(&action)) {
-                    ends_.emplace(now + 1, ProbeEnded{p->server, Outcome::Ok, Duration{1},
-                                                      LoadReport{report(p->server), 0.0, {}}});
+                    ends_.emplace(now + 1, ProbeEnded{p->endpoint, Outcome::Ok, Duration{1},
+                                                      LoadReport{report(p->endpoint), 0.0, {}}});
                 }
             }
         };
@@ -155,7 +157,7 @@
         }
     }
 
-    std::size_t avoided() const { return balancer_.avoided(); }
+    std::size_t avoided() const { return balancer_.unavailable_endpoints(); }
 
     double now = 0;
 
@@ -174,9 +176,9 @@
     return found;
 }
 
-inline std::optional<ServerId> sent_to(const Actions& actions) {
+inline std::optional<EndpointId> sent_to(const Actions& actions) {
     auto sends = all_of<Forward>(actions);
-    return sends.empty() ? std::nullopt : std::optional(sends.front().server);
+    return sends.empty() ? std::nullopt : std::optional(sends.front().endpoint);
 }
 
 }  // namespace ochrehub::testing
--- a/tests/example_test.cpp
+++ b/tests/example_test.cpp
@@ -10,11 +10,11 @@
 namespace hub = ochrehub;
 
 /// Feeds one request through a balancer and returns the server that it was sent to, if any.
-std::optional<hub::ServerId> first_choice() {
+std::optional<hub::EndpointId> first_choice() {
     hub::ClassSettings get;
-    get.aim = hub::Duration{200};
-    get.give_up = hub::Duration{500};
-    get.effect = hub::Effect::Free;
+    get.latency_objective = hub::Duration{200};
+    get.request_timeout = hub::Duration{500};
+    get.idempotency = hub::Idempotency::Idempotent;
 
     hub::Settings settings;
     settings.classes = {get};
@@ -24,23 +24,23 @@
     hub::Actions actions;
     hub::TimePoint now{hub::Duration{1000}};
 
-    hub::ListUpdate list;
-    hub::ListEntry server;
-    server.server = 7;
+    hub::EndpointUpdate list;
+    hub::EndpointEntry server;
+    server.endpoint = 7;
     list.entries.push_back(server);
     balancer.handle(now, list, actions);
 
     hub::RequestArrived request;
     request.request = 1;
-    request.give_up_at = now + hub::Duration{500};
+    request.deadline = now + hub::Duration{500};
     balancer.handle(now, request, actions);
 
     for (const hub::Action& action : actions)
-        if (const auto* send = std::get_if<hub::Forward>(&action)) return send->server;
+        if (const auto* send = std::get_if<hub::Forward>(&action)) return send->endpoint;
     return std::nullopt;
 }
 // [example]
 
 TEST(Example, SendsToTheOnlyServer) {
-    EXPECT_EQ(first_choice(), hub::ServerId{7});
+    EXPECT_EQ(first_choice(), hub::EndpointId{7});
 }
--- a/tests/load_state_test.cpp
+++ b/tests/load_state_test.cpp
@@ -59,17 +59,17 @@
             if (change.to == state) return (change.at - at(from)).count();
         return -1;
     }
-    void list(ListKind kind, const std::vector<ListEntry>& entries) {
-        ListUpdate update;
+    void list(UpdateKind kind, const std::vector<EndpointEntry>& entries) {
+        EndpointUpdate update;
         update.kind = kind;
         update.entries = entries;
         load_state.listed(at(now), update);
     }
 };
 
-ListEntry entry(ServerId server, Phase phase = Phase::Ready, std::optional<TimePoint> started = {}) {
-    ListEntry e;
-    e.server = server;
+EndpointEntry entry(EndpointId server, Phase phase = Phase::Ready, std::optional<TimePoint> started = {}) {
+    EndpointEntry e;
+    e.endpoint = server;
     e.phase = phase;
     e.last_start = started;
     return e;
@@ -133,13 +133,13 @@
 
 TEST(LoadState, ServersThatDrainAndNewOnesAreARelease) {
     Day day;
-    day.list(ListKind::Full, {entry(1), entry(2), entry(3), entry(4)});
+    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3), entry(4)});
     day.pass(5000, {});
     EXPECT_EQ(day.load_state.state(), State::Calm);
-    day.list(ListKind::Delta, {entry(1, Phase::Draining), entry(2, Phase::Draining)});
+    day.list(UpdateKind::Delta, {entry(1, Phase::Draining), entry(2, Phase::Draining)});
     day.pass(1000, {});
     EXPECT_EQ(day.load_state.state(), State::Release);
-    day.list(ListKind::Delta, {entry(1, Phase::Gone), entry(5, Phase::Ready, at(day.now - 500))});
+    day.list(UpdateKind::Delta, {entry(1, Phase::Removed), entry(5, Phase::Ready, at(day.now - 500))});
     day.pass(9000, {});
     EXPECT_EQ(day.load_state.state(), State::Release) << "the new one warms still";
     day.pass(9000, {});
@@ -149,15 +149,15 @@
 
 TEST(LoadState, ListsThatSayNothingNewAreNoRelease) {
     Day day;
-    day.list(ListKind::Cached, {entry(8), entry(9)});
-    day.list(ListKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
+    day.list(UpdateKind::Cached, {entry(8), entry(9)});
+    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
     day.pass(3000, {});
-    day.list(ListKind::Full, {});
-    day.list(ListKind::Failed, {});
-    day.list(ListKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
-    day.list(ListKind::Delta, {entry(2, Phase::Gone)});  // crashed: it did not drain
+    day.list(UpdateKind::Full, {});
+    day.list(UpdateKind::Failed, {});
+    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
+    day.list(UpdateKind::Delta, {entry(2, Phase::Removed)});  // crashed: it did not drain
     day.pass(3000, {});
-    day.list(ListKind::Delta, {entry(2, Phase::Ready, at(-60000))});
+    day.list(UpdateKind::Delta, {entry(2, Phase::Ready, at(-60000))});
     day.pass(3000, {});
     EXPECT_TRUE(day.changes.empty());
 }
--- a/tests/long_list_test.cpp
+++ b/tests/long_list_test.cpp
@@ -98,7 +98,7 @@
         rig.say(*far, "0\r\n\r\n");
     }
     rig.until([&] { return !rig.lists.empty(); });
-    EXPECT_EQ(rig.lists.front().update.kind, ListKind::Full);
+    EXPECT_EQ(rig.lists.front().update.kind, UpdateKind::Full);
     EXPECT_EQ(rig.lists.front().update.entries.size(), 400u);
     EXPECT_EQ(rig.call(*far).rfind("GET /v1/servers?index=41&wait=", 0), 0u);
 }
--- a/tests/server_peer.h
+++ b/tests/server_peer.h
@@ -129,7 +129,9 @@
         results[id.request].push_back(std::move(result));
         ended(id);
     }
-    void probe_ended(ServerId, Duration, Outcome outcome, LoadReport) override { probes.push_back(outcome); }
+    void probe_ended(EndpointId, Duration, Outcome outcome, LoadReport) override {
+        probes.push_back(outcome);
+    }
 };
 
 /// A listener of a server's, and those that it has accepted.
@@ -187,7 +189,7 @@
     static Settings settings(std::chrono::milliseconds connect = std::chrono::seconds(20)) {
         Settings set;
         set.connect_timeout = connect;
-        set.conn_idle = std::chrono::seconds(100);
+        set.connection_idle_timeout = std::chrono::seconds(100);
         return set;
     }
     explicit Rig(const http::Reuse& reuse = {}, const Settings& set = settings(), std::size_t most = 64,
@@ -199,9 +201,9 @@
 
     void list(const std::string& address, Phase phase = Phase::Ready) {
         Listing listing;
-        listing.update.kind = ListKind::Full;
-        ListEntry& entry = listing.update.entries.emplace_back();
-        entry.server = kServer;
+        listing.update.kind = UpdateKind::Full;
+        EndpointEntry& entry = listing.update.entries.emplace_back();
+        entry.endpoint = kServer;
         entry.phase = phase;
         listing.addresses = {address};
         listing.ids = {"s"};
@@ -261,7 +263,7 @@
         return count;
     }
 
-    static constexpr ServerId kServer = 7;
+    static constexpr EndpointId kServer = 7;
     Door door;
     std::set<int> fillers;  // of the test's own
     BufferPool pool{8};
--- a/tests/server_pool_test.cpp
+++ b/tests/server_pool_test.cpp
@@ -138,7 +138,7 @@
             rig.turn();
             far->say(never_ran.substr(first));
         }
-        EXPECT_EQ(rig.outcome(2), said == Said::NeverRan ? Outcome::Full : Outcome::Error);
+        EXPECT_EQ(rig.outcome(2), said == Said::NeverRan ? Outcome::Rejected : Outcome::Error);
         EXPECT_EQ(rig.body(2), "(none)");
         rig.turn();
         EXPECT_EQ(rig.events.results[2].size(), 1u);
@@ -180,7 +180,7 @@
     rig.events.asked = [](AttemptId) { return false; };
     rig.start(2);  // its connection comes up for nobody
     FarPtr fresh = rig.accept();
-    EXPECT_EQ(rig.outcome(2), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(2), Outcome::NotSent);
     rig.events.asked = [](AttemptId) { return true; };
     used->say(answer("one"));
     EXPECT_EQ(rig.body(1), "one");
@@ -255,7 +255,7 @@
     rig.events.asked = [](AttemptId id) { return id.request != 1; };
     rig.start(1);
     FarPtr far = rig.accept();
-    EXPECT_EQ(rig.outcome(1), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     expect_balance(rig, 1);
     rig.start(2);
     EXPECT_TRUE(rig.request_at(*far).starts_with("POST /2 "));
@@ -263,7 +263,7 @@
     EXPECT_EQ(rig.body(2), "two");
     rig.events.asked = [](AttemptId) { return false; };  // one that is up already is kept too
     rig.start(3);
-    EXPECT_EQ(rig.outcome(3), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(3), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 1);
 }
@@ -273,7 +273,7 @@
     rig.start(1, milliseconds(20));
     FarPtr far = rig.door.accept();
     usleep(40000);
-    EXPECT_EQ(rig.outcome(1), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 1);
 }
@@ -314,7 +314,7 @@
     rig.start(1, longer(1, stream, 10), milliseconds(20));
     FarPtr far = rig.door.accept();
     usleep(40000);
-    EXPECT_EQ(rig.outcome(1), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 1);
 }
@@ -364,7 +364,7 @@
     rig.start(1);
     FarPtr far = rig.door.accept();
     rig.list(rig.door.address, Phase::Draining);
-    EXPECT_EQ(rig.outcome(1), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 0);
 }
@@ -374,7 +374,7 @@
     rig.start(1);
     FarPtr far = rig.door.accept();
     rig.servers.by_hand(Rig::kServer, true);
-    EXPECT_EQ(rig.outcome(1), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 0);
     rig.servers.by_hand(Rig::kServer, false);
@@ -404,7 +404,7 @@
     rig.start(2);  // its connection is still coming up
     Door moved;
     rig.list(moved.address);
-    EXPECT_EQ(rig.outcome(2), Outcome::Moot);
+    EXPECT_EQ(rig.outcome(2), Outcome::NotSent);
     old->say(answer("one"));
     EXPECT_EQ(rig.body(1), "one");
     expect_balance(rig, 0);
@@ -808,7 +808,7 @@
 
 TEST(ServerPool, IdleConnectionsAreClosedBeforeServersCloseThem) {
     Settings set = Rig::settings();
-    set.conn_idle = milliseconds(100);
+    set.connection_idle_timeout = milliseconds(100);
     Rig rig({}, set);
     FarPtr far = one_at_rest(rig);
     rig.until([&] { return far->closed(); });
@@ -819,8 +819,8 @@
     Rig rig(always_rested(), Rig::settings(), 2);
     Door second;
     Listing both;
-    both.update.kind = ListKind::Full;
-    for (ServerId id : {Rig::kServer, Rig::kServer + 1}) both.update.entries.emplace_back().server = id;
+    both.update.kind = UpdateKind::Full;
+    for (EndpointId id : {Rig::kServer, Rig::kServer + 1}) both.update.entries.emplace_back().endpoint = id;
     both.addresses = {rig.door.address, second.address};
     both.ids = {"s", "t"};
     rig.servers.servers(both);
@@ -859,9 +859,9 @@
     Rig rig(always_rested());
     auto list = [&](Duration start) {
         Listing listing;
-        listing.update.kind = ListKind::Delta;
-        ListEntry& entry = listing.update.entries.emplace_back();
-        entry.server = Rig::kServer;
+        listing.update.kind = UpdateKind::Delta;
+        EndpointEntry& entry = listing.update.entries.emplace_back();
+        entry.endpoint = Rig::kServer;
         entry.last_start = TimePoint{start};
         listing.addresses = {rig.door.address};
         listing.ids = {"s"};
@@ -891,7 +891,7 @@
 // Short idle times: what lies between the look and the request takes no part of them, but a time of its own.
 TEST(ServerPool, AConnectionIsNotUsedShortlyBeforeItsServerClosesIt) {
     Settings set = Rig::settings();
-    set.conn_idle = milliseconds(400);
+    set.connection_idle_timeout = milliseconds(400);
     Rig rig(always_rested(), set);
     FarPtr far = one_at_rest(rig);
     usleep(260000);  // 0.65 of it, and 140 ms before its end
--- a/tests/watcher_test.cpp
+++ b/tests/watcher_test.cpp
@@ -113,12 +113,13 @@
     far->say(
         list(42, false, member("b") + "," + member("c", "terminated") + "," + member("d", "terminating")));
     const Listing& listing = node.listed();
-    EXPECT_EQ(listing.update.kind, ListKind::Delta);
+    EXPECT_EQ(listing.update.kind, UpdateKind::Delta);
     ASSERT_EQ(listing.update.entries.size(), 3u);
-    std::set<ServerId> numbers{1};  // that of "a"
-    for (const ListEntry& entry : listing.update.entries) EXPECT_TRUE(numbers.insert(entry.server).second);
+    std::set<EndpointId> numbers{1};  // that of "a"
+    for (const EndpointEntry& entry : listing.update.entries)
+        EXPECT_TRUE(numbers.insert(entry.endpoint).second);
     EXPECT_EQ(listing.update.entries[0].phase, Phase::Ready);
-    EXPECT_EQ(listing.update.entries[1].phase, Phase::Gone);
+    EXPECT_EQ(listing.update.entries[1].phase, Phase::Removed);
     EXPECT_EQ(listing.update.entries[2].phase, Phase::Draining);
     EXPECT_EQ(node.call_at(*far), watched(42));
 }
@@ -129,13 +130,13 @@
     node.call_at(*far);
     far->say(list(42, false, member("a", "in_service", "127.0.0.1:2")));
     Listing listing = node.listed();
-    EXPECT_EQ(listing.update.entries[0].server, 1u);
+    EXPECT_EQ(listing.update.entries[0].endpoint, 1u);
     EXPECT_EQ(listing.addresses[0], "127.0.0.1:2");
     EXPECT_FALSE(listing.update.entries[0].last_start);
     node.call_at(*far);
     far->say(list(43, false, member("a", "in_service", "127.0.0.1:2", "1700000000000")));
     listing = node.listed();
-    EXPECT_EQ(listing.update.entries[0].server, 1u);
+    EXPECT_EQ(listing.update.entries[0].endpoint, 1u);
     EXPECT_EQ(listing.update.entries[0].last_start, TimePoint{Duration{1700000000000.0}});
 }
 
@@ -146,12 +147,12 @@
     far->say(list(42, false, member("a", "terminated") + "," + member("a")));
     Listing listing = node.listed();
     ASSERT_EQ(listing.update.entries.size(), 2u);
-    EXPECT_EQ(listing.update.entries[0].server, 1u);
-    ServerId back = listing.update.entries[1].server;
+    EXPECT_EQ(listing.update.entries[0].endpoint, 1u);
+    EndpointId back = listing.update.entries[1].endpoint;
     EXPECT_NE(back, 1u);
     node.call_at(*far);
     far->say(list(43, false, member("a", "terminating")));
-    EXPECT_EQ(node.listed().update.entries[0].server, back) << "its drain would be another's";
+    EXPECT_EQ(node.listed().update.entries[0].endpoint, back) << "its drain would be another's";
 }
 
 TEST(Watcher, WhatAWholeListLeavesOutComesBackAsAnother) {
@@ -159,10 +160,10 @@
     FarPtr far = node.accept();
     node.call_at(*far);
     far->say(list(42, true, member("b")));
-    EXPECT_EQ(node.listed().update.kind, ListKind::Full);
+    EXPECT_EQ(node.listed().update.kind, UpdateKind::Full);
     node.call_at(*far);
     far->say(list(43, false, member("a")));
-    EXPECT_GT(node.listed().update.entries[0].server, 2u);
+    EXPECT_GT(node.listed().update.entries[0].endpoint, 2u);
 }
 
 TEST(Watcher, AnOlderWholeListIsTakenAndAnOlderDeltaAskedForWhole) {
@@ -170,7 +171,7 @@
     FarPtr far = node.accept();
     node.call_at(*far);
     far->say(list(7, true, member("b")));
-    EXPECT_EQ(node.listed().update.kind, ListKind::Full);
+    EXPECT_EQ(node.listed().update.kind, UpdateKind::Full);
     node.scheduler.move(Duration{100});  // nothing new: not asked at once
     EXPECT_EQ(node.call_at(*far), watched(7));
     far->say(list(3, false, member("c")));
@@ -203,7 +204,7 @@
             node.turn();
         }
         if (stalled) continue;
-        EXPECT_EQ(node.listed().update.kind, ListKind::Delta);
+        EXPECT_EQ(node.listed().update.kind, UpdateKind::Delta);
         EXPECT_EQ(node.call_at(*far), watched(42));
     }
     EXPECT_FALSE(stalled);
@@ -275,7 +276,7 @@
         }
         EXPECT_TRUE(node.lists.empty());
         far->say(list(3, true, member("a")));
-        EXPECT_EQ(node.listed().update.kind, ListKind::Full);
+        EXPECT_EQ(node.listed().update.kind, UpdateKind::Full);
         EXPECT_EQ(node.call_at(*far), watched(3)) << "revisions of the old address mean nothing here";
         EXPECT_EQ(old->heard(), "");
     }
