--- a/lab/experiments/variants.sh
+++ b/lab/experiments/variants.sh
@@ -23,8 +23,8 @@
     git archive HEAD | tar -x -C "$1"
     if [ -n "${2:-}" ]; then
         local files
-        files=$(grep -lE "constexpr [A-Za-z:]+ $2[ {=]" "$1"/src/balancer/*.{h,cpp}) || { echo "no constant $2" >&2; exit 2; }
-        sed -i -E "s/(constexpr [A-Za-z:]+ $2)( = |\{)[^;}]*/\1\2$3/" $files
+        files=$(grep -lE "constexpr [A-Za-z_:]+ $2[ {=]" "$1"/src/balancer/*.{h,cpp}) || { echo "no constant $2" >&2; exit 2; }
+        sed -i -E "s/(constexpr [A-Za-z_:]+ $2)( = |\{)[^;}]*/\1\2$3/" $files
     fi
     cmake -S "$1" -B "$1/build" -DCMAKE_BUILD_TYPE=Release -DOCHREHUB_LAB=ON >/dev/null
     cmake --build "$1/build" -j"$jobs" --target ochrehub_lab ochrehub_adapter >/dev/null
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -60,7 +60,8 @@
     }
 
     void on(const HandoverPeerChanged& change) {
-        modules_.slow_start.set_budget_fraction(change.peer_present ? 0.5 : 1);
+        constexpr double kHalf = 0.5;  // two processes share the node's budget
+        modules_.slow_start.set_budget_fraction(change.peer_present ? kHalf : 1);
     }
 
     void on(const FleetSizeChanged& change) {
--- a/src/balancer/modules.h
+++ b/src/balancer/modules.h
@@ -24,6 +24,7 @@
     Modules(Settings initial, std::uint64_t seed) : settings(std::move(initial)), random(seed) {
         if (!settings.probes) settings.probe_cost = 0;  // none is sent
     }
+    ~Modules() = default;
     Modules(const Modules&) = delete;
     Modules& operator=(const Modules&) = delete;
 
--- a/src/balancer/subset_selector.cpp
+++ b/src/balancer/subset_selector.cpp
@@ -35,6 +35,8 @@
     double busy = inputs_.throughput.served(now) * total_weight_ / 1000;
     std::size_t for_load = std::min(order_.size(), std::size_t(kEndpointsPerBusyRequest * busy));
     size_ = std::max(size_for(inputs_.throughput.arrivals_per_s()), for_load);
+    double in_use = std::max(1.0, double(order_.size()));
+    nodes_per_endpoint_ = std::max(1.0, inputs_.settings.node_count * double(size_) / in_use);
     members_ = 0;
     unhealthy_ = 0;
     unavailable_ = 0;
@@ -99,11 +101,6 @@
     });
 }
 
-double SubsetSelector::nodes_per_endpoint() const {
-    double endpoints = std::max(1.0, double(order_.size()));
-    return std::max(1.0, inputs_.settings.node_count * double(size_) / endpoints);
-}
-
 bool SubsetSelector::prefers_own_zone() const {
     return inputs_.settings.cross_zone_cost > kSubsetGain;
 }
--- a/src/balancer/subset_selector.h
+++ b/src/balancer/subset_selector.h
@@ -45,7 +45,7 @@
     std::size_t unavailable() const { return unavailable_; }
     FleetHealth fleet_health() const { return {order_.size(), members_, unhealthy_}; }
     /// Nodes that use one endpoint, if all have subsets of this one's size; 1 at least.
-    double nodes_per_endpoint() const;
+    double nodes_per_endpoint() const { return nodes_per_endpoint_; }
     /// Crossing zones costs enough to use the own zone first.
     bool prefers_own_zone() const;
     bool is_in_other_zone(const Endpoint& endpoint) const;
@@ -65,6 +65,7 @@
     std::size_t unhealthy_ = 0;
     std::size_t unavailable_ = 0;
     double total_weight_ = 1;
+    double nodes_per_endpoint_ = 1;
     bool is_stale_ = true;
     TimePoint rebuilt_at_{};
 };
