--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -40,8 +40,8 @@
     void look_first(std::function<void()> look) { look_ = std::move(look); }
     void by_hand(std::uint64_t key, bool out, TimePoint since);
     /// Another process of this node lives, or no longer does.
-    void twinned(bool twin) { post(Twinned{twin}); }
-    void sharers(int gateways, int me) { post(Sharers{gateways < 1 ? 1 : gateways, me}); }
+    void twinned(bool twin) { post(HandoverPeerChanged{twin}); }
+    void sharers(int gateways, int me) { post(FleetSizeChanged{gateways < 1 ? 1 : gateways, me}); }
     /// Receives each event of the decision core and the actions it led to, before they are carried out: for
     /// recorders. Called on the engine's thread; must not call the engine.
     using DecisionObserver = std::function<void(TimePoint now, const Event& event, const Actions& actions)>;
@@ -53,7 +53,7 @@
     bool wanted(AttemptId id) override;
     bool may_repeat(AttemptId id) override;
     void attempt_ended(AttemptId id, AttemptResult result) override;
-    void probe_ended(ServerId server, Duration elapsed, Outcome outcome, LoadReport report) override;
+    void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) override;
 
     TimePoint now() const { return scheduler_.now(); }
     std::size_t open_requests() const { return unanswered_; }
@@ -65,7 +65,7 @@
 private:
     std::function<void()> look_;
     struct Attempt {
-        ServerId server = 0;
+        EndpointId server = 0;
         TimePoint sent{}, begin_by = TimePoint::max();
         TimerId limit = 0;
         bool ended = false;
