--- a/src/fleet/membership/membership_service.cpp
+++ b/src/fleet/membership/membership_service.cpp
@@ -44,8 +44,9 @@
       on_divisor_changed_(std::move(on_divisor_changed)),
       work_(io_.get_executor()),
       scheduler_(io_, clock_),
-      member_(io_, scheduler_, config.listen, core_settings(config, name, random_number()), Keys(config.keys),
-              random_number(), fingerprint(config.cluster)),
+      member_(io_, scheduler_,
+              {config.listen, core_settings(config, name, random_number()), Keys(config.keys),
+               random_number(), fingerprint(config.cluster)}),
       divisor_({nodes, config.nodes_least > 0 ? config.nodes_least : (nodes + 1) / 2, Duration{5000},
                 Duration{1000}}),
       reported_divisor_(nodes) {
--- a/src/fleet/membership/settings.cpp
+++ b/src/fleet/membership/settings.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cerrno>
 #include <cstring>
+#include <utility>
 
 namespace ochrehub::membership {
 namespace {
@@ -71,44 +72,46 @@
                      &MembershipConfig::stalled, 500, 60000)};
 }
 
+namespace {
+
+/// What is wrong with the file itself; empty: nothing.
+std::string access_error(const std::string& path) {
+    struct stat about {};
+    if (stat(path.c_str(), &about) != 0) return std::string("cannot be read: ") + std::strerror(errno);
+    if (!S_ISREG(about.st_mode)) return "is no file";
+    if ((about.st_mode & 077) != 0) return "can be read by others than its owner: chmod 600";
+    return {};
+}
+
+/// What is wrong with a key of which `count` precede it; empty: nothing.
+std::string key_error(std::string_view key, std::size_t count) {
+    if (!std::all_of(key.begin(), key.end(), printable)) return "holds a byte that is no printable character";
+    if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes) return "a key has 16 to 128 characters";
+    if (count == kMaxKeys) return "more than four keys";
+    return {};
+}
+
+KeyFile failed(std::string fault) {
+    return {{}, std::move(fault)};
+}
+
+}  // namespace
+
 KeyFile read_keys(const std::string& path) {
+    if (std::string fault = access_error(path); !fault.empty()) return failed(fault);
+    const config::Contents contents = config::read_whole(path);
+    if (contents.too_large) return failed("is too large");
+    if (!contents.fault.empty()) return failed("cannot be read: " + contents.fault);
     KeyFile out;
-    struct stat about {};
-    if (stat(path.c_str(), &about) != 0) {
-        out.fault = std::string("cannot be read: ") + std::strerror(errno);
-        return out;
-    }
-    if (!S_ISREG(about.st_mode)) {
-        out.fault = "is no file";
-        return out;
-    }
-    if ((about.st_mode & 077) != 0) {
-        out.fault = "can be read by others than its owner: chmod 600";
-        return out;
-    }
-    config::Contents contents = config::read_whole(path);
-    if (!contents.fault.empty() || contents.too_large) {
-        out.fault = contents.too_large ? "is too large" : "cannot be read: " + contents.fault;
-        return out;
-    }
     std::size_t line = 0;
     for (std::string_view rest = contents.text; !rest.empty();) {
-        std::size_t end = std::min(rest.find('\n'), rest.size());
-        std::string_view key = rest.substr(0, end);
+        const std::size_t end = std::min(rest.find('\n'), rest.size());
+        const std::string_view key = rest.substr(0, end);
         rest.remove_prefix(std::min(rest.size(), end + 1));
         ++line;
         if (key.empty()) continue;
-        std::string at = "line " + std::to_string(line) + ": ";
-        if (!std::all_of(key.begin(), key.end(), printable))
-            out.fault = at + "holds a byte that is no printable character";
-        else if (key.size() < kMinKeyBytes || key.size() > kMaxKeyBytes)
-            out.fault = at + "a key has 16 to 128 characters";
-        else if (out.keys.size() == kMaxKeys)
-            out.fault = at + "more than four keys";
-        if (!out.fault.empty()) {
-            out.keys.clear();
-            return out;
-        }
+        if (std::string fault = key_error(key, out.keys.size()); !fault.empty())
+            return failed("line " + std::to_string(line) + ": " + fault);
         out.keys.emplace_back(key);
     }
     if (out.keys.empty()) out.fault = "holds no key";
--- a/src/fleet/membership/udp.cpp
+++ b/src/fleet/membership/udp.cpp
@@ -22,14 +22,13 @@
     return settings;
 }
 
-UdpMember::UdpMember(asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
-                     Keys keys, std::uint64_t seed, std::uint32_t cluster)
+UdpMember::UdpMember(asio::io_context& io, Scheduler& scheduler, Options options)
     : scheduler_(scheduler),
       socket_(io),
-      address_(bind(socket_, listen)),
-      keys_(std::move(keys)),
-      cluster_(cluster),
-      core_(with_address(std::move(settings), address_), seed) {
+      address_(bind(socket_, options.listen)),
+      keys_(std::move(options.keys)),
+      cluster_(options.cluster),
+      core_(with_address(std::move(options.settings), address_), options.seed) {
     read();
 }
 
--- a/src/fleet/membership/udp.h
+++ b/src/fleet/membership/udp.h
@@ -24,11 +24,18 @@
     static constexpr Duration kReadWindow{100};
     static constexpr std::size_t kMaxReads = 200;
 
+    struct Options {
+        Endpoint listen;
+        Settings settings;
+        Keys keys;
+        std::uint64_t seed = 0;
+        std::uint32_t cluster = 0;  ///< its fingerprint
+    };
+
     /// Binds to `listen` (IPv4; port 0: any free port) and takes its address from there, unless
     /// `settings.self` is given: the address at which others reach it. Throws boost::system::system_error if
     /// it cannot.
-    UdpMember(boost::asio::io_context& io, Scheduler& scheduler, const Endpoint& listen, Settings settings,
-              Keys keys, std::uint64_t seed, std::uint32_t cluster = 0);
+    UdpMember(boost::asio::io_context& io, Scheduler& scheduler, Options options);
 
     void start() { handle(TimerFired{}); }
     void set_plan(const ActivePlan& plan) { handle(PlanChanged{plan}); }
--- a/src/fleet/membership/view.cpp
+++ b/src/fleet/membership/view.cpp
@@ -3,6 +3,7 @@
 #include <array>
 #include <cstdio>
 #include <map>
+#include <utility>
 
 #include "base/log.h"
 
@@ -95,9 +96,10 @@
     return view;
 }
 
-std::string to_json(const MembershipView& view, TimePoint now) {
-    std::string out = "{";
-    put(out, "cluster", view.cluster, true);
+namespace {
+
+void put_self(std::string& out, const MembershipView& view, TimePoint now) {
+    const bool is_isolated = (view.self.self_report & kReportsIsolated) != 0;
     out += ",\"self\":{";
     put(out, "name", view.name, true);
     put(out, "place", to_string(view.self.address));
@@ -105,74 +107,102 @@
     put(out, "incarnation", std::uint64_t(view.self.incarnation));
     put(out, "instance", std::uint64_t(view.instance));
     put(out, "says", self_report_text(view.self.self_report));
-    bool isolated = (view.self.self_report & kReportsIsolated) != 0;
-    put(out, "isolated", isolated);
-    if (isolated) put_seconds(out, "isolated_for_s", now - view.isolated_since);
+    put(out, "isolated", is_isolated);
+    if (is_isolated) put_seconds(out, "isolated_for_s", now - view.isolated_since);
     put(out, "doubt", std::uint64_t(view.local_health_score));
     out += "}";
+}
+
+void put_member(std::string& out, const MembershipView::Member& member, TimePoint now) {
+    put(out, "name", member.name, true);
+    put(out, "place", to_string(member.update.address));
+    put(out, "zone", member.zone);
+    put(out, "state", name(member.update.state));
+    put_seconds(out, "for_s", now - member.since);
+    put(out, "incarnation", std::uint64_t(member.update.incarnation));
+    put(out, "instance", std::uint64_t(member.instance));
+    put(out, "restarts", std::uint64_t(member.restarts));
+    put(out, "says", self_report_text(member.update.self_report));
+    put(out, "met", member.met);
+    put(out, "doubled", member.doubled);
+    put(out, "same_name", member.same_name);
+}
+
+/// Writes the text format of Prometheus.
+class MetricsWriter {
+public:
+    void describe(std::string_view name, std::string_view type, std::string_view help) {
+        out_.append("# HELP ").append(name).append(" ").append(help).append("\n");
+        out_.append("# TYPE ").append(name).append(" ").append(type).append("\n");
+    }
+    void value(std::string_view name, std::uint64_t number) {
+        out_.append(name).append(" ").append(std::to_string(number)).append("\n");
+    }
+    std::string take() { return std::move(out_); }
+
+private:
+    std::string out_;
+};
+
+void write_members(MetricsWriter& out, const MembershipView& view) {
+    std::array<std::uint64_t, 4> states{};
+    std::uint64_t stalled = 0;
+    std::uint64_t doubled = 0;
+    for (const MembershipView::Member& member : view.members) {
+        ++states[std::size_t(member.update.state)];
+        stalled += is_live(member.update.state) && (member.update.self_report & kReportsStalled) != 0;
+        doubled += member.doubled || member.same_name;
+    }
+    out.describe("fleet_members", "gauge", "Other members by state.");
+    for (std::size_t i = 0; i < states.size(); ++i)
+        out.value("fleet_members{state=\"" + std::string(name(MemberState(i))) + "\"}", states[i]);
+    out.describe("fleet_stalled", "gauge", "Other members here that say that their loop stands still.");
+    out.value("fleet_stalled", stalled);
+    out.describe("fleet_doubled", "gauge", "Other members that share a place or a name.");
+    out.value("fleet_doubled", doubled);
+}
+
+void write_datagrams(MetricsWriter& out, const MembershipView& view) {
+    out.describe("fleet_datagrams_total", "counter", "Datagrams by what became of them.");
+    out.value("fleet_datagrams_total{what=\"sent\"}", view.counts.sent);
+    out.value("fleet_datagrams_total{what=\"unsent\"}", view.unsent);
+    out.value("fleet_reading_held_total", view.held);
+    out.value("fleet_datagrams_total{what=\"received\"}", view.counts.received);
+    for (std::size_t i = 1; i < kDecodeErrors; ++i)
+        out.value("fleet_datagrams_total{what=\"" + std::string(name(DecodeError(i))) + "\"}",
+                  view.refused[i]);
+}
+
+}  // namespace
+
+std::string to_json(const MembershipView& view, TimePoint now) {
+    std::string out = "{";
+    put(out, "cluster", view.cluster, true);
+    put_self(out, view, now);
     put(out, "here", std::uint64_t(view.here));
     put(out, "sharing", std::uint64_t(view.sharing));
     out += ",\"members\":[";
     for (std::size_t i = 0; i < view.members.size(); ++i) {
-        const MembershipView::Member& one = view.members[i];
         out += i > 0 ? ",\n{" : "\n{";
-        put(out, "name", one.name, true);
-        put(out, "place", to_string(one.update.address));
-        put(out, "zone", one.zone);
-        put(out, "state", name(one.update.state));
-        put_seconds(out, "for_s", now - one.since);
-        put(out, "incarnation", std::uint64_t(one.update.incarnation));
-        put(out, "instance", std::uint64_t(one.instance));
-        put(out, "restarts", std::uint64_t(one.restarts));
-        put(out, "says", self_report_text(one.update.self_report));
-        put(out, "met", one.met);
-        put(out, "doubled", one.doubled);
-        put(out, "same_name", one.same_name);
+        put_member(out, view.members[i], now);
         out += "}";
     }
     return out += "]}\n";
 }
 
 std::string metrics(const MembershipView& view) {
-    std::string out;
-    auto describe = [&](std::string_view name, std::string_view type, std::string_view help) {
-        out.append("# HELP ").append(name).append(" ").append(help).append("\n");
-        out.append("# TYPE ").append(name).append(" ").append(type).append("\n");
-    };
-    auto value = [&](std::string_view name, std::uint64_t number) {
-        out.append(name).append(" ").append(std::to_string(number)).append("\n");
-    };
-    std::array<std::uint64_t, 4> states{};
-    std::uint64_t stalled = 0, doubled = 0;
-    for (const MembershipView::Member& one : view.members) {
-        ++states[std::size_t(one.update.state)];
-        stalled +=
-            one.update.state <= MemberState::Suspect && (one.update.self_report & kReportsStalled) != 0;
-        doubled += one.doubled || one.same_name;
-    }
-    describe("fleet_members", "gauge", "Other members by state.");
-    for (std::size_t i = 0; i < states.size(); ++i)
-        value("fleet_members{state=\"" + std::string(name(MemberState(i))) + "\"}", states[i]);
-    describe("fleet_stalled", "gauge", "Other members here that say that their loop stands still.");
-    value("fleet_stalled", stalled);
-    describe("fleet_doubled", "gauge", "Other members that share a place or a name.");
-    value("fleet_doubled", doubled);
-    describe("fleet_isolated", "gauge", "1: this node is not heard by others, or hears nobody.");
-    value("fleet_isolated", (view.self.self_report & kReportsIsolated) != 0);
-    describe("fleet_sharing", "gauge", "By how many nodes this one divides limits and budgets.");
-    value("fleet_sharing", std::uint64_t(view.sharing));
-    describe("fleet_datagrams_total", "counter", "Datagrams by what became of them.");
-    value("fleet_datagrams_total{what=\"sent\"}", view.counts.sent);
-    value("fleet_datagrams_total{what=\"unsent\"}", view.unsent);
-    value("fleet_reading_held_total", view.held);
-    value("fleet_datagrams_total{what=\"received\"}", view.counts.received);
-    for (std::size_t i = 1; i < kDecodeErrors; ++i)
-        value("fleet_datagrams_total{what=\"" + std::string(name(DecodeError(i))) + "\"}", view.refused[i]);
-    describe("fleet_refuted_total", "counter", "Times that it refuted what was said of it.");
-    value("fleet_refuted_total", view.counts.refutations);
-    describe("fleet_late_total", "counter", "Times that this process stood still.");
-    value("fleet_late_total", view.counts.late_timers);
-    return out;
+    MetricsWriter out;
+    write_members(out, view);
+    out.describe("fleet_isolated", "gauge", "1: this node is not heard by others, or hears nobody.");
+    out.value("fleet_isolated", (view.self.self_report & kReportsIsolated) != 0);
+    out.describe("fleet_sharing", "gauge", "By how many nodes this one divides limits and budgets.");
+    out.value("fleet_sharing", std::uint64_t(view.sharing));
+    write_datagrams(out, view);
+    out.describe("fleet_refuted_total", "counter", "Times that it refuted what was said of it.");
+    out.value("fleet_refuted_total", view.counts.refutations);
+    out.describe("fleet_late_total", "counter", "Times that this process stood still.");
+    out.value("fleet_late_total", view.counts.late_timers);
+    return out.take();
 }
 
 }  // namespace ochrehub::membership
--- a/tests/udp_member.cpp
+++ b/tests/udp_member.cpp
@@ -51,7 +51,7 @@
     boost::asio::io_context io;
     Still clock;
     UdpMember::Endpoint any(boost::asio::ip::address_v4::loopback(), 0);
-    UdpMember member(io, clock, any, {}, Keys(), 1);
+    UdpMember member(io, clock, {any, {}, Keys(), 1});
     UdpMember::Endpoint at(boost::asio::ip::address_v4(member.address().host), member.address().port);
     boost::asio::ip::udp::socket noise(io, any);
     char octet = 0;
@@ -86,7 +86,8 @@
     // Two keys are rolled; the fourth has another one.
     std::vector<Keys> keys{Keys({"new", "old"}), Keys({"old", "new"}), Keys({"new", "old"}), Keys({"other"})};
     for (std::size_t i = 0; i < keys.size(); ++i) {
-        members.push_back(std::make_unique<UdpMember>(io, scheduler, any, set, keys[i], i));
+        members.push_back(
+            std::make_unique<UdpMember>(io, scheduler, UdpMember::Options{any, set, keys[i], i}));
         if (i == 0) set.seeds = {members[0]->address()};
     }
     for (auto& member : members) member->start();
