--- a/src/fleet/membership/settings.cpp
+++ b/src/fleet/membership/settings.cpp
@@ -21,6 +21,14 @@
         [into](MembershipConfig& config, double ms) { config.*into = Duration{ms}; });
 }
 
+/// Empty: added; else what is wrong with `value`.
+std::string add_seed(MembershipConfig& config, std::string_view value) {
+    auto found = parse_address(value);
+    if (!found || found->port() == 0 || !found->address().is_v4()) return "is not an address a.b.c.d:port";
+    config.join.emplace_back(found->address(), found->port());
+    return {};
+}
+
 bool printable(char c) {
     return c > ' ' && c < 127;
 }
@@ -39,13 +47,7 @@
         {{.name = "join",
           .kind = config::Kind::Texts,
           .help = "places of some members, asked for the others"},
-         [](MembershipConfig& config, std::string_view value) -> std::string {
-             auto found = parse_address(value);
-             if (!found || found->port() == 0 || !found->address().is_v4())
-                 return "is not an address a.b.c.d:port";
-             config.join.emplace_back(found->address(), found->port());
-             return {};
-         }},
+         add_seed},
         config::text(
             {.name = "cluster", .fallback = "ochrehub", .help = "the tier's name: others are not heard"},
             &MembershipConfig::cluster),
