--- a/lab/leadership/lease_simulation_processes.h
+++ b/lab/leadership/lease_simulation_processes.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "lab/leadership/lease_simulation.h"
 
 namespace ochrehub::lab::leadership {
--- a/lab/swarm/swarm.cpp
+++ b/lab/swarm/swarm.cpp
@@ -1,11 +1,11 @@
 #include "lab/swarm/swarm.h"
-#include "lab/record/decision_recorder.h"
 
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 
 #include "base/slots.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 
--- a/src/fleet/leadership/endpoint_list.cpp
+++ b/src/fleet/leadership/endpoint_list.cpp
@@ -128,7 +128,7 @@
     return std::nullopt;
 }
 
-std::string StateMachine::read(std::string_view /*query*/) const {
+std::string StateMachine::query(std::string_view /*query*/) const {
     wire::FullList out;
     out.set_version(version_);
     out.set_digest(digest_);
@@ -137,7 +137,7 @@
     return out.SerializeAsString();
 }
 
-std::string StateMachine::news(coordinator::SessionId /*session*/) const {
+std::string StateMachine::session_update(coordinator::SessionId /*session*/) const {
     wire::SessionUpdate out;
     out.set_version(version_);
     out.set_digest(digest_);
@@ -161,7 +161,7 @@
     out.set_epoch(epoch_);
     out.set_open_round(open_round_);
     out.set_confirmed_round(confirmed_round_);
-    out.mutable_list()->ParseFromString(read({}));
+    out.mutable_list()->ParseFromString(query({}));
     for (const RetainedChange& retained : retained_) {
         wire::RetainedChange& stored = *out.add_retained();
         stored.set_round(retained.round);
--- a/src/fleet/leadership/endpoint_list.h
+++ b/src/fleet/leadership/endpoint_list.h
@@ -22,7 +22,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/error/error.h"
 
 namespace ochrehub::leadership::endpoint_list {
@@ -121,7 +121,7 @@
 
 /// Each round passes through: open --a report of the current epoch, round and version--> confirmed.
 /// OpenEpoch opens another round, so that no report of an older publisher can close it.
-class StateMachine : public coordinator::Machine {
+class StateMachine : public coordinator::StateMachine {
 public:
     explicit StateMachine(const Limits& limits = {}) : limits_(limits) {}
 
@@ -130,13 +130,13 @@
     std::uint32_t schema() const override { return kSchema; }
     std::string apply(const coordinator::Command& command) override;
     /// An encoded FullList, whatever the query.
-    std::string read(std::string_view query) const override;
-    void session_began(coordinator::SessionId, std::string_view, std::string_view) override {}
-    void session_over(coordinator::SessionId) override {}
+    std::string query(std::string_view query) const override;
+    void session_opened(coordinator::SessionId, std::string_view, std::string_view) override {}
+    void session_ended(coordinator::SessionId) override {}
     /// An encoded SessionUpdate, the same for all sessions.
-    std::string news(coordinator::SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string session_update(coordinator::SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/src/fleet/leadership/lease_commands.h
+++ b/src/fleet/leadership/lease_commands.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/leadership/error.h"
 
 namespace ochrehub::leadership {
--- a/src/fleet/leadership/lease_state_machine.cpp
+++ b/src/fleet/leadership/lease_state_machine.cpp
@@ -221,12 +221,12 @@
     return std::next(it);
 }
 
-void LeaseStateMachine::session_began(SessionId session, std::string_view /*name*/,
-                                      std::string_view /*zone*/) {
+void LeaseStateMachine::session_opened(SessionId session, std::string_view /*name*/,
+                                       std::string_view /*zone*/) {
     sessions_.try_emplace(session);
 }
 
-void LeaseStateMachine::session_over(SessionId session) {
+void LeaseStateMachine::session_ended(SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto it = roles_.begin(); it != roles_.end();) {
@@ -241,7 +241,7 @@
     rebalance_all();
 }
 
-std::string LeaseStateMachine::news(SessionId session) const {
+std::string LeaseStateMachine::session_update(SessionId session) const {
     wire::SessionUpdate update;
     update.set_revision(revision_);
     auto found = sessions_.find(session);
--- a/src/fleet/leadership/lease_state_machine.h
+++ b/src/fleet/leadership/lease_state_machine.h
@@ -2,8 +2,8 @@
 // under an epoch. It decides who holds what; it does not enforce it: holders stop by their own clock
 // (lease_holder.h), and receivers reject older epochs (fencing::FencingGuard).
 //
-// Like every coordinator::Machine it is deterministic and has no clock: sessions end by the leader's count.
-// Not thread-safe.
+// Like every coordinator::StateMachine it is deterministic and has no clock: sessions end by the leader's
+// count. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/coordinator/machine.h"
+#include "fleet/coordinator/state_machine.h"
 #include "fleet/leadership/lease_commands.h"
 
 namespace ochrehub::leadership::wire {
@@ -47,7 +47,7 @@
 /// All epochs come from one counter that never goes back. So a role that was dropped and added again is
 /// granted under a higher epoch than ever before, and a receiver may forget single roles below a bound
 /// (fencing::FencingGuard::retire).
-class LeaseStateMachine : public coordinator::Machine {
+class LeaseStateMachine : public coordinator::StateMachine {
 public:
     explicit LeaseStateMachine(const Limits& limits = {}) : limits_(limits) {}
 
@@ -55,12 +55,12 @@
     std::string_view kind() const override { return "duty"; }
     std::uint32_t schema() const override { return kSchema; }
     std::string apply(const coordinator::Command& command) override;
-    void session_began(SessionId session, std::string_view name, std::string_view zone) override;
-    void session_over(SessionId session) override;
+    void session_opened(SessionId session, std::string_view name, std::string_view zone) override;
+    void session_ended(SessionId session) override;
     /// An encoded SessionUpdate. Never empty: that a session holds nothing is information too.
-    std::string news(SessionId session) const override;
-    void armed(std::vector<coordinator::Armed>&) const override {}
-    std::string over(std::uint64_t, std::uint64_t) const override { return {}; }
+    std::string session_update(SessionId session) const override;
+    void timeouts(std::vector<coordinator::Timeout>&) const override {}
+    std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
--- a/tests/fleet/endpoint_list_test.cpp
+++ b/tests/fleet/endpoint_list_test.cpp
@@ -19,7 +19,7 @@
     return decode_command_response(machine.apply({1, body})).value();
 }
 SessionUpdate current_update(const StateMachine& machine) {
-    return decode_session_update(machine.news(1)).value();
+    return decode_session_update(machine.session_update(1)).value();
 }
 DiscoveryResult full_result(std::uint64_t revision, Endpoints endpoints) {
     return {revision, true, std::move(endpoints), {}};
@@ -82,7 +82,7 @@
     for (int i = 0; i < 20; ++i) publish(machine, 1, {2, false, {}, {}});
     EXPECT_EQ(machine.version(), 2u);  // without a change there is no new version
     EXPECT_TRUE(current_update(machine).changes.empty());
-    FullList all = decode_full_list(machine.read("")).value();
+    FullList all = decode_full_list(machine.query("")).value();
     EXPECT_EQ(all.endpoints, machine.endpoints());
     EXPECT_EQ(all.digest, current_update(machine).digest);
     StateMachine again;
@@ -104,14 +104,14 @@
     EXPECT_TRUE(current_update(machine).changes.empty());
     Follower node({}, at(0));
     FollowerActions out;
-    node.handle(at(1000), SessionUpdateReceived{at(999), machine.news(1)}, out);
+    node.handle(at(1000), SessionUpdateReceived{at(999), machine.session_update(1)}, out);
     EXPECT_EQ(count<FetchFullList>(out), 1u);
     publish(machine, 1, {1, false, {}, {}});
     out.clear();
-    node.handle(at(2000), FullListReceived{machine.read("")}, out);
+    node.handle(at(2000), FullListReceived{machine.query("")}, out);
     EXPECT_EQ(count<ReplaceEndpoints>(out), 0u);  // it is not known yet as of when the list is
     publish(machine, 1, {1, false, {}, {}});
-    node.handle(at(2001), SessionUpdateReceived{at(2000), machine.news(1)}, out);
+    node.handle(at(2001), SessionUpdateReceived{at(2000), machine.session_update(1)}, out);
     ASSERT_EQ(count<ReplaceEndpoints>(out), 1u);
     EXPECT_EQ(node.version(), 1u);
     EXPECT_EQ(node.as_of(), at(999));
@@ -125,7 +125,7 @@
     FollowerActions out;
     auto receive = [&](double requested, double now) {
         out.clear();
-        node.handle(at(now), SessionUpdateReceived{at(requested), machine.news(1)}, out);
+        node.handle(at(now), SessionUpdateReceived{at(requested), machine.session_update(1)}, out);
     };
     receive(1000, 1010);
     EXPECT_EQ(node.as_of(), at(0));  // the round that was open then is not closed
@@ -166,7 +166,7 @@
     auto round = [&] {
         publish(machine, 1, {1, false, {}, {}});
         out.clear();
-        node.handle(at(t), SessionUpdateReceived{at(t - 1), machine.news(1)}, out);
+        node.handle(at(t), SessionUpdateReceived{at(t - 1), machine.session_update(1)}, out);
         t += 1000;
     };
     round();
--- a/tests/fleet/lease_holder_test.cpp
+++ b/tests/fleet/lease_holder_test.cpp
@@ -13,7 +13,7 @@
 
 LeaseStateMachine with_sessions(SessionId count) {
     LeaseStateMachine machine;
-    for (SessionId s = 1; s <= count; ++s) machine.session_began(s, "p", "z");
+    for (SessionId s = 1; s <= count; ++s) machine.session_opened(s, "p", "z");
     return machine;
 }
 void run(LeaseStateMachine& machine, SessionId session, const std::string& body) {
@@ -65,7 +65,7 @@
     p.handle(1, SessionRenewed{1, at(3000)});
     p.deliver(2, machine);
     EXPECT_FALSE(p.core.current_epoch(at(3), "list"));
-    p.handle(3, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(3, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"start list 1"}));
     EXPECT_EQ(std::get<SetTimer>(p.out.back()).at, at(2920));
     EXPECT_EQ(p.core.current_epoch(at(2919), "list"), Epoch(1));
@@ -74,10 +74,10 @@
     EXPECT_EQ(p.log, (Log{"stop list 1 lease expiring"}));
     // After a late renewal work starts again, once the old work has stopped and an update confirms it.
     p.handle(2930, SessionRenewed{1, at(5000)});
-    p.handle(2931, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(2931, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     p.handle(2940, WorkStopped{"list", 1});
-    p.handle(2950, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(2950, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"start list 1"}));
 }
 
@@ -87,15 +87,15 @@
     p.handle(0, SessionRenewed{1, at(3000)});
     p.handle(0, AddCandidacy{"list"});
     p.deliver(1, machine);
-    p.handle(2, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(2, SessionUpdateReceived{1, machine.session_update(1)});
     // The first event after 30 s is an update by which it holds another role too.
     p.handle(2, AddCandidacy{"other"});
     p.deliver(2, machine);
-    p.handle(30'000, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(30'000, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"stop list 1 lease expiring"}));
     // A renewal that was answered long ago changes nothing.
     p.handle(30'001, SessionRenewed{1, at(4000)});
-    p.handle(30'002, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(30'002, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     EXPECT_FALSE(p.core.current_epoch(at(30'002), "other"));
 }
@@ -108,22 +108,22 @@
         one->handle(0, SessionRenewed{s, at(3000)});
         one->handle(0, AddCandidacy{"list"});
         one->deliver(1, machine);
-        one->handle(2, SessionUpdateReceived{s, machine.news(s)});
+        one->handle(2, SessionUpdateReceived{s, machine.session_update(s)});
     }
     run(machine, 0, transfer_lease_command("list"));
-    p.handle(10, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(10, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"stop list 1 release requested"}));
     EXPECT_TRUE(p.sent.empty());
-    q.handle(11, SessionUpdateReceived{2, machine.news(2)});
+    q.handle(11, SessionUpdateReceived{2, machine.session_update(2)});
     EXPECT_TRUE(q.log.empty());
     p.handle(12, WorkStopped{"list", 1});
     p.deliver(13, machine);
-    q.handle(14, SessionUpdateReceived{2, machine.news(2)});
+    q.handle(14, SessionUpdateReceived{2, machine.session_update(2)});
     EXPECT_EQ(q.log, (Log{"start list 2"}));
     // An update from before the release does not start it again.
     LeaseStateMachine old = with_sessions(1);
     run(old, 1, add_candidacy_command("list"));
-    p.handle(15, SessionUpdateReceived{1, old.news(1)});
+    p.handle(15, SessionUpdateReceived{1, old.session_update(1)});
     EXPECT_TRUE(p.log.empty());
     // It is still a candidate: when the other leaves, the lease returns.
     q.handle(20, Leave{});
@@ -131,7 +131,7 @@
     q.handle(21, WorkStopped{"list", 2});
     q.deliver(22, machine);
     EXPECT_EQ(q.log, (Log{"left"}));
-    p.handle(23, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(23, SessionUpdateReceived{1, machine.session_update(1)});
     EXPECT_EQ(p.log, (Log{"start list 3"}));
 }
 
@@ -147,21 +147,21 @@
     ASSERT_EQ(p.sent.size(), 1u);
     EXPECT_EQ(p.sent[0].request_id, first.request_id);
     p.deliver(501, machine);
-    p.handle(502, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(502, SessionUpdateReceived{1, machine.session_update(1)});
     p.handle(600, SessionLost{});
     EXPECT_EQ(p.log, (Log{"stop list 1 session lost"}));
     p.handle(601, SessionRenewed{1, at(9000)});  // a late response of the old session
     EXPECT_EQ(p.core.session(), 0u);
-    machine.session_over(1);
+    machine.session_ended(1);
     p.handle(700, SessionRenewed{2, at(4000)});
     ASSERT_EQ(p.sent.size(), 1u);
     p.deliver(701, machine);
-    p.handle(702, SessionUpdateReceived{1, machine.news(2)});  // of another session
+    p.handle(702, SessionUpdateReceived{1, machine.session_update(2)});  // of another session
     EXPECT_TRUE(p.log.empty());
-    p.handle(703, SessionUpdateReceived{2, machine.news(2)});
+    p.handle(703, SessionUpdateReceived{2, machine.session_update(2)});
     EXPECT_TRUE(p.log.empty());  // the old work has not stopped yet
     p.handle(704, WorkStopped{"list", 1});
-    p.handle(705, SessionUpdateReceived{2, machine.news(2)});
+    p.handle(705, SessionUpdateReceived{2, machine.session_update(2)});
     EXPECT_EQ(p.log, (Log{"start list 2"}));
 }
 
@@ -175,8 +175,8 @@
         one->handle(0, AddCandidacy{"move/1"});
         one->deliver(1, machine);
     }
-    p.handle(2, SessionUpdateReceived{1, machine.news(1)});
-    std::string old = machine.news(1);
+    p.handle(2, SessionUpdateReceived{1, machine.session_update(1)});
+    std::string old = machine.session_update(1);
     p.handle(2, JobRetired{"move/1", 1});  // before any RetireJob
     EXPECT_TRUE(p.sent.empty());
     p.handle(3, JobCompleted{"move/1", 1});
@@ -189,8 +189,8 @@
     p.deliver(601, machine);
     EXPECT_EQ(p.log, (Log{"retire move/1 1"}));
     // It dies before all receivers are notified: the next holder notifies them, and does no work.
-    machine.session_over(1);
-    q.handle(700, SessionUpdateReceived{2, machine.news(2)});
+    machine.session_ended(1);
+    q.handle(700, SessionUpdateReceived{2, machine.session_update(2)});
     EXPECT_EQ(q.log, (Log{"retire move/1 2"}));
     EXPECT_FALSE(q.core.current_epoch(at(701), "move/1"));
     q.handle(702, JobRetired{"move/1", 2});
@@ -208,13 +208,14 @@
     p.handle(0, SessionRenewed{1, at(3000)});
     p.handle(0, AddCandidacy{"move/1"});
     p.deliver(1, machine);
-    p.handle(2, SessionUpdateReceived{1, machine.news(1)});
+    p.handle(2, SessionUpdateReceived{1, machine.session_update(1)});
     p.handle(3, JobCompleted{"move/1", 1});
     SendCommand end = p.sent.at(0);
     p.handle(2920, TimerFired{});
     p.handle(2921, WorkStopped{"move/1", 1});
     p.handle(2930, SessionRenewed{1, at(6000)});
-    p.handle(2931, SessionUpdateReceived{1, machine.news(1)});  // the completion is not recorded yet
+    p.handle(2931,
+             SessionUpdateReceived{1, machine.session_update(1)});  // the completion is not recorded yet
     EXPECT_EQ(p.log, (Log{"start move/1 1"}));
     p.handle(2940, CommandCompleted{end.request_id, machine.apply({1, end.command})});
     EXPECT_EQ(p.log, (Log{"retire move/1 1"}));
--- a/tests/fleet/lease_state_machine_test.cpp
+++ b/tests/fleet/lease_state_machine_test.cpp
@@ -17,7 +17,7 @@
     return decode_command_response(machine.apply({session, body})).value();
 }
 std::vector<HeldLease> held_by(const LeaseStateMachine& machine, SessionId session) {
-    return decode_session_update(machine.news(session))->leases;
+    return decode_session_update(machine.session_update(session))->leases;
 }
 SessionId holder_of(const LeaseStateMachine& machine, std::string_view name) {
     auto it = machine.roles().find(name);
@@ -25,7 +25,7 @@
 }
 LeaseStateMachine with_sessions(SessionId count, const Limits& limits = {}) {
     LeaseStateMachine machine(limits);
-    for (SessionId s = 1; s <= count; ++s) machine.session_began(s, "p", "z");
+    for (SessionId s = 1; s <= count; ++s) machine.session_opened(s, "p", "z");
     return machine;
 }
 
@@ -38,7 +38,7 @@
     EXPECT_FALSE(run(machine, 2, release_lease_command("list", 1)).error);
     EXPECT_EQ(held_by(machine, 3), (std::vector<HeldLease>{{"list", 2, false}}));
     EXPECT_EQ(run(machine, 2, release_lease_command("list", 1)).error, Error::NotHolder);  // duplicate
-    machine.session_over(3);
+    machine.session_ended(3);
     EXPECT_TRUE(machine.roles().empty());
     // The role was dropped in between: epochs go on all the same, after a restart too.
     LeaseStateMachine again;
@@ -100,7 +100,7 @@
     EXPECT_FALSE(run(machine, 2, complete_job_command("move/1", 1)).error);
     // Its holder dies before all receivers know: the next one learns that no work is left.
     run(machine, 1, add_candidacy_command("move/1"));
-    machine.session_over(2);
+    machine.session_ended(2);
     EXPECT_EQ(held_by(machine, 1), (std::vector<HeldLease>{{"move/1", 2, false, true}}));
     EXPECT_FALSE(run(machine, 1, remove_job_command("move/1", 2)).error);
     EXPECT_EQ(run(machine, 1, add_candidacy_command("move/1")).error, Error::JobNotFound);
@@ -194,8 +194,8 @@
             auto it = machine.roles().find(name);
             Epoch epoch = it == machine.roles().end() ? 1 : it->second.epoch;
             if (it != machine.roles().end() && it->second.holder && action >= 6) session = it->second.holder;
-            if (action == 0) machine.session_began(++last_session, "p", "z");
-            if (action == 1 && i % 3 == 0) machine.session_over(session);
+            if (action == 0) machine.session_opened(++last_session, "p", "z");
+            if (action == 1 && i % 3 == 0) machine.session_ended(session);
             if (action >= 2 && action <= 5)
                 machine.apply({session, add_candidacy_command(name, std::uint32_t(1 + i % 3))});
             if (action == 6) machine.apply({session, release_lease_command(name, epoch, i % 2 == 0)});
