--- a/lab/tests/coordinator_processes_test.cpp
+++ b/lab/tests/coordinator_processes_test.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/leadership/machine.h"
+#include "fleet/leadership/lease_state_machine.h"
 #include "lab/coordinator/testbed.h"
 
 namespace ochrehub::lab {
@@ -59,10 +59,10 @@
         for (std::size_t i = 0; i < count; ++i) {
             std::string name("d");
             name += std::to_string(++requested);
-            thread.submit("duty", leadership::want(name),
+            thread.submit("duty", leadership::add_candidacy_command(name),
                           [this](coordinator::Error error, const std::string& bytes) {
                               std::lock_guard lock(mutex);
-                              const auto answer = leadership::read_answer(bytes);
+                              const auto answer = leadership::decode_command_response(bytes);
                               if (error != coordinator::Error::None || !answer || answer->error)
                                   errors.push_back(error);
                               else
--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -15,8 +15,8 @@
 #include "fleet/config_distribution/error.h"
 #include "fleet/coordinator/error.h"
 #include "fleet/error/rows.h"
+#include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/error.h"
-#include "fleet/leadership/list.h"
 #include "fleet/quota/budget.h"
 #include "fleet/raft/raft.h"
 #include "fleet/schema/schema.h"
@@ -45,7 +45,7 @@
     room<raft::Error>("raft"),
     room<coordinator::Error>("keeper", "coordinator"),
     room<leadership::Error>("duty", "leadership"),
-    room<leadership::list::Error>("list", "leadership"),
+    room<leadership::endpoint_list::Error>("list", "leadership"),
     room<shards::Error>("shards"),
     room<config_distribution::Error>("agreement", "config_distribution"),
     room<quota::Error>("quota"),
