--- a/lab/equivalence/config_distribution.cpp
+++ b/lab/equivalence/config_distribution.cpp
@@ -13,7 +13,8 @@
             lab::play(settings);
         };
     };
-    return lab::equivalence::run(
-        count, words,
-        {{"documents_calm", fault(lab::Fault::None)}, {"documents_faults", fault(lab::Fault::All)}});
+    return lab::equivalence::run(count, words,
+                                 {{"documents_calm", fault(lab::Fault::None)},
+                                  {"documents_one_way", fault(lab::Fault::OneWay)},
+                                  {"documents_crashes", fault(lab::Fault::Crashes)}});
 }
