--- a/lab/coordinator/simulated_clients.cpp
+++ b/lab/coordinator/simulated_clients.cpp
@@ -2,6 +2,7 @@
 #include <utility>
 
 #include "lab/coordinator/simulation_state.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -51,6 +52,7 @@
     Client& client = clients_[index];
     coordinator::SessionActions actions;
     client.session->handle(own, event, actions);
+    record_decision("session", own, event, actions);
     for (const coordinator::SessionAction& action : actions) {
         if (const auto* send = std::get_if<coordinator::SendRequest>(&action)) {
             const std::size_t to = std::stoul(send->to.substr(1)) - 1;
--- a/lab/coordinator/simulated_coordinators.cpp
+++ b/lab/coordinator/simulated_coordinators.cpp
@@ -5,6 +5,7 @@
 
 #include "lab/coordinator/list_state_machine.h"
 #include "lab/coordinator/simulation_state.h"
+#include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 namespace {
@@ -25,10 +26,10 @@
 void CoordinatorSimulation::start_coordinator(std::size_t index) {
     Coordinator& node = coordinators_[index];
     raft::Settings raft_settings;
-    raft_settings.self = raft::KeeperId(index + 1);
-    raft_settings.heartbeat = kHeartbeatInterval;
-    raft_settings.election = kElectionTimeout;
-    raft_settings.piece = kSnapshotChunkBytes;
+    raft_settings.self = raft::NodeId(index + 1);
+    raft_settings.heartbeat_interval = kHeartbeatInterval;
+    raft_settings.election_timeout = kElectionTimeout;
+    raft_settings.snapshot_chunk_bytes = kSnapshotChunkBytes;
     coordinator::ReplicaSettings settings;
     settings.self = raft_settings.self;
     settings.snapshot_entries = settings_.snapshot_entries;
@@ -71,7 +72,7 @@
     node.timer = TimePoint::max();
     if (!loses_disk) return;
     disk.durable = {};
-    disk.durable.members = members_;
+    disk.durable.initial_members = members_;
     disk.durable.trusted = false;
 }
 
@@ -79,7 +80,7 @@
 void CoordinatorSimulation::handle_raft(std::size_t index, TimePoint now, const raft::Event& event,
                                         raft::Actions& actions) {
     raft::Raft& raft = *coordinators_[index].raft;
-    const auto* read = std::get_if<raft::Read>(&event);
+    const auto* read = std::get_if<raft::ReadIndex>(&event);
     if (read && is(CoordinatorMutant::ReadUnconfirmed)) {
         actions.push_back(raft::ReadReady{read->id, 0});
         return;
@@ -91,9 +92,9 @@
         if (entry.has_command()) entry.mutable_command()->set_session(0);
         return raft.handle(now, raft::Propose{propose->id, entry.SerializeAsString()}, actions);
     }
-    if (const auto* taken = std::get_if<raft::Snapshotted>(&event)) {
+    if (const auto* taken = std::get_if<raft::SnapshotTaken>(&event)) {
         ++result_.snapshots;
-        return raft.handle(now, raft::Snapshotted{taken->index, mutated_snapshot(taken->state)}, actions);
+        return raft.handle(now, raft::SnapshotTaken{taken->index, mutated_snapshot(taken->state)}, actions);
     }
     if (is(CoordinatorMutant::OldDeadlines))
         return handle_raft_with_old_deadlines(index, now, event, actions);
@@ -105,11 +106,11 @@
                                                            const raft::Event& event, raft::Actions& actions) {
     Coordinator& node = coordinators_[index];
     if (!std::exchange(node.false_leadership_reported, true))
-        actions.push_back(raft::Became{raft::Role::Leader, 1, 0});
+        actions.push_back(raft::RoleChanged{raft::Role::Leader, 1, 0});
     raft::Actions all;
     node.raft->handle(now, event, all);
     for (raft::Action& action : all)
-        if (!std::holds_alternative<raft::Became>(action)) actions.push_back(std::move(action));
+        if (!std::holds_alternative<raft::RoleChanged>(action)) actions.push_back(std::move(action));
 }
 
 std::string CoordinatorSimulation::mutated_snapshot(const std::string& bytes) const {
@@ -132,18 +133,19 @@
     const double clock_rate = is(CoordinatorMutant::FastLeader) ? 2 : 1;
     coordinator::ReplicaActions actions;
     node.replica->handle(TimePoint{own.time_since_epoch() * clock_rate}, event, actions);
+    record_decision("replica", own, event, actions);
     std::optional<std::uint64_t> reported_early;
     for (coordinator::ReplicaAction& action : actions) {
-        if (auto* send = std::get_if<raft::Send>(&action)) {
+        if (auto* send = std::get_if<raft::SendMessage>(&action)) {
             net_.send(index, send->to - 1, {Packet::Kind::Raft, 0, raft::encode(send->message)});
         } else if (auto* write = std::get_if<raft::Write>(&action)) {
             if (is(CoordinatorMutant::WriteReportedEarly)) reported_early = write->number;
             queue_write(node, own, std::move(*write));
         } else if (const auto* response = std::get_if<coordinator::SendResponse>(&action)) {
             send_response(index, *response);
-        } else if (const auto* timer = std::get_if<raft::WakeAt>(&action)) {
+        } else if (const auto* timer = std::get_if<raft::SetTimer>(&action)) {
             node.timer = TimePoint{timer->at.time_since_epoch() / clock_rate};
-        } else if (const auto* became = std::get_if<raft::Became>(&action)) {
+        } else if (const auto* became = std::get_if<raft::RoleChanged>(&action)) {
             if (became->role == raft::Role::Leader) ++result_.leaders;
         } else if (const auto* stop = std::get_if<coordinator::Stop>(&action)) {
             checker_.violated("coordinator " + std::to_string(index + 1) + " stopped at " + stop->about);
@@ -207,7 +209,7 @@
         auto message = raft::decode(packet.body);
         if (!message) return checker_.violated("a Raft message that cannot be decoded");
         return handle(index, own,
-                      coordinator::RaftMessageReceived{raft::KeeperId(from + 1), std::move(*message)});
+                      coordinator::RaftMessageReceived{raft::NodeId(from + 1), std::move(*message)});
     }
     wire::Request request;
     if (request.ParseFromString(packet.body) && request.has_command()) {
--- a/lab/coordinator/simulated_disk.h
+++ b/lab/coordinator/simulated_disk.h
@@ -13,7 +13,7 @@
         TimePoint done_at;  // by the coordinator's clock
         raft::Write write;
     };
-    raft::Disk durable;
+    raft::PersistentState durable;
     std::deque<PendingWrite> pending;  // in the order of their ends
 
     /// Makes a write durable.
--- a/lab/coordinator/simulation.cpp
+++ b/lab/coordinator/simulation.cpp
@@ -26,7 +26,7 @@
       coordinators_(settings.coordinators),
       clients_(settings.clients) {
     for (std::size_t i = 0; i < settings.coordinators; ++i)
-        members_.push_back({raft::KeeperId(i + 1), true, process_name('k', i + 1)});
+        members_.push_back({raft::NodeId(i + 1), true, process_name('k', i + 1)});
     for (std::size_t i = 0; i < net_.size(); ++i) {
         // Slow, exact or fast
         const double rate = settings_.no_random_faults
@@ -38,7 +38,7 @@
 
 CoordinatorSimulationResult CoordinatorSimulation::run() {
     for (std::size_t i = 0; i < coordinators_.size(); ++i) {
-        coordinators_[i].disk.durable.members = members_;
+        coordinators_[i].disk.durable.initial_members = members_;
         start_coordinator(i);
     }
     for (std::size_t i = 0; i < clients_.size(); ++i) start_client(i);
--- a/src/app/keeper_config.cpp
+++ b/src/app/keeper_config.cpp
@@ -169,8 +169,8 @@
 coordinator::ServerSettings process_settings(const KeeperTold& told, coordinator::StartMode begin) {
     coordinator::ServerSettings set;
     const Keeper& from = told.keeper;
-    set.raft.self = set.replica.self = raft::KeeperId(from.number);
-    set.raft.heartbeat = from.heartbeat, set.raft.election = from.election;
+    set.raft.self = set.replica.self = raft::NodeId(from.number);
+    set.raft.heartbeat_interval = from.heartbeat, set.raft.election_timeout = from.election;
     set.replica.snapshot_entries = from.snapshot_entries;
     set.replica.snapshot_bytes = from.snapshot_mb << 20;
     set.listen = from.listen;
@@ -179,8 +179,8 @@
     set.max_client_connections = from.asking;
     set.start_mode = begin;
     for (const Member& member : told.members) {
-        set.initial_members.push_back({raft::KeeperId(member.number), true, text(member.address)});
-        set.dial_addresses[raft::KeeperId(member.number)] = text(member.address);
+        set.initial_members.push_back({raft::NodeId(member.number), true, text(member.address)});
+        set.dial_addresses[raft::NodeId(member.number)] = text(member.address);
     }
     std::sort(set.initial_members.begin(), set.initial_members.end(),
               [](const auto& a, const auto& b) { return a.id < b.id; });
--- a/src/fleet/coordinator/durable_storage.cpp
+++ b/src/fleet/coordinator/durable_storage.cpp
@@ -51,7 +51,7 @@
 }
 
 raft::Entry decode(const store::Entry& stored) {
-    raft::Entry entry{stored.term, raft::Entry::Kind::Term, {}};
+    raft::Entry entry{stored.term, raft::Entry::Kind::NoOp, {}};
     if (stored.data.empty()) return entry;
     entry.kind = raft::Entry::Kind(stored.data[0]);
     entry.data = stored.data.substr(1);
@@ -122,10 +122,10 @@
     log_ = std::make_unique<store::Log>(*files_, settings);
     // Votes and acknowledged entries are gone if the directory was initialized and its log is, or if it was
     // initialized for lost data and nothing has been received from the others yet.
-    const bool is_empty = log_->last() == 0 && !log_->snapshot();
-    const bool log_is_gone = was_initialized && log_->found() == store::Found::Empty;
-    if ((log_is_gone || (is_empty && data_lost)) && !log_->lose())
-        throw store::StoreError(std::strerror(log_->why()));
+    const bool is_empty = log_->last_index() == 0 && !log_->snapshot();
+    const bool log_is_gone = was_initialized && log_->recovery_result() == store::RecoveryResult::Empty;
+    if ((log_is_gone || (is_empty && data_lost)) && !log_->mark_data_lost())
+        throw store::StoreError(std::strerror(log_->failure()));
     if (log_->snapshot() && !decode(log_->snapshot()->data))
         throw DataDirectoryError(Error::UnknownEntry, "the snapshot");
 }
@@ -139,21 +139,22 @@
     if (thread_.joinable()) thread_.join();
 }
 
-raft::Disk DurableStorage::disk() const {
-    raft::Disk disk;
-    const store::Vote& vote = log_->vote();
-    disk.vote.term = vote.term;
-    disk.vote.who = vote.who.empty() ? 0 : raft::KeeperId(std::stoul(vote.who));
+raft::PersistentState DurableStorage::disk() const {
+    raft::PersistentState disk;
+    const store::HardState& stored_state = log_->hard_state();
+    disk.hard_state.term = stored_state.term;
+    if (!stored_state.voted_for.empty())
+        disk.hard_state.voted_for = raft::NodeId(std::stoul(stored_state.voted_for));
     if (const auto& stored = log_->snapshot()) {
         StoredSnapshot snapshot = *decode(stored->data);
-        disk.snapshot = raft::Snapshot{stored->index, stored->term, std::move(snapshot.members),
-                                       std::move(snapshot.state)};
+        disk.snapshot = raft::Snapshot{stored->last_included_index, stored->last_included_term,
+                                       std::move(snapshot.members), std::move(snapshot.state)};
     }
-    disk.first = log_->first();
-    for (std::uint64_t i = log_->first(); i <= log_->last(); ++i)
+    disk.first_index = log_->first_index();
+    for (std::uint64_t i = log_->first_index(); i <= log_->last_index(); ++i)
         disk.entries.push_back(decode(log_->entry(i)));
-    disk.members = members_;
-    disk.trusted = log_->found() != store::Found::Lost;
+    disk.initial_members = members_;
+    disk.trusted = log_->recovery_result() != store::RecoveryResult::DataLost;
     return disk;
 }
 
@@ -186,7 +187,7 @@
             if (stopping_) return;
             batch.swap(queue_);
         }
-        if (!write_batch(batch)) return failed_(log_->why());
+        if (!write_batch(batch)) return failed_(log_->failure());
         written_(batch.back().number);
     }
 }
@@ -202,15 +203,19 @@
 
 bool DurableStorage::append_to_log(raft::Write& write) {
     store::Log& log = *log_;
-    if (write.vote) log.vote({write.vote->term, write.vote->who == 0 ? "" : std::to_string(write.vote->who)});
-    if (write.cut) log.cut(*write.cut);
+    if (write.hard_state) {
+        const raft::NodeId voted_for = write.hard_state->voted_for;
+        log.set_hard_state({write.hard_state->term, voted_for == 0 ? "" : std::to_string(voted_for)});
+    }
+    if (write.truncate_from) log.truncate(*write.truncate_from);
     for (raft::Entry& entry : write.append) log.append({entry.term, encode(entry)});
     if (write.snapshot) {
         const raft::Snapshot& snapshot = *write.snapshot;
-        if (!log.save({snapshot.index, snapshot.term, encode(snapshot.members, snapshot.state)}))
+        if (!log.save_snapshot({snapshot.last_included_index, snapshot.last_included_term,
+                                encode(snapshot.members, snapshot.state)}))
             return false;
     }
-    return !write.caught_up || log.caught_up();
+    return !write.recovered || log.mark_recovered();
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/durable_storage.h
+++ b/src/fleet/coordinator/durable_storage.h
@@ -58,8 +58,8 @@
     DurableStorage& operator=(const DurableStorage&) = delete;
 
     /// What was read, for Raft. Before `start`.
-    raft::Disk disk() const;
-    store::Found found() const { return log_->found(); }
+    raft::PersistentState disk() const;
+    store::RecoveryResult found() const { return log_->recovery_result(); }
     /// Starts the thread. Both callbacks are called on it: `written` when all writes up to a number are
     /// durable, `failed` once, with an errno, after which nothing is written any more.
     void start(std::function<void(std::uint64_t number)> written, std::function<void(int error)> failed);
--- a/src/fleet/coordinator/replica.cpp
+++ b/src/fleet/coordinator/replica.cpp
@@ -16,11 +16,11 @@
 }  // namespace
 
 Replica::Replica(const ReplicaSettings& settings, StateMachineFactory make_state_machines,
-                 RaftHandler raft_handler, const raft::Disk& disk)
+                 RaftHandler raft_handler, const raft::PersistentState& disk)
     : settings_(settings),
       raft_handler_(std::move(raft_handler)),
       state_(settings.limits, std::move(make_state_machines)),
-      members_(disk.snapshot ? disk.snapshot->members : disk.members),
+      members_(disk.snapshot ? disk.snapshot->members : disk.initial_members),
       trusted_(disk.trusted) {}
 
 void Replica::handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions) {
@@ -50,15 +50,15 @@
 
 void Replica::handle_event(const TimerFired&) {
     if (now_ >= raft_timer_) raft_timer_ = TimePoint::max();
-    raft_events_.emplace_back(raft::Woken{});
+    raft_events_.emplace_back(raft::TimerFired{});
 }
 
 void Replica::handle_event(const RaftMessageReceived& event) {
-    raft_events_.emplace_back(raft::Received{event.from, event.message});
+    raft_events_.emplace_back(raft::MessageReceived{event.from, event.message});
 }
 
 void Replica::handle_event(const WriteCompleted& event) {
-    raft_events_.emplace_back(raft::Written{event.number});
+    raft_events_.emplace_back(raft::WriteCompleted{event.number});
 }
 
 /// Finishes the actions of each event before the next event, so that writes keep their order.
@@ -72,20 +72,21 @@
             if (stopped_) return;
             std::visit([this](auto& each) { handle_raft(each); }, action);
         }
-        if (const auto* change = std::get_if<raft::Change>(&event)) confirm_membership_change(change->id);
+        if (const auto* change = std::get_if<raft::ChangeMembership>(&event))
+            confirm_membership_change(change->id);
     }
 }
 
-void Replica::handle_raft(raft::Send& send) {
+void Replica::handle_raft(raft::SendMessage& send) {
     actions_->push_back(std::move(send));
 }
 
 void Replica::handle_raft(raft::Write& write) {
-    trusted_ |= write.caught_up;
+    trusted_ |= write.recovered;
     actions_->push_back(std::move(write));
 }
 
-void Replica::handle_raft(raft::Applied& entry) {
+void Replica::handle_raft(raft::ApplyEntry& entry) {
     applied_ = entry.index;
     bytes_since_snapshot_ += entry.data.size() + kEntryOverheadBytes;
     const Outcome outcome = state_.apply(entry.data);
@@ -100,10 +101,10 @@
     if (auto pending = take_pending(entry.id)) complete(*pending, outcome);
 }
 
-void Replica::handle_raft(raft::Restore& restore) {
+void Replica::handle_raft(raft::RestoreSnapshot& restore) {
     if (!state_.restore(restore.snapshot.state)) return stop(Error::UnknownEntry, "a snapshot");
-    applied_ = restore.snapshot.index;
-    snapshot_index_ = restore.snapshot.index;
+    applied_ = restore.snapshot.last_included_index;
+    snapshot_index_ = restore.snapshot.last_included_index;
     snapshot_size_ = restore.snapshot.state.size();
     bytes_since_snapshot_ = 0;
 }
@@ -113,7 +114,7 @@
     if (auto pending = take_pending(ready.id)) complete_read(*pending);
 }
 
-void Replica::handle_raft(raft::Became& became) {
+void Replica::handle_raft(raft::RoleChanged& became) {
     const bool is_elected = became.role == raft::Role::Leader && (!is_leader() || became.term != term_);
     const bool steps_down = is_leader() && became.role != raft::Role::Leader;
     role_ = became.role;
@@ -124,12 +125,12 @@
     actions_->push_back(became);
 }
 
-void Replica::handle_raft(raft::MembersAre& members) {
+void Replica::handle_raft(raft::MembershipChanged& members) {
     members_ = members.members;
     actions_->push_back(std::move(members));
 }
 
-void Replica::handle_raft(raft::WakeAt& wake) {
+void Replica::handle_raft(raft::SetTimer& wake) {
     raft_timer_ = wake.at;
 }
 
@@ -147,7 +148,7 @@
     bytes_since_snapshot_ = 0;
     snapshot_index_ = applied_;
     ++snapshots_;
-    raft_events_.emplace_back(raft::Snapshotted{applied_, std::move(state)});
+    raft_events_.emplace_back(raft::SnapshotTaken{applied_, std::move(state)});
 }
 
 void Replica::set_timer() {
@@ -158,7 +159,7 @@
     }
     if (at == timer_ && now_ < timer_) return;
     timer_ = at;
-    if (at != TimePoint::max()) actions_->push_back(raft::WakeAt{at});
+    if (at != TimePoint::max()) actions_->push_back(raft::SetTimer{at});
 }
 
 }  // namespace ochrehub::coordinator
--- a/src/fleet/coordinator/replica.h
+++ b/src/fleet/coordinator/replica.h
@@ -41,7 +41,7 @@
 }  // namespace wire
 
 struct ReplicaSettings {
-    raft::KeeperId self = 0;
+    raft::NodeId self = 0;
     Limits limits;
     Duration min_lease{500};  ///< of a session; a request outside of min_lease to max_lease is malformed
     Duration max_lease{60'000};
@@ -58,7 +58,7 @@
 
 struct TimerFired {};
 struct RaftMessageReceived {
-    raft::KeeperId from = 0;
+    raft::NodeId from = 0;
     raft::Message message;
 };
 /// All writes up to this number are durable.
@@ -83,15 +83,15 @@
     Error error{};
     std::string about;  ///< what could not be applied
 };
-using ReplicaAction =
-    std::variant<raft::Send, raft::Write, raft::Became, raft::MembersAre, raft::WakeAt, SendResponse, Stop>;
+using ReplicaAction = std::variant<raft::SendMessage, raft::Write, raft::RoleChanged, raft::MembershipChanged,
+                                   raft::SetTimer, SendResponse, Stop>;
 using ReplicaActions = std::vector<ReplicaAction>;
 
 class Replica {
 public:
     /// The first event must be TimerFired. `disk`: what Raft was started from.
     Replica(const ReplicaSettings& settings, StateMachineFactory make_state_machines,
-            RaftHandler raft_handler, const raft::Disk& disk);
+            RaftHandler raft_handler, const raft::PersistentState& disk);
 
     void handle(TimePoint now, const ReplicaEvent& event, ReplicaActions& actions);
 
@@ -143,15 +143,15 @@
 
     // Raft's actions
     void run_raft();
-    void handle_raft(raft::Send& send);
+    void handle_raft(raft::SendMessage& send);
     void handle_raft(raft::Write& write);
-    void handle_raft(raft::Applied& entry);
-    void handle_raft(raft::Restore& restore);
+    void handle_raft(raft::ApplyEntry& entry);
+    void handle_raft(raft::RestoreSnapshot& restore);
     void handle_raft(raft::ReadReady& ready);
     void handle_raft(raft::Rejected& rejected);
-    void handle_raft(raft::Became& became);
-    void handle_raft(raft::MembersAre& members);
-    void handle_raft(raft::WakeAt& wake);
+    void handle_raft(raft::RoleChanged& became);
+    void handle_raft(raft::MembershipChanged& members);
+    void handle_raft(raft::SetTimer& wake);
     void stop(Error error, std::string about);
     void take_snapshot_if_due();
     void set_timer();
@@ -169,7 +169,7 @@
     void complete(const PendingRequest& pending, const Outcome& outcome);
     void complete_read(const PendingRequest& pending);
     void reject(Caller caller, Error error) { reject(caller, error, leader_); }
-    void reject(Caller caller, Error error, raft::KeeperId leader);
+    void reject(Caller caller, Error error, raft::NodeId leader);
     void respond(Caller caller, wire::Response response);
     void add_session_state(SessionId id, wire::Response& response) const;
 
@@ -194,7 +194,7 @@
     // As Raft last reported them
     raft::Role role_ = raft::Role::Follower;
     std::uint64_t term_ = 0;
-    raft::KeeperId leader_ = 0;  // 0: not known
+    raft::NodeId leader_ = 0;  // 0: not known
     raft::Members members_;
     bool trusted_ = true;  // false: the disk may lack votes or entries that it has acknowledged
     TimePoint raft_timer_ = TimePoint::max();
--- a/src/fleet/coordinator/replica_requests.cpp
+++ b/src/fleet/coordinator/replica_requests.cpp
@@ -21,13 +21,13 @@
             return Error::NotLeader;
         case raft::Error::Busy:
             return Error::Busy;
-        case raft::Error::Changing:
+        case raft::Error::MembershipChanging:
             return Error::MembershipChanging;
-        case raft::Error::Lost:
+        case raft::Error::LeadershipLost:
             return Error::PossiblyExecuted;
-        case raft::Error::Unknown:
+        case raft::Error::UnknownMember:
             return Error::UnknownMember;
-        case raft::Error::Last:
+        case raft::Error::LastVoter:
             return Error::LastVoter;
     }
     return Error::PossiblyExecuted;
@@ -73,7 +73,7 @@
         case wire::Request::kChange:
             return change_membership(request.change(), std::move(pending));
         case wire::Request::kTransfer: {
-            raft_events_.emplace_back(raft::Transfer{request.transfer().to()});
+            raft_events_.emplace_back(raft::TransferLeadership{request.transfer().to()});
             return respond(pending.caller, {});
         }
         case wire::Request::kStatus:
@@ -123,7 +123,7 @@
     pending.kind = RequestKind::ChangeMembership;
     const std::uint64_t id = next_pending_id_++;
     pending_.emplace(id, std::move(pending));
-    raft_events_.emplace_back(raft::Change{id, change.member(), change.add(), change.address()});
+    raft_events_.emplace_back(raft::ChangeMembership{id, change.member(), change.add(), change.address()});
 }
 
 /// A membership change has no entry that is applied here: one that Raft has not rejected at once has begun.
@@ -163,7 +163,7 @@
 void Replica::read(PendingRequest pending) {
     const std::uint64_t id = next_pending_id_++;
     pending_.emplace(id, std::move(pending));
-    raft_events_.emplace_back(raft::Read{id});
+    raft_events_.emplace_back(raft::ReadIndex{id});
 }
 
 std::optional<Replica::PendingRequest> Replica::take_pending(std::uint64_t id) {
@@ -218,11 +218,11 @@
     } else if (pending->kind == RequestKind::ExpireTimeout) {
         if (is_leader()) timeout_deadlines_.set(pending->timeout, retry_at, pending->revision);
     } else {
-        reject(pending->caller, error_of(rejected.error), rejected.hint);
+        reject(pending->caller, error_of(rejected.error), rejected.leader_hint);
     }
 }
 
-void Replica::reject(Caller caller, Error error, raft::KeeperId leader) {
+void Replica::reject(Caller caller, Error error, raft::NodeId leader) {
     wire::Response response;
     response.set_error(std::uint32_t(error));
     if (error == Error::NotLeader) {
--- a/src/fleet/coordinator/server.cpp
+++ b/src/fleet/coordinator/server.cpp
@@ -13,14 +13,14 @@
 
 channel::MeshSettings CoordinatorServer::mesh_settings(const ServerSettings& settings,
                                                        std::uint64_t instance) {
-    const Duration election_timeout = settings.raft.election;
+    const Duration election_timeout = settings.raft.election_timeout;
     channel::MeshSettings mesh;
     mesh.channel.self = {settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
     mesh.channel.cluster = fleet::fingerprint(settings.cluster);
     mesh.channel.keys = settings.keys;
     mesh.channel.idle = election_timeout;
     mesh.channel.dead = election_timeout * 3;
-    mesh.dial.first = settings.raft.heartbeat;
+    mesh.dial.first = settings.raft.heartbeat_interval;
     mesh.dial.most = election_timeout;
     mesh.dial.limit = election_timeout * 2;
     mesh.accepted = settings.max_client_connections;
@@ -106,7 +106,7 @@
     }
 }
 
-void CoordinatorServer::perform(raft::Send& action) {
+void CoordinatorServer::perform(raft::SendMessage& action) {
     // A message without a connection is lost; Raft sends again.
     auto found = connections_.find(action.to);
     if (found == connections_.end()) return;
@@ -117,17 +117,17 @@
     storage_->write(std::move(action));
 }
 
-void CoordinatorServer::perform(raft::Became& action) {
+void CoordinatorServer::perform(raft::RoleChanged& action) {
     const LogLevel level = action.role == raft::Role::Leader ? LogLevel::Info : LogLevel::Debug;
     log(level, "coordinator: role changed",
         {{"role", role_name(action.role)}, {"term", action.term}, {"leader", action.leader}});
 }
 
-void CoordinatorServer::perform(raft::MembersAre& action) {
+void CoordinatorServer::perform(raft::MembershipChanged& action) {
     dial_members(action.members);
 }
 
-void CoordinatorServer::perform(raft::WakeAt& action) {
+void CoordinatorServer::perform(raft::SetTimer& action) {
     scheduler_.cancel(timer_);
     timer_ = scheduler_.call_at(action.at, [this] {
         timer_ = 0;
@@ -147,7 +147,7 @@
     bool is_member = false;
     for (const raft::Member& member : members) is_member |= member.id == settings_.raft.self;
     if (!is_member) log(LogLevel::Info, "coordinator: not a member", {{"number", settings_.raft.self}});
-    std::map<raft::KeeperId, std::string> wanted = addresses_of_others(members);
+    std::map<raft::NodeId, std::string> wanted = addresses_of_others(members);
     for (const auto& [id, address] : dialed_) {
         auto found = wanted.find(id);
         if (found == wanted.end() || found->second != address) mesh_.drop(address);
@@ -162,9 +162,9 @@
     dialed_ = std::move(wanted);
 }
 
-std::map<raft::KeeperId, std::string> CoordinatorServer::addresses_of_others(
+std::map<raft::NodeId, std::string> CoordinatorServer::addresses_of_others(
     const raft::Members& members) const {
-    std::map<raft::KeeperId, std::string> addresses;
+    std::map<raft::NodeId, std::string> addresses;
     for (const raft::Member& member : members) {
         if (member.id == settings_.raft.self) continue;
         auto configured = settings_.dial_addresses.find(member.id);
--- a/src/fleet/coordinator/server.h
+++ b/src/fleet/coordinator/server.h
@@ -29,7 +29,7 @@
     std::string data_directory;
     std::vector<std::string> keys;  ///< of the fleet; empty: connections aren't signed
     /// Where to dial other coordinators, in place of the addresses that the members have.
-    std::map<raft::KeeperId, std::string> dial_addresses;
+    std::map<raft::NodeId, std::string> dial_addresses;
     raft::Members initial_members;  ///< of a new cluster
     StartMode start_mode = StartMode::Resume;
     std::uint32_t release = 0;
@@ -58,27 +58,27 @@
     void connect_mesh();
     void post(std::function<void()> task);
     void handle(const ReplicaEvent& event);
-    void perform(raft::Send& action);
+    void perform(raft::SendMessage& action);
     void perform(raft::Write& action);
-    void perform(raft::Became& action);
-    void perform(raft::MembersAre& action);
-    void perform(raft::WakeAt& action);
+    void perform(raft::RoleChanged& action);
+    void perform(raft::MembershipChanged& action);
+    void perform(raft::SetTimer& action);
     void perform(SendResponse& action);
     void perform(Stop& action);
     void dial_members(const raft::Members& members);
-    std::map<raft::KeeperId, std::string> addresses_of_others(const raft::Members& members) const;
+    std::map<raft::NodeId, std::string> addresses_of_others(const raft::Members& members) const;
     void stop(Error error, const std::string& about);
 
     boost::asio::io_context& io_;
     Scheduler& scheduler_;
     const ServerSettings settings_;
     std::unique_ptr<DurableStorage> storage_;
-    raft::Disk disk_;  // for Raft's start; empty afterwards
+    raft::PersistentState disk_;  // for Raft's start; empty afterwards
     raft::Raft raft_;
     Replica replica_;
     channel::Mesh mesh_;
-    std::map<raft::KeeperId, std::uint64_t> connections_;  // instances of the connected coordinators
-    std::map<raft::KeeperId, std::string> dialed_;
+    std::map<raft::NodeId, std::uint64_t> connections_;  // instances of the connected coordinators
+    std::map<raft::NodeId, std::string> dialed_;
     TimerId timer_ = 0;
     bool stopped_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once this object is gone
--- a/src/fleet/error/rows.h
+++ b/src/fleet/error/rows.h
@@ -1,5 +1,5 @@
-// All errors of a room, counted by the compiler: for the table in docs/errors.md and whoever else needs each
-// of them. A room whose `Error` begins at zero or one and leaves no gap needs nothing but its `row`.
+// All errors of a module, enumerated at compile time: for the table in docs/errors.md and for tests that need
+// each of them. The values of a module's `Error` must start at zero or one and have no gap.
 #pragma once
 
 #include <array>
@@ -13,25 +13,34 @@
 
 namespace detail {
 
-/// GCC and Clang write a value that has an enumerator by its name, and any other as a cast: "(room::Error)7".
+constexpr std::string_view kDigits = "0123456789";
+
+/// The compiler's text for an enum value. GCC and Clang write a value that has an enumerator by its name, and
+/// any other as a cast: "(module::Error)7".
 template <auto Value>
-constexpr std::string_view written() {
+constexpr std::string_view enumerator_text() {
+    constexpr std::string_view kBefore = "Value = ";
     std::string_view text = __PRETTY_FUNCTION__;
-    text = text.substr(text.find("Value = ") + 8);
+    text = text.substr(text.find(kBefore) + kBefore.size());
     return text.substr(0, text.find_first_of("];"));
 }
+
 template <auto Value>
-constexpr bool named() {
-    std::string_view text = written<Value>();
-    return !(text.back() >= '0' && text.back() <= '9' &&
-             text.substr(0, text.find_last_not_of("0123456789") + 1).back() == ')');
+constexpr bool has_enumerator() {
+    const std::string_view text = enumerator_text<Value>();
+    const std::string_view without_number = text.substr(0, text.find_last_not_of(kDigits) + 1);
+    const bool is_cast = without_number.size() < text.size() && without_number.back() == ')';
+    return !is_cast;
 }
-/// The first number that has an error's name, and the first behind it that has none.
+
+/// The lowest value that has an enumerator.
 template <class E>
-inline constexpr std::size_t kFirst = named<E(0)>() ? 0 : 1;
+inline constexpr std::size_t kFirst = has_enumerator<E(0)>() ? 0 : 1;
+
+/// How many values have an enumerator, from kFirst to the first that has none.
 template <class E, std::size_t At = kFirst<E>>
 constexpr std::size_t count() {
-    if constexpr (named<E(At)>())
+    if constexpr (has_enumerator<E(At)>())
         return count<E, At + 1>();
     else
         return At - kFirst<E>;
@@ -39,22 +48,24 @@
 
 }  // namespace detail
 
-/// How many a room has.
+/// The number of a module's errors.
 template <class E>
 inline constexpr std::size_t kErrorsOf = detail::count<E>();
 
-/// One of them, with the name that it has in the code.
+/// A row, with its enumerator's name.
 struct NamedRow {
     std::string_view name;
     ErrorRow row;
 };
 
+/// Of all errors, in the order of their values.
 template <class E>
 std::array<NamedRow, kErrorsOf<E>> rows_of() {
     return []<std::size_t... I>(std::index_sequence<I...>) {
-        auto last = [](std::string_view text) { return text.substr(text.rfind(':') + 1); };
+        const auto unqualified = [](std::string_view text) { return text.substr(text.rfind(':') + 1); };
         return std::array<NamedRow, sizeof...(I)>{
-            NamedRow{last(detail::written<E(I + detail::kFirst<E>)>()), row(E(I + detail::kFirst<E>))}...};
+            NamedRow{unqualified(detail::enumerator_text<E(I + detail::kFirst<E>)>()),
+                     row(E(I + detail::kFirst<E>))}...};
     }
     (std::make_index_sequence<kErrorsOf<E>>());
 }
--- a/tests/fleet/coordinator/durable_storage_test.cpp
+++ b/tests/fleet/coordinator/durable_storage_test.cpp
@@ -29,7 +29,7 @@
             std::make_unique<store::PosixFiles>(path),
             DurableStorage::Settings{{storage_cluster_id("test")}, mode, {{1, true, "k1"}, {2, true, "k2"}}});
     }
-    raft::Disk disk(StartMode mode) const { return open(mode)->disk(); }
+    raft::PersistentState disk(StartMode mode) const { return open(mode)->disk(); }
     Error open_error(StartMode mode) const {
         try {
             open(mode);
@@ -46,7 +46,7 @@
     EXPECT_EQ(directory.open_error(StartMode::Resume), Error::Untrusted);
     EXPECT_EQ(directory.open_error(StartMode::NewCluster), Error::None);
     EXPECT_EQ(directory.open_error(StartMode::NewCluster), Error::AlreadyInitialized);
-    EXPECT_EQ(directory.disk(StartMode::Resume).members.size(), 2u);
+    EXPECT_EQ(directory.disk(StartMode::Resume).initial_members.size(), 2u);
     std::filesystem::remove(directory.path + "/first");
     EXPECT_EQ(directory.open_error(StartMode::Resume), Error::Untrusted) << "a part of it is missing";
     EXPECT_EQ(directory.open_error(StartMode::NewCluster), Error::Untrusted);
@@ -58,8 +58,8 @@
     EXPECT_FALSE(lost.disk(StartMode::Resume).trusted);
     DataDirectory joined;
     std::filesystem::remove_all(joined.path);
-    EXPECT_TRUE(joined.disk(StartMode::JoinCluster).members.empty());
-    EXPECT_TRUE(joined.disk(StartMode::Resume).members.empty())
+    EXPECT_TRUE(joined.disk(StartMode::JoinCluster).initial_members.empty());
+    EXPECT_TRUE(joined.disk(StartMode::Resume).initial_members.empty())
         << "its configuration does not matter any more";
     for (const auto& entry : std::filesystem::directory_iterator(joined.path))
         if (entry.path().filename().string().starts_with("log-")) std::filesystem::remove(entry.path());
@@ -70,14 +70,14 @@
     DataDirectory directory;
     raft::Write first;
     first.number = 1;
-    first.vote = raft::Vote{3, 2};
-    first.append = {{3, raft::Entry::Kind::Term, ""},
+    first.hard_state = raft::HardState{3, 2};
+    first.append = {{3, raft::Entry::Kind::NoOp, ""},
                     {3, raft::Entry::Kind::Data, "a"},
                     {3, raft::Entry::Kind::Data, "b"}};
     raft::Write second;
     second.number = 2;
-    second.cut = 3;
-    second.append = {{4, raft::Entry::Kind::Change, "c"}};
+    second.truncate_from = 3;
+    second.append = {{4, raft::Entry::Kind::Configuration, "c"}};
     second.snapshot = raft::Snapshot{2, 3, {{1, true, "k1"}, {4, false, "k4"}}, "state"};
     {
         auto storage = directory.open(StartMode::NewCluster);
@@ -91,10 +91,10 @@
         storage->write(second);
         written.get_future().wait();
     }
-    const raft::Disk disk = directory.disk(StartMode::Resume);
-    EXPECT_EQ(disk.vote, (raft::Vote{3, 2}));
+    const raft::PersistentState disk = directory.disk(StartMode::Resume);
+    EXPECT_EQ(disk.hard_state, (raft::HardState{3, 2}));
     EXPECT_EQ(disk.snapshot, second.snapshot);
-    EXPECT_EQ(disk.first, 3u);
+    EXPECT_EQ(disk.first_index, 3u);
     ASSERT_EQ(disk.entries.size(), 1u);
     EXPECT_EQ(disk.entries[0], second.append[0]);
     EXPECT_TRUE(disk.trusted);
@@ -117,7 +117,7 @@
     storage.start([](std::uint64_t) { ADD_FAILURE(); }, [&](int error) { failure.set_value(error); });
     raft::Write write;
     write.number = 1;
-    write.vote = raft::Vote{1, 1};
+    write.hard_state = raft::HardState{1, 1};
     storage.write(write);
     EXPECT_EQ(failure.get_future().get(), ENOSPC);  // CoordinatorServer stops with Error::StorageFailed
     storage.write(write);
--- a/tests/fleet/coordinator/replica_test.cpp
+++ b/tests/fleet/coordinator/replica_test.cpp
@@ -19,24 +19,24 @@
     std::uint64_t index = 0;
     bool holds_proposals = false;
     std::vector<raft::Propose> held_proposals;
-    std::vector<raft::Snapshotted> snapshots;
+    std::vector<raft::SnapshotTaken> snapshots;
     std::optional<raft::Error> change_error;  ///< to reject membership changes with
 
     void operator()(TimePoint, const raft::Event& event, raft::Actions& actions) {
-        if (std::holds_alternative<raft::Woken>(event) && index == 0) {
+        if (std::holds_alternative<raft::TimerFired>(event) && index == 0) {
             index = 1;
-            actions.push_back(raft::Became{raft::Role::Leader, 1, 1});
-            actions.push_back(raft::MembersAre{{{1, true, "k1"}}});
+            actions.push_back(raft::RoleChanged{raft::Role::Leader, 1, 1});
+            actions.push_back(raft::MembershipChanged{{{1, true, "k1"}}});
         } else if (const auto* propose = std::get_if<raft::Propose>(&event)) {
             if (holds_proposals)
                 held_proposals.push_back(*propose);
             else
-                actions.push_back(raft::Applied{++index, 1, propose->id, propose->data});
-        } else if (const auto* read = std::get_if<raft::Read>(&event)) {
+                actions.push_back(raft::ApplyEntry{++index, 1, propose->id, propose->data});
+        } else if (const auto* read = std::get_if<raft::ReadIndex>(&event)) {
             actions.push_back(raft::ReadReady{read->id, index});
-        } else if (const auto* snapshot = std::get_if<raft::Snapshotted>(&event)) {
+        } else if (const auto* snapshot = std::get_if<raft::SnapshotTaken>(&event)) {
             snapshots.push_back(*snapshot);
-        } else if (const auto* change = std::get_if<raft::Change>(&event); change && change_error) {
+        } else if (const auto* change = std::get_if<raft::ChangeMembership>(&event); change && change_error) {
             actions.push_back(raft::Rejected{change->id, *change_error, 1});
         }
     }
@@ -177,11 +177,12 @@
         raft::Error from_raft;
         Error reported;
     };
-    for (const Expected& expected :
-         {Expected{raft::Error::Unknown, Error::UnknownMember},
-          Expected{raft::Error::Changing, Error::MembershipChanging},
-          Expected{raft::Error::Last, Error::LastVoter}, Expected{raft::Error::NotLeader, Error::NotLeader},
-          Expected{raft::Error::Lost, Error::PossiblyExecuted}, Expected{raft::Error::Busy, Error::Busy}}) {
+    for (const Expected& expected : {Expected{raft::Error::UnknownMember, Error::UnknownMember},
+                                     Expected{raft::Error::MembershipChanging, Error::MembershipChanging},
+                                     Expected{raft::Error::LastVoter, Error::LastVoter},
+                                     Expected{raft::Error::NotLeader, Error::NotLeader},
+                                     Expected{raft::Error::LeadershipLost, Error::PossiblyExecuted},
+                                     Expected{raft::Error::Busy, Error::Busy}}) {
         coordinator.raft.change_error = expected.from_raft;
         EXPECT_EQ(coordinator.error_of(at(1), change), expected.reported);
     }
--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -1,5 +1,5 @@
-// docs/errors.md is what the code says: each room's errors, in its order, and no other; and each is named by
-// a test.
+// docs/errors.md agrees with the code: each module's errors, in their order, and no others; and a test of the
+// module names each of them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,30 +26,31 @@
 namespace ochrehub::fleet {
 namespace {
 
-struct Room {
-    std::string name, folder;
+struct Module {
+    std::string prefix;  ///< of its codes
+    std::string folder;  ///< under src/fleet
     std::vector<NamedRow> rows;
 };
-/// `folder`: where it stands, where that is not its name.
+/// `folder`: where it is not the prefix.
 template <class E>
-Room room(const std::string& name, const std::string& folder = "") {
+Module module_of(const std::string& prefix, const std::string& folder = "") {
     auto all = rows_of<E>();
-    Room made{name, folder.empty() ? name : folder, {all.begin(), all.end()}};
+    Module made{prefix, folder.empty() ? prefix : folder, {all.begin(), all.end()}};
     std::erase_if(made.rows, [](const NamedRow& one) { return one.name == "None"; });
     return made;
 }
-/// A room that has errors is a line here.
-const std::vector<Room> kRooms{
-    room<channel::Error>("channel"),
-    room<schema::Error>("schema"),
-    room<raft::Error>("raft"),
-    room<coordinator::Error>("keeper", "coordinator"),
-    room<leadership::Error>("duty", "leadership"),
-    room<leadership::list::Error>("list", "leadership"),
-    room<shards::Error>("shards"),
-    room<config_distribution::Error>("agreement", "config_distribution"),
-    room<quota::Error>("quota"),
-    room<schema_migration::Error>("migration", "schema_migration"),
+/// Each module that has errors.
+const std::vector<Module> kModules{
+    module_of<channel::Error>("channel"),
+    module_of<schema::Error>("schema"),
+    module_of<raft::Error>("raft"),
+    module_of<coordinator::Error>("keeper", "coordinator"),
+    module_of<leadership::Error>("duty", "leadership"),
+    module_of<leadership::list::Error>("list", "leadership"),
+    module_of<shards::Error>("shards"),
+    module_of<config_distribution::Error>("agreement", "config_distribution"),
+    module_of<quota::Error>("quota"),
+    module_of<schema_migration::Error>("migration", "schema_migration"),
 };
 
 std::string contents(const std::filesystem::path& path) {
@@ -60,10 +61,10 @@
 }
 const std::filesystem::path kSource = OCHREHUB_SOURCE;
 
-TEST(Errors, TheTableIsWhatTheCodeSays) {
+TEST(Errors, PageAgreesWithTheCode) {
     std::string wanted;
-    for (const Room& one : kRooms) {
-        wanted += "## " + one.name +
+    for (const Module& one : kModules) {
+        wanted += "## " + one.prefix +
                   "\n\n| code | what happened | passes by itself | what an operator can do |\n| --- | --- | "
                   "--- | --- |\n";
         for (const auto& [name, row] : one.rows)
@@ -74,17 +75,17 @@
     std::string page = contents(kSource / "docs/errors.md");
     std::size_t from = page.find("## ");
     ASSERT_NE(from, std::string::npos);
-    EXPECT_EQ(page.substr(from) + "\n", wanted) << "From its first room on docs/errors.md must be:\n\n"
+    EXPECT_EQ(page.substr(from) + "\n", wanted) << "From its first module on docs/errors.md must be:\n\n"
                                                 << wanted;
 }
 
-TEST(Errors, EachHasACodeOfItsOwnAndSaysWhatToDo) {
+TEST(Errors, EachHasAUniqueCodeAndARemedy) {
     std::set<std::string_view> codes;
-    for (const Room& one : kRooms) {
-        EXPECT_FALSE(one.rows.empty()) << one.name;
+    for (const Module& one : kModules) {
+        EXPECT_FALSE(one.rows.empty()) << one.prefix;
         for (const auto& [name, row] : one.rows) {
             EXPECT_TRUE(codes.insert(row.code).second) << row.code;
-            EXPECT_TRUE(row.code.starts_with(one.name + ".")) << row.code;
+            EXPECT_TRUE(row.code.starts_with(one.prefix + ".")) << row.code;
             EXPECT_EQ(row.code.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-."),
                       std::string_view::npos)
                 << row.code;
@@ -95,24 +96,24 @@
     }
 }
 
-// It says nothing of what the test does with it; that no error is left out it does. Migration's own test
-// collects the codes of what it has caused, and asks for each of them at its end.
-TEST(Errors, EachIsNamedByATestOfItsRoom) {
-    std::map<std::string, std::string> texts;  // of tests, by room
+// Shows that no error is left out, not what the test does with it. The test of schema_migration collects the
+// codes that it has caused and requires each of them at its end.
+TEST(Errors, EachIsNamedByATestOfItsModule) {
+    std::map<std::string, std::string> texts;  // of tests, by module's prefix
     for (const char* folder : {"tests", "lab"})
         for (const auto& file : std::filesystem::recursive_directory_iterator(kSource / folder)) {
             if (file.path().extension() != ".cpp" || file.path().filename() == "errors_test.cpp") continue;
             std::string text = contents(file.path());
-            for (const Room& one : kRooms)
-                if (text.find("fleet/" + one.folder + "/") != std::string::npos) texts[one.name] += text;
+            for (const Module& one : kModules)
+                if (text.find("fleet/" + one.folder + "/") != std::string::npos) texts[one.prefix] += text;
         }
-    for (const Room& one : kRooms)
+    for (const Module& one : kModules)
         for (const auto& [name, row] : one.rows) {
-            const std::string& text = texts[one.name];
+            const std::string& text = texts[one.prefix];
             bool named = text.find("Error::" + std::string(name)) != std::string::npos ||
                          text.find('"' + std::string(row.code)) != std::string::npos ||
-                         one.name == "migration";
-            EXPECT_TRUE(named) << row.code << " is caused by no test";
+                         one.prefix == "migration";
+            EXPECT_TRUE(named) << row.code << " is named by no test";
         }
 }
 
@@ -121,7 +122,7 @@
     static constexpr ErrorRow kRow{"sample.row", "happened", false, "nothing"};
     return kRow;
 }
-TEST(Errors, AreCountedByTheCompiler) {
+TEST(Errors, AreEnumeratedAtCompileTime) {
     static_assert(kErrorsOf<Sample> == 3 &&
                   kErrorsOf<channel::Error> == std::size_t(channel::Error::Unreachable) + 1);
     auto rows = rows_of<Sample>();
