--- a/src/fleet/coordinator/durable_storage.cpp
+++ b/src/fleet/coordinator/durable_storage.cpp
@@ -141,10 +141,10 @@
 
 raft::PersistentState DurableStorage::disk() const {
     raft::PersistentState disk;
-    const store::HardState& hard_state = log_->hard_state();
-    disk.hard_state.term = hard_state.term;
-    disk.hard_state.voted_for =
-        hard_state.voted_for.empty() ? 0 : raft::NodeId(std::stoul(hard_state.voted_for));
+    const store::HardState& stored_state = log_->hard_state();
+    disk.hard_state.term = stored_state.term;
+    if (!stored_state.voted_for.empty())
+        disk.hard_state.voted_for = raft::NodeId(std::stoul(stored_state.voted_for));
     if (const auto& stored = log_->snapshot()) {
         StoredSnapshot snapshot = *decode(stored->data);
         disk.snapshot = raft::Snapshot{stored->last_included_index, stored->last_included_term,
@@ -203,10 +203,10 @@
 
 bool DurableStorage::append_to_log(raft::Write& write) {
     store::Log& log = *log_;
-    if (write.hard_state)
-        log.set_hard_state({write.hard_state->term, write.hard_state->voted_for == 0
-                                                        ? ""
-                                                        : std::to_string(write.hard_state->voted_for)});
+    if (write.hard_state) {
+        const raft::NodeId voted_for = write.hard_state->voted_for;
+        log.set_hard_state({write.hard_state->term, voted_for == 0 ? "" : std::to_string(voted_for)});
+    }
     if (write.truncate_from) log.truncate(*write.truncate_from);
     for (raft::Entry& entry : write.append) log.append({entry.term, encode(entry)});
     if (write.snapshot) {
--- a/src/fleet/error/error.h
+++ b/src/fleet/error/error.h
@@ -1,6 +1,6 @@
-// Errors with types. A room has a closed set of its own (`enum class Error`) and a row for each, found by
-// `row(error)`. What is told to people, to `--json` and in answers is the row's stable code, never a text
-// that somebody compares.
+// Typed errors. Each module has a closed set of its own (`enum class Error`) and a row for each of them,
+// found by `row(error)`. Logs, `--json` and responses carry the row's code, which is stable; the texts are
+// for people, and no code compares them.
 #pragma once
 
 #include <string>
@@ -10,21 +10,21 @@
 namespace ochrehub::fleet {
 
 struct ErrorRow {
-    std::string_view code;       ///< stable: `room.what-happened`
-    std::string_view what;       ///< one clause, worded to follow what it is about
-    bool passes = false;         ///< by itself: whoever asked may ask again
-    std::string_view operators;  ///< what they can do
+    std::string_view code;       ///< stable: `module.what-happened`
+    std::string_view what;       ///< one clause that follows the name of what it is about
+    bool passes = false;         ///< transient: the request may be repeated
+    std::string_view operators;  ///< what an operator can do
 };
 
-/// One that happened. `E` is a room's Error; the room's `row(E)` is found by its namespace.
+/// An error with the value at fault. `E` is a module's Error; its `row(E)` is found by its namespace.
 template <class E>
 struct Failure {
     E error{};
-    std::string about;  ///< which duty, version, partner, schema, peer
+    std::string about;  ///< the value at fault: which lease, version, partner, schema or peer
     friend bool operator==(const Failure&, const Failure&) = default;
 };
 
-/// `code: about: what; what operators can do`
+/// `code: about: what; what an operator can do`
 inline std::string sentence(const ErrorRow& row, std::string_view about) {
     std::string text(row.code);
     text += ": ";
