--- a/tests/balancer/manual_overrides_rules_test.cpp
+++ b/tests/balancer/admin_override_test.cpp
@@ -1,9 +1,9 @@
-// What the module makes of servers out by hand, of a body that is still coming, and of a second process.
+// Admin override: by hand-built events in virtual time.
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "bench_side.h"
+#include "balancer/balancer_fixture.h"
 
 namespace ochrehub::testing {
 namespace {
@@ -27,32 +27,6 @@
     return counts;
 }
 
-// Told by how many its parts are divided, it does as one that was set so from the start.
-TEST(FleetSizeChanged, CountAsTheSettingsNumbersWould) {
-    Settings few = unprobed(), many = unprobed();
-    for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->connection_cost = 2;
-    many.node_count = 6, many.node_index = 2;
-    auto play = [](Settings set, std::optional<FleetSizeChanged> told) {
-        Gateway g(std::move(set));
-        if (told) g.tell(0, *told);
-        std::vector<EndpointEntry> list;
-        for (EndpointId id = 1; id <= 40; ++id) list.push_back(entry(id));
-        g.list(0, list);
-        std::vector<std::optional<EndpointId>> all;
-        for (RequestId id = 0; id < 200; ++id) {
-            double now = 10 + 7 * double(id);
-            g.run_to(now);
-            all.push_back(sent_to(g.arrive(now, id)));
-            if (all.back()) g.ok(now + 5, id, *all.back(), 5);
-        }
-        return all;
-    };
-    auto set = play(many, std::nullopt);
-    EXPECT_EQ(play(few, FleetSizeChanged{6, 2}), set);
-    EXPECT_NE(play(few, std::nullopt), set);
-    EXPECT_EQ(play(many, FleetSizeChanged{1, kNone}), play(few, FleetSizeChanged{1, kNone}));
-}
-
 TEST(AdminOverride, OutWhateverTheListSaysUntilTheCallBack) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
@@ -123,36 +97,5 @@
     EXPECT_EQ(g.avoided(), 2u);
 }
 
-TEST(Uploads, ABodyThatIsLongInComingSaysNothingOfItsServer) {
-    for (bool uploading : {true, false}) {
-        Gateway g(unprobed());
-        g.list(0, {entry(1)});
-        RequestArrived e;
-        e.request = 1, e.class_index = 1, e.deadline = at(1010), e.receiving_body = uploading;
-        ASSERT_TRUE(sent_to(g.tell(10, e)));
-        g.run_to(3000);  // long past its time
-        if (!uploading) continue;
-        g.tell(3000, RequestBodyReceived{1, at(4000)});
-        g.run_to(3390);
-        EXPECT_FALSE(all_of<Log>(g.run_to(3390)).size());
-        g.ok(3395, 1, 1, 395);
-        EXPECT_TRUE(sent_to(g.arrive(3400, 2)));  // not taken for one that answers nothing
-    }
-}
-
-TEST(Uploads, WhatIsSpentIsNotSentAgain) {
-    for (bool replayable : {true, false}) {
-        Gateway g(unprobed());
-        g.list(0, {entry(1), entry(2)});
-        auto to = sent_to(g.arrive(10, 1, 1));
-        ASSERT_TRUE(to);
-        Actions actions =
-            g.tell(20, AttemptEnded{1, 0, *to, Outcome::ConnectFailed, Duration{10}, false, {}, replayable});
-        EXPECT_EQ(sent_to(actions).has_value(), replayable);
-        EXPECT_EQ(all_of<Reject>(actions).size(),
-                  replayable ? 0u : 1u);  // it never ran: the client may try again
-    }
-}
-
 }  // namespace
 }  // namespace ochrehub::testing
--- /dev/null
+++ b/tests/balancer/endpoint_registry_test.cpp
@@ -0,0 +1,182 @@
+// Endpoint registry: by hand-built events in virtual time.
+#include <gtest/gtest.h>
+#include <malloc.h>
+
+#include <algorithm>
+#include <map>
+#include <vector>
+
+#include "balancer/balancer_fixture.h"
+
+namespace ochrehub::testing {
+namespace {
+
+TEST(Registry, RemovedDrainingAndGoneHostsGetNothing) {
+    for (Phase phase : {Phase::Draining, Phase::Removed}) {
+        Gateway g(unprobed());
+        g.list(0, {entry(1), entry(2)});
+        auto leaving = entry(1);
+        leaving.phase = phase;
+        g.list(10, {leaving}, UpdateKind::Delta);
+        for (RequestId i = 0; i < 6; ++i) {
+            auto to = sent_to(g.arrive(20 + 100 * double(i), i));
+            ASSERT_TRUE(to);
+            EXPECT_EQ(*to, 2u);
+            g.ok(60 + 100 * double(i), i, *to);
+        }
+    }
+    Gateway g(unprobed());
+    g.list(0, {entry(1), entry(2)});
+    g.list(10, {entry(2)}, UpdateKind::Full);  // missing from a full list: removed
+    for (RequestId i = 0; i < 4; ++i) {
+        auto to = sent_to(g.arrive(20 + 100 * double(i), i));
+        ASSERT_TRUE(to);
+        EXPECT_EQ(*to, 2u);
+        g.ok(60 + 100 * double(i), i, *to);
+    }
+}
+
+TEST(Registry, WhereRemovalDoesNotBindGoneHostsStayInUse) {
+    Settings set = unprobed();
+    set.removal_not_binding = true;
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    auto gone = entry(1);
+    gone.phase = Phase::Removed;
+    g.list(10, {gone}, UpdateKind::Delta);
+    EXPECT_EQ(sent_to(g.arrive(20, 1)), EndpointId{1});
+    g.ok(60, 1, 1);
+    auto draining = entry(1);
+    draining.phase = Phase::Draining;
+    g.list(70, {draining}, UpdateKind::Delta);
+    g.list(80, {gone}, UpdateKind::Delta);
+    EXPECT_FALSE(sent_to(g.arrive(90, 2)));
+}
+
+TEST(Registry, SubscribesAndAsksAgainAfterAFailure) {
+    Settings set = unprobed();
+    set.polls_discovery = set.watches_discovery = true;
+    Gateway g(set);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
+    EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(50)).size(), 1u);
+    for (int i = 0; i < 3; ++i) {
+        EXPECT_TRUE(all_of<WatchEndpoints>(g.list(g.now + 10, {}, UpdateKind::Failed)).empty());
+        auto again = g.run_to(g.now + 7000);
+        EXPECT_EQ(all_of<WatchEndpoints>(again).size(), 1u);
+    }
+    EXPECT_TRUE(sent_to(g.arrive(g.now + 1, 1)));  // the old list stays in force
+}
+
+// Where the list is pushed, what the agent has counts as told at once: 2 s later nothing may go to a server
+// that drains.
+TEST(Registry, AnAgentIsWatchedFromTheFirstMomentAndAgainWithinASecondHoweverLargeTheFleet) {
+    Settings set = unprobed();
+    set.watches_discovery = true;
+    set.node_count = 300;
+    Gateway g(set);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
+    EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(1)).size(), 1u);
+    for (int i = 0; i < 8; ++i) {
+        g.list(g.now + 10, {}, UpdateKind::Failed);
+        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(g.now + 800)).size(), 1u);
+    }
+}
+
+// Discovery is one queue for all: 20 calls a second, and one that has waited 2 s fails but was its work all
+// the same. A hundred gateways that start, and all lose their watch later in one instant, must not ask faster
+// than it answers.
+TEST(Registry, AHundredGatewaysShareDiscoverysQueue) {
+    Settings set = unprobed();
+    set.polls_discovery = set.watches_discovery = true;
+    set.node_count = 100;
+    std::vector<Gateway> gateways;
+    for (std::uint64_t n = 0; n < 100; ++n) gateways.emplace_back(set, n + 1);
+    constexpr double kWork = 50, kPatience = 2000;
+    for (double from : {0.0, 60'000.0}) {
+        double free_at = from;
+        int failed = 0;
+        std::vector<bool> watches(100, false);
+        std::multimap<double, std::pair<std::size_t, bool>>
+            ends;  // of calls: whose, and whether it was served
+        for (auto& g : gateways)
+            g.list(from, {entry(1)}, from == 0 ? UpdateKind::Cached : UpdateKind::Failed);
+        for (double now = from; now < from + 30'000; now += 1) {
+            for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin())) {
+                auto [who, served] = ends.begin()->second;
+                watches[who] = served;
+                failed += !served;
+                gateways[who].list(now, {}, served ? UpdateKind::Delta : UpdateKind::Failed);
+            }
+            for (std::size_t n = 0; n < gateways.size(); ++n)
+                if (!all_of<WatchEndpoints>(gateways[n].run_to(now)).empty()) {
+                    free_at = std::max(now, free_at) + kWork;
+                    bool served = free_at <= now + kPatience;
+                    ends.emplace(std::min(free_at, now + kPatience), std::pair{n, served});
+                }
+            if (now == from + 12'000) {
+                EXPECT_GE(std::count(watches.begin(), watches.end(), true), 95) << "from " << from;
+            }
+        }
+        EXPECT_EQ(std::count(watches.begin(), watches.end(), true), 100) << "from " << from;
+        EXPECT_LT(failed, 50) << "from " << from;
+    }
+}
+
+// However many gateways there are, each asks before a list that it does not have is held against it.
+TEST(Registry, AsksWithinSecondsInAnyFleet) {
+    for (int gateways : {0, 1, 3, 100, 10'000, 1'000'000}) {
+        Settings set = unprobed();
+        set.polls_discovery = set.watches_discovery = true;
+        set.node_count = std::max(1, gateways);
+        set.node_index = set.node_count - 1;
+        Gateway g(set);
+        g.list(0, {entry(1)}, UpdateKind::Cached);
+        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(10'000)).size(), 1u) << gateways;
+        for (double failed : {10'001.0, 50'001.0, 100'001.0}) {
+            g.list(failed, {}, UpdateKind::Failed);
+            EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(failed + 30'000)).size(), 1u) << gateways;
+        }
+    }
+}
+
+// Where servers are replaced for good, what is known of them does not grow for good.
+// In a release a list is old within a second: a gateway whose calls fail for a while must not sit out the
+// rest of it.
+TEST(Registry, AsksAgainSoonHoweverOftenItsCallsFailed) {
+    Settings set = unprobed();
+    set.polls_discovery = set.watches_discovery = true;
+    Gateway g(set);
+    g.list(0, {entry(1)}, UpdateKind::Cached);
+    double asked = 0, longest = 0;
+    for (int failures = 0; failures < 12; ++failures) {
+        g.tell(asked + 170, EndpointUpdate{UpdateKind::Failed, {}});
+        double from = asked + 170, now = from;
+        while (now < from + 10'000 && all_of<WatchEndpoints>(g.run_to(now)).empty()) now += 5;
+        ASSERT_LT(now, from + 10'000);
+        asked = now;
+        longest = std::max(longest, asked - from);
+        if (failures == 0) {
+            EXPECT_LT(asked - from, 400);
+        }
+    }
+    EXPECT_LT(longest, 1'850);
+    EXPECT_GT(longest, 600) << "many gateways must not ask all the time";
+}
+
+TEST(Registry, WhatHasLongGoneIsForgotten) {
+    Gateway g(unprobed());
+    auto replace = [&](EndpointId from, EndpointId to) {
+        for (EndpointId id = from; id < to; ++id) g.list(1000.0 * id, {entry(id), entry(id + 1)});
+    };
+    replace(1, 200);
+    std::size_t before = mallinfo2().uordblks;  // zero under the sanitizers, which have memory of their own
+    replace(200, 4000);
+    EXPECT_LT(mallinfo2().uordblks, before + 200'000);
+    g.arrive(4'000'000, 1);
+    auto to = sent_to(g.arrive(4'000'001, 2));
+    ASSERT_TRUE(to);
+    EXPECT_GE(*to, 3999u);
+}
+
+}  // namespace
+}  // namespace ochrehub::testing
--- /dev/null
+++ b/tests/balancer/load_probe_test.cpp
@@ -0,0 +1,168 @@
+// Load probe: by hand-built events in virtual time.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <vector>
+
+#include "balancer/balancer_fixture.h"
+
+namespace ochrehub::testing {
+namespace {
+
+TEST(Look, AsksTheOneInTurnAndTheNextAndSendsToTheIdleOne) {
+    Gateway g(looking());
+    g.list(0, {entry(1), entry(2)});
+    auto arrived = g.arrive(3000, 1);
+    auto asked = all_of<Probe>(arrived);
+    ASSERT_EQ(asked.size(), 2u);
+    EXPECT_FALSE(sent_to(arrived));
+    EXPECT_FALSE(sent_to(g.probe(3001, 1, Outcome::Ok, 3, 2)));
+    EXPECT_EQ(sent_to(g.probe(3001, 2, Outcome::Ok, 0, 0)), EndpointId{2});
+}
+
+TEST(Look, AServerThatDoesNotAnswerIsPassedOver) {
+    Gateway g(looking());
+    g.list(0, {entry(1), entry(2)});
+    ASSERT_EQ(all_of<Probe>(g.arrive(3000, 1)).size(), 2u);
+    EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 1, 0)));
+    EXPECT_EQ(sent_to(g.run_to(3010)), EndpointId{2});
+}
+
+TEST(Look, ARequestWaitsHereWhileEveryServerIsTooFull) {
+    Gateway g(looking());
+    g.list(0, {entry(1), entry(2)});
+    auto arrived = g.arrive(3000, 1);
+    g.probe(3001, 1, Outcome::Ok, 9, 8);
+    EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 9, 8)));
+}
+
+// Reports that said "idle" of servers with full queues drew everyone's requests there.
+TEST(Look, ReportsThatOwnRequestsContradictAreNotBelieved) {
+    Gateway g(looking());
+    g.list(0, {entry(1), entry(2)});
+    std::map<EndpointId, int> sends;
+    for (RequestId i = 0; i < 100; ++i) {
+        double t = 3000 + 20 * double(i);
+        // 1 always says that it is idle, and turns away what it gets; 2 holds one of another gateway's.
+        auto serve = [](EndpointId s) {
+            return s == 1 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 13.0};
+        };
+        auto report = [](EndpointId s) { return s == 1 ? 0.0 : 1.0; };
+        g.play(t + 19, g.arrive(t, i), serve, report, [&](EndpointId s) { sends[s] += i >= 20; });
+    }
+    EXPECT_GT(sends[2], 2 * sends[1]);
+}
+
+// A request could always cost four looks, whatever one cost: on a site with dear probes they took a quarter
+// of the result.
+TEST(Look, IsNotMadeWhereTwoCostMoreThanTheyGain) {
+    Settings set = looking();
+    set.probe_cost = 0.05;
+    Gateway g(set);
+    g.list(0, {entry(1), entry(2)});
+    std::size_t looks = 0;
+    int served = 0;
+    for (RequestId i = 0; i < 100; ++i) {
+        double t = 3000 + 20 * double(i);
+        Actions actions = g.arrive(t, i);
+        for (const Probe& p : all_of<Probe>(actions)) {
+            ++looks;
+            for (const Action& a : g.probe(t + 1, p.endpoint, Outcome::Ok, 0, 0)) actions.push_back(a);
+        }
+        auto to = sent_to(actions);
+        if (!to) continue;
+        ++served;
+        g.ok(t + 10, i, *to, 10);
+    }
+    EXPECT_LE(looks, 2u);
+    EXPECT_GE(served, 95);
+}
+
+struct Looked {
+    int asked = 0, served = 0, probes = 0;
+    double waited_ms = 0;
+};
+
+/// As a platform hands events over: in batches `granularity` apart, timers before answers. Probes are
+/// answered `way_ms` after they were sent; requests have 150 ms.
+Looked in_batches(double granularity, double way_ms, bool looks, double per_s = 200, EndpointId servers = 4,
+                  double took = 20) {
+    Settings set = make_settings();
+    set.probes_report_load = looks;
+    set.clock_granularity = Duration{granularity};
+    for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{150};
+    Gateway g(set);
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
+    g.list(0, fleet);
+    Looked all;
+    std::multimap<double, Event> answers;
+    std::map<RequestId, double> came;
+    std::map<EndpointId, double> held;
+    RequestId id = 0;
+    auto take = [&](const Actions& actions) {
+        for (const Action& action : actions) {
+            if (const auto* f = std::get_if<Forward>(&action)) {
+                all.waited_ms += g.now - came[f->request];
+                ++held[f->endpoint];
+                answers.emplace(
+                    g.now + took,
+                    AttemptEnded{f->request, 0, f->endpoint, Outcome::Ok, Duration{took}, true, {}});
+            } else if (const auto* p = std::get_if<Probe>(&action)) {
+                ++all.probes;
+                double n = held[p->endpoint];
+                LoadReport report{n, std::max(0.0, n - 16), {}};
+                answers.emplace(g.now + way_ms,
+                                ProbeEnded{p->endpoint, Outcome::Ok, Duration{way_ms}, report});
+            }
+        }
+    };
+    for (double t = granularity; t < 10'000; t += granularity) {
+        g.now = t;
+        take(g.run_to(t));
+        while (!answers.empty() && answers.begin()->first <= t) {
+            Event event = answers.begin()->second;
+            answers.erase(answers.begin());
+            if (const auto* end = std::get_if<AttemptEnded>(&event)) {
+                all.served += t - came[end->request] <= 150;
+                --held[end->endpoint];
+            }
+            take(g.tell(t, event));
+        }
+        for (; double(id) * 1000 / per_s < t && t < 9500; ++id) {
+            came[id] = t;
+            ++all.asked;
+            take(g.arrive(t, id, 0, 150));
+        }
+    }
+    return all;
+}
+
+// The look that was waited for was late or stale when its answer was there, and the next pair was asked, and
+// so on. Where looks take long only the newest was sent by each, and the others waited for the next.
+TEST(Look, IsInTimeWhereBatchesAreCoarse) {
+    for (double granularity : {1.0, 2.0, 5.0, 10.0, 20.0, 40.0}) {
+        Looked seen = in_batches(granularity, 1, true);
+        EXPECT_GT(seen.served, 0.97 * seen.asked) << granularity;
+        EXPECT_LT(seen.probes, 2.5 * seen.asked) << granularity;
+    }
+}
+
+TEST(Look, IsInTimeWhereTheWayIsLong) {
+    for (double way_ms : {1.0, 4.0, 7.0, 15.0, 40.0}) {
+        Looked seen = in_batches(1, way_ms, true);
+        EXPECT_GT(seen.served, 0.97 * seen.asked) << way_ms;
+        EXPECT_LT(seen.probes, 2.5 * seen.asked) << way_ms;
+        EXPECT_LT(seen.waited_ms, (way_ms + 2) * seen.asked) << way_ms;
+    }
+}
+
+// Looks let one or two of those that waited go at a time, whatever the servers bore.
+TEST(Look, DoesNotHoldUpAGatewayWithManyRequests) {
+    Looked seen = in_batches(1, 0.5, true, 1000, 13, 30);
+    EXPECT_GT(seen.served, 0.98 * seen.asked);
+}
+
+}  // namespace
+}  // namespace ochrehub::testing
--- /dev/null
+++ b/tests/balancer/pending_queue_test.cpp
@@ -0,0 +1,154 @@
+// Pending queue: by hand-built events in virtual time.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+
+#include "balancer/balancer_fixture.h"
+
+namespace ochrehub::testing {
+namespace {
+
+TEST(Queue, WhatCannotMeetItsAimIsRefusedAtOnceWithAdvice) {
+    Settings set = unprobed();
+    set.retry_after = true;
+    set.max_retry_after = Duration{2000};
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    ASSERT_TRUE(sent_to(g.arrive(10, 1)));      // one at a time until a connection stands
+    EXPECT_FALSE(sent_to(g.arrive(11, 2, 1)));  // waits here
+    auto later = g.run_to(411);
+    auto refused = all_of<Reject>(later);
+    ASSERT_EQ(refused.size(), 1u);
+    EXPECT_EQ(refused[0].request, 2u);
+    EXPECT_GT(refused[0].retry_after.count(), 0);
+    EXPECT_LE(refused[0].retry_after.count(), 2000);
+}
+
+TEST(Queue, TheMostWorthGoesFirst) {
+    Settings set = unprobed();
+    set.classes[1].priority_weight = 10;
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    ASSERT_TRUE(sent_to(g.arrive(10, 1)));
+    g.arrive(11, 2, 0);
+    g.arrive(12, 3, 1);
+    auto sends = all_of<Forward>(g.ok(60, 1, 1));
+    ASSERT_FALSE(sends.empty());
+    EXPECT_EQ(sends[0].request, 3u);
+}
+
+// A slow spell once taught the gateway a service time so long that it refused everything at arrival ever
+// after.
+TEST(Queue, ASlowSpellDoesNotTurnIntoRefusingForEver) {
+    Gateway g(unprobed());
+    g.list(0, {entry(1), entry(2)});
+    int served = 0;
+    for (RequestId i = 0; i < 400; ++i) {  // forty seconds, the first twenty of them slow
+        double t = 10 + 100 * double(i);
+        auto serve = [&](EndpointId) { return std::pair{Outcome::Ok, i < 200 ? 440.0 : 50.0}; };
+        auto count = [&](EndpointId) { served += i >= 300; };
+        g.play(
+            t + 99, g.arrive(t, i), serve, [](EndpointId) { return 0.0; }, count);
+    }
+    EXPECT_GE(served, 90);  // of the last hundred
+}
+
+// Told to come back while there is time for that: behind the half it is too late to be of use to anybody.
+TEST(Queue, WhatNoServerTakesIsGivenUpBeforeHalfOfItsTime) {
+    Settings set = unprobed();
+    for (ClassSettings& c : set.classes) c.late_response_weight = 0.5;
+    for (int cls : {0, 1, 2}) {
+        Gateway g(set);
+        g.list(0, {});
+        EXPECT_TRUE(all_of<Reject>(g.arrive(10, 1, cls, 800)).empty());
+        EXPECT_TRUE(all_of<Reject>(g.run_to(10 + 0.46 * 800)).empty());
+        EXPECT_EQ(all_of<Reject>(g.run_to(10 + 0.48 * 800)).size(), 1u);
+    }
+}
+
+// An answer that would most likely come too late is not worth a server's time while all are slow.
+TEST(Queue, NothingIsStartedThatCouldNotBeAnsweredInMoreThanTheUsualTime) {
+    Settings set = unprobed();
+    set.classes[0].late_response_weight = 0.5;
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    for (RequestId id = 1; id <= 60; ++id)
+        if (auto to = sent_to(g.arrive(300.0 * double(id), id))) g.ok(300.0 * double(id) + 150, id, *to, 150);
+    EXPECT_FALSE(sent_to(g.arrive(20'000, 100, 0, 215)).has_value());
+    EXPECT_TRUE(sent_to(g.arrive(20'100, 101, 0, 400)).has_value());
+}
+
+// With a thousand gateways a quota's part is under one request a second: every request counted as surplus.
+TEST(Tenants, ARequestWithinASmallPartOfAQuotaIsNoSurplus) {
+    Settings set = unprobed();
+    set.tenants = {{0.05, 0.5}};
+    set.over_quota_weight = 0.1;
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    ASSERT_TRUE(sent_to(g.arrive(5000, 1)));
+    RequestArrived repeat;
+    repeat.request = 2;
+    repeat.deadline = at(12000);
+    repeat.is_client_retry = true;
+    g.tell(5010, repeat);
+    RequestArrived first = repeat;
+    first.request = 3;
+    first.tenant = 0;
+    first.is_client_retry = false;
+    g.tell(5020, first);
+    auto sent = all_of<Forward>(g.ok(5050, 1, 1, 50));
+    ASSERT_FALSE(sent.empty());
+    EXPECT_EQ(sent.front().request, 3u);
+}
+
+// A gateway with few events left requests waiting for the next arrival though room had come.
+TEST(Queue, AWaitingRequestIsLookedAtAgainWithoutAnotherEvent) {
+    Settings set = unprobed();
+    set.node_count = 4;  // limits below one: sends to one server are spaced
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    g.arrive(5000, 1);
+    g.ok(5050, 1, 1, 50);
+    auto first = g.arrive(5060, 2);
+    ASSERT_FALSE(sent_to(first));
+    EXPECT_TRUE(sent_to(g.run_to(5380)));
+}
+
+// What was kept back for the way to the client was 2 ms of any deadline: with 0.78 of the aim for the answer,
+// all of 5.
+TEST(Queue, ADeadlineOfAFewMillisecondsIsNotRefusedAsItComes) {
+    for (double deadline : {5.0, 8.0, 20.0}) {
+        Settings set = unprobed();
+        for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{deadline};
+        Gateway g(set);
+        g.list(0, {entry(1)});
+        auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, 0.42 * deadline}; };
+        EXPECT_GT(steady(g, 1000, 10'000, 40, serve, 0, deadline).share(), 0.98) << deadline;
+    }
+}
+
+// Told to come back when they had given up.
+TEST(Queue, TheAdviceOfARefusalIsWithinItsClientsTime) {
+    for (double deadline : {100.0, 200.0, 400.0, 600.0, 2000.0}) {
+        Settings set = unprobed();
+        set.retry_after = true;
+        set.max_retry_after = Duration{1200};
+        for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{deadline};
+        Gateway g(set);
+        g.list(0, {});
+        double least = 1e9, most = 0;
+        for (RequestId id = 0; id < 200; ++id) {
+            g.arrive(g.now + 10, id, 0, deadline);
+            for (const Reject& r : all_of<Reject>(g.run_to(g.now + deadline))) {
+                least = std::min(least, r.retry_after.count());
+                most = std::max(most, r.retry_after.count());
+            }
+        }
+        bool sooner = deadline < 500;
+        EXPECT_NEAR(least, sooner ? deadline / 4 : 500, 15) << deadline;
+        EXPECT_NEAR(most, sooner ? 0.75 * deadline : 1200, 15) << deadline;
+    }
+}
+
+}  // namespace
+}  // namespace ochrehub::testing
--- /dev/null
+++ b/tests/balancer/slow_start_test.cpp
@@ -0,0 +1,196 @@
+// Slow start: by hand-built events in virtual time.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <vector>
+
+#include "balancer/balancer_fixture.h"
+
+namespace ochrehub::testing {
+namespace {
+
+TEST(ColdStart, SendsInAnySpanStayInsideThisGatewaysShare) {
+    Settings set = unprobed();
+    set.node_count = 3;
+    Gateway g(set);
+    auto cold = entry(1);
+    cold.last_start = at(0);
+    g.list(1, {cold});
+    std::vector<double> sends;
+    for (RequestId i = 0; i < 400; ++i) {
+        double t = 2 + 10 * double(i);
+        auto to = sent_to(g.arrive(t, i));
+        if (!to) continue;
+        sends.push_back(t);
+        g.ok(t + 5, i, *to, 5);
+    }
+    ASSERT_FALSE(sends.empty());
+    for (std::size_t i = 0; i < sends.size(); ++i) {
+        std::size_t in_span = 0;
+        for (std::size_t k = i; k < sends.size() && sends[k] < sends[i] + 2000; ++k) ++in_span;
+        double share = std::min(1.0, 0.3 + 0.7 * (sends[i] + 2000) / 8000);
+        // Its own answers, 1 every 10 ms at most, are all that it knows of a host's capacity.
+        EXPECT_LE(double(in_span), std::max(2.0, 2.5 * share * 100 * 2 / 3));
+    }
+}
+
+// What a cold server may be sent followed what was served of late: in a release, where that is what cold
+// servers are sent, both went down together and stayed down till all were warm.
+TEST(ColdStart, ItsBudgetComesOfWhatCouldBeServedAndNotOfWhatIs) {
+    Settings set = unprobed();
+    set.classes.resize(1);
+    Gateway g(set);
+    std::vector<EndpointEntry> fleet;
+    for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
+    g.list(0, fleet);
+    RequestId id = 0;
+    std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
+    int sends = 0;
+    double took = 60;
+    auto play = [&](double from, double to) {  // 100 a second
+        sends = 0;
+        for (double t = from; t < to; t += 10) {
+            Actions all = g.run_to(t);
+            auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
+            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin()))
+                add(g.ok(t, under_way.begin()->second.first, under_way.begin()->second.second, took));
+            add(g.arrive(t, ++id, 0, 300));
+            for (const Forward& f : all_of<Forward>(all)) {
+                under_way.emplace(t + took, std::pair(f.request, f.endpoint));
+                ++sends;
+            }
+        }
+    };
+    play(1, 10000);
+    EXPECT_GT(sends, 800);
+    for (EndpointEntry& e : fleet) e.phase = Phase::Removed;
+    g.list(10000, fleet, UpdateKind::Delta);
+    play(10001, 19000);
+    g.run_to(19999);
+    for (EndpointEntry& e : fleet) {
+        e = entry(e.endpoint + 6);
+        e.last_start = at(20000);
+    }
+    g.list(20000, fleet, UpdateKind::Delta);
+    took = 180;
+    play(20001, 22000);
+    EXPECT_GE(sends, 106);
+    EXPECT_LE(sends, 2.5 * 0.48 * 200);
+}
+
+// A send counted as one whatever it costs: a cold server that got its budget of the heaviest class was pushed
+// over.
+TEST(ColdStart, AHeavySendCountsForAsManyLightOnesAsItTakes) {
+    auto sends_of = [](int cls) {
+        Settings set = unprobed();
+        set.classes[1].idempotency = Idempotency::Idempotent;
+        Gateway g(set);
+        std::vector<EndpointEntry> fleet = {entry(1), entry(2)};
+        g.list(0, fleet);
+        RequestId id = 0;
+        auto taking = [](int of) { return of == 0 ? 10.0 : 100.0; };
+        for (double t = 1; t < 20000; t += 110) {  // what each class takes is learnt
+            int of = int(++id % 2);
+            if (auto to = sent_to(g.arrive(t, id, of))) g.ok(t + taking(of), id, *to, taking(of));
+        }
+        for (EndpointEntry& e : fleet) e.phase = Phase::Draining;
+        fleet.push_back(entry(3));
+        fleet[2].last_start = at(20002);
+        g.list(20002, fleet, UpdateKind::Delta);
+        int sends = 0;
+        std::multimap<double, RequestId> under_way;
+        for (double t = 20003; t < 21900; t += 5) {
+            Actions all = g.run_to(t);
+            auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
+            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin()))
+                add(g.ok(t, under_way.begin()->second, 3, taking(cls)));
+            add(g.arrive(t, ++id, cls, 400));
+            for (const Forward& f : all_of<Forward>(all)) {
+                EXPECT_EQ(f.endpoint, 3u);
+                under_way.emplace(t + taking(cls), f.request);
+                ++sends;
+            }
+        }
+        return sends;
+    };
+    int light = sends_of(0), heavy = sends_of(1);
+    EXPECT_GE(heavy, 1);
+    EXPECT_GE(light, 3 * heavy);
+}
+
+// What the slots of the largest server carry was taken for what any cold one does.
+TEST(ColdStart, ASmallHostIsNotTakenForOneAsLargeAsAny) {
+    auto sends_to = [](double size) {
+        Settings set = unprobed();
+        set.classes.resize(1);
+        Gateway g(set);
+        auto large = entry(1), cold = entry(2);
+        large.weight = 4, cold.weight = size, cold.last_start = at(10'002);
+        g.list(0, {large});
+        RequestId id = 0;
+        for (double t = 10; t < 10'000;
+             t += 100) {  // far less than a slot's work, but what a request takes is learnt
+            if (auto to = sent_to(g.arrive(t, ++id))) g.ok(t + 10, id, *to, 10);
+        }
+        large.phase = Phase::Draining;
+        g.list(10'002, {large, cold});
+        int sends = 0;
+        for (double t = 10'003; t < 12'000; t += 5) {
+            auto sent = all_of<Forward>(g.arrive(t, ++id, 0, 100));
+            for (std::size_t n = 0; n < sent.size(); ++n) {
+                auto more = all_of<Forward>(g.ok(t + 1, sent[n].request, sent[n].endpoint, 10));
+                sent.insert(sent.end(), more.begin(), more.end());
+            }
+            sends += int(sent.size());
+        }
+        return sends;
+    };
+    int large = sends_to(4), small = sends_to(1);
+    EXPECT_GE(small, 5);
+    EXPECT_LE(small, 0.4 * large);
+}
+
+// Where each of many sends once, nearly as much arrives for their connections as for what they send.
+TEST(ColdStart, ASendThatOpensAConnectionCountsForMore) {
+    Settings set = unprobed();
+    set.classes.resize(1);
+    set.node_count = 60;
+    double usual = set.classes[0].latency_objective.count() /
+                   4;  // what a request takes; nothing answered says otherwise
+    int sent = 0;
+    for (std::uint64_t seed = 1; seed <= 600; ++seed) {
+        Gateway g(set, seed);
+        g.list(0, {entry(1)});
+        auto cold = entry(1);
+        cold.last_start = at(3000);
+        g.list(3001, {cold});
+        for (RequestId i = 1; i < 200; ++i) {
+            auto to = sent_to(g.arrive(3001 + 10 * double(i), i));
+            sent += to.has_value();
+            if (to) g.end(3002 + 10 * double(i), i, 0, *to, Outcome::Rejected, usual);
+        }
+    }
+    double budget = 0.75 * 2.5 * 0.475 * 2 * 1000 / 1.5 / usual / 60;  // of each, at the span's end
+    EXPECT_GT(sent, 0.2 * 600 * budget);
+    EXPECT_LE(sent, 0.75 * 600 * budget);
+}
+
+TEST(ColdStart, AHostBackFromAnOutageIsColdBeforeTheListSaysSo) {
+    Settings set = make_settings();
+    Gateway g(set);
+    g.list(0, {entry(1)});
+    g.run_probed(4000, [](EndpointId) { return Outcome::Ok; });
+    g.run_probed(14000, [](EndpointId) { return Outcome::ConnectFailed; });
+    g.run_probed(20000, [](EndpointId) { return Outcome::Ok; });
+    int sends = 0;
+    for (RequestId i = 0; i < 100; ++i) {
+        auto to = sent_to(g.arrive(20001 + double(i), i));
+        sends += to.has_value();
+        if (to) g.ok(20001.5 + double(i), i, *to, 50);
+    }
+    EXPECT_LE(sends, 60);  // it stands 74 in a span; a warm host would have been sent all hundred
+}
+
+}  // namespace
+}  // namespace ochrehub::testing
