--- a/tests/balancer/admin_override_test.cpp
+++ b/tests/balancer/admin_override_test.cpp
@@ -27,7 +27,7 @@
     return counts;
 }
 
-TEST(AdminOverride, OutWhateverTheListSaysUntilTheCallBack) {
+TEST(AdminOverride, KeepsEndpointOutOfServiceUntilReturned) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     g.tell(10, out(1));
@@ -47,7 +47,7 @@
     EXPECT_GT(sends(g, 2200, 20)[7], 0);
 }
 
-TEST(AdminOverride, TheReturnIsColdAndHasTrafficSoon) {
+TEST(AdminOverride, ReturnedEndpointStartsSlowlyAndGetsTraffic) {
     auto sent_in_a_span = [](bool by_hand) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
@@ -70,7 +70,7 @@
     EXPECT_LT(cold, warm / 2);
 }
 
-TEST(AdminOverride, AllOutMeansRefusedAtOnce) {
+TEST(AdminOverride, RejectsAtOnceWhenAllEndpointsAreOut) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     g.tell(10, out(1));
@@ -83,7 +83,7 @@
     EXPECT_TRUE(sent_to(g.arrive(40, 9)));
 }
 
-TEST(AdminOverride, TheyCountAsAvoidedWhileTheyAreListed) {
+TEST(AdminOverride, CountsListedEndpointsAsAvoided) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2), entry(3)});
     EXPECT_EQ(g.avoided(), 0u);
--- a/tests/balancer/attempt_tracker_test.cpp
+++ b/tests/balancer/attempt_tracker_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Tables that were full turned live servers Unhealthy, and their return looked like a cold start.
-TEST(Connections, ARefusedOneAtALiveServerShutsItForAWhileAndEjectsNobody) {
+TEST(AttemptTracker, RefusedConnectionPausesALiveEndpointWithoutEjection) {
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
@@ -36,7 +36,7 @@
 
 // Connections dropped unseen after a while without use lost a third of all requests, at servers that were
 // sound.
-TEST(Connections, IdleOnesAreClosedBeforeASendWhileSendsOnThemAreLost) {
+TEST(AttemptTracker, ClosesIdleConnectionsWhileSendsOnThemAreLost) {
     for (bool dropped : {true, false}) {
         Settings set = unprobed();
         set.cancel = true;
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(Uploads, ABodyThatIsLongInComingSaysNothingOfItsServer) {
+TEST(AttemptTracker, SlowRequestBodyIsNotHeldAgainstTheEndpoint) {
     for (bool uploading : {true, false}) {
         Gateway g(unprobed());
         g.list(0, {entry(1)});
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -8,7 +8,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Determinism, TheSameEventsAndSeedGiveTheSameActions) {
+TEST(Balancer, SameEventsAndSeedGiveTheSameActions) {
     auto trace = [] {
         Gateway g(looking(), 42);
         std::vector<std::pair<std::size_t, EndpointId>> all;
@@ -36,7 +36,7 @@
     EXPECT_EQ(first, trace());
 }
 
-TEST(Calm, StrayEventsAndAnEmptyListDoNoHarm) {
+TEST(Balancer, ToleratesStrayEventsAndAnEmptyList) {
     Gateway g;
     g.tell(0, TimerFired{});
     g.end(1, 77, 0, 5, Outcome::Ok);
@@ -55,7 +55,7 @@
 }
 
 // Told by how many its parts are divided, it does as one that was set so from the start.
-TEST(FleetSizeChanged, CountAsTheSettingsNumbersWould) {
+TEST(Balancer, FleetSizeChangeActsLikeTheSameSettings) {
     Settings few = unprobed(), many = unprobed();
     for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->connection_cost = 2;
     many.node_count = 6, many.node_index = 2;
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A single request of each of two gateways leaves a server idle while it waits elsewhere.
-TEST(Queue, ASlowSpellLeavesTwoGatewaysThreeRequestsAServer) {
+TEST(ConcurrencyLimiter, AllowsThreeRequestsPerEndpointWithTwoNodesInASlowPeriod) {
     Settings set = unprobed();
     set.node_count = 2;
     set.classes[0].late_response_weight = 0.5;
@@ -26,7 +26,7 @@
 }
 
 // What is usual was believed to 0.4 of the aim: each answer seemed slow, and limits never grew.
-TEST(Usual, AnAimCloseToWhatAnswersTakeLetsLimitsGrow) {
+TEST(ConcurrencyLimiter, GrowsWhenTheObjectiveIsCloseToTypicalLatency) {
     for (double aim : {170.0, 150.0, 130.0})
         for (bool late : {false, true}) {
             Settings set = unprobed();
@@ -42,7 +42,7 @@
 }
 
 // ... and yet a long slow spell teaches nothing: limits stay where they are at slow servers.
-TEST(Usual, ASlowSpellIsNotTakenForTheUsualWhereAimsAreWide) {
+TEST(ConcurrencyLimiter, SlowPeriodDoesNotRaiseTypicalLatencyUnderWideObjectives) {
     Settings set = unprobed();
     for (ClassSettings& c : set.classes) c.latency_objective = Duration{150}, c.late_response_weight = 0.5;
     Gateway g(set);
--- a/tests/balancer/endpoint_picker_test.cpp
+++ b/tests/balancer/endpoint_picker_test.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Rotation, ServesEqualServersInTurn) {
+TEST(EndpointPicker, RotatesOverEqualEndpoints) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2), entry(3)});
     std::map<EndpointId, int> sends;
@@ -22,7 +22,7 @@
     EXPECT_EQ(sends, (std::map<EndpointId, int>{{1, 3}, {2, 3}, {3, 3}}));
 }
 
-TEST(Rotation, FollowsListWeightsSmoothly) {
+TEST(EndpointPicker, FollowsListWeightsSmoothly) {
     Gateway g(unprobed());
     auto heavy = entry(1);
     heavy.weight = 3;
@@ -42,7 +42,7 @@
     EXPECT_LE(longest, 4);  // smooth: the light server's turns are spread between the heavy one's
 }
 
-TEST(Rotation, YieldsToTheNextInTurnThatHoldsLess) {
+TEST(EndpointPicker, PrefersNextEndpointWithFewerRequestsInFlight) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     warm_up(g, {1, 2});
@@ -56,7 +56,7 @@
 }
 
 // Nothing was sent but what was worth more than the mean, and what had waited, if its turn came.
-TEST(Zones, WhereTheOwnZoneHasNobodyTheOthersAreAskedAtOnce) {
+TEST(EndpointPicker, CrossesZonesAtOnceWhenTheLocalZoneIsEmpty) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.2;
     Gateway g(set);
@@ -71,7 +71,7 @@
     EXPECT_EQ(served, 50);
 }
 
-TEST(Zones, ADearCrossingIsMadeOnlyWhenTimeRunsShort) {
+TEST(EndpointPicker, CostlyCrossZoneSendWaitsUntilTheDeadlineIsClose) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.2;
     Gateway g(set);
@@ -83,7 +83,7 @@
 
 // Where crossing is cheap all zones are one rotation, and half of the requests of a quiet node crossed for
 // nothing.
-TEST(Zones, ACheapCrossingCountsAsOneRequestMoreHeldThere) {
+TEST(EndpointPicker, CheapCrossZoneSendCountsAsOneMoreRequestInFlight) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.01;
     Gateway g(set);
@@ -102,7 +102,7 @@
 }
 
 // Overloaded zones sent each other what neither could serve, at a high price.
-TEST(Zones, WhereCrossingsFailADearOneIsNotMade) {
+TEST(EndpointPicker, AvoidsCostlyCrossZoneSendsWhileTheyFail) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.2;
     Gateway g(set);
--- a/tests/balancer/endpoint_registry_test.cpp
+++ b/tests/balancer/endpoint_registry_test.cpp
@@ -11,7 +11,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Registry, RemovedDrainingAndGoneHostsGetNothing) {
+TEST(EndpointRegistry, SendsNothingToRemovedDrainingOrUnlistedEndpoints) {
     for (Phase phase : {Phase::Draining, Phase::Removed}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
@@ -36,7 +36,7 @@
     }
 }
 
-TEST(Registry, WhereRemovalDoesNotBindGoneHostsStayInUse) {
+TEST(EndpointRegistry, KeepsUnlistedEndpointsWhenRemovalIsNotBinding) {
     Settings set = unprobed();
     set.removal_not_binding = true;
     Gateway g(set);
@@ -53,7 +53,7 @@
     EXPECT_FALSE(sent_to(g.arrive(90, 2)));
 }
 
-TEST(Registry, SubscribesAndAsksAgainAfterAFailure) {
+TEST(EndpointRegistry, SubscribesAgainAfterAFailure) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
     Gateway g(set);
@@ -69,7 +69,7 @@
 
 // Where the list is pushed, what the agent has counts as told at once: 2 s later nothing may go to a server
 // that drains.
-TEST(Registry, AnAgentIsWatchedFromTheFirstMomentAndAgainWithinASecondHoweverLargeTheFleet) {
+TEST(EndpointRegistry, SubscribesToAgentAtOnceAndAgainWithinOneSecondInAnyFleet) {
     Settings set = unprobed();
     set.watches_discovery = true;
     set.node_count = 300;
@@ -85,7 +85,7 @@
 // Discovery is one queue for all: 20 calls a second, and one that has waited 2 s fails but was its work all
 // the same. A hundred gateways that start, and all lose their watch later in one instant, must not ask faster
 // than it answers.
-TEST(Registry, AHundredGatewaysShareDiscoverysQueue) {
+TEST(EndpointRegistry, HundredNodesStayWithinDiscoveryCapacity) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
     set.node_count = 100;
@@ -123,7 +123,7 @@
 }
 
 // However many gateways there are, each asks before a list that it does not have is held against it.
-TEST(Registry, AsksWithinSecondsInAnyFleet) {
+TEST(EndpointRegistry, SubscribesWithinSecondsInAnyFleet) {
     for (int gateways : {0, 1, 3, 100, 10'000, 1'000'000}) {
         Settings set = unprobed();
         set.polls_discovery = set.watches_discovery = true;
@@ -142,7 +142,7 @@
 // Where servers are replaced for good, what is known of them does not grow for good.
 // In a release a list is old within a second: a gateway whose calls fail for a while must not sit out the
 // rest of it.
-TEST(Registry, AsksAgainSoonHoweverOftenItsCallsFailed) {
+TEST(EndpointRegistry, RetriesSoonAfterRepeatedFailures) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
     Gateway g(set);
@@ -163,7 +163,7 @@
     EXPECT_GT(longest, 600) << "many gateways must not ask all the time";
 }
 
-TEST(Registry, WhatHasLongGoneIsForgotten) {
+TEST(EndpointRegistry, ForgetsEndpointsUnlistedForLong) {
     Gateway g(unprobed());
     auto replace = [&](EndpointId from, EndpointId to) {
         for (EndpointId id = from; id < to; ++id) g.list(1000.0 * id, {entry(id), entry(id + 1)});
--- a/tests/balancer/health_tracker_test.cpp
+++ b/tests/balancer/health_tracker_test.cpp
@@ -10,7 +10,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Health, ThreeFailuresEjectTwoSuccessesReturn) {
+TEST(HealthTracker, EjectsAfterThreeFailuresAndReturnsAfterTwoSuccesses) {
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
@@ -52,7 +52,7 @@
     EXPECT_EQ(successes, 2);
 }
 
-TEST(Health, FlappingProbesKeepTheStatus) {
+TEST(HealthTracker, KeepsStatusUnderFlappingProbes) {
     Gateway g;
     g.list(0, {entry(1)});
     int n = 0;
@@ -63,14 +63,14 @@
     EXPECT_GT(n, 10);
 }
 
-TEST(Health, UnansweredProbesFailByTheirOwnTimer) {
+TEST(HealthTracker, FailsUnansweredProbeAtItsTimeout) {
     Gateway g;
     g.list(0, {entry(1)});
     auto actions = g.run_to(10000);  // no result ever comes
     EXPECT_EQ(all_of<Log>(actions).size(), 1u);
 }
 
-TEST(Health, ProbeIntervalStaysBelowFiveSeconds) {
+TEST(HealthTracker, KeepsProbeIntervalBelowFiveSeconds) {
     Gateway g;
     g.list(0, {entry(1), entry(2), entry(3)});
     std::map<EndpointId, double> last;
@@ -84,7 +84,7 @@
     EXPECT_EQ(last.size(), 3u);
 }
 
-TEST(Health, AllUnhealthyMeansWaitingThenAnEndInTime) {
+TEST(HealthTracker, RequestsWaitThenEndInTimeWhenAllAreUnhealthy) {
     Gateway g;
     g.list(0, {entry(1), entry(2)});
     g.run_probed(10000, [](EndpointId) { return Outcome::ConnectFailed; });
@@ -98,7 +98,7 @@
 // Servers answer few probes a second well. Those left Healthy paid for all probes, so that the fewer they
 // were the more were sent to the others, and none of them passed two in a row: after an outage that was over
 // the fleet stayed Unhealthy for as long as clients asked.
-TEST(Health, AFleetThatAnswersTwoProbesASecondComesBackUnderAStorm) {
+TEST(HealthTracker, FleetAnsweringTwoProbesPerSecondRecoversUnderOverload) {
     Settings set = make_settings();
     set.probe_cost = 0.03;
     Gateway g(set);
@@ -137,7 +137,7 @@
     EXPECT_GT(served, 0.5 * (most - 13000)) << "of 1,000 a second";
 }
 
-TEST(Probes, AnAnsweredLookStandsForTheOneByInterval) {
+TEST(HealthTracker, AnsweredLoadProbeReplacesTheIntervalProbe) {
     auto probes_in_ten_seconds = [](bool asked) {
         Gateway g(looking());
         g.list(0, {entry(1)});
@@ -170,7 +170,7 @@
 }
 
 // Nothing but a new start brought it back.
-TEST(Health, WithoutProbesAnUnhealthyServerIsOnTrialAndComesBack) {
+TEST(HealthTracker, UnhealthyEndpointReturnsWithoutProbes) {
     for (int cls : {0, 1, 2}) {
         Gateway g(unprobed());
         std::vector<double> tried = tried_at_one_that_errs(g, 21'000, 40'000, cls);
@@ -191,7 +191,7 @@
 }
 
 // An outage of all: what asks meanwhile is the trial, one at each at a time.
-TEST(Health, WithoutProbesAFleetComesBackFromAnOutage) {
+TEST(HealthTracker, FleetRecoversFromAnOutageWithoutProbes) {
     for (Outcome down : {Outcome::ConnectFailed, Outcome::Error, Outcome::Timeout}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2), entry(3)});
--- a/tests/balancer/load_probe_test.cpp
+++ b/tests/balancer/load_probe_test.cpp
@@ -10,7 +10,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Look, AsksTheOneInTurnAndTheNextAndSendsToTheIdleOne) {
+TEST(LoadProbe, ProbesTwoEndpointsAndSendsToTheIdleOne) {
     Gateway g(looking());
     g.list(0, {entry(1), entry(2)});
     auto arrived = g.arrive(3000, 1);
@@ -21,7 +21,7 @@
     EXPECT_EQ(sent_to(g.probe(3001, 2, Outcome::Ok, 0, 0)), EndpointId{2});
 }
 
-TEST(Look, AServerThatDoesNotAnswerIsPassedOver) {
+TEST(LoadProbe, SkipsEndpointThatDoesNotAnswer) {
     Gateway g(looking());
     g.list(0, {entry(1), entry(2)});
     ASSERT_EQ(all_of<Probe>(g.arrive(3000, 1)).size(), 2u);
@@ -29,7 +29,7 @@
     EXPECT_EQ(sent_to(g.run_to(3010)), EndpointId{2});
 }
 
-TEST(Look, ARequestWaitsHereWhileEveryServerIsTooFull) {
+TEST(LoadProbe, RequestWaitsWhileEveryEndpointIsFull) {
     Gateway g(looking());
     g.list(0, {entry(1), entry(2)});
     auto arrived = g.arrive(3000, 1);
@@ -38,7 +38,7 @@
 }
 
 // Reports that said "idle" of servers with full queues drew everyone's requests there.
-TEST(Look, ReportsThatOwnRequestsContradictAreNotBelieved) {
+TEST(LoadProbe, IgnoresReportsContradictedByOwnRequests) {
     Gateway g(looking());
     g.list(0, {entry(1), entry(2)});
     std::map<EndpointId, int> sends;
@@ -56,7 +56,7 @@
 
 // A request could always cost four looks, whatever one cost: on a site with dear probes they took a quarter
 // of the result.
-TEST(Look, IsNotMadeWhereTwoCostMoreThanTheyGain) {
+TEST(LoadProbe, IsSkippedWhenItCostsMoreThanItGains) {
     Settings set = looking();
     set.probe_cost = 0.05;
     Gateway g(set);
@@ -141,7 +141,7 @@
 
 // The look that was waited for was late or stale when its answer was there, and the next pair was asked, and
 // so on. Where looks take long only the newest was sent by each, and the others waited for the next.
-TEST(Look, IsInTimeWhereBatchesAreCoarse) {
+TEST(LoadProbe, IsInTimeUnderCoarseClockGranularity) {
     for (double granularity : {1.0, 2.0, 5.0, 10.0, 20.0, 40.0}) {
         Looked seen = in_batches(granularity, 1, true);
         EXPECT_GT(seen.served, 0.97 * seen.asked) << granularity;
@@ -149,7 +149,7 @@
     }
 }
 
-TEST(Look, IsInTimeWhereTheWayIsLong) {
+TEST(LoadProbe, IsInTimeUnderLongRoundTrips) {
     for (double way_ms : {1.0, 4.0, 7.0, 15.0, 40.0}) {
         Looked seen = in_batches(1, way_ms, true);
         EXPECT_GT(seen.served, 0.97 * seen.asked) << way_ms;
@@ -159,7 +159,7 @@
 }
 
 // Looks let one or two of those that waited go at a time, whatever the servers bore.
-TEST(Look, DoesNotHoldUpAGatewayWithManyRequests) {
+TEST(LoadProbe, DoesNotDelayABusyNode) {
     Looked seen = in_batches(1, 0.5, true, 1000, 13, 30);
     EXPECT_GT(seen.served, 0.98 * seen.asked);
 }
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Worthless requests that err at any server ejected the whole fleet.
-TEST(Errors, ThatFollowTheRequestsEjectNobodyThoseOfOneServerDo) {
+TEST(OutlierDetector, EjectsForErrorsOfOneEndpointNotForErrorsOfTheRequests) {
     for (int kind = 0; kind < 4; ++kind) {
         bool everywhere = kind < 2;
         Outcome outcome = kind % 2 ? Outcome::Reset : Outcome::Error;
--- a/tests/balancer/pending_queue_test.cpp
+++ b/tests/balancer/pending_queue_test.cpp
@@ -8,7 +8,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Queue, WhatCannotMeetItsAimIsRefusedAtOnceWithAdvice) {
+TEST(PendingQueue, RejectsWithRetryAfterWhenObjectiveCannotBeMet) {
     Settings set = unprobed();
     set.retry_after = true;
     set.max_retry_after = Duration{2000};
@@ -24,7 +24,7 @@
     EXPECT_LE(refused[0].retry_after.count(), 2000);
 }
 
-TEST(Queue, TheMostWorthGoesFirst) {
+TEST(PendingQueue, SendsHighestPriorityFirst) {
     Settings set = unprobed();
     set.classes[1].priority_weight = 10;
     Gateway g(set);
@@ -39,7 +39,7 @@
 
 // A slow spell once taught the gateway a service time so long that it refused everything at arrival ever
 // after.
-TEST(Queue, ASlowSpellDoesNotTurnIntoRefusingForEver) {
+TEST(PendingQueue, AdmitsAgainAfterASlowPeriod) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
     int served = 0;
@@ -54,7 +54,7 @@
 }
 
 // Told to come back while there is time for that: behind the half it is too late to be of use to anybody.
-TEST(Queue, WhatNoServerTakesIsGivenUpBeforeHalfOfItsTime) {
+TEST(PendingQueue, RejectsBeforeHalfTheDeadlineWhenNoEndpointAccepts) {
     Settings set = unprobed();
     for (ClassSettings& c : set.classes) c.late_response_weight = 0.5;
     for (int cls : {0, 1, 2}) {
@@ -67,7 +67,7 @@
 }
 
 // An answer that would most likely come too late is not worth a server's time while all are slow.
-TEST(Queue, NothingIsStartedThatCouldNotBeAnsweredInMoreThanTheUsualTime) {
+TEST(PendingQueue, StartsNothingThatCannotFinishInTypicalTime) {
     Settings set = unprobed();
     set.classes[0].late_response_weight = 0.5;
     Gateway g(set);
@@ -79,7 +79,7 @@
 }
 
 // With a thousand gateways a quota's part is under one request a second: every request counted as surplus.
-TEST(Tenants, ARequestWithinASmallPartOfAQuotaIsNoSurplus) {
+TEST(RequestPriority, RequestWithinASmallQuotaShareIsNotOverQuota) {
     Settings set = unprobed();
     set.tenants = {{0.05, 0.5}};
     set.over_quota_weight = 0.1;
@@ -102,7 +102,7 @@
 }
 
 // A gateway with few events left requests waiting for the next arrival though room had come.
-TEST(Queue, AWaitingRequestIsLookedAtAgainWithoutAnotherEvent) {
+TEST(PendingQueue, ReconsidersWaitingRequestWithoutAnotherEvent) {
     Settings set = unprobed();
     set.node_count = 4;  // limits below one: sends to one server are spaced
     Gateway g(set);
@@ -116,7 +116,7 @@
 
 // What was kept back for the way to the client was 2 ms of any deadline: with 0.78 of the aim for the answer,
 // all of 5.
-TEST(Queue, ADeadlineOfAFewMillisecondsIsNotRefusedAsItComes) {
+TEST(PendingQueue, AcceptsDeadlinesOfAFewMilliseconds) {
     for (double deadline : {5.0, 8.0, 20.0}) {
         Settings set = unprobed();
         for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{deadline};
@@ -128,7 +128,7 @@
 }
 
 // Told to come back when they had given up.
-TEST(Queue, TheAdviceOfARefusalIsWithinItsClientsTime) {
+TEST(PendingQueue, RetryAfterStaysWithinTheClientDeadline) {
     for (double deadline : {100.0, 200.0, 400.0, 600.0, 2000.0}) {
         Settings set = unprobed();
         set.retry_after = true;
--- a/tests/balancer/random_settings_test.cpp
+++ b/tests/balancer/random_settings_test.cpp
@@ -83,7 +83,7 @@
 
 // What each of these days is drawn to be is in draw(); 134 has a sole server that turns work away, 316 and
 // 365 have more requests than looks can serve.
-TEST(DrawnSettings, KeepTheRulesAndStarveNoClass) {
+TEST(RandomSettings, KeepSafetyRulesAndStarveNoClass) {
     std::vector<std::uint64_t> seeds(40);
     std::iota(seeds.begin(), seeds.end(), 1);
     seeds.insert(seeds.end(), {134, 316, 365});
@@ -102,7 +102,7 @@
 }
 
 // How many servers are used was weighed by what probes cost alone, whatever the requests needed.
-TEST(DearProbes, LeaveNoServerUnusedThatIsNeeded) {
+TEST(RandomSettings, CostlyProbesLeaveNoNeededEndpointUnused) {
     for (double price : {0.06, 0.2, 1.0})
         for (double load : {0.4, 0.6}) {
             Drawn d = draw(1);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -8,7 +8,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(Attempts, OutcomesThatProveItNeverRanAreTriedElsewhereForEveryClass) {
+TEST(RetryPolicy, RetriesEveryClassWhenTheAttemptNeverRan) {
     for (int cls = 0; cls < 3; ++cls)
         for (Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed}) {
             Gateway g(unprobed());
@@ -21,7 +21,7 @@
         }
 }
 
-TEST(Attempts, AnUnsafeRequestThatMayHaveRunIsFailedAtOnce) {
+TEST(RetryPolicy, FailsNonIdempotentRequestThatMayHaveRun) {
     for (Outcome outcome : {Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
@@ -34,7 +34,7 @@
     }
 }
 
-TEST(Attempts, ATimeoutAtTheDeadlineIsAnsweredAtOnce) {
+TEST(RetryPolicy, FailsAtOnceOnTimeoutAtTheDeadline) {
     Gateway g(unprobed());
     g.list(0, {entry(1)});
     ASSERT_TRUE(sent_to(g.arrive(10, 1, 1)));
@@ -43,7 +43,7 @@
 }
 
 // Work whose aim had passed filled the servers' queues and made the next in line late as well.
-TEST(Attempts, TimeOutAtTheAimWhereCancellingIsAllowed) {
+TEST(RetryPolicy, TimesOutAtLatencyObjectiveWhenCancelIsAllowed) {
     for (bool cancel : {false, true}) {
         Settings set = unprobed();
         set.cancel = cancel;
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(Attempts, RetryBudgetEndsARunOfErrors) {
+TEST(RetryPolicy, RetryBudgetEndsARunOfErrors) {
     Gateway g(unprobed());
     std::vector<EndpointEntry> servers;
     for (EndpointId id = 1; id <= 20; ++id) servers.push_back(entry(id));
@@ -77,7 +77,7 @@
 
 // The window was looked at when the repeat was decided on alone: on a connection that came up late it arrived
 // behind it.
-TEST(Attempts, ARepeatOfWhatMayHaveRunSaysByWhenItMustBeWritten) {
+TEST(RetryPolicy, RetryCarriesWriteDeadlineWhenFirstAttemptMayHaveRun) {
     Settings set = unprobed();
     set.classes[2].deduplication_window = Duration{300};
     set.clock_granularity = Duration{2};
@@ -99,7 +99,7 @@
 
 // In a release each request went to several draining servers in turn, 3.5 attempts a call, and was refused
 // when its attempts were used up.
-TEST(Attempts, AServerThatTurnsWorkAwayIsLeftForAMoment) {
+TEST(RetryPolicy, AvoidsRejectingEndpointBriefly) {
     Gateway g(unprobed());
     std::vector<EndpointEntry> fleet;
     for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
@@ -123,7 +123,7 @@
 }
 
 // One that turned work away was left for 150 to 450 ms, also where nobody else could take it.
-TEST(Attempts, TheLastServerThatIsLeftIsNotLeftForTurningWorkAway) {
+TEST(RetryPolicy, KeepsUsingTheLastEndpointWhenItRejects) {
     for (EndpointId servers : {1u, 2u}) {
         Settings set = unprobed();
         for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{100};
@@ -139,7 +139,7 @@
     }
 }
 
-TEST(Uploads, WhatIsSpentIsNotSentAgain) {
+TEST(RetryPolicy, DoesNotRetryARequestThatCannotBeReplayed) {
     for (bool replayable : {true, false}) {
         Gateway g(unprobed());
         g.list(0, {entry(1), entry(2)});
--- a/tests/balancer/safety_rules_test.cpp
+++ b/tests/balancer/safety_rules_test.cpp
@@ -20,7 +20,7 @@
     bool report_load;
 };
 
-class RandomDays : public ::testing::TestWithParam<Case> {};
+class SafetyRules : public ::testing::TestWithParam<Case> {};
 
 // Plays the clients, the servers and the list, and checks each action as it is made.
 class Day {
@@ -244,11 +244,11 @@
     std::size_t sends_ = 0, answers_ = 0;
 };
 
-TEST_P(RandomDays, KeepTheFourRules) {
+TEST_P(SafetyRules, HoldOverRandomEvents) {
     Day(GetParam()).run(20000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomDays,
+INSTANTIATE_TEST_SUITE_P(Seeds, SafetyRules,
                          ::testing::Values(Case{1, false, false}, Case{2, true, false}, Case{3, false, true},
                                            Case{4, true, true}, Case{5, false, true}, Case{6, true, false},
                                            Case{7, true, true}, Case{8, false, false}));
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -13,7 +13,7 @@
 
 // A process that had just begun took the whole of a cold server's budget, whatever one before it in its place
 // had sent.
-TEST(ColdStart, ProcessesThatFollowEachOtherStayInsideOnesBudget) {
+TEST(SlowStart, SuccessiveProcessesShareOneBudget) {
     Settings set = unprobed();
     set.classes.resize(1);
     auto cold = entry(1);
@@ -48,9 +48,9 @@
 
 // Many gateways, each told of the same start, with more requests than the host can carry: what they send
 // together in any span stays under its budget, and it is not left idle either.
-class ColdHost : public ::testing::TestWithParam<int> {};
+class SlowStartFleet : public ::testing::TestWithParam<int> {};
 
-TEST_P(ColdHost, IsNotPushedOverByTheSumOfAllGateways) {
+TEST_P(SlowStartFleet, SendsOfAllNodesStayWithinTheBudget) {
     int gateways = GetParam();
     Settings set = unprobed();
     set.node_count = gateways;
@@ -86,11 +86,11 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleets, ColdHost, ::testing::Values(1, 3, 1000));
+INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartFleet, ::testing::Values(1, 3, 1000));
 
 // In a large fleet few gateways use a server. A hundredth of a cold host's budget for each of a hundred left
 // it almost idle until it counted as warm, while the others queued.
-TEST(ColdStart, IsNotLeftIdleWhereFewOfManyGatewaysUseIt) {
+TEST(SlowStart, EndpointIsUsedWhenFewOfManyNodesSelectIt) {
     Settings set = make_settings();
     set.node_count = 100;
     set.probe_cost = 0.08;
@@ -130,7 +130,7 @@
 }
 
 // Sizes that fall with what servers hold made an idle cold one the largest of all, and its budget with it.
-TEST(ColdStart, ALiveSizeSaysNothingOfWhatAColdServerBears) {
+TEST(SlowStart, IgnoresLiveWeightOfAStartingEndpoint) {
     auto sends_at = [](bool live, double warm_size) {
         Settings set = unprobed();
         set.classes.resize(1);
@@ -169,7 +169,7 @@
 
 // What warm ones take was believed as it came: a process whose first answer was slow sent a cold server next
 // to nothing.
-TEST(ColdStart, ASlowFirstAnswerDoesNotKeepWorkFromAColdServer) {
+TEST(SlowStart, SlowFirstResponseDoesNotStarveAStartingEndpoint) {
     auto sends = [](double first_ms) {
         Settings set = unprobed();
         set.classes.resize(1);
@@ -203,7 +203,7 @@
     EXPECT_GE(sends(50), 10);
 }
 
-TEST(ColdStart, ARestartCountsAtOnceThoughTheHostWasJustWeighed) {
+TEST(SlowStart, RestartAppliesAtOnceAfterARecentEstimate) {
     Settings set = unprobed();
     set.node_count = 1000;
     int sends = 0;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -10,7 +10,7 @@
 namespace ochrehub::testing {
 namespace {
 
-TEST(ColdStart, SendsInAnySpanStayInsideThisGatewaysShare) {
+TEST(SlowStart, SendsInAnyWindowStayWithinThisNodesShare) {
     Settings set = unprobed();
     set.node_count = 3;
     Gateway g(set);
@@ -37,7 +37,7 @@
 
 // What a cold server may be sent followed what was served of late: in a release, where that is what cold
 // servers are sent, both went down together and stayed down till all were warm.
-TEST(ColdStart, ItsBudgetComesOfWhatCouldBeServedAndNotOfWhatIs) {
+TEST(SlowStart, BudgetFollowsCapacityNotThroughput) {
     Settings set = unprobed();
     set.classes.resize(1);
     Gateway g(set);
@@ -81,7 +81,7 @@
 
 // A send counted as one whatever it costs: a cold server that got its budget of the heaviest class was pushed
 // over.
-TEST(ColdStart, AHeavySendCountsForAsManyLightOnesAsItTakes) {
+TEST(SlowStart, CountsRequestsByTheirCost) {
     auto sends_of = [](int cls) {
         Settings set = unprobed();
         set.classes[1].idempotency = Idempotency::Idempotent;
@@ -120,7 +120,7 @@
 }
 
 // What the slots of the largest server carry was taken for what any cold one does.
-TEST(ColdStart, ASmallHostIsNotTakenForOneAsLargeAsAny) {
+TEST(SlowStart, DoesNotAssumeLargestCapacityForASmallEndpoint) {
     auto sends_to = [](double size) {
         Settings set = unprobed();
         set.classes.resize(1);
@@ -152,7 +152,7 @@
 }
 
 // Where each of many sends once, nearly as much arrives for their connections as for what they send.
-TEST(ColdStart, ASendThatOpensAConnectionCountsForMore) {
+TEST(SlowStart, CountsConnectionSetupCost) {
     Settings set = unprobed();
     set.classes.resize(1);
     set.node_count = 60;
@@ -176,7 +176,7 @@
     EXPECT_LE(sent, 0.75 * 600 * budget);
 }
 
-TEST(ColdStart, AHostBackFromAnOutageIsColdBeforeTheListSaysSo) {
+TEST(SlowStart, AppliesAfterAnOutageBeforeTheListReportsAStart) {
     Settings set = make_settings();
     Gateway g(set);
     g.list(0, {entry(1)});
--- a/tests/balancer/subset_selector_test.cpp
+++ b/tests/balancer/subset_selector_test.cpp
@@ -12,7 +12,7 @@
 
 // Without quotas each gateway was given three servers, as for one request a second, and a cold one that fell
 // to nobody got nothing till it was warm.
-TEST(Subset, WhereNoQuotaIsToldNobodyIsGivenServers) {
+TEST(SubsetSelector, AssignsNoSubsetWithoutQuotas) {
     Settings set = make_settings();
     set.node_count = 3;
     set.node_index = 0;
@@ -38,7 +38,7 @@
 
 // Gateways that work out who uses what must come to the same, however much each has to do: one that is busy
 // uses further servers beside those it is given, and no others in their place.
-TEST(Subset, WhatAGatewayIsGivenDoesNotFollowItsLoad) {
+TEST(SubsetSelector, AssignedSubsetDoesNotDependOnLoad) {
     Settings set = make_settings();
     set.node_count = 100;
     set.probe_cost = 0.08;
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(Subset, ProbesOfManyGatewaysStayFewAndWhatFailsIsMadeUpFor) {
+TEST(SubsetSelector, LimitsProbesOfManyNodesAndReplacesFailedEndpoints) {
     Settings set = make_settings();
     set.node_count = 1000;
     set.connection_cost = 0.03;
@@ -91,7 +91,7 @@
     EXPECT_TRUE(later.count(*to));
 }
 
-TEST(Subset, AFewGatewaysWithManyRequestsUseEveryServer) {
+TEST(SubsetSelector, FewBusyNodesUseEveryEndpoint) {
     Settings set = unprobed();
     Gateway g(set);
     std::vector<EndpointEntry> fleet;
@@ -108,7 +108,7 @@
 }
 
 // A subset was kept small for the price of probes that nobody sends.
-TEST(Subset, WithoutProbesTheirPriceKeepsNoServerIdle) {
+TEST(SubsetSelector, ProbeCostIsIgnoredWithoutProbes) {
     Settings set = unprobed();
     set.probe_cost = 0.03;
     Gateway g(set);
