--- a/tests/balancer/attempt_tracker_test.cpp
+++ b/tests/balancer/attempt_tracker_test.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// Tables that were full turned live servers Unhealthy, and their return looked like a cold start.
+// Tables that were full turned live endpoints Unhealthy, and their return looked like a cold start.
 TEST(AttemptTracker, RefusedConnectionPausesALiveEndpointWithoutEjection) {
     Settings set = make_settings();
     Gateway g(set);
@@ -34,7 +34,7 @@
     EXPECT_TRUE(all_of<Log>(quiet).empty());
 }
 
-// Connections dropped unseen after a while without use lost a third of all requests, at servers that were
+// Connections dropped unseen after a while without use lost a third of all requests, at endpoints that were
 // sound.
 TEST(AttemptTracker, ClosesIdleConnectionsWhileSendsOnThemAreLost) {
     for (bool dropped : {true, false}) {
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(Balancer, SameEventsAndSeedGiveTheSameActions) {
     auto trace = [] {
-        Gateway g(looking(), 42);
+        Gateway g(settings_with_load_reports(), 42);
         std::vector<std::pair<std::size_t, EndpointId>> all;
         auto note = [&](const Actions& actions) {
             for (const Action& a : actions) {
@@ -59,9 +59,9 @@
     Settings few = unprobed(), many = unprobed();
     for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->connection_cost = 2;
     many.node_count = 6, many.node_index = 2;
-    auto play = [](Settings set, std::optional<FleetSizeChanged> told) {
+    auto play = [](Settings set, std::optional<FleetSizeChanged> fleet_size) {
         Gateway g(std::move(set));
-        if (told) g.tell(0, *told);
+        if (fleet_size) g.tell(0, *fleet_size);
         std::vector<EndpointEntry> list;
         for (EndpointId id = 1; id <= 40; ++id) list.push_back(entry(id));
         g.list(0, list);
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// A single request of each of two gateways leaves a server idle while it waits elsewhere.
+// A single request of each of two nodes leaves an endpoint idle while it waits elsewhere.
 TEST(ConcurrencyLimiter, AllowsThreeRequestsPerEndpointWithTwoNodesInASlowPeriod) {
     Settings set = unprobed();
     set.node_count = 2;
@@ -37,11 +37,12 @@
             std::mt19937 random(7);
             std::lognormal_distribution<double> took(std::log(100), 0.1);
             auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, took(random)}; };
-            EXPECT_GT(steady(g, 10'000, 25'000, 400, serve).share(), 0.98) << aim << (late ? ", late" : "");
+            EXPECT_GT(send_steady_load(g, 10'000, 25'000, 400, serve).share(), 0.98)
+                << aim << (late ? ", late" : "");
         }
 }
 
-// ... and yet a long slow spell teaches nothing: limits stay where they are at slow servers.
+// ... and yet a long slow spell teaches nothing: limits stay where they are at slow endpoints.
 TEST(ConcurrencyLimiter, SlowPeriodDoesNotRaiseTypicalLatencyUnderWideObjectives) {
     Settings set = unprobed();
     for (ClassSettings& c : set.classes) c.latency_objective = Duration{150}, c.late_response_weight = 0.5;
@@ -49,8 +50,8 @@
     g.list(0, {entry(1), entry(2)});
     auto soon = [](EndpointId, double) { return std::pair{Outcome::Ok, 20.0}; };
     auto slow = [](EndpointId, double) { return std::pair{Outcome::Ok, 200.0}; };
-    steady(g, 0, 5000, 100, soon);
-    steady(g, 5000, 35'000, 200, slow);
+    send_steady_load(g, 0, 5000, 100, soon);
+    send_steady_load(g, 5000, 35'000, 200, slow);
     int held = 0;
     for (RequestId id = 1; id <= 40; ++id) held += sent_to(g.arrive(g.now + 250 * (id == 1), id)).has_value();
     EXPECT_LE(held, 12) << "six at each";
--- a/tests/balancer/endpoint_picker_test.cpp
+++ b/tests/balancer/endpoint_picker_test.cpp
@@ -29,7 +29,7 @@
     g.list(0, {heavy, entry(2)});
     std::map<EndpointId, int> sends;
     int longest = 0, run = 0;
-    warm_up(g, {1, 2});
+    open_connections(g, {1, 2});
     for (int i = 0; i < 40; ++i) {
         auto to = sent_to(g.arrive(10 + 100 * i, RequestId(i)));
         ASSERT_TRUE(to);
@@ -39,13 +39,13 @@
         g.ok(60 + 100 * i, RequestId(i), *to);
     }
     EXPECT_NEAR(sends[1], 30, 2);
-    EXPECT_LE(longest, 4);  // smooth: the light server's turns are spread between the heavy one's
+    EXPECT_LE(longest, 4);  // smooth: the light endpoint's turns are spread between the heavy one's
 }
 
 TEST(EndpointPicker, PrefersNextEndpointWithFewerRequestsInFlight) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
-    warm_up(g, {1, 2});
+    open_connections(g, {1, 2});
     auto first = sent_to(g.arrive(100, 1));
     auto second = sent_to(g.arrive(101, 2));
     ASSERT_TRUE(first && second);
@@ -88,13 +88,13 @@
     set.cross_zone_cost = 0.01;
     Gateway g(set);
     g.list(0, {entry(1, 0), entry(2, 1)});
-    warm_up(g, {1, 2});
+    open_connections(g, {1, 2});
     for (RequestId i = 1; i <= 20; ++i) {
         double t = 100 * double(i);
         EXPECT_EQ(sent_to(g.arrive(t, i)), EndpointId{1});
         g.ok(t + 50, i, 1);
     }
-    // A zone with more callers than servers still spreads.
+    // A zone with more callers than endpoints still spreads.
     std::map<EndpointId, int> sends;
     for (RequestId i = 100; i < 104; ++i)
         for (const Forward& f : all_of<Forward>(g.arrive(3000 + double(i), i))) ++sends[f.endpoint];
--- a/tests/balancer/endpoint_registry_test.cpp
+++ b/tests/balancer/endpoint_registry_test.cpp
@@ -67,8 +67,8 @@
     EXPECT_TRUE(sent_to(g.arrive(g.now + 1, 1)));  // the old list stays in force
 }
 
-// Where the list is pushed, what the agent has counts as told at once: 2 s later nothing may go to a server
-// that drains.
+// Where the list is pushed, what the agent has counts as told at once: 2 s later nothing may go to an
+// endpoint that drains.
 TEST(EndpointRegistry, SubscribesToAgentAtOnceAndAgainWithinOneSecondInAnyFleet) {
     Settings set = unprobed();
     set.watches_discovery = true;
@@ -83,14 +83,14 @@
 }
 
 // Discovery is one queue for all: 20 calls a second, and one that has waited 2 s fails but was its work all
-// the same. A hundred gateways that start, and all lose their watch later in one instant, must not ask faster
+// the same. A hundred nodes that start, and all lose their watch later in one instant, must not ask faster
 // than it answers.
 TEST(EndpointRegistry, HundredNodesStayWithinDiscoveryCapacity) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
     set.node_count = 100;
-    std::vector<Gateway> gateways;
-    for (std::uint64_t n = 0; n < 100; ++n) gateways.emplace_back(set, n + 1);
+    std::vector<Gateway> nodes;
+    for (std::uint64_t n = 0; n < 100; ++n) nodes.emplace_back(set, n + 1);
     constexpr double kWork = 50, kPatience = 2000;
     for (double from : {0.0, 60'000.0}) {
         double free_at = from;
@@ -98,17 +98,16 @@
         std::vector<bool> watches(100, false);
         std::multimap<double, std::pair<std::size_t, bool>>
             ends;  // of calls: whose, and whether it was served
-        for (auto& g : gateways)
-            g.list(from, {entry(1)}, from == 0 ? UpdateKind::Cached : UpdateKind::Failed);
+        for (auto& g : nodes) g.list(from, {entry(1)}, from == 0 ? UpdateKind::Cached : UpdateKind::Failed);
         for (double now = from; now < from + 30'000; now += 1) {
             for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin())) {
                 auto [who, served] = ends.begin()->second;
                 watches[who] = served;
                 failed += !served;
-                gateways[who].list(now, {}, served ? UpdateKind::Delta : UpdateKind::Failed);
+                nodes[who].list(now, {}, served ? UpdateKind::Delta : UpdateKind::Failed);
             }
-            for (std::size_t n = 0; n < gateways.size(); ++n)
-                if (!all_of<WatchEndpoints>(gateways[n].run_to(now)).empty()) {
+            for (std::size_t n = 0; n < nodes.size(); ++n)
+                if (!all_of<WatchEndpoints>(nodes[n].run_to(now)).empty()) {
                     free_at = std::max(now, free_at) + kWork;
                     bool served = free_at <= now + kPatience;
                     ends.emplace(std::min(free_at, now + kPatience), std::pair{n, served});
@@ -122,45 +121,45 @@
     }
 }
 
-// However many gateways there are, each asks before a list that it does not have is held against it.
+// However many nodes there are, each asks before a list that it does not have is held against it.
 TEST(EndpointRegistry, SubscribesWithinSecondsInAnyFleet) {
-    for (int gateways : {0, 1, 3, 100, 10'000, 1'000'000}) {
+    for (int nodes : {0, 1, 3, 100, 10'000, 1'000'000}) {
         Settings set = unprobed();
         set.polls_discovery = set.watches_discovery = true;
-        set.node_count = std::max(1, gateways);
+        set.node_count = std::max(1, nodes);
         set.node_index = set.node_count - 1;
         Gateway g(set);
         g.list(0, {entry(1)}, UpdateKind::Cached);
-        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(10'000)).size(), 1u) << gateways;
+        EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(10'000)).size(), 1u) << nodes;
         for (double failed : {10'001.0, 50'001.0, 100'001.0}) {
             g.list(failed, {}, UpdateKind::Failed);
-            EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(failed + 30'000)).size(), 1u) << gateways;
+            EXPECT_EQ(all_of<WatchEndpoints>(g.run_to(failed + 30'000)).size(), 1u) << nodes;
         }
     }
 }
 
-// Where servers are replaced for good, what is known of them does not grow for good.
-// In a release a list is old within a second: a gateway whose calls fail for a while must not sit out the
+// Where endpoints are replaced for good, what is known of them does not grow for good.
+// In a release a list is old within a second: a node whose calls fail for a while must not sit out the
 // rest of it.
 TEST(EndpointRegistry, RetriesSoonAfterRepeatedFailures) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
     Gateway g(set);
     g.list(0, {entry(1)}, UpdateKind::Cached);
-    double asked = 0, longest = 0;
+    double subscribed_at = 0, longest = 0;
     for (int failures = 0; failures < 12; ++failures) {
-        g.tell(asked + 170, EndpointUpdate{UpdateKind::Failed, {}});
-        double from = asked + 170, now = from;
+        g.tell(subscribed_at + 170, EndpointUpdate{UpdateKind::Failed, {}});
+        double from = subscribed_at + 170, now = from;
         while (now < from + 10'000 && all_of<WatchEndpoints>(g.run_to(now)).empty()) now += 5;
         ASSERT_LT(now, from + 10'000);
-        asked = now;
-        longest = std::max(longest, asked - from);
+        subscribed_at = now;
+        longest = std::max(longest, subscribed_at - from);
         if (failures == 0) {
-            EXPECT_LT(asked - from, 400);
+            EXPECT_LT(subscribed_at - from, 400);
         }
     }
     EXPECT_LT(longest, 1'850);
-    EXPECT_GT(longest, 600) << "many gateways must not ask all the time";
+    EXPECT_GT(longest, 600) << "many nodes must not ask all the time";
 }
 
 TEST(EndpointRegistry, ForgetsEndpointsUnlistedForLong) {
--- a/tests/balancer/health_tracker_test.cpp
+++ b/tests/balancer/health_tracker_test.cpp
@@ -95,7 +95,7 @@
     EXPECT_EQ(all_of<Reject>(later).size(), 1u);  // and is refused before its aim has passed
 }
 
-// Servers answer few probes a second well. Those left Healthy paid for all probes, so that the fewer they
+// Endpoints answer few probes a second well. Those left Healthy paid for all probes, so that the fewer they
 // were the more were sent to the others, and none of them passed two in a row: after an outage that was over
 // the fleet stayed Unhealthy for as long as clients asked.
 TEST(HealthTracker, FleetAnsweringTwoProbesPerSecondRecoversUnderOverload) {
@@ -119,7 +119,7 @@
         for (std::size_t i = 0; i < actions.size(); ++i) {
             if (const auto* p = std::get_if<Probe>(&actions[i])) {
                 auto& last = probes[p->endpoint];
-                // Another gateway's probes count too: of this one's, one in 500 ms is answered well.
+                // Another node's probes count too: of this one's, one in 500 ms is answered well.
                 bool well = last.empty() || t - last.back() >= 500;
                 if (well) last.push_back(t);
                 Outcome up = well ? Outcome::Ok : Outcome::Error;
@@ -138,15 +138,15 @@
 }
 
 TEST(HealthTracker, AnsweredLoadProbeReplacesTheIntervalProbe) {
-    auto probes_in_ten_seconds = [](bool asked) {
-        Gateway g(looking());
+    auto probes_in_ten_seconds = [](bool load_probes) {
+        Gateway g(settings_with_load_reports());
         g.list(0, {entry(1)});
         g.run_probed(2999, [](EndpointId) { return Outcome::Ok; });
         std::size_t by_interval = 0;
         for (double t = 3000; t < 13000; t += 100) {
             auto some = g.run_probed(t, [](EndpointId) { return Outcome::Ok; });
             by_interval += all_of<Probe>(some).size();
-            if (!asked) continue;
+            if (!load_probes) continue;
             g.arrive(t, RequestId(t));
             auto sent = all_of<Forward>(g.probe(t + 1, 1, Outcome::Ok, 0, 0));
             for (const Forward& f : sent) g.ok(t + 5, f.request, 1, 4);
@@ -158,14 +158,14 @@
 }
 
 /// Server 1 of four errs from 1 s to `till_ms`; sends to it by when they were made.
-std::vector<double> tried_at_one_that_errs(Gateway& g, double till_ms, double end_ms, int cls) {
+std::vector<double> send_times_to_failing_endpoint(Gateway& g, double till_ms, double end_ms, int cls) {
     g.list(0, {entry(1), entry(2), entry(3), entry(4)});
     std::vector<double> tried;
     auto serve = [&](EndpointId s, double now) {
         if (s == 1) tried.push_back(now);
         return std::pair{s == 1 && now > 1000 && now < till_ms ? Outcome::Error : Outcome::Ok, 20.0};
     };
-    steady(g, 0, end_ms, 50, serve, cls);
+    send_steady_load(g, 0, end_ms, 50, serve, cls);
     return tried;
 }
 
@@ -173,7 +173,7 @@
 TEST(HealthTracker, UnhealthyEndpointReturnsWithoutProbes) {
     for (int cls : {0, 1, 2}) {
         Gateway g(unprobed());
-        std::vector<double> tried = tried_at_one_that_errs(g, 21'000, 40'000, cls);
+        std::vector<double> tried = send_times_to_failing_endpoint(g, 21'000, 40'000, cls);
         auto between = [&](double from, double to) {
             return std::count_if(tried.begin(), tried.end(), [&](double t) { return t >= from && t < to; });
         };
@@ -198,7 +198,7 @@
         auto serve = [&](EndpointId, double now) {
             return std::pair{now > 5000 && now < 25'000 ? down : Outcome::Ok, 20.0};
         };
-        EXPECT_GT(steady(g, 35'000, 45'000, 50, serve, 1).share(), 0.98) << int(down);
+        EXPECT_GT(send_steady_load(g, 35'000, 45'000, 50, serve, 1).share(), 0.98) << int(down);
     }
 }
 
--- a/tests/balancer/load_probe_test.cpp
+++ b/tests/balancer/load_probe_test.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 TEST(LoadProbe, ProbesTwoEndpointsAndSendsToTheIdleOne) {
-    Gateway g(looking());
+    Gateway g(settings_with_load_reports());
     g.list(0, {entry(1), entry(2)});
     auto arrived = g.arrive(3000, 1);
-    auto asked = all_of<Probe>(arrived);
-    ASSERT_EQ(asked.size(), 2u);
+    auto probes = all_of<Probe>(arrived);
+    ASSERT_EQ(probes.size(), 2u);
     EXPECT_FALSE(sent_to(arrived));
     EXPECT_FALSE(sent_to(g.probe(3001, 1, Outcome::Ok, 3, 2)));
     EXPECT_EQ(sent_to(g.probe(3001, 2, Outcome::Ok, 0, 0)), EndpointId{2});
 }
 
 TEST(LoadProbe, SkipsEndpointThatDoesNotAnswer) {
-    Gateway g(looking());
+    Gateway g(settings_with_load_reports());
     g.list(0, {entry(1), entry(2)});
     ASSERT_EQ(all_of<Probe>(g.arrive(3000, 1)).size(), 2u);
     EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 1, 0)));
@@ -30,21 +30,21 @@
 }
 
 TEST(LoadProbe, RequestWaitsWhileEveryEndpointIsFull) {
-    Gateway g(looking());
+    Gateway g(settings_with_load_reports());
     g.list(0, {entry(1), entry(2)});
     auto arrived = g.arrive(3000, 1);
     g.probe(3001, 1, Outcome::Ok, 9, 8);
     EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 9, 8)));
 }
 
-// Reports that said "idle" of servers with full queues drew everyone's requests there.
+// Reports that said "idle" of endpoints with full queues drew everyone's requests there.
 TEST(LoadProbe, IgnoresReportsContradictedByOwnRequests) {
-    Gateway g(looking());
+    Gateway g(settings_with_load_reports());
     g.list(0, {entry(1), entry(2)});
     std::map<EndpointId, int> sends;
     for (RequestId i = 0; i < 100; ++i) {
         double t = 3000 + 20 * double(i);
-        // 1 always says that it is idle, and turns away what it gets; 2 holds one of another gateway's.
+        // 1 always says that it is idle, and turns away what it gets; 2 holds one of another node's.
         auto serve = [](EndpointId s) {
             return s == 1 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 13.0};
         };
@@ -57,17 +57,17 @@
 // A request could always cost four looks, whatever one cost: on a site with dear probes they took a quarter
 // of the result.
 TEST(LoadProbe, IsSkippedWhenItCostsMoreThanItGains) {
-    Settings set = looking();
+    Settings set = settings_with_load_reports();
     set.probe_cost = 0.05;
     Gateway g(set);
     g.list(0, {entry(1), entry(2)});
-    std::size_t looks = 0;
+    std::size_t probes = 0;
     int served = 0;
     for (RequestId i = 0; i < 100; ++i) {
         double t = 3000 + 20 * double(i);
         Actions actions = g.arrive(t, i);
         for (const Probe& p : all_of<Probe>(actions)) {
-            ++looks;
+            ++probes;
             for (const Action& a : g.probe(t + 1, p.endpoint, Outcome::Ok, 0, 0)) actions.push_back(a);
         }
         auto to = sent_to(actions);
@@ -75,28 +75,28 @@
         ++served;
         g.ok(t + 10, i, *to, 10);
     }
-    EXPECT_LE(looks, 2u);
+    EXPECT_LE(probes, 2u);
     EXPECT_GE(served, 95);
 }
 
-struct Looked {
-    int asked = 0, served = 0, probes = 0;
+struct BatchedLoadResult {
+    int offered = 0, served = 0, probes = 0;
     double waited_ms = 0;
 };
 
 /// As a platform hands events over: in batches `granularity` apart, timers before answers. Probes are
-/// answered `way_ms` after they were sent; requests have 150 ms.
-Looked in_batches(double granularity, double way_ms, bool looks, double per_s = 200, EndpointId servers = 4,
-                  double took = 20) {
+/// answered `network_delay_ms` after they were sent; requests have 150 ms.
+BatchedLoadResult run_in_batches(double granularity, double network_delay_ms, bool load_reports,
+                                 double per_s = 200, EndpointId endpoints = 4, double took = 20) {
     Settings set = make_settings();
-    set.probes_report_load = looks;
+    set.probes_report_load = load_reports;
     set.clock_granularity = Duration{granularity};
     for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{150};
     Gateway g(set);
     std::vector<EndpointEntry> fleet;
-    for (EndpointId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
+    for (EndpointId s = 1; s <= endpoints; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
-    Looked all;
+    BatchedLoadResult all;
     std::multimap<double, Event> answers;
     std::map<RequestId, double> came;
     std::map<EndpointId, double> held;
@@ -113,8 +113,8 @@
                 ++all.probes;
                 double n = held[p->endpoint];
                 LoadReport report{n, std::max(0.0, n - 16), {}};
-                answers.emplace(g.now + way_ms,
-                                ProbeEnded{p->endpoint, Outcome::Ok, Duration{way_ms}, report});
+                answers.emplace(g.now + network_delay_ms,
+                                ProbeEnded{p->endpoint, Outcome::Ok, Duration{network_delay_ms}, report});
             }
         }
     };
@@ -132,7 +132,7 @@
         }
         for (; double(id) * 1000 / per_s < t && t < 9500; ++id) {
             came[id] = t;
-            ++all.asked;
+            ++all.offered;
             take(g.arrive(t, id, 0, 150));
         }
     }
@@ -143,25 +143,25 @@
 // so on. Where looks take long only the newest was sent by each, and the others waited for the next.
 TEST(LoadProbe, IsInTimeUnderCoarseClockGranularity) {
     for (double granularity : {1.0, 2.0, 5.0, 10.0, 20.0, 40.0}) {
-        Looked seen = in_batches(granularity, 1, true);
-        EXPECT_GT(seen.served, 0.97 * seen.asked) << granularity;
-        EXPECT_LT(seen.probes, 2.5 * seen.asked) << granularity;
+        BatchedLoadResult seen = run_in_batches(granularity, 1, true);
+        EXPECT_GT(seen.served, 0.97 * seen.offered) << granularity;
+        EXPECT_LT(seen.probes, 2.5 * seen.offered) << granularity;
     }
 }
 
 TEST(LoadProbe, IsInTimeUnderLongRoundTrips) {
-    for (double way_ms : {1.0, 4.0, 7.0, 15.0, 40.0}) {
-        Looked seen = in_batches(1, way_ms, true);
-        EXPECT_GT(seen.served, 0.97 * seen.asked) << way_ms;
-        EXPECT_LT(seen.probes, 2.5 * seen.asked) << way_ms;
-        EXPECT_LT(seen.waited_ms, (way_ms + 2) * seen.asked) << way_ms;
+    for (double network_delay_ms : {1.0, 4.0, 7.0, 15.0, 40.0}) {
+        BatchedLoadResult seen = run_in_batches(1, network_delay_ms, true);
+        EXPECT_GT(seen.served, 0.97 * seen.offered) << network_delay_ms;
+        EXPECT_LT(seen.probes, 2.5 * seen.offered) << network_delay_ms;
+        EXPECT_LT(seen.waited_ms, (network_delay_ms + 2) * seen.offered) << network_delay_ms;
     }
 }
 
-// Looks let one or two of those that waited go at a time, whatever the servers bore.
+// Looks let one or two of those that waited go at a time, whatever the endpoints bore.
 TEST(LoadProbe, DoesNotDelayABusyNode) {
-    Looked seen = in_batches(1, 0.5, true, 1000, 13, 30);
-    EXPECT_GT(seen.served, 0.98 * seen.asked);
+    BatchedLoadResult seen = run_in_batches(1, 0.5, true, 1000, 13, 30);
+    EXPECT_GT(seen.served, 0.98 * seen.offered);
 }
 
 }  // namespace
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -6,7 +6,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// Worthless requests that err at any server ejected the whole fleet.
+// Worthless requests that err at any endpoint ejected the whole fleet.
 TEST(OutlierDetector, EjectsForErrorsOfOneEndpointNotForErrorsOfTheRequests) {
     for (int kind = 0; kind < 4; ++kind) {
         bool everywhere = kind < 2;
--- a/tests/balancer/pending_queue_test.cpp
+++ b/tests/balancer/pending_queue_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(sends[0].request, 3u);
 }
 
-// A slow spell once taught the gateway a service time so long that it refused everything at arrival ever
+// A slow spell once taught the node a service time so long that it refused everything at arrival ever
 // after.
 TEST(PendingQueue, AdmitsAgainAfterASlowPeriod) {
     Gateway g(unprobed());
@@ -66,7 +66,7 @@
     }
 }
 
-// An answer that would most likely come too late is not worth a server's time while all are slow.
+// An answer that would most likely come too late is not worth an endpoint's time while all are slow.
 TEST(PendingQueue, StartsNothingThatCannotFinishInTypicalTime) {
     Settings set = unprobed();
     set.classes[0].late_response_weight = 0.5;
@@ -78,7 +78,7 @@
     EXPECT_TRUE(sent_to(g.arrive(20'100, 101, 0, 400)).has_value());
 }
 
-// With a thousand gateways a quota's part is under one request a second: every request counted as surplus.
+// With a thousand nodes a quota's part is under one request a second: every request counted as surplus.
 TEST(RequestPriority, RequestWithinASmallQuotaShareIsNotOverQuota) {
     Settings set = unprobed();
     set.tenants = {{0.05, 0.5}};
@@ -101,10 +101,10 @@
     EXPECT_EQ(sent.front().request, 3u);
 }
 
-// A gateway with few events left requests waiting for the next arrival though room had come.
+// A node with few events left requests waiting for the next arrival though room had come.
 TEST(PendingQueue, ReconsidersWaitingRequestWithoutAnotherEvent) {
     Settings set = unprobed();
-    set.node_count = 4;  // limits below one: sends to one server are spaced
+    set.node_count = 4;  // limits below one: sends to one endpoint are spaced
     Gateway g(set);
     g.list(0, {entry(1)});
     g.arrive(5000, 1);
@@ -123,7 +123,7 @@
         Gateway g(set);
         g.list(0, {entry(1)});
         auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, 0.42 * deadline}; };
-        EXPECT_GT(steady(g, 1000, 10'000, 40, serve, 0, deadline).share(), 0.98) << deadline;
+        EXPECT_GT(send_steady_load(g, 1000, 10'000, 40, serve, 0, deadline).share(), 0.98) << deadline;
     }
 }
 
--- a/tests/balancer/random_settings_simulation.h
+++ b/tests/balancer/random_settings_simulation.h
@@ -1,5 +1,5 @@
-// Days over settings drawn from a seed, quite unlike any site: several gateways, servers with slots, a fault.
-// Judged from outside: the rules, and that no class is starved.
+// Days over settings generated from a seed, quite unlike any site: several nodes, endpoints with slots, a
+// fault. Judged from outside: the rules, and that no class is starved.
 #pragma once
 
 #include <algorithm>
@@ -20,44 +20,44 @@
 
 enum class Fault { None, Errors, Hang, Crash, Drain, Restart, Full };
 
-struct Drawn {
+struct Scenario {
     Settings set;
     std::uint64_t seed = 0;
-    int servers = 4, slots = 4, zones = 1, cells = 1;
-    std::vector<double> took_ms;  // of each class, at a server that is warm and idle
+    int endpoints = 4, slots = 4, zones = 1, cells = 1;
+    std::vector<double> took_ms;  // of each class, at an endpoint that is warm and idle
     std::vector<double> mix;
-    double load = 0.5, spread = 0.3, way_ms = 0.2, cross_ms = 1, length_ms = 20'000, leave = 0,
-           grace_ms = 500;
+    double load = 0.5, spread = 0.3, network_delay_ms = 0.2, cross_zone_delay_ms = 1, length_ms = 20'000,
+           leave = 0, grace_ms = 500;
     Fault fault = Fault::None;
     double fault_from = 6000, fault_till = 12'000;
-    int struck = 1;  // servers
+    int struck = 1;  // endpoints
 };
 
-class DrawnDay {
+class ScenarioSimulation {
 public:
     struct Group {
-        int asked = 0, served = 0, on_time = 0, refused = 0, failed = 0, untried = 0;
+        int offered = 0, served = 0, on_time = 0, refused = 0, failed = 0, untried = 0;
     };
-    explicit DrawnDay(const Drawn& d) : d_(d), random_(d.seed * 77 + 5) {
-        servers_.resize(std::size_t(d.servers));
-        for (auto& s : servers_) s.free_at.assign(std::size_t(d.slots), 0);
+    explicit ScenarioSimulation(const Scenario& d) : d_(d), random_(d.seed * 77 + 5) {
+        endpoints_.resize(std::size_t(d.endpoints));
+        for (auto& s : endpoints_) s.free_at.assign(std::size_t(d.slots), 0);
         for (int g = 0; g < d.set.node_count; ++g) {
             Settings set = d.set;
             set.node_index = g;
             set.zone = d.zones > 1 ? g % d.zones : (d.zones == 1 ? 0 : kNone);
             zone_of_.push_back(g % std::max(1, d.zones));
-            gates_.push_back(std::make_unique<Balancer>(set, d.seed * 131 + std::uint64_t(g)));
+            nodes_.push_back(std::make_unique<Balancer>(set, d.seed * 131 + std::uint64_t(g)));
         }
         by_class.resize(d.set.classes.size());
         by_tenant.resize(std::max<std::size_t>(1, d.set.tenants.size()));
     }
 
     void run() {
-        for (int g = 0; g < d_.set.node_count; ++g) tell_list(g, UpdateKind::Cached);
+        for (int g = 0; g < d_.set.node_count; ++g) send_endpoint_list(g, UpdateKind::Cached);
         double mean = 0, sum = 0;
         for (std::size_t c = 0; c < d_.mix.size(); ++c) mean += d_.mix[c] * d_.took_ms[c], sum += d_.mix[c];
         mean /= sum;
-        rate_ = d_.load * d_.servers * d_.slots / mean;  // a ms
+        rate_ = d_.load * d_.endpoints * d_.slots / mean;  // a ms
         mean_ = mean;
         at(draw_gap(), [this] { arrive(); });
         if (d_.fault != Fault::None) at(d_.fault_from, [this] { strike(); });
@@ -81,20 +81,20 @@
         std::function<void()> what;
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
-    struct Server {
+    struct SimulatedEndpoint {
         std::vector<double> free_at;
         std::vector<double> leaves;  // when each that is held is done
         bool draining = false, struck = false;
         double started = -1e9;
     };
     struct Attempt {
-        int server;
+        int endpoint;
         double sent;
         bool ended = false;
         Outcome outcome = Outcome::Cancelled;
     };
     struct Request {
-        int gate, cls, tenant;
+        int node, cls, tenant;
         double came, deadline;
         bool answered = false, gone = false, concluded = false;
         std::vector<Attempt> attempts;
@@ -108,50 +108,52 @@
     void at(double when, std::function<void()> what) {
         events_.push({std::max(when, now_), ++order_, std::move(what)});
     }
-    /// To a gateway, in its next batch.
+    /// To a node, in its next batch.
     void hand(double when, std::function<void()> what) {
         double step = d_.set.clock_granularity.count();
         at(std::ceil(when / step - 1e-9) * step, std::move(what));
     }
     bool down(int s) const {
         bool during = now_ >= d_.fault_from && now_ < d_.fault_till;
-        return servers_[std::size_t(s)].struck && during;
+        return endpoints_[std::size_t(s)].struck && during;
     }
     int zone(int s) const { return s % std::max(1, d_.zones); }
-    double way(int g, int s) const { return zone(s) == zone_of_[std::size_t(g)] ? d_.way_ms : d_.cross_ms; }
+    double way(int g, int s) const {
+        return zone(s) == zone_of_[std::size_t(g)] ? d_.network_delay_ms : d_.cross_zone_delay_ms;
+    }
 
     EndpointEntry listed(int s) const {
         EndpointEntry e = entry(EndpointId(s + 1), d_.zones > 0 ? zone(s) : kNone, s % std::max(1, d_.cells));
-        const Server& it = servers_[std::size_t(s)];
+        const SimulatedEndpoint& it = endpoints_[std::size_t(s)];
         if (it.draining) e.phase = Phase::Draining;
         if (it.started > 0) e.last_start = testing::at(it.started);
         return e;
     }
-    void tell_list(int g, UpdateKind kind) {
+    void send_endpoint_list(int g, UpdateKind kind) {
         EndpointUpdate update{kind, {}};
-        for (int s = 0; s < d_.servers; ++s) update.entries.push_back(listed(s));
+        for (int s = 0; s < d_.endpoints; ++s) update.entries.push_back(listed(s));
         tell(g, update);
     }
     void strike() {
         for (int s = 0; s < d_.struck; ++s) {
-            Server& it = servers_[std::size_t(s)];
+            SimulatedEndpoint& it = endpoints_[std::size_t(s)];
             it.struck = true;
             if (d_.fault == Fault::Drain || d_.fault == Fault::Restart) it.draining = true;
         }
         if (d_.fault == Fault::Drain || d_.fault == Fault::Restart)
             for (int g = 0; g < d_.set.node_count; ++g)
                 hand(now_ + 200 * uniform(), [this, g] {
-                    told_.resize(std::size_t(d_.set.node_count), 1e18);
-                    told_[std::size_t(g)] = now_;
-                    tell_list(g, UpdateKind::Delta);
+                    list_received_at_.resize(std::size_t(d_.set.node_count), 1e18);
+                    list_received_at_[std::size_t(g)] = now_;
+                    send_endpoint_list(g, UpdateKind::Delta);
                 });
         if (d_.fault == Fault::Restart || d_.fault == Fault::Crash)
             at(d_.fault_till, [this] {
                 for (int s = 0; s < d_.struck; ++s)
-                    servers_[std::size_t(s)].draining = false, servers_[std::size_t(s)].started = now_;
-                told_.clear();
+                    endpoints_[std::size_t(s)].draining = false, endpoints_[std::size_t(s)].started = now_;
+                list_received_at_.clear();
                 for (int g = 0; g < d_.set.node_count; ++g)
-                    hand(now_ + 200 * uniform(), [this, g] { tell_list(g, UpdateKind::Delta); });
+                    hand(now_ + 200 * uniform(), [this, g] { send_endpoint_list(g, UpdateKind::Delta); });
             });
     }
 
@@ -170,22 +172,22 @@
             x -= d_.mix[c];
         }
         r.tenant = d_.set.tenants.empty() ? kNone : int(random_() % d_.set.tenants.size());
-        r.gate = int(random_() % std::uint64_t(d_.set.node_count));
+        r.node = int(random_() % std::uint64_t(d_.set.node_count));
         r.came = now_;
         r.deadline = now_ + d_.set.classes[std::size_t(r.cls)].request_timeout.count();
         hand(now_, [this, id] {
             Request& q = requests_[id];
-            ++by_class[std::size_t(q.cls)].asked, ++by_tenant[std::size_t(std::max(0, q.tenant))].asked;
+            ++by_class[std::size_t(q.cls)].offered, ++by_tenant[std::size_t(std::max(0, q.tenant))].offered;
             RequestArrived e;
             e.request = id, e.class_index = q.cls, e.tenant = q.tenant, e.deadline = testing::at(q.deadline);
-            tell(q.gate, e);
+            tell(q.node, e);
         });
         if (uniform() < d_.leave)
             hand(now_ + uniform() * d_.set.classes[std::size_t(r.cls)].request_timeout.count(), [this, id] {
                 Request& q = requests_[id];
                 if (q.answered) return;
                 q.gone = true;
-                tell(q.gate, ClientDisconnected{id});
+                tell(q.node, ClientDisconnected{id});
             });
         else
             at(r.deadline + d_.grace_ms + 2 * d_.set.clock_granularity.count(), [this, id] {
@@ -197,7 +199,7 @@
 
     void tell(int g, const ochrehub::Event& event) {
         Actions actions;
-        gates_[std::size_t(g)]->handle(testing::at(now_), event, actions);
+        nodes_[std::size_t(g)]->handle(testing::at(now_), event, actions);
         for (const Action& a : actions) {
             if (auto* w = std::get_if<SetTimer>(&a)) {
                 hand(w->at.time_since_epoch().count(), [this, g] { tell(g, TimerFired{}); });
@@ -242,21 +244,21 @@
         Request& r = requests_[f.request];
         const ClassSettings& c = d_.set.classes[std::size_t(r.cls)];
         int s = int(f.endpoint) - 1;
-        Server& it = servers_[std::size_t(s)];
+        SimulatedEndpoint& it = endpoints_[std::size_t(s)];
         if (r.answered) broken("rule 1: sent after its end");
         if (r.gone) broken("begun for a client that has gone");
         if (now_ >= r.deadline) broken("rule 1: sent after its time");
         if (int(r.attempts.size()) >= d_.set.max_attempts) broken("more attempts than allowed");
-        if (it.draining && !told_.empty() && now_ > told_[std::size_t(g)])
+        if (it.draining && !list_received_at_.empty() && now_ > list_received_at_[std::size_t(g)])
             broken("rule 3: sent to one that drains");
         for (auto& t : r.attempts) {
             if (!t.ended) broken("two attempts at once");
             if (never_ran(t) || c.idempotency == Idempotency::Idempotent) continue;
             if (c.idempotency == Idempotency::NonIdempotent) broken("rule 2: unsafe, sent again");
             if (now_ > t.sent + c.deduplication_window.count()) broken("rule 2: behind the window");
-            if (c.deduplication_scope == DeduplicationScope::Zone && zone(t.server) != zone(s))
+            if (c.deduplication_scope == DeduplicationScope::Zone && zone(t.endpoint) != zone(s))
                 broken("rule 2: another zone");
-            if (c.deduplication_scope == DeduplicationScope::Cell && t.server % d_.cells != s % d_.cells)
+            if (c.deduplication_scope == DeduplicationScope::Cell && t.endpoint % d_.cells != s % d_.cells)
                 broken("rule 2: another cell");
         }
         int n = int(r.attempts.size());
@@ -279,7 +281,7 @@
     }
     void hand_in(double there, int g, RequestId id, int n, int s, double give_up) {
         at(there, [=, this] {
-            Server& it = servers_[std::size_t(s)];
+            SimulatedEndpoint& it = endpoints_[std::size_t(s)];
             Request& r = requests_[id];
             auto answer = [&](double when, Outcome how) {
                 if (when >= give_up) when = give_up, how = Outcome::Timeout;
@@ -314,17 +316,17 @@
             ++c.served, ++by_tenant[std::size_t(std::max(0, r.tenant))].served;
             c.on_time += now_ - r.came <= d_.set.classes[std::size_t(r.cls)].latency_objective.count();
         }
-        AttemptEnded e{id, n, EndpointId(t.server + 1), how, Duration{now_ - t.sent}, r.answered || r.gone,
+        AttemptEnded e{id, n, EndpointId(t.endpoint + 1), how, Duration{now_ - t.sent}, r.answered || r.gone,
                        {}};
         if (how == Outcome::Cancelled) {  // not within the call that cancels
-            hand(now_ + 1e-3, [this, e, g = r.gate] { tell(g, e); });
+            hand(now_ + 1e-3, [this, e, g = r.node] { tell(g, e); });
             return;
         }
-        tell(r.gate, e);
+        tell(r.node, e);
     }
 
     void probe(int g, int s) {
-        Server& it = servers_[std::size_t(s)];
+        SimulatedEndpoint& it = endpoints_[std::size_t(s)];
         std::erase_if(it.leaves, [&](double t) { return t <= now_; });
         double n = double(it.leaves.size());
         Outcome how = down(s) && d_.fault == Fault::Crash    ? Outcome::ConnectFailed
@@ -336,16 +338,16 @@
         hand(now_ + took, [=, this] { tell(g, ProbeEnded{EndpointId(s + 1), how, Duration{took}, report}); });
     }
 
-    Drawn d_;
+    Scenario d_;
     std::mt19937_64 random_;
     double now_ = 0, rate_ = 0, mean_ = 0;
     std::uint64_t order_ = 0;
     RequestId last_ = 0;
     std::priority_queue<Event> events_;
-    std::vector<Server> servers_;
+    std::vector<SimulatedEndpoint> endpoints_;
     std::vector<int> zone_of_;
-    std::vector<double> told_;
-    std::vector<std::unique_ptr<Balancer>> gates_;
+    std::vector<double> list_received_at_;
+    std::vector<std::unique_ptr<Balancer>> nodes_;
     std::map<RequestId, Request> requests_;
 };
 
--- a/tests/balancer/random_settings_test.cpp
+++ b/tests/balancer/random_settings_test.cpp
@@ -1,4 +1,4 @@
-// Days over settings drawn from a number, unlike any site: the rules hold, and no class is starved.
+// Days over settings generated from a number, unlike any site: the rules hold, and no class is starved.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,22 +12,22 @@
 namespace ochrehub::testing {
 namespace {
 
-Drawn draw(std::uint64_t seed) {
+Scenario make_random_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     auto u = [&] { return double(random() >> 11) * 0x1p-53; };
     auto pick = [&](std::initializer_list<double> of) {
         return *(of.begin() + std::ptrdiff_t(random() % of.size()));
     };
     auto logu = [&](double a, double b) { return a * std::exp(u() * std::log(b / a)); };
-    Drawn d;
+    Scenario d;
     d.seed = seed;
-    d.servers = int(pick({1, 2, 3, 5, 8, 13}));
+    d.endpoints = int(pick({1, 2, 3, 5, 8, 13}));
     d.slots = int(pick({1, 2, 4, 16}));
     d.zones = int(pick({0, 1, 1, 2, 3}));
     d.cells = int(pick({1, 2, 3}));
     d.spread = pick({0.05, 0.3, 0.6});
-    d.way_ms = pick({0.1, 0.3, 2, 8});
-    d.cross_ms = d.way_ms * pick({1, 3, 10});
+    d.network_delay_ms = pick({0.1, 0.3, 2, 8});
+    d.cross_zone_delay_ms = d.network_delay_ms * pick({1, 3, 10});
     d.load = pick({0.05, 0.2, 0.4, 0.6});
     d.leave = pick({0, 0, 0.05});
     Settings& s = d.set;
@@ -56,7 +56,8 @@
         double took = unit * logu(0.4, 2.5);
         d.took_ms.push_back(took);
         d.mix.push_back(logu(0.1, 1));
-        double least = took * (1 + 2.5 * d.spread) + 2 * d.cross_ms + 2 * s.clock_granularity.count();
+        double least =
+            took * (1 + 2.5 * d.spread) + 2 * d.cross_zone_delay_ms + 2 * s.clock_granularity.count();
         k.latency_objective = Duration{least * logu(1.2, 12)};
         k.request_timeout = k.latency_objective * pick({1, 1.5, 4});
         k.deduplication_window = Duration{k.request_timeout.count() * pick({0.3, 1, 5})};
@@ -72,41 +73,42 @@
     int tenants = int(pick({0, 0, 2, 4}));
     double mean = 0, sum = 0;
     for (std::size_t c = 0; c < d.mix.size(); ++c) mean += d.mix[c] * d.took_ms[c], sum += d.mix[c];
-    double per_s = 1000 * d.load * d.servers * d.slots / (mean / sum);
+    double per_s = 1000 * d.load * d.endpoints * d.slots / (mean / sum);
     if (per_s > 1500) d.load *= 1500 / per_s, per_s = 1500;
     for (int t = 0; t < tenants; ++t) s.tenants.push_back({per_s * 1.5 / tenants, 1.0 / tenants});
     d.fault = Fault(int(random() % 7));
-    d.struck = d.servers > 2 && u() < 0.8 ? 1 : d.servers > 3 ? d.servers / 2 : 0;
+    d.struck = d.endpoints > 2 && u() < 0.8 ? 1 : d.endpoints > 3 ? d.endpoints / 2 : 0;
     if (d.struck == 0) d.fault = Fault::None;
     return d;
 }
 
-// What each of these days is drawn to be is in draw(); 134 has a sole server that turns work away, 316 and
-// 365 have more requests than looks can serve.
+// What each of these scenarios contains is in make_random_scenario(); 134 has a sole endpoint that turns
+// work away, 316 and 365 have more requests than looks can serve.
 TEST(RandomSettings, KeepSafetyRulesAndStarveNoClass) {
     std::vector<std::uint64_t> seeds(40);
     std::iota(seeds.begin(), seeds.end(), 1);
     seeds.insert(seeds.end(), {134, 316, 365});
     for (std::uint64_t seed : seeds) {
-        Drawn drawn = draw(seed);
-        DrawnDay day(drawn);
+        Scenario scenario = make_random_scenario(seed);
+        ScenarioSimulation day(scenario);
         day.run();
         for (const std::string& what : day.breaks) ADD_FAILURE() << "seed " << seed << ": " << what;
         for (std::size_t c = 0; c < day.by_class.size(); ++c) {
             const auto& group = day.by_class[c];
-            if (group.asked < 30) continue;
-            EXPECT_GT(group.served, 0.4 * group.asked)
-                << "seed " << seed << ", class " << c << " of " << group.asked;
+            if (group.offered < 30) continue;
+            EXPECT_GT(group.served, 0.4 * group.offered)
+                << "seed " << seed << ", class " << c << " of " << group.offered;
         }
     }
 }
 
-// How many servers are used was weighed by what probes cost alone, whatever the requests needed.
+// How many endpoints are used was weighed by what probes cost alone, whatever the requests needed.
 TEST(RandomSettings, CostlyProbesLeaveNoNeededEndpointUnused) {
     for (double price : {0.06, 0.2, 1.0})
         for (double load : {0.4, 0.6}) {
-            Drawn d = draw(1);
-            d.servers = 8, d.slots = 2, d.zones = 1, d.cells = 1, d.leave = 0, d.way_ms = d.cross_ms = 0.3;
+            Scenario d = make_random_scenario(1);
+            d.endpoints = 8, d.slots = 2, d.zones = 1, d.cells = 1, d.leave = 0,
+            d.network_delay_ms = d.cross_zone_delay_ms = 0.3;
             d.took_ms = {300}, d.mix = {1}, d.spread = 0.3, d.load = load, d.length_ms = 30'000;
             d.fault = Fault::Full, d.struck = 1;
             Settings set;
@@ -119,11 +121,11 @@
             unsafe.idempotency = Idempotency::NonIdempotent;
             set.classes = {unsafe};
             d.set = set;
-            DrawnDay day(d);
+            ScenarioSimulation day(d);
             day.run();
             for (const std::string& what : day.breaks) ADD_FAILURE() << price << ", " << load << ": " << what;
-            EXPECT_GT(day.by_class[0].served, 0.85 * day.by_class[0].asked)
-                << price << ", " << load << " of " << day.by_class[0].asked;
+            EXPECT_GT(day.by_class[0].served, 0.85 * day.by_class[0].offered)
+                << price << ", " << load << " of " << day.by_class[0].offered;
         }
 }
 
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_EQ(all_of<Fail>(after).size(), 1u);
 }
 
-// Work whose aim had passed filled the servers' queues and made the next in line late as well.
+// Work whose aim had passed filled the endpoints' queues and made the next in line late as well.
 TEST(RetryPolicy, TimesOutAtLatencyObjectiveWhenCancelIsAllowed) {
     for (bool cancel : {false, true}) {
         Settings set = unprobed();
@@ -59,9 +59,9 @@
 
 TEST(RetryPolicy, RetryBudgetEndsARunOfErrors) {
     Gateway g(unprobed());
-    std::vector<EndpointEntry> servers;
-    for (EndpointId id = 1; id <= 20; ++id) servers.push_back(entry(id));
-    g.list(0, servers);
+    std::vector<EndpointEntry> endpoints;
+    for (EndpointId id = 1; id <= 20; ++id) endpoints.push_back(entry(id));
+    g.list(0, endpoints);
     int retried = 0;
     for (RequestId i = 0; i < 60; ++i) {
         double t = 10 + 30 * double(i);
@@ -97,14 +97,14 @@
     EXPECT_EQ(more[0].send_deadline, TimePoint::max()) << "may be repeated at any time";
 }
 
-// In a release each request went to several draining servers in turn, 3.5 attempts a call, and was refused
+// In a release each request went to several draining endpoints in turn, 3.5 attempts a call, and was refused
 // when its attempts were used up.
 TEST(RetryPolicy, AvoidsRejectingEndpointBriefly) {
     Gateway g(unprobed());
     std::vector<EndpointEntry> fleet;
     for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
-    int turned_away = 0, served = 0, refused = 0;
+    int rejected = 0, served = 0, refused = 0;
     for (RequestId i = 0; i < 400; ++i) {
         Actions actions = g.arrive(10 + 5 * double(i), i);
         for (int attempt = 0; !actions.empty();) {
@@ -112,30 +112,30 @@
             refused += int(all_of<Reject>(actions).size());
             if (!to) break;
             bool drains = *to <= 4;
-            (drains ? turned_away : served) += 1;
+            (drains ? rejected : served) += 1;
             actions = g.end(g.now + 0.5, i, attempt++, *to, drains ? Outcome::Rejected : Outcome::Ok,
                             drains ? 0.5 : 20, !drains);
         }
     }
     EXPECT_GT(served, 380);
-    EXPECT_LT(turned_away, 60);
+    EXPECT_LT(rejected, 60);
     EXPECT_EQ(refused, 0);
 }
 
 // One that turned work away was left for 150 to 450 ms, also where nobody else could take it.
 TEST(RetryPolicy, KeepsUsingTheLastEndpointWhenItRejects) {
-    for (EndpointId servers : {1u, 2u}) {
+    for (EndpointId endpoints : {1u, 2u}) {
         Settings set = unprobed();
         for (ClassSettings& c : set.classes) c.latency_objective = c.request_timeout = Duration{100};
         Gateway g(set);
         std::vector<EndpointEntry> fleet;
-        for (EndpointId s = 1; s <= servers; ++s) fleet.push_back(entry(s));
+        for (EndpointId s = 1; s <= endpoints; ++s) fleet.push_back(entry(s));
         g.list(0, fleet);
         int n = 0;
         auto serve = [&](EndpointId, double) {
             return ++n % 25 == 0 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 10.0};
         };
-        EXPECT_GT(steady(g, 1000, 20'000, 100, serve, 0, 100).share(), 0.94) << servers;
+        EXPECT_GT(send_steady_load(g, 1000, 20'000, 100, serve, 0, 100).share(), 0.94) << endpoints;
     }
 }
 
--- a/tests/balancer/safety_rules_test.cpp
+++ b/tests/balancer/safety_rules_test.cpp
@@ -9,29 +9,29 @@
 namespace {
 
 struct Sent {
-    EndpointId server;
+    EndpointId endpoint;
     double when;
     std::optional<Outcome> outcome;
 };
 
-struct Case {
+struct SimulationParameters {
     std::uint64_t seed;
     bool second_copies;
     bool report_load;
 };
 
-class SafetyRules : public ::testing::TestWithParam<Case> {};
+class SafetyRules : public ::testing::TestWithParam<SimulationParameters> {};
 
-// Plays the clients, the servers and the list, and checks each action as it is made.
-class Day {
+// Plays the clients, the endpoints and the list, and checks each action as it is made.
+class RandomEventSimulation {
 public:
-    explicit Day(const Case& c)
-        : random_(c.seed), settings_(make_settings()), gateway_(tuned(settings_, c), c.seed) {}
+    explicit RandomEventSimulation(const SimulationParameters& c)
+        : random_(c.seed), settings_(make_settings()), node_(tuned(settings_, c), c.seed) {}
 
     void run(double length) {
         push_list(UpdateKind::Cached);
         for (now_ = 1; now_ < length; now_ += 1 + double(random_() % 4)) {
-            take(gateway_.run_to(now_));
+            take(node_.run_to(now_));
             finish_due_attempts();
             answer_probes();
             if (random_() % 4 == 0) arrive();
@@ -39,7 +39,7 @@
             check_overdue();
         }
         for (double end = now_ + 3000; now_ < end; now_ += 1) {
-            take(gateway_.run_to(now_));
+            take(node_.run_to(now_));
             finish_due_attempts();
             check_overdue();
         }
@@ -63,7 +63,7 @@
         double sent;
     };
 
-    static Settings tuned(Settings& set, const Case& c) {
+    static Settings tuned(Settings& set, const SimulationParameters& c) {
         set.allows_hedging = c.second_copies;
         set.probes_report_load = c.report_load;
         set.cancel = c.seed % 2 == 0;
@@ -79,7 +79,7 @@
             if (e.phase == Phase::Removed && kind != UpdateKind::Delta) continue;
             entries.push_back(e);
         }
-        take(gateway_.list(now_, entries, kind));
+        take(node_.list(now_, entries, kind));
     }
 
     void change_list() {
@@ -108,7 +108,7 @@
         r.cls = int(random_() % 5);
         double patience = 100 + double(random_() % 900);
         r.deadline = now_ + patience;
-        take(gateway_.arrive(now_, id, r.cls, patience));
+        take(node_.arrive(now_, id, r.cls, patience));
     }
 
     void answer_probes() {
@@ -117,8 +117,8 @@
         for (EndpointId s : probes) {
             unsigned dice = unsigned(random_() % 10);
             if (dice == 0) continue;
-            take(gateway_.probe(now_, s, dice == 1 ? Outcome::ConnectFailed : Outcome::Ok,
-                                double(random_() % 4), double(random_() % 3)));
+            take(node_.probe(now_, s, dice == 1 ? Outcome::ConnectFailed : Outcome::Ok, double(random_() % 4),
+                             double(random_() % 3)));
         }
     }
 
@@ -136,8 +136,8 @@
                 r.answered = true;
                 ++answers_;
             }
-            take(gateway_.end(now_, d.id, d.attempt, r.attempts[std::size_t(d.attempt)].server, outcome,
-                              now_ - d.sent, r.answered));
+            take(node_.end(now_, d.id, d.attempt, r.attempts[std::size_t(d.attempt)].endpoint, outcome,
+                           now_ - d.sent, r.answered));
         }
     }
 
@@ -169,13 +169,13 @@
             EXPECT_NE(r.cls, 1) << "rule 2: an unsafe request sent again";
             EXPECT_LT(now_ - earlier.when, 1500) << "rule 2: past the window";
             if (r.cls == 3) {
-                EXPECT_EQ(earlier.server % 2, f.endpoint % 2) << "rule 2: another zone";
+                EXPECT_EQ(earlier.endpoint % 2, f.endpoint % 2) << "rule 2: another zone";
             }
             if (r.cls == 4) {
-                EXPECT_EQ(earlier.server % 4, f.endpoint % 4) << "rule 2: another cell";
+                EXPECT_EQ(earlier.endpoint % 4, f.endpoint % 4) << "rule 2: another cell";
             }
         }
-        check_cold(f.endpoint);
+        check_slow_start(f.endpoint);
         int attempt = int(r.attempts.size());
         r.attempts.push_back({f.endpoint, now_, std::nullopt});
         ++sends_;
@@ -191,14 +191,15 @@
         due_.emplace(when, Due{f.request, attempt, outcome, now_});
     }
 
-    void check_cold(EndpointId server) {
-        auto& times = cold_[server];
-        double age = now_ - started_[server];
-        if (started_[server] == 0 || age > 8000) return;
+    void check_slow_start(EndpointId endpoint) {
+        auto& times = slow_start_sends_[endpoint];
+        double age = now_ - started_[endpoint];
+        if (started_[endpoint] == 0 || age > 8000) return;
         times.push_back(now_);
         auto in_span =
             std::count_if(times.begin(), times.end(), [this](double t) { return t > now_ - 2000; });
-        // No server here answers more than one request in 5 ms for each of its cores, however many there are.
+        // No endpoint here answers more than one request in 5 ms for each of its cores, however many there
+        // are.
         double share = std::min(1.0, 0.3 + 0.7 * age / 8000);
         EXPECT_LE(double(in_span), std::max(2.0, 2.5 * share * 200 * 2)) << "rule 4";
     }
@@ -230,7 +231,7 @@
 
     std::mt19937_64 random_;
     Settings settings_;
-    Gateway gateway_;
+    Gateway node_;
     double now_ = 0;
     RequestId next_ = 1, checked_ = 1;
     std::map<RequestId, Client> requests_;
@@ -240,18 +241,20 @@
                                        {4, Phase::Ready}, {5, Phase::Ready}, {6, Phase::Ready},
                                        {7, Phase::Ready}, {8, Phase::Ready}};
     std::map<EndpointId, double> started_;
-    std::map<EndpointId, std::vector<double>> cold_;
+    std::map<EndpointId, std::vector<double>> slow_start_sends_;
     std::size_t sends_ = 0, answers_ = 0;
 };
 
 TEST_P(SafetyRules, HoldOverRandomEvents) {
-    Day(GetParam()).run(20000);
+    RandomEventSimulation(GetParam()).run(20000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, SafetyRules,
-                         ::testing::Values(Case{1, false, false}, Case{2, true, false}, Case{3, false, true},
-                                           Case{4, true, true}, Case{5, false, true}, Case{6, true, false},
-                                           Case{7, true, true}, Case{8, false, false}));
+INSTANTIATE_TEST_SUITE_P(
+    Seeds, SafetyRules,
+    ::testing::Values(SimulationParameters{1, false, false}, SimulationParameters{2, true, false},
+                      SimulationParameters{3, false, true}, SimulationParameters{4, true, true},
+                      SimulationParameters{5, false, true}, SimulationParameters{6, true, false},
+                      SimulationParameters{7, true, true}, SimulationParameters{8, false, false}));
 
 }  // namespace
 }  // namespace ochrehub::testing
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -11,13 +11,13 @@
 namespace ochrehub::testing {
 namespace {
 
-// A process that had just begun took the whole of a cold server's budget, whatever one before it in its place
-// had sent.
+// A process that had just begun took the whole of a cold endpoint's budget, whatever one before it in its
+// place had sent.
 TEST(SlowStart, SuccessiveProcessesShareOneBudget) {
     Settings set = unprobed();
     set.classes.resize(1);
-    auto cold = entry(1);
-    cold.last_start = at(1000);
+    auto starting = entry(1);
+    starting.last_start = at(1000);
     double most = 0,
            usual = set.classes[0].latency_objective.count() /
                    4;  // what a request takes; nothing answered says otherwise
@@ -26,7 +26,7 @@
         for (int life = 0; life < 12; ++life) {
             Gateway g(set, seed * 100 + std::uint64_t(life));
             double begins = 3000 + 400.0 * life;
-            g.list(begins, {cold});
+            g.list(begins, {starting});
             for (RequestId i = 1; i < 200; ++i) {
                 double t = begins + 2 * double(i);
                 auto to = sent_to(g.arrive(t, i));
@@ -46,27 +46,27 @@
     EXPECT_LE(most, 1);
 }
 
-// Many gateways, each told of the same start, with more requests than the host can carry: what they send
+// Many nodes, each told of the same start, with more requests than the endpoint can carry: what they send
 // together in any span stays under its budget, and it is not left idle either.
 class SlowStartFleet : public ::testing::TestWithParam<int> {};
 
 TEST_P(SlowStartFleet, SendsOfAllNodesStayWithinTheBudget) {
-    int gateways = GetParam();
+    int nodes = GetParam();
     Settings set = unprobed();
-    set.node_count = gateways;
+    set.node_count = nodes;
     set.slow_start_duration = Duration{8000};
     std::vector<double> sends;
-    for (int k = 0; k < gateways; ++k) {
+    for (int k = 0; k < nodes; ++k) {
         Gateway g(set, std::uint64_t(k) * 7919 + 1);
-        auto cold = entry(1);
-        cold.last_start = at(1000);
+        auto starting = entry(1);
+        starting.last_start = at(1000);
         g.list(1, {entry(1)});
-        g.list(1001 + 50.0 * k / gateways, {cold}, UpdateKind::Delta);
-        double gap = std::max(20.0, gateways / 0.5);  // up to 500 requests a second in all
+        g.list(1001 + 50.0 * k / nodes, {starting}, UpdateKind::Delta);
+        double gap = std::max(20.0, nodes / 0.5);  // up to 500 requests a second in all
         for (RequestId i = 0;; ++i) {
-            double t = 1100 + gap * (double(i) + double(k) / gateways);
+            double t = 1100 + gap * (double(i) + double(k) / nodes);
             if (t >= 9000) break;
-            // One core: 20 a second when warm, and as much slower as it is cold.
+            // One core: 20 a second when warm, and as much slower during slow start.
             double share = std::min(1.0, 0.3 + 0.7 * (t - 1000) / 8000);
             auto sent = all_of<Forward>(g.arrive(t, i));
             for (std::size_t n = 0; n < sent.size(); ++n) {
@@ -88,8 +88,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartFleet, ::testing::Values(1, 3, 1000));
 
-// In a large fleet few gateways use a server. A hundredth of a cold host's budget for each of a hundred left
-// it almost idle until it counted as warm, while the others queued.
+// In a large fleet few nodes use an endpoint. A hundredth of a cold endpoint's budget for each of a hundred
+// left it almost idle until it counted as warm, while the others queued.
 TEST(SlowStart, EndpointIsUsedWhenFewOfManyNodesSelectIt) {
     Settings set = make_settings();
     set.node_count = 100;
@@ -118,7 +118,7 @@
         }
     }
     std::sort(sends.begin(), sends.end());
-    // Twenty hosts, each of 50 ms a send: 20 a second when warm. A third of what they could carry at the
+    // Twenty endpoints, each of 50 ms a send: 20 a second when warm. A third of what they could carry at the
     // least, twice at the most.
     for (double from = 2500; from + 1500 <= 8500; from += 1500) {
         auto in_span =
@@ -129,7 +129,7 @@
     }
 }
 
-// Sizes that fall with what servers hold made an idle cold one the largest of all, and its budget with it.
+// Sizes that fall with what endpoints hold made an idle cold one the largest of all, and its budget with it.
 TEST(SlowStart, IgnoresLiveWeightOfAStartingEndpoint) {
     auto sends_at = [](bool live, double warm_size) {
         Settings set = unprobed();
@@ -139,7 +139,7 @@
         std::vector<EndpointEntry> fleet = {entry(1), entry(2), entry(3)};
         for (EndpointEntry& e : fleet) e.weight = warm_size;
         g.list(0, fleet);
-        std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
+        std::multimap<double, std::pair<RequestId, EndpointId>> in_flight;
         RequestId id = 0;
         int sends = 0;
         for (double t = 1; t < 22'000; t += 10) {
@@ -150,25 +150,25 @@
             }
             Actions all = g.run_to(t);
             auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
-            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin()))
-                add(g.ok(t, under_way.begin()->second.first, under_way.begin()->second.second, 50));
+            for (; !in_flight.empty() && in_flight.begin()->first <= t; in_flight.erase(in_flight.begin()))
+                add(g.ok(t, in_flight.begin()->second.first, in_flight.begin()->second.second, 50));
             add(g.arrive(t, ++id, 0, 400));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + 50, std::pair(f.request, f.endpoint));
+                in_flight.emplace(t + 50, std::pair(f.request, f.endpoint));
                 sends += f.endpoint == 4;
             }
         }
         return sends;
     };
-    // Three servers carry 100 a second: in the 2 s behind its start a cold one stands 2.5 times 0.39 of 33 a
-    // second.
+    // Three endpoints carry 100 a second: in the 2 s behind its start a cold one stands 2.5 times 0.39 of 33
+    // a second.
     EXPECT_LE(sends_at(false, 1), 64);
     EXPECT_LE(sends_at(true, 0.1), 64);
     EXPECT_GE(sends_at(true, 0.1), 20);
 }
 
-// What warm ones take was believed as it came: a process whose first answer was slow sent a cold server next
-// to nothing.
+// What warm ones take was believed as it came: a process whose first answer was slow sent a cold endpoint
+// next to nothing.
 TEST(SlowStart, SlowFirstResponseDoesNotStarveAStartingEndpoint) {
     auto sends = [](double first_ms) {
         Settings set = unprobed();
@@ -176,7 +176,7 @@
         Gateway g(set);
         std::vector<EndpointEntry> fleet = {entry(1), entry(2), entry(3)};
         g.list(0, fleet);
-        std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
+        std::multimap<double, std::pair<RequestId, EndpointId>> in_flight;
         RequestId id = 0;
         int sent = 0;
         for (double t = 1; t < 1500; t += 10) {
@@ -187,13 +187,13 @@
             }
             Actions all = g.run_to(t);
             auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
-            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin())) {
-                auto [request, server] = under_way.begin()->second;
-                add(g.ok(t, request, server, request <= 3 ? first_ms : 50));
+            for (; !in_flight.empty() && in_flight.begin()->first <= t; in_flight.erase(in_flight.begin())) {
+                auto [request, endpoint] = in_flight.begin()->second;
+                add(g.ok(t, request, endpoint, request <= 3 ? first_ms : 50));
             }
             add(g.arrive(t, ++id, 0, 4000));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + 50, std::pair(f.request, f.endpoint));
+                in_flight.emplace(t + 50, std::pair(f.request, f.endpoint));
                 sent += f.endpoint == 4;
             }
         }
@@ -212,12 +212,12 @@
         g.list(0, {entry(1)});
         g.arrive(1000, 1);
         g.ok(1010, 1, 1, 10);
-        auto cold = entry(1);
-        cold.last_start = at(1015);
-        g.list(1020, {cold}, UpdateKind::Delta);
+        auto starting = entry(1);
+        starting.last_start = at(1015);
+        g.list(1020, {starting}, UpdateKind::Delta);
         sends += sent_to(g.arrive(1030, 2)).has_value();
     }
-    EXPECT_LE(sends, 20);  // a warm host would be sent all two hundred
+    EXPECT_LE(sends, 20);  // a warm endpoint would be sent all two hundred
 }
 
 }  // namespace
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -14,9 +14,9 @@
     Settings set = unprobed();
     set.node_count = 3;
     Gateway g(set);
-    auto cold = entry(1);
-    cold.last_start = at(0);
-    g.list(1, {cold});
+    auto starting = entry(1);
+    starting.last_start = at(0);
+    g.list(1, {starting});
     std::vector<double> sends;
     for (RequestId i = 0; i < 400; ++i) {
         double t = 2 + 10 * double(i);
@@ -30,13 +30,13 @@
         std::size_t in_span = 0;
         for (std::size_t k = i; k < sends.size() && sends[k] < sends[i] + 2000; ++k) ++in_span;
         double share = std::min(1.0, 0.3 + 0.7 * (sends[i] + 2000) / 8000);
-        // Its own answers, 1 every 10 ms at most, are all that it knows of a host's capacity.
+        // Its own answers, 1 every 10 ms at most, are all that it knows of an endpoint's capacity.
         EXPECT_LE(double(in_span), std::max(2.0, 2.5 * share * 100 * 2 / 3));
     }
 }
 
-// What a cold server may be sent followed what was served of late: in a release, where that is what cold
-// servers are sent, both went down together and stayed down till all were warm.
+// What a cold endpoint may be sent followed what was served of late: in a release, where that is what cold
+// endpoints are sent, both went down together and stayed down till all were warm.
 TEST(SlowStart, BudgetFollowsCapacityNotThroughput) {
     Settings set = unprobed();
     set.classes.resize(1);
@@ -45,7 +45,7 @@
     for (EndpointId s = 1; s <= 6; ++s) fleet.push_back(entry(s));
     g.list(0, fleet);
     RequestId id = 0;
-    std::multimap<double, std::pair<RequestId, EndpointId>> under_way;
+    std::multimap<double, std::pair<RequestId, EndpointId>> in_flight;
     int sends = 0;
     double took = 60;
     auto play = [&](double from, double to) {  // 100 a second
@@ -53,11 +53,11 @@
         for (double t = from; t < to; t += 10) {
             Actions all = g.run_to(t);
             auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
-            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin()))
-                add(g.ok(t, under_way.begin()->second.first, under_way.begin()->second.second, took));
+            for (; !in_flight.empty() && in_flight.begin()->first <= t; in_flight.erase(in_flight.begin()))
+                add(g.ok(t, in_flight.begin()->second.first, in_flight.begin()->second.second, took));
             add(g.arrive(t, ++id, 0, 300));
             for (const Forward& f : all_of<Forward>(all)) {
-                under_way.emplace(t + took, std::pair(f.request, f.endpoint));
+                in_flight.emplace(t + took, std::pair(f.request, f.endpoint));
                 ++sends;
             }
         }
@@ -79,8 +79,8 @@
     EXPECT_LE(sends, 2.5 * 0.48 * 200);
 }
 
-// A send counted as one whatever it costs: a cold server that got its budget of the heaviest class was pushed
-// over.
+// A send counted as one whatever it costs: a cold endpoint that got its budget of the heaviest class was
+// pushed over.
 TEST(SlowStart, CountsRequestsByTheirCost) {
     auto sends_of = [](int cls) {
         Settings set = unprobed();
@@ -99,16 +99,16 @@
         fleet[2].last_start = at(20002);
         g.list(20002, fleet, UpdateKind::Delta);
         int sends = 0;
-        std::multimap<double, RequestId> under_way;
+        std::multimap<double, RequestId> in_flight;
         for (double t = 20003; t < 21900; t += 5) {
             Actions all = g.run_to(t);
             auto add = [&](const Actions& more) { all.insert(all.end(), more.begin(), more.end()); };
-            for (; !under_way.empty() && under_way.begin()->first <= t; under_way.erase(under_way.begin()))
-                add(g.ok(t, under_way.begin()->second, 3, taking(cls)));
+            for (; !in_flight.empty() && in_flight.begin()->first <= t; in_flight.erase(in_flight.begin()))
+                add(g.ok(t, in_flight.begin()->second, 3, taking(cls)));
             add(g.arrive(t, ++id, cls, 400));
             for (const Forward& f : all_of<Forward>(all)) {
                 EXPECT_EQ(f.endpoint, 3u);
-                under_way.emplace(t + taking(cls), f.request);
+                in_flight.emplace(t + taking(cls), f.request);
                 ++sends;
             }
         }
@@ -119,14 +119,14 @@
     EXPECT_GE(light, 3 * heavy);
 }
 
-// What the slots of the largest server carry was taken for what any cold one does.
+// What the slots of the largest endpoint carry was taken for what any cold one does.
 TEST(SlowStart, DoesNotAssumeLargestCapacityForASmallEndpoint) {
     auto sends_to = [](double size) {
         Settings set = unprobed();
         set.classes.resize(1);
         Gateway g(set);
-        auto large = entry(1), cold = entry(2);
-        large.weight = 4, cold.weight = size, cold.last_start = at(10'002);
+        auto large = entry(1), starting = entry(2);
+        large.weight = 4, starting.weight = size, starting.last_start = at(10'002);
         g.list(0, {large});
         RequestId id = 0;
         for (double t = 10; t < 10'000;
@@ -134,7 +134,7 @@
             if (auto to = sent_to(g.arrive(t, ++id))) g.ok(t + 10, id, *to, 10);
         }
         large.phase = Phase::Draining;
-        g.list(10'002, {large, cold});
+        g.list(10'002, {large, starting});
         int sends = 0;
         for (double t = 10'003; t < 12'000; t += 5) {
             auto sent = all_of<Forward>(g.arrive(t, ++id, 0, 100));
@@ -162,9 +162,9 @@
     for (std::uint64_t seed = 1; seed <= 600; ++seed) {
         Gateway g(set, seed);
         g.list(0, {entry(1)});
-        auto cold = entry(1);
-        cold.last_start = at(3000);
-        g.list(3001, {cold});
+        auto starting = entry(1);
+        starting.last_start = at(3000);
+        g.list(3001, {starting});
         for (RequestId i = 1; i < 200; ++i) {
             auto to = sent_to(g.arrive(3001 + 10 * double(i), i));
             sent += to.has_value();
@@ -189,7 +189,7 @@
         sends += to.has_value();
         if (to) g.ok(20001.5 + double(i), i, *to, 50);
     }
-    EXPECT_LE(sends, 60);  // it stands 74 in a span; a warm host would have been sent all hundred
+    EXPECT_LE(sends, 60);  // it stands 74 in a span; a warm endpoint would have been sent all hundred
 }
 
 }  // namespace
--- a/tests/balancer/subset_selector_test.cpp
+++ b/tests/balancer/subset_selector_test.cpp
@@ -10,7 +10,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// Without quotas each gateway was given three servers, as for one request a second, and a cold one that fell
+// Without quotas each node was given three endpoints, as for one request a second, and a cold one that fell
 // to nobody got nothing till it was warm.
 TEST(SubsetSelector, AssignsNoSubsetWithoutQuotas) {
     Settings set = make_settings();
@@ -37,26 +37,26 @@
 }
 
 // Gateways that work out who uses what must come to the same, however much each has to do: one that is busy
-// uses further servers beside those it is given, and no others in their place.
+// uses further endpoints beside those it is given, and no others in their place.
 TEST(SubsetSelector, AssignedSubsetDoesNotDependOnLoad) {
     Settings set = make_settings();
     set.node_count = 100;
     set.probe_cost = 0.08;
-    set.tenants = {{1600, 1}};  // 16 a second for each gateway, which is worth four servers
+    set.tenants = {{1600, 1}};  // 16 a second for each node, which is worth four endpoints
     std::vector<EndpointEntry> fleet;
     for (EndpointId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
     auto probed = [&](int me, double gap) {
         set.node_index = me;
         Gateway g(set, std::uint64_t(me) * 7919 + 1);
         g.list(1, fleet);
-        std::set<EndpointId> servers;
+        std::set<EndpointId> endpoints;
         RequestId id = 0;
         for (double t = 10; t < 20000; t += gap) {
             for (const Probe& p : all_of<Probe>(g.run_probed(t, [](EndpointId) { return Outcome::Ok; })))
-                if (t > 15000) servers.insert(p.endpoint);
+                if (t > 15000) endpoints.insert(p.endpoint);
             if (auto to = sent_to(g.arrive(t, ++id))) g.ok(t + 5, id, *to, 5);
         }
-        return servers;
+        return endpoints;
     };
     for (int me = 0; me < 100; me += 5) {
         std::set<EndpointId> quiet = probed(me, 300), usual = probed(me, 60), busy = probed(me, 25);
@@ -120,7 +120,7 @@
         used.insert(s);
         return std::pair{Outcome::Ok, 20.0};
     };
-    steady(g, 0, 20'000, 20, serve);
+    send_steady_load(g, 0, 20'000, 20, serve);
     EXPECT_EQ(used.size(), 12u);
 }
 
