--- a/tests/balancer/attempt_tracker_test.cpp
+++ b/tests/balancer/attempt_tracker_test.cpp
@@ -9,7 +9,8 @@
 namespace ochrehub::testing {
 namespace {
 
-// Tables that were full turned live endpoints Unhealthy, and their return looked like a cold start.
+// A full connection table at a live endpoint must neither mark it Unhealthy nor start a slow start on its
+// return.
 TEST(AttemptTracker, RefusedConnectionPausesALiveEndpointWithoutEjection) {
     Settings set = make_settings();
     Gateway g(set);
@@ -34,8 +35,7 @@
     EXPECT_TRUE(all_of<Log>(quiet).empty());
 }
 
-// Connections dropped unseen after a while without use lost a third of all requests, at endpoints that were
-// sound.
+// A middlebox that silently drops idle connections must not cost requests to healthy endpoints.
 TEST(AttemptTracker, ClosesIdleConnectionsWhileSendsOnThemAreLost) {
     for (bool dropped : {true, false}) {
         Settings set = unprobed();
--- a/tests/balancer/balancer_fixture.h
+++ b/tests/balancer/balancer_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of the balancer share beside the bench's side: steady load, warm connections.
+// Shared helpers of the balancer's tests: settings, established connections, steady load.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_FALSE(sent_to(g.end(1230, 2, 0, 1, Outcome::Rejected, 30)));  // it is over: nothing more goes out
 }
 
-// Told by how many its parts are divided, it does as one that was set so from the start.
+// A fleet size received at run time has the same effect as the same size in the settings.
 TEST(Balancer, FleetSizeChangeActsLikeTheSameSettings) {
     Settings few = unprobed(), many = unprobed();
     for (Settings* set : {&few, &many}) set->tenants = {{40, 0.5}}, set->connection_cost = 2;
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -9,7 +9,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// A single request of each of two nodes leaves an endpoint idle while it waits elsewhere.
+// A limit of one request for each of two nodes would leave an endpoint idle while requests wait elsewhere.
 TEST(ConcurrencyLimiter, AllowsThreeRequestsPerEndpointWithTwoNodesInASlowPeriod) {
     Settings set = unprobed();
     set.node_count = 2;
@@ -25,7 +25,8 @@
     EXPECT_EQ(sent, 9);  // a limit of 2.5 at each of three
 }
 
-// What is usual was believed to 0.4 of the aim: each answer seemed slow, and limits never grew.
+// The typical latency must not be capped far below the objective: every response would seem slow, and limits
+// would never grow.
 TEST(ConcurrencyLimiter, GrowsWhenTheObjectiveIsCloseToTypicalLatency) {
     for (double aim : {170.0, 150.0, 130.0})
         for (bool late : {false, true}) {
@@ -42,7 +43,7 @@
         }
 }
 
-// ... and yet a long slow spell teaches nothing: limits stay where they are at slow endpoints.
+// A long slow period must not raise the typical latency: limits stay where they are at slow endpoints.
 TEST(ConcurrencyLimiter, SlowPeriodDoesNotRaiseTypicalLatencyUnderWideObjectives) {
     Settings set = unprobed();
     for (ClassSettings& c : set.classes) c.latency_objective = Duration{150}, c.late_response_weight = 0.5;
--- a/tests/balancer/endpoint_picker_test.cpp
+++ b/tests/balancer/endpoint_picker_test.cpp
@@ -55,7 +55,7 @@
     EXPECT_EQ(sent_to(g.arrive(151, 3)), second);
 }
 
-// Nothing was sent but what was worth more than the mean, and what had waited, if its turn came.
+// With no endpoint in the local zone every request crosses, whatever its priority.
 TEST(EndpointPicker, CrossesZonesAtOnceWhenTheLocalZoneIsEmpty) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.2;
@@ -81,8 +81,7 @@
     EXPECT_EQ(sent_to(g.arrive(200, 3)), EndpointId{2});  // the second has waited long enough by now
 }
 
-// Where crossing is cheap all zones are one rotation, and half of the requests of a quiet node crossed for
-// nothing.
+// With cheap crossing, requests of a node with little load must still stay in its zone.
 TEST(EndpointPicker, CheapCrossZoneSendCountsAsOneMoreRequestInFlight) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.01;
@@ -101,7 +100,7 @@
     EXPECT_GE(sends[2], 1);
 }
 
-// Overloaded zones sent each other what neither could serve, at a high price.
+// Overloaded zones must not send each other requests that neither can serve.
 TEST(EndpointPicker, AvoidsCostlyCrossZoneSendsWhileTheyFail) {
     Settings set = unprobed();
     set.cross_zone_cost = 0.2;
--- a/tests/balancer/endpoint_registry_test.cpp
+++ b/tests/balancer/endpoint_registry_test.cpp
@@ -67,8 +67,7 @@
     EXPECT_TRUE(sent_to(g.arrive(g.now + 1, 1)));  // the old list stays in force
 }
 
-// Where the list is pushed, what the agent has counts as told at once: 2 s later nothing may go to an
-// endpoint that drains.
+// With a pushed list, nothing may go to a draining endpoint 2 s after the agent knows of it.
 TEST(EndpointRegistry, SubscribesToAgentAtOnceAndAgainWithinOneSecondInAnyFleet) {
     Settings set = unprobed();
     set.watches_discovery = true;
@@ -82,9 +81,9 @@
     }
 }
 
-// Discovery is one queue for all: 20 calls a second, and one that has waited 2 s fails but was its work all
-// the same. A hundred nodes that start, and all lose their watch later in one instant, must not ask faster
-// than it answers.
+// Discovery serves one queue: 20 calls a second, and a call that waited 2 s fails but uses capacity. A
+// hundred nodes that start, and later lose their subscriptions at once, must not call faster than it
+// responds.
 TEST(EndpointRegistry, HundredNodesStayWithinDiscoveryCapacity) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
@@ -121,7 +120,7 @@
     }
 }
 
-// However many nodes there are, each asks before a list that it does not have is held against it.
+// In a fleet of any size each node subscribes before its missing list counts as stale.
 TEST(EndpointRegistry, SubscribesWithinSecondsInAnyFleet) {
     for (int nodes : {0, 1, 3, 100, 10'000, 1'000'000}) {
         Settings set = unprobed();
@@ -138,9 +137,7 @@
     }
 }
 
-// Where endpoints are replaced for good, what is known of them does not grow for good.
-// In a release a list is old within a second: a node whose calls fail for a while must not sit out the
-// rest of it.
+// In a release a list is outdated within a second: a node whose calls fail for a while must retry soon.
 TEST(EndpointRegistry, RetriesSoonAfterRepeatedFailures) {
     Settings set = unprobed();
     set.polls_discovery = set.watches_discovery = true;
@@ -159,9 +156,10 @@
         }
     }
     EXPECT_LT(longest, 1'850);
-    EXPECT_GT(longest, 600) << "many nodes must not ask all the time";
+    EXPECT_GT(longest, 600) << "many nodes must not subscribe all the time";
 }
 
+// Where endpoints are replaced for good, memory for unlisted ones must not grow.
 TEST(EndpointRegistry, ForgetsEndpointsUnlistedForLong) {
     Gateway g(unprobed());
     auto replace = [&](EndpointId from, EndpointId to) {
--- a/tests/balancer/health_tracker_test.cpp
+++ b/tests/balancer/health_tracker_test.cpp
@@ -95,9 +95,8 @@
     EXPECT_EQ(all_of<Reject>(later).size(), 1u);  // and is refused before its aim has passed
 }
 
-// Endpoints answer few probes a second well. Those left Healthy paid for all probes, so that the fewer they
-// were the more were sent to the others, and none of them passed two in a row: after an outage that was over
-// the fleet stayed Unhealthy for as long as clients asked.
+// Endpoints pass few probes a second. The probe rate for Unhealthy endpoints must not grow as fewer are
+// Healthy: none would pass two in a row, and the fleet would stay Unhealthy after the outage.
 TEST(HealthTracker, FleetAnsweringTwoProbesPerSecondRecoversUnderOverload) {
     Settings set = make_settings();
     set.probe_cost = 0.03;
@@ -113,7 +112,7 @@
     for (double t = 0; t < 25000; t += 5) {
         bool down = t > 2000 && t < 10000;
         std::vector<Action> actions = g.run_to(t);
-        // 1,000 first tries a second, as clients send that are refused and ask again.
+        // 1,000 first tries a second, as clients send that are rejected and retry.
         for (int k = 0; k < 5; ++k)
             for (const Action& a : g.arrive(t, ++id)) actions.push_back(a);
         for (std::size_t i = 0; i < actions.size(); ++i) {
@@ -157,7 +156,7 @@
     EXPECT_LE(probes_in_ten_seconds(true), 1u);
 }
 
-/// Server 1 of four errs from 1 s to `till_ms`; sends to it by when they were made.
+/// Endpoint 1 of four fails from 1 s to `till_ms`; sends to it by when they were made.
 std::vector<double> send_times_to_failing_endpoint(Gateway& g, double till_ms, double end_ms, int cls) {
     g.list(0, {entry(1), entry(2), entry(3), entry(4)});
     std::vector<double> tried;
@@ -169,7 +168,7 @@
     return tried;
 }
 
-// Nothing but a new start brought it back.
+// Without probes, single requests find out whether an Unhealthy endpoint has recovered.
 TEST(HealthTracker, UnhealthyEndpointReturnsWithoutProbes) {
     for (int cls : {0, 1, 2}) {
         Gateway g(unprobed());
@@ -190,7 +189,7 @@
     }
 }
 
-// An outage of all: what asks meanwhile is the trial, one at each at a time.
+// After an outage of all endpoints, requests take the place of probes, one at each endpoint at a time.
 TEST(HealthTracker, FleetRecoversFromAnOutageWithoutProbes) {
     for (Outcome down : {Outcome::ConnectFailed, Outcome::Error, Outcome::Timeout}) {
         Gateway g(unprobed());
--- a/tests/balancer/load_probe_test.cpp
+++ b/tests/balancer/load_probe_test.cpp
@@ -37,14 +37,14 @@
     EXPECT_FALSE(sent_to(g.probe(3001, 2, Outcome::Ok, 9, 8)));
 }
 
-// Reports that said "idle" of endpoints with full queues drew everyone's requests there.
+// Endpoints with full queues that report being idle must not attract all requests.
 TEST(LoadProbe, IgnoresReportsContradictedByOwnRequests) {
     Gateway g(settings_with_load_reports());
     g.list(0, {entry(1), entry(2)});
     std::map<EndpointId, int> sends;
     for (RequestId i = 0; i < 100; ++i) {
         double t = 3000 + 20 * double(i);
-        // 1 always says that it is idle, and turns away what it gets; 2 holds one of another node's.
+        // 1 always reports that it is idle, and rejects every request; 2 holds one of another node's.
         auto serve = [](EndpointId s) {
             return s == 1 ? std::pair{Outcome::Rejected, 1.0} : std::pair{Outcome::Ok, 13.0};
         };
@@ -54,8 +54,7 @@
     EXPECT_GT(sends[2], 2 * sends[1]);
 }
 
-// A request could always cost four looks, whatever one cost: on a site with dear probes they took a quarter
-// of the result.
+// With costly probes a request must not pay for several of them.
 TEST(LoadProbe, IsSkippedWhenItCostsMoreThanItGains) {
     Settings set = settings_with_load_reports();
     set.probe_cost = 0.05;
@@ -139,8 +138,8 @@
     return all;
 }
 
-// The look that was waited for was late or stale when its answer was there, and the next pair was asked, and
-// so on. Where looks take long only the newest was sent by each, and the others waited for the next.
+// A load probe must still be fresh when its result is processed in a coarse batch, and must serve all waiting
+// requests.
 TEST(LoadProbe, IsInTimeUnderCoarseClockGranularity) {
     for (double granularity : {1.0, 2.0, 5.0, 10.0, 20.0, 40.0}) {
         BatchedLoadResult seen = run_in_batches(granularity, 1, true);
@@ -158,7 +157,7 @@
     }
 }
 
-// Looks let one or two of those that waited go at a time, whatever the endpoints bore.
+// Load probes must not limit a node to one or two waiting requests at a time.
 TEST(LoadProbe, DoesNotDelayABusyNode) {
     BatchedLoadResult seen = run_in_batches(1, 0.5, true, 1000, 13, 30);
     EXPECT_GT(seen.served, 0.98 * seen.offered);
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -6,7 +6,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// Worthless requests that err at any endpoint ejected the whole fleet.
+// Requests that fail at any endpoint must not eject the fleet.
 TEST(OutlierDetector, EjectsForErrorsOfOneEndpointNotForErrorsOfTheRequests) {
     for (int kind = 0; kind < 4; ++kind) {
         bool everywhere = kind < 2;
--- a/tests/balancer/pending_queue_test.cpp
+++ b/tests/balancer/pending_queue_test.cpp
@@ -37,8 +37,7 @@
     EXPECT_EQ(sends[0].request, 3u);
 }
 
-// A slow spell once taught the node a service time so long that it refused everything at arrival ever
-// after.
+// A slow period must not leave an estimate so long that every later request is rejected on arrival.
 TEST(PendingQueue, AdmitsAgainAfterASlowPeriod) {
     Gateway g(unprobed());
     g.list(0, {entry(1), entry(2)});
@@ -53,7 +52,7 @@
     EXPECT_GE(served, 90);  // of the last hundred
 }
 
-// Told to come back while there is time for that: behind the half it is too late to be of use to anybody.
+// A rejection after half the deadline is too late for the client to retry.
 TEST(PendingQueue, RejectsBeforeHalfTheDeadlineWhenNoEndpointAccepts) {
     Settings set = unprobed();
     for (ClassSettings& c : set.classes) c.late_response_weight = 0.5;
@@ -66,7 +65,7 @@
     }
 }
 
-// An answer that would most likely come too late is not worth an endpoint's time while all are slow.
+// A response that will most likely be late must not use an endpoint while all are slow.
 TEST(PendingQueue, StartsNothingThatCannotFinishInTypicalTime) {
     Settings set = unprobed();
     set.classes[0].late_response_weight = 0.5;
@@ -78,7 +77,7 @@
     EXPECT_TRUE(sent_to(g.arrive(20'100, 101, 0, 400)).has_value());
 }
 
-// With a thousand nodes a quota's part is under one request a second: every request counted as surplus.
+// With a thousand nodes a quota share is under one request a second: not every request is over quota.
 TEST(RequestPriority, RequestWithinASmallQuotaShareIsNotOverQuota) {
     Settings set = unprobed();
     set.tenants = {{0.05, 0.5}};
@@ -101,7 +100,7 @@
     EXPECT_EQ(sent.front().request, 3u);
 }
 
-// A node with few events left requests waiting for the next arrival though room had come.
+// A node with few events must send a waiting request when capacity frees up, not at the next arrival.
 TEST(PendingQueue, ReconsidersWaitingRequestWithoutAnotherEvent) {
     Settings set = unprobed();
     set.node_count = 4;  // limits below one: sends to one endpoint are spaced
@@ -114,8 +113,7 @@
     EXPECT_TRUE(sent_to(g.run_to(5380)));
 }
 
-// What was kept back for the way to the client was 2 ms of any deadline: with 0.78 of the aim for the answer,
-// all of 5.
+// The margin for the response to the client must shrink with the deadline.
 TEST(PendingQueue, AcceptsDeadlinesOfAFewMilliseconds) {
     for (double deadline : {5.0, 8.0, 20.0}) {
         Settings set = unprobed();
@@ -127,7 +125,7 @@
     }
 }
 
-// Told to come back when they had given up.
+// A retry-after beyond the client deadline is of no use.
 TEST(PendingQueue, RetryAfterStaysWithinTheClientDeadline) {
     for (double deadline : {100.0, 200.0, 400.0, 600.0, 2000.0}) {
         Settings set = unprobed();
--- a/tests/balancer/random_settings_test.cpp
+++ b/tests/balancer/random_settings_test.cpp
@@ -82,8 +82,8 @@
     return d;
 }
 
-// What each of these scenarios contains is in make_random_scenario(); 134 has a sole endpoint that turns
-// work away, 316 and 365 have more requests than looks can serve.
+// What each of these scenarios contains is in make_random_scenario(); 134 has a sole endpoint that rejects
+// requests, 316 and 365 have more requests than load probes can serve.
 TEST(RandomSettings, KeepSafetyRulesAndStarveNoClass) {
     std::vector<std::uint64_t> seeds(40);
     std::iota(seeds.begin(), seeds.end(), 1);
@@ -102,7 +102,7 @@
     }
 }
 
-// How many endpoints are used was weighed by what probes cost alone, whatever the requests needed.
+// The number of endpoints in use must follow the load and not only the cost of probes.
 TEST(RandomSettings, CostlyProbesLeaveNoNeededEndpointUnused) {
     for (double price : {0.06, 0.2, 1.0})
         for (double load : {0.4, 0.6}) {
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_EQ(all_of<Fail>(after).size(), 1u);
 }
 
-// Work whose aim had passed filled the endpoints' queues and made the next in line late as well.
+// Requests past their objective must not fill endpoint queues and delay those behind them.
 TEST(RetryPolicy, TimesOutAtLatencyObjectiveWhenCancelIsAllowed) {
     for (bool cancel : {false, true}) {
         Settings set = unprobed();
@@ -75,8 +75,7 @@
     EXPECT_LT(retried, 25);  // a fifth of the first tries and a small burst
 }
 
-// The window was looked at when the repeat was decided on alone: on a connection that came up late it arrived
-// behind it.
+// The deduplication window must also hold on a connection that is established late.
 TEST(RetryPolicy, RetryCarriesWriteDeadlineWhenFirstAttemptMayHaveRun) {
     Settings set = unprobed();
     set.classes[2].deduplication_window = Duration{300};
@@ -97,8 +96,7 @@
     EXPECT_EQ(more[0].send_deadline, TimePoint::max()) << "may be repeated at any time";
 }
 
-// In a release each request went to several draining endpoints in turn, 3.5 attempts a call, and was refused
-// when its attempts were used up.
+// In a release a request must not use up its attempts at one draining endpoint after another.
 TEST(RetryPolicy, AvoidsRejectingEndpointBriefly) {
     Gateway g(unprobed());
     std::vector<EndpointEntry> fleet;
@@ -122,7 +120,7 @@
     EXPECT_EQ(refused, 0);
 }
 
-// One that turned work away was left for 150 to 450 ms, also where nobody else could take it.
+// An endpoint that rejected a request is not avoided when no other can take requests.
 TEST(RetryPolicy, KeepsUsingTheLastEndpointWhenItRejects) {
     for (EndpointId endpoints : {1u, 2u}) {
         Settings set = unprobed();
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -11,8 +11,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// A process that had just begun took the whole of a cold endpoint's budget, whatever one before it in its
-// place had sent.
+// A new process must not use a whole budget on top of what its predecessor sent.
 TEST(SlowStart, SuccessiveProcessesShareOneBudget) {
     Settings set = unprobed();
     set.classes.resize(1);
@@ -46,8 +45,8 @@
     EXPECT_LE(most, 1);
 }
 
-// Many nodes, each told of the same start, with more requests than the endpoint can carry: what they send
-// together in any span stays under its budget, and it is not left idle either.
+// Many nodes, each with notice of the same start, with more requests than the endpoint can carry: what they
+// send together in any span stays under its budget, and it is not left idle either.
 class SlowStartFleet : public ::testing::TestWithParam<int> {};
 
 TEST_P(SlowStartFleet, SendsOfAllNodesStayWithinTheBudget) {
@@ -88,8 +87,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartFleet, ::testing::Values(1, 3, 1000));
 
-// In a large fleet few nodes use an endpoint. A hundredth of a cold endpoint's budget for each of a hundred
-// left it almost idle until it counted as warm, while the others queued.
+// In a large fleet few nodes use an endpoint: a hundredth of the budget for each of a hundred nodes would
+// leave it almost idle during slow start while others queue.
 TEST(SlowStart, EndpointIsUsedWhenFewOfManyNodesSelectIt) {
     Settings set = make_settings();
     set.node_count = 100;
@@ -129,7 +128,7 @@
     }
 }
 
-// Sizes that fall with what endpoints hold made an idle cold one the largest of all, and its budget with it.
+// Weights that fall with load must not give an idle starting endpoint the largest budget.
 TEST(SlowStart, IgnoresLiveWeightOfAStartingEndpoint) {
     auto sends_at = [](bool live, double warm_size) {
         Settings set = unprobed();
@@ -167,8 +166,7 @@
     EXPECT_GE(sends_at(true, 0.1), 20);
 }
 
-// What warm ones take was believed as it came: a process whose first answer was slow sent a cold endpoint
-// next to nothing.
+// One slow first response must not cut the budget of a starting endpoint to almost nothing.
 TEST(SlowStart, SlowFirstResponseDoesNotStarveAStartingEndpoint) {
     auto sends = [](double first_ms) {
         Settings set = unprobed();
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -35,8 +35,7 @@
     }
 }
 
-// What a cold endpoint may be sent followed what was served of late: in a release, where that is what cold
-// endpoints are sent, both went down together and stayed down till all were warm.
+// In a release the budget must not follow recent throughput, which the budget itself limits.
 TEST(SlowStart, BudgetFollowsCapacityNotThroughput) {
     Settings set = unprobed();
     set.classes.resize(1);
@@ -79,8 +78,7 @@
     EXPECT_LE(sends, 2.5 * 0.48 * 200);
 }
 
-// A send counted as one whatever it costs: a cold endpoint that got its budget of the heaviest class was
-// pushed over.
+// A send counts by its cost, so that the costliest class cannot overload a starting endpoint.
 TEST(SlowStart, CountsRequestsByTheirCost) {
     auto sends_of = [](int cls) {
         Settings set = unprobed();
@@ -90,7 +88,7 @@
         g.list(0, fleet);
         RequestId id = 0;
         auto taking = [](int of) { return of == 0 ? 10.0 : 100.0; };
-        for (double t = 1; t < 20000; t += 110) {  // what each class takes is learnt
+        for (double t = 1; t < 20000; t += 110) {  // the cost of each class becomes known
             int of = int(++id % 2);
             if (auto to = sent_to(g.arrive(t, id, of))) g.ok(t + taking(of), id, *to, taking(of));
         }
@@ -119,7 +117,7 @@
     EXPECT_GE(light, 3 * heavy);
 }
 
-// What the slots of the largest endpoint carry was taken for what any cold one does.
+// The budget must not follow the slots of the largest endpoint.
 TEST(SlowStart, DoesNotAssumeLargestCapacityForASmallEndpoint) {
     auto sends_to = [](double size) {
         Settings set = unprobed();
@@ -130,7 +128,7 @@
         g.list(0, {large});
         RequestId id = 0;
         for (double t = 10; t < 10'000;
-             t += 100) {  // far less than a slot's work, but what a request takes is learnt
+             t += 100) {  // far less than a slot's work, but the cost of a request becomes known
             if (auto to = sent_to(g.arrive(t, ++id))) g.ok(t + 10, id, *to, 10);
         }
         large.phase = Phase::Draining;
@@ -151,7 +149,7 @@
     EXPECT_LE(small, 0.4 * large);
 }
 
-// Where each of many sends once, nearly as much arrives for their connections as for what they send.
+// Where each of many nodes sends once, connections cost nearly as much as requests.
 TEST(SlowStart, CountsConnectionSetupCost) {
     Settings set = unprobed();
     set.classes.resize(1);
--- a/tests/balancer/subset_selector_test.cpp
+++ b/tests/balancer/subset_selector_test.cpp
@@ -10,8 +10,7 @@
 namespace ochrehub::testing {
 namespace {
 
-// Without quotas each node was given three endpoints, as for one request a second, and a cold one that fell
-// to nobody got nothing till it was warm.
+// Without quotas no small subset is assigned: a starting endpoint in no subset would get no requests.
 TEST(SubsetSelector, AssignsNoSubsetWithoutQuotas) {
     Settings set = make_settings();
     set.node_count = 3;
@@ -36,8 +35,8 @@
     EXPECT_GE(used.size(), 6u) << "of as many as its requests are worth; it was two";
 }
 
-// Gateways that work out who uses what must come to the same, however much each has to do: one that is busy
-// uses further endpoints beside those it is given, and no others in their place.
+// All nodes must compute the same assignment whatever their load: a busy node adds endpoints to its subset
+// and replaces none.
 TEST(SubsetSelector, AssignedSubsetDoesNotDependOnLoad) {
     Settings set = make_settings();
     set.node_count = 100;
@@ -107,7 +106,7 @@
     EXPECT_GE(used.size(), 6u) << "of as many as its requests are worth; it was two";
 }
 
-// A subset was kept small for the price of probes that nobody sends.
+// Probes that are not sent must not keep a subset small.
 TEST(SubsetSelector, ProbeCostIsIgnoredWithoutProbes) {
     Settings set = unprobed();
     set.probe_cost = 0.03;
