--- a/tests/balancer/admin_override_test.cpp
+++ b/tests/balancer/admin_override_test.cpp
@@ -56,7 +56,7 @@
             g.tell(10, AdminOverride{1, false, at(10)});
         }
         int sent = 0;
-        for (int i = 0; i < 1900; ++i) {  // more than a cold one stands, and none of it waits
+        for (int i = 0; i < 1900; ++i) {  // more than the slow start budget, and none of it waits
             g.run_to(20 + i);
             auto to = sent_to(g.arrive(20 + i, RequestId(i)));
             if (!to) continue;
@@ -65,9 +65,9 @@
         }
         return sent;
     };
-    int cold = count_sends_to_first(true), warm = count_sends_to_first(false);
-    EXPECT_GT(cold, 0);
-    EXPECT_LT(cold, warm / 2);
+    int starting = count_sends_to_first(true), warm = count_sends_to_first(false);
+    EXPECT_GT(starting, 0);
+    EXPECT_LT(starting, warm / 2);
 }
 
 TEST(AdminOverride, RejectsAtOnceWhenAllEndpointsAreOut) {
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -28,18 +28,18 @@
 // The typical latency must not be capped far below the objective: every response would seem slow, and limits
 // would never grow.
 TEST(ConcurrencyLimiter, GrowsWhenTheObjectiveIsCloseToTypicalLatency) {
-    for (double aim : {170.0, 150.0, 130.0})
+    for (double objective : {170.0, 150.0, 130.0})
         for (bool late : {false, true}) {
             Settings set = unprobed();
             for (ClassSettings& c : set.classes)
-                c.latency_objective = Duration{aim}, c.late_response_weight = late ? 0.5 : 0;
+                c.latency_objective = Duration{objective}, c.late_response_weight = late ? 0.5 : 0;
             Gateway g(set);
             g.list(0, {entry(1), entry(2), entry(3), entry(4)});
             std::mt19937 random(7);
             std::lognormal_distribution<double> took(std::log(100), 0.1);
             auto serve = [&](EndpointId, double) { return std::pair{Outcome::Ok, took(random)}; };
             EXPECT_GT(send_steady_load(g, 10'000, 25'000, 400, serve).share(), 0.98)
-                << aim << (late ? ", late" : "");
+                << objective << (late ? ", late" : "");
         }
 }
 
--- a/tests/balancer/health_tracker_test.cpp
+++ b/tests/balancer/health_tracker_test.cpp
@@ -92,7 +92,7 @@
     EXPECT_FALSE(sent_to(arrived));
     EXPECT_TRUE(all_of<Reject>(arrived).empty());  // it waits for recovery
     auto later = g.run_to(10401);
-    EXPECT_EQ(all_of<Reject>(later).size(), 1u);  // and is refused before its aim has passed
+    EXPECT_EQ(all_of<Reject>(later).size(), 1u);  // and is rejected before its objective has passed
 }
 
 // Endpoints pass few probes a second. The probe rate for Unhealthy endpoints must not grow as fewer are
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -159,8 +159,8 @@
         }
         return sends;
     };
-    // Three endpoints carry 100 a second: in the 2 s behind its start a cold one stands 2.5 times 0.39 of 33
-    // a second.
+    // Three endpoints carry 100 a second: in the 2 s behind its start a starting one may be sent 2.5 times
+    // 0.39 of 33 a second.
     EXPECT_LE(sends_at(false, 1), 64);
     EXPECT_LE(sends_at(true, 0.1), 64);
     EXPECT_GE(sends_at(true, 0.1), 20);
--- a/tests/balancer/subset_selector_test.cpp
+++ b/tests/balancer/subset_selector_test.cpp
@@ -32,7 +32,7 @@
             g.ok(t + 5, id, *to, 5);
         }
     }
-    EXPECT_GE(used.size(), 6u) << "of as many as its requests are worth; it was two";
+    EXPECT_GE(used.size(), 6u) << "endpoints as the load needs, not two";
 }
 
 // All nodes must compute the same assignment whatever their load: a busy node adds endpoints to its subset
@@ -41,7 +41,7 @@
     Settings set = make_settings();
     set.node_count = 100;
     set.probe_cost = 0.08;
-    set.tenants = {{1600, 1}};  // 16 a second for each node, which is worth four endpoints
+    set.tenants = {{1600, 1}};  // 16 a second for each node, enough for four endpoints
     std::vector<EndpointEntry> fleet;
     for (EndpointId id = 1; id <= 60; ++id) fleet.push_back(entry(id));
     auto probed = [&](int me, double gap) {
@@ -103,7 +103,7 @@
         used.insert(*to);
         g.ok(1005 + 10.0 * double(i), i, *to, 5);
     }
-    EXPECT_GE(used.size(), 6u) << "of as many as its requests are worth; it was two";
+    EXPECT_GE(used.size(), 6u) << "endpoints as the load needs, not two";
 }
 
 // Probes that are not sent must not keep a subset small.
