--- a/src/balancer/endpoint_picker.cpp
+++ b/src/balancer/endpoint_picker.cpp
@@ -48,7 +48,7 @@
     if (!m.registry.in_use(endpoint) || !slow_start_admits(request, endpoint)) return false;
     for (const Attempt& earlier : request.attempts) {
         const EndpointEntry& first = m.registry.at(earlier.endpoint).entry;
-        if (!m.retry.may_repeat_at(request, earlier, first, endpoint.entry, m.now)) return false;
+        if (!m.retry.may_repeat_at(request, earlier, {first, endpoint.entry}, m.now)) return false;
     }
     return true;
 }
--- a/src/balancer/endpoint_picker.h
+++ b/src/balancer/endpoint_picker.h
@@ -33,6 +33,8 @@
     struct Candidate {
         double order = 0;  ///< less is earlier in rotation
         EndpointIndex index = 0;
+        // The check takes the 0 that the defaulted comparison compares with for a pointer.
+        // NOLINTNEXTLINE(modernize-use-nullptr)
         auto operator<=>(const Candidate&) const = default;
     };
     struct Range {
--- a/src/balancer/health_monitor.cpp
+++ b/src/balancer/health_monitor.cpp
@@ -63,8 +63,9 @@
         if (event.report.inflight) {
             const EndpointConcurrency& own = endpoint.concurrency;
             bool just_sent = m.now - own.last_send <= m.load_reports.load_probe_timeout();
-            m.load_reports.record_report(endpoint.load, *event.report.inflight, own.own_inflight,
-                                         own.own_inflight - (just_sent ? 1 : 0), m.now);
+            int settled = own.own_inflight - (just_sent ? 1 : 0);
+            m.load_reports.record_report(endpoint.load, {*event.report.inflight, own.own_inflight, settled},
+                                         m.now);
             m.load_reports.record_probe_round_trip(event.elapsed);
             if (event.report.queue)
                 m.load_reports.record_service_slots(*event.report.inflight, *event.report.queue);
--- a/src/balancer/load_report_tracker.cpp
+++ b/src/balancer/load_report_tracker.cpp
@@ -36,13 +36,12 @@
     if (reported && affordable >= kLoadProbeWidth) max_probes_per_request_ = int(affordable);
 }
 
-void LoadReportTracker::record_report(EndpointLoad& endpoint, double inflight, int own, int settled,
-                                      TimePoint now) {
-    if (settled > 0) {
-        bool contradicted = inflight < settled - kReportTolerance;
+void LoadReportTracker::record_report(EndpointLoad& endpoint, const Report& report, TimePoint now) {
+    if (report.settled > 0) {
+        bool contradicted = report.inflight < report.settled - kReportTolerance;
         endpoint.contradicted_reports = contradicted ? endpoint.contradicted_reports + 1 : 0;
     }
-    double others = std::max(0.0, inflight - own);
+    double others = std::max(0.0, report.inflight - report.own);
     endpoint.reported_inflight_of_others = others;
     endpoint.reported_at = now;
     if (is_distrusted(endpoint))
--- a/src/balancer/load_report_tracker.h
+++ b/src/balancer/load_report_tracker.h
@@ -29,9 +29,12 @@
     /// Load probes that one request may cause; 0 where probes carry no load or cost more than they gain.
     int max_probes_per_request() const { return max_probes_per_request_; }
 
-    /// `inflight`: requests the endpoint reports; `own`: this node's there; `settled`: those of `own` that
-    /// were sent long enough ago to be in the report.
-    void record_report(EndpointLoad& endpoint, double inflight, int own, int settled, TimePoint now);
+    struct Report {
+        double inflight = 0;  ///< requests that the endpoint reports
+        int own = 0;          ///< this node's requests there
+        int settled = 0;      ///< those of `own` that were sent long enough ago to be in the report
+    };
+    void record_report(EndpointLoad& endpoint, const Report& report, TimePoint now);
     /// The endpoint rejected a request sent when it was believed to hold `believed` requests.
     void record_rejection(EndpointLoad& endpoint, int believed) const;
     void record_probe_round_trip(Duration elapsed);
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -25,8 +25,8 @@
     return request.open_attempts == 0 || settings_.allows_hedging;
 }
 
-bool RetryPolicy::may_repeat_at(Request& request, const Attempt& earlier, const EndpointEntry& first,
-                                const EndpointEntry& candidate, TimePoint now) const {
+bool RetryPolicy::may_repeat_at(Request& request, const Attempt& earlier, const Places& places,
+                                TimePoint now) const {
     const ClassSettings& settings = class_of(request);
     if (earlier.execution == ExecutionState::NotExecuted) return true;
     if (settings.idempotency == Idempotency::Idempotent) return true;
@@ -34,8 +34,10 @@
     TimePoint until = earlier.sent + settings.deduplication_window - 2 * settings_.clock_granularity;
     request.retry_until = std::min(request.retry_until, until);
     if (now >= request.retry_until) return false;
-    if (settings.deduplication_scope == DeduplicationScope::Zone) return first.zone == candidate.zone;
-    if (settings.deduplication_scope == DeduplicationScope::Cell) return first.cell == candidate.cell;
+    if (settings.deduplication_scope == DeduplicationScope::Zone)
+        return places.first.zone == places.candidate.zone;
+    if (settings.deduplication_scope == DeduplicationScope::Cell)
+        return places.first.cell == places.candidate.cell;
     return true;
 }
 
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -11,16 +11,21 @@
 
 class RetryPolicy {
 public:
+    /// Where an attempt was, and where another one may go.
+    struct Places {
+        const EndpointEntry& first;
+        const EndpointEntry& candidate;
+    };
+
     RetryPolicy(const Settings& settings, RandomSource& random) : settings_(settings), random_(random) {}
 
     static ExecutionState execution_state_after(Outcome outcome);
 
     /// Deadline, attempt limit and hedging allow another attempt now.
     bool may_start_attempt(const Request& request, TimePoint now) const;
-    /// Idempotency, deduplication window and scope allow an attempt at `candidate` after an attempt that was
-    /// `earlier`, at `first`. Narrows the request's retry_until.
-    bool may_repeat_at(Request& request, const Attempt& earlier, const EndpointEntry& first,
-                       const EndpointEntry& candidate, TimePoint now) const;
+    /// Idempotency, deduplication window and scope allow an attempt at `places.candidate` after the attempt
+    /// `earlier` at `places.first`. Narrows the request's retry_until.
+    bool may_repeat_at(Request& request, const Attempt& earlier, const Places& places, TimePoint now) const;
 
     /// A first attempt by a client adds to the retry budget.
     void record_first_attempt();
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -19,7 +19,8 @@
     width = std::min(width, n);
     if (width == 0 || me < 0 || me >= gateways || double(gateways) * double(width) * double(n) > kWorkMost)
         return out;
-    std::size_t even = std::size_t(gateways) * width / n, taken = 0;
+    std::size_t even = std::size_t(gateways) * width / n;
+    std::size_t taken = 0;
     out.users.assign(n, 0);
     out.mine.assign(n, 0);
     std::vector<std::uint64_t> likes(n);
