--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -60,7 +60,8 @@
     }
 
     void on(const HandoverPeerChanged& change) {
-        constexpr double kHalf = 0.5;  // two processes share the node's budget
+        // Only the slow-start budget is halved, which two processes of this node share during a handover.
+        constexpr double kHalf = 0.5;
         modules_.slow_start.set_budget_fraction(change.peer_present ? kHalf : 1);
     }
 
@@ -153,7 +154,7 @@
         case TimerKind::AttemptTimeout:
             return attempts_.on_attempt_timeout(target.subject, target.epoch);
         case TimerKind::ServeQueue:
-            return;  // the queue is served after every event
+            return;
     }
 }
 
--- a/src/balancer/health_monitor.cpp
+++ b/src/balancer/health_monitor.cpp
@@ -6,7 +6,9 @@
 
 namespace ochrehub::balancer {
 
-// An endpoint that left the subset meanwhile is probed no more; nothing else brings it back if it is down.
+// Probing goes on while the endpoint is in the subset or Unhealthy: on_probe_due ends it only for one that
+// left the subset and is not Unhealthy. An Unhealthy one is probed until it returns, as nothing else brings
+// it back.
 void HealthMonitor::start_probing(EndpointIndex index) {
     Modules& m = modules_;
     EndpointHealth& health = m.registry.at(index).health;
--- a/src/balancer/health_tracker.cpp
+++ b/src/balancer/health_tracker.cpp
@@ -17,9 +17,11 @@
 /// Fraction of the result that scheduled probes may cost, and the least cost of one it is computed with.
 constexpr double kProbeSpend = 0.002;
 constexpr double kScheduledProbeCostFloor = 1e-4;
-/// With more than this fraction of more than kMinPanicEndpoints Unhealthy, one success is enough.
-constexpr double kPanicThreshold = 0.5;
-constexpr std::size_t kMinPanicEndpoints = 2;
+/// With more than this fraction of the endpoints Unhealthy, and more of them than
+/// kMaxUnhealthyWithoutFastReturn, one success makes an endpoint usable instead of kSuccessesToReturn. An
+/// endpoint without a success stays unusable, unlike under a panic threshold that ignores health.
+constexpr double kFastReturnThreshold = 0.5;
+constexpr std::size_t kMaxUnhealthyWithoutFastReturn = 2;
 
 }  // namespace
 
@@ -63,8 +65,8 @@
 // that a fleet that is back does not wait for second probes.
 bool HealthTracker::is_usable(const EndpointHealth& endpoint, const FleetHealth& fleet) const {
     if (endpoint.status != Health::Unhealthy) return true;
-    return endpoint.successes > 0 && fleet.unhealthy > kMinPanicEndpoints &&
-           double(fleet.unhealthy) > kPanicThreshold * double(fleet.in_use);
+    return endpoint.successes > 0 && fleet.unhealthy > kMaxUnhealthyWithoutFastReturn &&
+           double(fleet.unhealthy) > kFastReturnThreshold * double(fleet.in_use);
 }
 
 // As often as a fixed fraction of the result pays for, over all endpoints that are probed: if only Healthy
--- a/src/balancer/outlier_detector.h
+++ b/src/balancer/outlier_detector.h
@@ -1,6 +1,7 @@
-// Passive detection from attempts: whether an endpoint errs more than the fleet, how long it is left alone
-// after it refused a connection or a request, and whether idle connections are being dropped unseen. Ejection
-// itself is health_tracker's. Errors that any endpoint returns follow the requests and blame no endpoint.
+// Passive detection from attempts: whether an error counts against the health of its endpoint, because that
+// errs more than the fleet; how long it is left alone after it refused a connection or a request; whether
+// idle connections are being dropped unseen. It ejects nothing: HealthTracker::record_failure does, after
+// kFailuresToEject failures in a row. Errors that any endpoint returns follow the requests and blame none.
 #pragma once
 
 #include "balancer/random_source.h"
--- a/src/balancer/pending_queue.cpp
+++ b/src/balancer/pending_queue.cpp
@@ -12,7 +12,8 @@
 constexpr double kTransferDivisor = 10;
 /// Multiple of the expected response time that is kept for the response.
 constexpr double kResponseReserve = 1.4;
-/// Fraction of its time that a request waits for its first attempt: a client rejected then can still retry.
+/// Fraction of its time that a request waits for its first attempt. It is rejected shortly before half of its
+/// time has passed, so that its client has the other half for a retry.
 constexpr double kMaxWaitFraction = 0.47;
 /// A start deadline closer than this has passed, in ms.
 constexpr double kStartTolerance = 0.5;
--- a/src/balancer/request_table.h
+++ b/src/balancer/request_table.h
@@ -1,5 +1,6 @@
-// The requests without a final response or with attempts in flight, and how they end. Every final response
-// that is not an endpoint's passes finish_without_response. A request stays until its last attempt has ended.
+// The requests without a final response or with attempts in flight, and how they end. Every Reject and Fail
+// action of the balancer comes from finish_without_response; admission and the engine's deadline timer
+// respond to clients by themselves. A request stays until its last attempt has ended.
 #pragma once
 
 #include <unordered_map>
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -7,7 +7,8 @@
 
 /// Tokens that one first attempt adds to the retry budget.
 constexpr double kRetryTokensPerRequest = 0.2;
-/// Least Retry-After, in ms, and the fraction of the request timeout that replaces it where that is shorter.
+/// Least Retry-After, in ms. Where the request timeout is shorter than that, the least is the timeout divided
+/// by kMinRetryAfterDivisor.
 constexpr Duration kMinRetryAfter{500};
 constexpr double kMinRetryAfterDivisor = 4;
 
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,7 +1,9 @@
 // Whether a request may have another attempt, where, and with which final response it ends. Responsible for
 // the class's idempotency, the deduplication window and scope, the attempt limit, the deadline, the retry
-// budget, and Retry-After. Not responsible for which endpoint is best. A retry after possible execution costs
-// a token of the budget; one that was certainly not executed is free.
+// budget, and the Retry-After of its Reject action. Not responsible for which endpoint is best, nor for the
+// Retry-After that HTTP clients get: the node's ClientSession takes that from admission, and only the
+// simulator's adapter prints this one. A retry after possible execution costs a token of the budget; one that
+// was certainly not executed is free.
 #pragma once
 
 #include "balancer/random_source.h"
@@ -34,7 +36,8 @@
 
     /// The final response may be Reject: the request was not executed, or repeating it is safe.
     bool may_reject(const Request& request) const;
-    /// Retry-After of a rejection, in ms, with jitter; zero where the settings forbid advice.
+    /// Retry-After of the Reject action, in ms, with jitter; zero where the settings forbid advice. HTTP
+    /// clients get admission's instead.
     Duration retry_after(const Request& request);
 
 private:
--- a/src/balancer/timer_queue.h
+++ b/src/balancer/timer_queue.h
@@ -23,7 +23,7 @@
     DiscoveryPoll,   ///< epoch: poll epoch
     StartDeadline,   ///< subject: request; epoch: its number of attempts
     AttemptTimeout,  ///< subject: request; epoch: attempt number
-    ServeQueue       ///< the pending queue is served after every event
+    ServeQueue       ///< only wakes the balancer up: it serves the pending queue after every event
 };
 
 struct TimerTarget {
