--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -86,7 +86,7 @@
         std::size_t room = 0;           ///< connections of clients that may be kept
         Duration most_advice{0};        ///< the longest that clients heed; zero: none is given
         std::uint64_t seed = 0;
-        bool bounded = true;  ///< false: for experiments, everything enters
+        bool bounded = true;  ///< false: everything enters
     };
     explicit AdmissionController(const Settings& settings);
     /// `room`: as in Settings; the rest is as the module is told.
--- a/src/app/machines.h
+++ b/src/app/machines.h
@@ -1,4 +1,4 @@
-// The machines that the keepers of this release hold: a line for each room that has one.
+// The machines that the keepers of this release hold: a line for each module that has one.
 #pragma once
 
 #include "fleet/coordinator/replicated_state.h"
--- a/src/base/lag_meter.h
+++ b/src/base/lag_meter.h
@@ -58,7 +58,7 @@
 };
 
 /// How many of those that wait to be read are read at a time while a loop is behind: whatever else has come,
-/// answers and timers, is due in between. In their order: newest first was tried, and leaves those that hold
+/// answers and timers, is due in between. In their order: newest first would leave those that hold
 /// a connection unread until they give it up, so that all that is left comes on new ones.
 class ReadTurn {
 public:
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -35,9 +35,9 @@
     void depart(RequestId id);
 
     void listed(const Listing& listing);
-    /// Operators take a server out, or put it back cold at `since`; whether it is listed now does not matter.
     /// Called before each request is decided on, so that what must not be acted on any more is not.
     void look_first(std::function<void()> look) { look_ = std::move(look); }
+    /// Operators take a server out, or put it back cold at `since`; whether it is listed now does not matter.
     void by_hand(std::uint64_t key, bool out, TimePoint since);
     /// Another process of this node lives, or no longer does.
     void twinned(bool twin) { post(HandoverPeerChanged{twin}); }
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -24,7 +24,7 @@
 
 namespace ochrehub::channel {
 
-/// Whose message it is; a room above has each of these to itself.
+/// Whose message it is; each belongs to one module above.
 enum class Kind : std::uint16_t { Raft = 1, Ask, Answer, Shard, Quota, Rules, Migration };
 
 struct Peer {  ///< as its Hello says
--- a/src/fleet/config_distribution/wire.h
+++ b/src/fleet/config_distribution/wire.h
@@ -1,4 +1,4 @@
-// Documents as they are kept and sent (proto/agreement.proto). For this room and its tests alone.
+// Documents as they are kept and sent (proto/agreement.proto). For this module and its tests alone.
 #pragma once
 
 #include <config_distribution.pb.h>
--- a/src/fleet/coordinator/durable_storage.h
+++ b/src/fleet/coordinator/durable_storage.h
@@ -28,7 +28,7 @@
     JoinCluster,  ///< as one more of a running cluster, under an id that never ran; a membership change adds
                   ///< it
     DataLost,  ///< under an id that ran before, whose data directory is gone: it doesn't vote until all other
-               ///< voters have told the leader what they know
+               ///< voters have reported to the leader what they know
 };
 
 /// Fingerprint of the cluster's name in a data directory.
--- a/src/fleet/coordinator/session.h
+++ b/src/fleet/coordinator/session.h
@@ -7,7 +7,7 @@
 //   active --lease passed, NoSession, close--> no session: SessionLost, then CallCompleted for each command
 //
 // The lease counts from before the renewal was sent, on the client's own clock, and ends a margin early.
-// Every event checks the clock first, so after a pause SessionLost is the first action. Whoever acts under
+// Every event checks the clock first, so after a pause SessionLost is the first action. A caller acting under
 // the session must compare `until` with the clock before each act; SessionLost is only the earlier notice.
 //
 // session.cpp: the session and its leader; session_calls.cpp: commands and queries.
--- a/src/fleet/coordinator/session_thread.cpp
+++ b/src/fleet/coordinator/session_thread.cpp
@@ -146,7 +146,7 @@
     });
 }
 
-/// What the mesh has no room for is dropped; the session sends it again.
+/// What exceeds the capacity of the mesh is dropped; the session sends it again.
 void SessionThread::perform(SendRequest& action) {
     if (auto found = connections_.find(action.to); found != connections_.end()) {
         mesh_.send(found->second, channel::Kind::Ask, std::move(action.body));
--- a/src/fleet/fencing/fencing_guard.h
+++ b/src/fleet/fencing/fencing_guard.h
@@ -55,9 +55,9 @@
 /// What a receiver knows of the leases under which it is sent requests.
 ///
 /// A step of a lease:  unknown -> begun -> done -> settled; begun -> settled.
-/// A lease:            unknown -> current (under rising epochs) -> retired -> forgotten, or current again
-/// under
-///                     a higher epoch.
+/// A lease:            unknown -> current (under rising epochs) -> retired;
+///                     retired -> forgotten;
+///                     retired -> current again under a higher epoch.
 ///
 /// A step is executed at most once. The next holder queries the steps that may be open under its own epoch,
 /// which from then on fences off the previous one: a step that is NotExecuted can only come from itself.
--- a/src/fleet/leadership/lease_state_machine.cpp
+++ b/src/fleet/leadership/lease_state_machine.cpp
@@ -172,7 +172,7 @@
         --candidate_count_;
     }
     clear_holder(it->first, role);
-    // The sender is not among the candidates now: it is chosen again only if there is no other.
+    // The sender is not among the candidates now: it is granted the role again only if there is no other.
     grant(it->first, role);
     if (keep_candidacy && weight) {
         role.candidates[session] = *weight;
--- a/src/fleet/leadership/lease_state_machine.h
+++ b/src/fleet/leadership/lease_state_machine.h
@@ -38,8 +38,8 @@
 ///
 ///     absent --AddCandidacy, CreateJob--> without holder --a candidate is there--> held
 ///     held --TransferLease, WithdrawCandidacy, rebalancing--> release requested
-///     held, release requested --ReleaseLease, end of the holder's session--> held by the next, or without
-///     holder
+///     held, release requested --ReleaseLease, end of the holder's session-->
+///         held by the next, or without holder
 ///
 /// A standing role is there while it has candidates. A job is created once under a name that is never reused,
 /// and goes on to completed (CompleteJob) and removed (RemoveJob).
