--- /dev/null
+++ b/lab/equivalence/admission.cpp
@@ -0,0 +1,113 @@
+// Decisions of admission control, of the advice given to rejected clients and of the load state, on random
+// requests: an overload, a crowd that comes back too early, and servers that slow down and leave.
+#include "admission/admission.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <random>
+#include <vector>
+
+#include "lab/equivalence/runner.h"
+#include "lab/record/decision_recorder.h"
+
+using namespace ochrehub;
+
+namespace {
+
+enum class Call : std::uint8_t { Admit, Complete, RejectLater, RejectConnection, ConnectionOpened, Poll };
+
+/// What was asked of admission control.
+struct Event {
+    Call call{};
+    int class_index = 0;
+    int tenant = 0;
+    bool is_retry = false;
+    std::uint64_t client = 0;
+};
+/// What it returned, in numbers, and what it holds afterwards.
+struct Decision {
+    double value = 0;
+    std::uint64_t open = 0;
+    std::uint8_t state = 0;
+};
+
+struct OpenRequest {
+    AdmissionController::Knock request;
+    TimePoint since{};
+    TimePoint ends{};
+};
+
+constexpr int kClasses = 4;
+constexpr int kTenants = 3;
+constexpr int kSteps = 20'000;
+
+void run_random_requests(std::uint64_t seed) {
+    std::mt19937_64 random(seed);
+    auto uniform = [&random] { return double(random() >> 11) * 0x1p-53; };
+    AdmissionController::Settings settings;
+    settings.worth = {5, 3, 8, 3};
+    settings.give_up = {Duration{1000}, Duration{300}, Duration{2000}, Duration{1000}};
+    settings.shares = {0.5, 0.3, 0.2};
+    settings.room = 60 + 40 * (seed % 4);
+    settings.most_advice = Duration{seed % 3 == 0 ? 30'000.0 : 1200.0};
+    settings.seed = seed;
+    AdmissionController admission(settings);
+    std::deque<OpenRequest> open;
+    TimePoint now{Duration{1e6}};
+    auto record = [&](const Event& event, double value) {
+        lab::record_decision(
+            "admission", now, event,
+            std::vector<Decision>{{value, admission.open(), std::uint8_t(admission.load_state().state())}});
+    };
+    for (int step = 0; step < kSteps; ++step) {
+        // Calm, then an overload, then slow servers, then calm again.
+        const int phase = step * 4 / kSteps;
+        now += Duration{(phase == 1 ? 0.5 : 4.0) * uniform()};
+        while (!open.empty() && open.front().ends <= now) {
+            const OpenRequest request = open.front();
+            open.pop_front();
+            const bool served = uniform() < (phase == 2 ? 0.6 : 0.98);
+            admission.leave(now, request.request, served, now - request.since, now - request.since);
+            record({Call::Complete, request.request.cls, request.request.tenant, request.request.repeat,
+                    request.request.who},
+                   served);
+        }
+        AdmissionController::Knock request;
+        request.cls = int(random() % kClasses);
+        request.tenant = random() % 10 == 0 ? kNone : int(random() % kTenants);
+        request.repeat = uniform() < (phase == 1 ? 0.5 : 0.05);
+        request.who = random() % 200;
+        Event event{Call::Admit, request.cls, request.tenant, request.repeat, request.who};
+        const auto rejected = admission.arrive(now, request);
+        record(event, rejected ? rejected->count() : -1);
+        if (!rejected) {
+            const double took = (phase == 2 ? 400 : 60) * (0.5 + uniform());
+            open.push_back({request, now, now + Duration{took}});
+        }
+        if (step % 17 == 0) {
+            event.call = Call::RejectLater;
+            record(event, admission.refuse(now, request).count());
+        }
+        if (step % 23 == 0) {
+            event.call = Call::RejectConnection;
+            record(event, admission.turn_away(now, request).count());
+        }
+        if (step % 5 == 0) {
+            event.call = Call::ConnectionOpened;
+            admission.connection_opened(now);
+            record(event, 0);
+        }
+        if (step % 50 == 0) {
+            event.call = Call::Poll;
+            const auto change = admission.look(now);
+            record(event, change ? double(change->to) : -1);
+        }
+    }
+}
+
+}  // namespace
+
+int main(int count, char** words) {
+    return lab::equivalence::run(count, words, {{"admission_random", run_random_requests}});
+}
