--- a/lab/experiments/mixed_builds.sh
+++ b/lab/experiments/mixed_builds.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Whether two builds work on each other's data and beside each other's processes, for each release: mixed_builds.sh BEFORE AFTER.
-# BEFORE and AFTER are build folders with tests and lab. Prints a line for each check; takes about five minutes. Exit code 0: all
+# BEFORE and AFTER are build folders with tests and lab. Prints a line for each check; takes about two minutes. Exit code 0: all
 # passed; 1: one failed.
 #
 #   data       what one build writes (coordinators' logs and snapshots, a node's copy of documents, an audit, a handover file) is
@@ -54,9 +54,9 @@
     for file in "$work"/settings/*; do
         local verdicts=()
         for build in "$before" "$after"; do
-            status=0
-            GW_CONFIG= "$build/ochrehub" check "$file" >"$work/checked.$(basename "$build")" 2>&1 || status=$?
-            verdicts+=("$status $(awk '{ print $1 }' "$work/checked.$(basename "$build")" | sha256sum)")
+            local code=0
+            GW_CONFIG= "$build/ochrehub" check "$file" >"$work/checked.$(basename "$build")" 2>&1 || code=$?
+            verdicts+=("$code $(awk '{ print $1 }' "$work/checked.$(basename "$build")" | sha256sum)")
         done
         [ "${verdicts[0]}" = "${verdicts[1]}" ] || { echo "$(basename "$file"): ${verdicts[*]}"; return 1; }
     done
