--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -250,9 +250,9 @@
     std::thread asker([&] {
         while (!done) {
             TimePoint now = TimePoint{} + Duration{double(Clock::now().time_since_epoch().count()) / 1e6};
-            quota::Ask ask = charger.ask(now);
-            quota::Answer answer{ask.instance, ask.seq, {}};
-            for (const quota::AskLine& l : ask.lines)
+            quota::BorrowRequest ask = charger.ask(now);
+            quota::BorrowResponse answer{ask.instance, ask.seq, {}};
+            for (const quota::BorrowRequestLine& l : ask.lines)
                 answer.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000,
                                         1000 * kUnit, false, false});
             charger.answered(now, answer);
--- a/lab/quota/ways.cpp
+++ b/lab/quota/ways.cpp
@@ -35,7 +35,7 @@
 };
 
 struct Message {
-    enum class Kind : std::uint8_t { Ask, Yes, No, Sums } kind{};
+    enum class Kind : std::uint8_t { Query, Yes, No, Sums } kind{};
     std::uint64_t number = 0;
     std::size_t partner = 0;
     std::vector<double> sums{};  // by node and partner, ever
@@ -176,11 +176,11 @@
         std::uint64_t number = ++numbers_;
         asked_[number] = {p, partner, net_.now()};
         ++out_.messages;
-        net_.send(p, 1, {Message::Kind::Ask, number, partner});
+        net_.send(p, 1, {Message::Kind::Query, number, partner});
         after(Duration{1000}, [this, number] {
             auto found = asked_.find(number);
             if (found == asked_.end()) return;
-            Asked asked = found->second;
+            PendingQuery asked = found->second;
             asked_.erase(found);
             out_.waits.push_back(1000);
             if (way_ == Way::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node))
@@ -197,7 +197,7 @@
         }
     }
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
-        if (m.kind == Message::Kind::Ask) {
+        if (m.kind == Message::Kind::Query) {
             bool yes = all_[p].buckets[m.partner].take(own, double(kUnit));
             ++out_.messages;
             net_.send(p, from, {yes ? Message::Kind::Yes : Message::Kind::No, m.number, m.partner});
@@ -219,7 +219,7 @@
         }
     }
 
-    struct Asked {
+    struct PendingQuery {
         std::size_t node = 0, partner = 0;
         TimePoint at;
     };
@@ -232,7 +232,7 @@
     std::vector<double> weights_;
     double sum_ = 0;
     std::multimap<TimePoint, std::function<void()>> due_;
-    std::map<std::uint64_t, Asked> asked_;
+    std::map<std::uint64_t, PendingQuery> asked_;
     std::uint64_t numbers_ = 0;
     WayOutcome out_;
 };
--- a/lab/quota/world.cpp
+++ b/lab/quota/world.cpp
@@ -45,7 +45,7 @@
 namespace {
 
 struct Message {
-    enum class Kind : std::uint8_t { Ask, Answer, Renew, Renewed, Command, Done } kind{};
+    enum class Kind : std::uint8_t { BorrowRequest, BorrowResponse, Renew, Renewed, Command, Done } kind{};
     std::uint64_t a = 0, b = 0;  // by kind: instance, session, number
     std::string body{};
     std::string more{};
@@ -126,11 +126,11 @@
         std::size_t group = 0, number = 0;
         std::uint64_t instance = 0;
         // keeper
-        std::unique_ptr<Quotas> machine;
+        std::unique_ptr<QuotaStateMachine> machine;
         std::map<std::uint64_t, KeeperSession> sessions;
         std::uint64_t next_session = 1;
         // owner
-        std::unique_ptr<Lender> lender;
+        std::unique_ptr<QuotaAllocator> lender;
         std::uint64_t session = 0, epoch = 0, version = 0, renewals = 0, commands = 0;
         TimePoint until{}, renew_at{}, lender_at{}, resend_at{};
         std::map<std::uint64_t, TimePoint> renewed;
@@ -142,7 +142,7 @@
         TimePoint heard{}, asks_at{}, early_at{}, before_pause{};
         std::map<std::uint64_t, TimePoint> asked;
         std::vector<std::pair<std::size_t, Amount>> waiting;  // requests of clients while it was stopped
-        std::map<Account, AnswerLine> known;                  // for saboteurs
+        std::map<Account, BorrowResponseLine> known;          // for saboteurs
         std::map<Account, Amount> extra;
         std::map<Account, Told> said;
     };
@@ -157,7 +157,7 @@
         if (role == Role::Keeper) {
             std::vector<std::string> sites;
             for (std::size_t s = 0; s < day_.sites; ++s) sites.push_back(site_name(s));
-            one.machine = std::make_unique<Quotas>(sites, day_.timing);
+            one.machine = std::make_unique<QuotaStateMachine>(sites, day_.timing);
         }
     }
     std::size_t group_begin(std::size_t group) const {
@@ -165,7 +165,7 @@
     }
     std::size_t process(std::size_t group, std::size_t number) const { return group_begin(group) + number; }
     std::size_t node(std::size_t site, std::size_t n) const { return process(site + 1, 3 + n); }
-    Quotas& keeper(std::size_t p) { return *all_[process(all_[p].group, 0)].machine; }
+    QuotaStateMachine& keeper(std::size_t p) { return *all_[process(all_[p].group, 0)].machine; }
     std::string child_name(std::size_t p) const {
         if (all_[p].role == Role::Owner) return site_name(all_[p].group - 1);
         return std::string("node").append(std::to_string(all_[p].number - 3));
@@ -182,9 +182,9 @@
         one.instance = draw();
         one.heard = own;
         if (one.role == Role::Owner) {
-            one.lender =
-                std::make_unique<Lender>(LenderSettings{one.group == 0 ? "" : site_name(one.group - 1),
-                                                        one.instance, one.group == 0 ? 2 : 1, day_.timing});
+            one.lender = std::make_unique<QuotaAllocator>(
+                QuotaAllocatorSettings{one.group == 0 ? "" : site_name(one.group - 1), one.instance,
+                                       one.group == 0 ? 2 : 1, day_.timing});
             one.session = one.epoch = one.version = 0;
             one.until = {}, one.renew_at = own, one.lender_at = own + Duration{1};
             one.command.reset(), one.recording.reset(), one.renewed.clear();
@@ -218,8 +218,8 @@
     void begin(const QuotaFault& f) {
         if (f.kind != QuotaFault::Kind::Budgets) return inflict(f, day_, net_, *this);
         for (std::size_t group = 0; group <= day_.sites; ++group) {
-            Quotas& machine = *all_[process(group, 0)].machine;
-            auto reply = decode_reply(machine.apply({0, command_get()}));
+            QuotaStateMachine& machine = *all_[process(group, 0)].machine;
+            auto reply = decode_command_response(machine.apply({0, command_get()}));
             machine.apply({0, command_set(reply->version, day_.later)});
         }
         changed_ = true;
@@ -289,7 +289,7 @@
             if (one.command && own >= one.resend_at) say(p, own);
             if (own >= one.lender_at) {
                 one.lender_at = own + day_.timing.ask;
-                lender(p, own, quota::Woken{});
+                lender(p, own, quota::TimerFired{});
             }
             return wake(p, own,
                         std::min({one.renew_at, one.lender_at, one.command ? one.resend_at : one.renew_at}));
@@ -316,16 +316,16 @@
                 return renewed(p, own, m);
             case Message::Kind::Done:
                 return done(p, own, m);
-            case Message::Kind::Ask: {
-                auto ask = decode_ask(m.body);
+            case Message::Kind::BorrowRequest: {
+                auto ask = decode_borrow_request(m.body);
                 if (!ask || !one.lender) return;
-                return lender(p, own, Asked{child_name(from), std::move(*ask)});
+                return lender(p, own, RequestReceived{child_name(from), std::move(*ask)});
             }
-            case Message::Kind::Answer: {
-                auto answer = decode_answer(m.body);
+            case Message::Kind::BorrowResponse: {
+                auto answer = decode_borrow_response(m.body);
                 if (!answer) return;
                 one.heard = own;
-                if (one.role == Role::Owner) return lender(p, own, Answered{std::move(*answer)});
+                if (one.role == Role::Owner) return lender(p, own, ResponseReceived{std::move(*answer)});
                 if (answer->instance != one.instance) return;
                 meddle(one, own, *answer);
                 one.charger->answered(own, *answer);
@@ -375,7 +375,7 @@
     void renewed(std::size_t p, TimePoint own, const Message& m) {
         Process& one = all_[p];
         auto asked = one.renewed.find(m.b);
-        auto news = decode_news(m.body);
+        auto news = decode_session_update(m.body);
         if (asked == one.renewed.end() || !news) return;
         if (m.a < one.session) return;
         if (m.a != one.session) {
@@ -383,15 +383,15 @@
             queued_.erase(p);
             auto recording = std::exchange(one.recording, std::nullopt);
             if (day_.saboteur != Saboteur::IgnoresEpochs)
-                lender(p, own, Disowned{});
+                lender(p, own, OwnershipLost{});
             else if (recording)
-                lender(p, own, Recorded{*recording});
+                lender(p, own, LeasesRecorded{*recording});
         }
         TimePoint until = end_of(asked->second, std::int64_t(day_.session.count() * 1000), day_.timing);
         if (day_.saboteur == Saboteur::IgnoresEpochs) until = own + Duration{1e9};
         one.until = std::max(one.until, until);
         if (news->owner && one.epoch != 0) {
-            lender(p, own, Owned{one.until, std::nullopt, true});
+            lender(p, own, OwnershipConfirmed{one.until, std::nullopt, true});
             if (news->version != one.version) propose(p, own, command_get());
         } else if (!one.command) {
             propose(p, own, command_own());
@@ -416,13 +416,13 @@
         bool was_record = one.recording.has_value();
         std::uint64_t number = one.recording.value_or(0);
         one.command.reset(), one.recording.reset();
-        auto reply = decode_reply(m.body);
+        auto reply = decode_command_response(m.body);
         if (was_record) {
             if (reply && reply->error) {
                 one.epoch = 0;
-                lender(p, own, Disowned{});
+                lender(p, own, OwnershipLost{});
             } else {
-                lender(p, own, Recorded{number});
+                lender(p, own, LeasesRecorded{number});
             }
         } else if (reply && reply->state) {
             one.version = reply->version;
@@ -431,15 +431,15 @@
                 for (Budget& b : budgets) b.floors.clear();
             if (day_.saboteur == Saboteur::MintsPastCap)
                 for (Budget& b : budgets) b.burst *= 3;
-            lender(p, own, Configured{budgets});
+            lender(p, own, BudgetsConfigured{budgets});
             if (one.epoch == 0 && reply->state->owner == one.session) {
                 one.epoch = reply->epoch;
                 auto books = reply->state->books;
                 if (day_.saboteur == Saboteur::ForgetsAtRestart) books.clear();
-                lender(p, own, Owned{one.until, std::move(books), false});
+                lender(p, own, OwnershipConfirmed{one.until, std::move(books), false});
                 if (day_.saboteur == Saboteur::ForgetsAtRestart) begin_full(p, own);
                 for (const std::string& partner : reply->state->frozen)
-                    lender(p, own, Ordered{Ordered::What::Freeze, partner, "", 0});
+                    lender(p, own, OperatorOrder{OperatorOrder::What::Freeze, partner, "", 0});
             }
         }
         if (queued_.contains(p)) {
@@ -448,7 +448,7 @@
             record(p, own, std::move(next));
         }
     }
-    void record(std::size_t p, TimePoint own, Record record) {
+    void record(std::size_t p, TimePoint own, RecordLeases record) {
         Process& one = all_[p];
         if (one.command) {
             queued_[p] = std::move(record);
@@ -460,13 +460,13 @@
     }
     /// With a bucket as full as a new one's: by a gift that nobody gave.
     void begin_full(std::size_t p, TimePoint own) {
-        Ask ask{1, 0, {}};
+        BorrowRequest ask{1, 0, {}};
         for (Amount given : {Amount(0), kMost}) {
             ask.lines.clear();
             ++ask.seq;
             for (const Budget& b : day_.budgets)
                 for (bool floor : {false, true}) ask.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, given});
-            lender(p, own, Asked{"nobody", ask});
+            lender(p, own, RequestReceived{"nobody", ask});
         }
     }
     /// Once the owner at each level says that it has it, and that what was lent of the one before is back or
@@ -480,30 +480,32 @@
                 const Process& one = all_[p];
                 if (!net_.up(p) || one.version != 2 || !one.lender->owns(net_.own(p))) continue;
                 bool all = true;
-                for (const Status& s : one.lender->show(net_.own(p), {})) all = all && s.in_force;
+                for (const QuotaAllocatorStatus& s : one.lender->show(net_.own(p), {}))
+                    all = all && s.in_force;
                 holds = holds || all;
             }
             if (!holds) return;
         }
         out_.in_force = net_.now() - TimePoint{};
     }
-    void lender(std::size_t p, TimePoint own, const quota::Event& event) {
+    void lender(std::size_t p, TimePoint own, const quota::QuotaAllocatorEvent& event) {
         Process& one = all_[p];
-        quota::Actions actions;
+        quota::QuotaAllocatorActions actions;
         one.lender->handle(own, event, actions);
         record_decision("allocator", own, event, actions);
-        for (quota::Action& a : actions) {
-            if (auto* up = std::get_if<SendUp>(&a)) {
+        for (quota::QuotaAllocatorAction& a : actions) {
+            if (auto* up = std::get_if<SendRequest>(&a)) {
                 if (day_.liar && *day_.liar + 1 == one.group)
-                    for (AskLine& l : up->ask.lines) l.demand = kMost;
+                    for (BorrowRequestLine& l : up->ask.lines) l.demand = kMost;
                 if (day_.saboteur == Saboteur::GiftsTwice)
-                    for (AskLine& l : up->ask.lines) l.given *= 2;
+                    for (BorrowRequestLine& l : up->ask.lines) l.given *= 2;
                 if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
-                send(p, process(0, 1 + std::size_t(one.target)), {Message::Kind::Ask, 0, 0, encode(up->ask)});
-            } else if (auto* reply = std::get_if<Reply>(&a)) {
+                send(p, process(0, 1 + std::size_t(one.target)),
+                     {Message::Kind::BorrowRequest, 0, 0, encode(up->ask)});
+            } else if (auto* reply = std::get_if<SendResponse>(&a)) {
                 std::size_t to = children_[{p, reply->child}];
-                send(p, to, {Message::Kind::Answer, 0, 0, encode(reply->answer)});
-            } else if (auto* r = std::get_if<Record>(&a)) {
+                send(p, to, {Message::Kind::BorrowResponse, 0, 0, encode(reply->answer)});
+            } else if (auto* r = std::get_if<RecordLeases>(&a)) {
                 record(p, own, std::move(*r));
             }
         }
@@ -514,13 +516,14 @@
 
     void ask(std::size_t p, TimePoint own, bool all) {
         Process& one = all_[p];
-        Ask ask = one.charger->ask(own, all);
+        BorrowRequest ask = one.charger->ask(own, all);
         one.asked[ask.seq] = own;
         if (one.asked.size() > 256) one.asked.erase(one.asked.begin());
         if (ask.lines.empty()) return;
         if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
         if (day_.saboteur != Saboteur::None) meddle(one, ask);
-        send(p, process(one.group, 1 + std::size_t(one.target)), {Message::Kind::Ask, 0, 0, encode(ask)});
+        send(p, process(one.group, 1 + std::size_t(one.target)),
+             {Message::Kind::BorrowRequest, 0, 0, encode(ask)});
     }
 
     void arrive() {
@@ -616,9 +619,9 @@
 
     // ---- Saboteurs between the cores
 
-    void meddle(Process& one, Ask& ask) {
-        for (AskLine& l : ask.lines) {
-            const AnswerLine& known = one.known[l.account];
+    void meddle(Process& one, BorrowRequest& ask) {
+        for (BorrowRequestLine& l : ask.lines) {
+            const BorrowResponseLine& known = one.known[l.account];
             if (known.lease != l.lease) continue;
             Told& told = one.said[l.account];
             if (told.lease != l.lease) told = {l.lease, 0, 0, 0};
@@ -635,10 +638,10 @@
             l.spent = told.spent = std::max(told.spent, std::min(l.spent, known.granted - l.returned));
         }
     }
-    void meddle(Process& one, TimePoint own, Answer& answer) {
+    void meddle(Process& one, TimePoint own, BorrowResponse& answer) {
         auto asked = one.asked.find(answer.seq);
-        for (AnswerLine& l : answer.lines) {
-            AnswerLine& known = one.known[l.account];
+        for (BorrowResponseLine& l : answer.lines) {
+            BorrowResponseLine& known = one.known[l.account];
             if (day_.saboteur == Saboteur::AddsAnswersTwice && known.lease == l.lease &&
                 doubled_.contains({one.instance, answer.seq}))
                 one.extra[l.account] += std::max<Amount>(0, 5 * kUnit);
@@ -653,7 +656,7 @@
     }
     void send(std::size_t from, std::size_t to, Message message) {
         ++out_.messages;
-        if (message.kind == Message::Kind::Ask) children_[{to, child_name(from)}] = from;
+        if (message.kind == Message::Kind::BorrowRequest) children_[{to, child_name(from)}] = from;
         net_.send(from, to, std::move(message));
     }
 
@@ -665,7 +668,7 @@
     TimePoint next_arrival_{};
     std::vector<double> weights_;
     std::map<std::pair<std::size_t, std::string>, std::size_t> children_;
-    std::map<std::size_t, Record> queued_;
+    std::map<std::size_t, RecordLeases> queued_;
     std::set<std::pair<std::uint64_t, std::uint64_t>> doubled_;
     bool changed_ = false, struck_ = false;
     QuotaOutcome out_;
--- a/lab/quota/world.h
+++ b/lab/quota/world.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "fleet/quota/charger.h"
-#include "fleet/quota/machine.h"
+#include "fleet/quota/quota_state_machine.h"
 #include "lab/quota/judge.h"
 #include "lab/swarm/net.h"
 
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -3,7 +3,7 @@
 #include "fleet/config_distribution/machine.h"
 #include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/lease_state_machine.h"
-#include "fleet/quota/machine.h"
+#include "fleet/quota/quota_state_machine.h"
 #include "fleet/schema_migration/machine.h"
 #include "fleet/shards/views.h"
 
@@ -17,7 +17,7 @@
     all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
     all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
     all.push_back(std::make_unique<config_distribution::Agreement>());
-    all.push_back(std::make_unique<quota::Quotas>());
+    all.push_back(std::make_unique<quota::QuotaStateMachine>());
     return all;
 }
 
--- a/src/app/quota_command.cpp
+++ b/src/app/quota_command.cpp
@@ -10,7 +10,7 @@
 #include "app/node_config.h"
 #include "config/toml_file.h"
 #include "fleet/coordinator/error.h"
-#include "fleet/quota/machine.h"
+#include "fleet/quota/quota_state_machine.h"
 
 namespace ochrehub::app {
 namespace {
@@ -124,7 +124,7 @@
 }
 
 /// What the machine answered. Nothing: told already why not.
-std::optional<quota::MachineReply> ask_machine(const KeepersAt& at, std::string body) {
+std::optional<quota::CommandResponse> ask_machine(const KeepersAt& at, std::string body) {
     coordinator::wire::Request ask;
     ask.mutable_command()->set_kind("quota"), ask.mutable_command()->set_body(std::move(body));
     auto answer = ask_leader(at, ask);
@@ -134,7 +134,7 @@
             "quota");
         return std::nullopt;
     }
-    auto reply = quota::decode_reply(answer->result());
+    auto reply = quota::decode_command_response(answer->result());
     if (!reply) refused(quota::row(quota::Error::Malformed), "the keepers' answer");
     if (reply && reply->error) {
         refused(quota::row(*reply->error), reply->about);
@@ -148,7 +148,7 @@
     for (const quota::Floor& f : budget.floors)
         floors.push_back(
             json::object{{"site", f.site}, {"rate", requests(f.rate)}, {"burst", requests(f.burst)}});
-    for (const quota::Book& b : state.books)
+    for (const quota::OutstandingLease& b : state.books)
         if (b.account.partner == budget.partner)
             lent.push_back(json::object{{"to", b.child},
                                         {"floor", b.account.floor},
@@ -220,7 +220,7 @@
 
 int fleet_quota_order(const KeepersAt& at, QuotaOrder order, const std::string& partner,
                       const std::string& to, double many) {
-    using What = quota::Ordered::What;
+    using What = quota::OperatorOrder::What;
     What what = order == QuotaOrder::Freeze   ? What::Freeze
                 : order == QuotaOrder::Thaw   ? What::Thaw
                 : order == QuotaOrder::Recall ? What::Recall
--- a/src/fleet/quota/charger.cpp
+++ b/src/fleet/quota/charger.cpp
@@ -151,7 +151,7 @@
 }
 
 void Charger::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
-                   std::vector<AskLine>& lines) {
+                   std::vector<BorrowRequestLine>& lines) {
     purse.pot.look(now);
     Amount demand = entry.demand;
     if (!floor && entry.floors) demand = std::max<Amount>(0, demand - entry.floor.pot.share());
@@ -170,8 +170,8 @@
         {{entry.partner, floor}, purse.pot.lease(), purse.told(), purse.pot.returned(), demand, 0});
 }
 
-Ask Charger::ask(TimePoint now, bool all) {
-    Ask ask{set_.instance, 0, {}};
+BorrowRequest Charger::ask(TimePoint now, bool all) {
+    BorrowRequest ask{set_.instance, 0, {}};
     std::vector<std::uint32_t> dry;
     {
         std::unique_lock lock(asks_);
@@ -198,7 +198,7 @@
     return ask;
 }
 
-void Charger::answered(TimePoint now, const Answer& answer) {
+void Charger::answered(TimePoint now, const BorrowResponse& answer) {
     if (answer.instance != set_.instance) return;
     TimePoint asked;
     {
@@ -207,7 +207,7 @@
         if (found == asked_.end()) return;
         asked = found->second;
     }
-    for (const AnswerLine& l : answer.lines) {
+    for (const BorrowResponseLine& l : answer.lines) {
         auto named = names_.find(l.account.partner);
         if (named == names_.end()) continue;
         auto lock = locked(named->second);
--- a/src/fleet/quota/charger.h
+++ b/src/fleet/quota/charger.h
@@ -1,7 +1,7 @@
 // A node's side, asked on its loop: may this request of this partner enter? No request waits for a message:
 // what is there is charged, or the request is refused and told when to come back. What was spent is told, and
-// what is needed asked for, by an `Ask` that whoever carries messages takes from here, every `Timing::ask`
-// and earlier where `asks_early` says so.
+// what is needed asked for, by an `BorrowRequest` that whoever carries messages takes from here, every
+// `Timing::ask` and earlier where `asks_early` says so.
 //
 // Threads: charge, give_back, ask and answered from any; what is changed stands under one of 64 short locks,
 // none of which is held over anything but arithmetic, and never two at once. configure and find: from one
@@ -93,8 +93,8 @@
     /// Something runs dry before the next ask would be answered.
     bool asks_early() const { return early_.load(std::memory_order_relaxed); }
     /// What is to be sent to the site's lender now. `all` false: of those alone that run dry.
-    Ask ask(TimePoint now, bool all = true);
-    void answered(TimePoint now, const Answer& answer);
+    BorrowRequest ask(TimePoint now, bool all = true);
+    void answered(TimePoint now, const BorrowResponse& answer);
 
     PartnerCounts counts(TimePoint now, std::uint32_t partner) const;
     std::vector<std::string> partners() const;
@@ -140,7 +140,7 @@
     Duration slot(TimePoint now, Entry& entry, Amount cost);
     void measure(TimePoint now, Entry& entry);
     void line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
-              std::vector<AskLine>& lines);
+              std::vector<BorrowRequestLine>& lines);
 
     ChargerSettings set_;
     std::deque<Entry> entries_;  // none ever moves
--- a/src/fleet/quota/message.cpp
+++ b/src/fleet/quota/message.cpp
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-std::string encode(const Ask& ask) {
+std::string encode(const BorrowRequest& ask) {
     wire::Ask to;
     to.set_instance(ask.instance), to.set_seq(ask.seq);
-    for (const AskLine& l : ask.lines) {
+    for (const BorrowRequestLine& l : ask.lines) {
         wire::AskLine& line = *to.add_lines();
         put(l.account, *line.mutable_account());
         line.set_lease(l.lease), line.set_spent(l.spent), line.set_returned(l.returned);
@@ -31,10 +31,10 @@
     }
     return to.SerializeAsString();
 }
-std::string encode(const Answer& answer) {
+std::string encode(const BorrowResponse& answer) {
     wire::Answer to;
     to.set_instance(answer.instance), to.set_seq(answer.seq);
-    for (const AnswerLine& l : answer.lines) {
+    for (const BorrowResponseLine& l : answer.lines) {
         wire::AnswerLine& line = *to.add_lines();
         put(l.account, *line.mutable_account());
         line.set_lease(l.lease), line.set_granted(l.granted), line.set_length(l.length);
@@ -43,11 +43,11 @@
     return to.SerializeAsString();
 }
 
-std::optional<Ask> decode_ask(std::string_view octets) {
+std::optional<BorrowRequest> decode_borrow_request(std::string_view octets) {
     wire::Ask from;
     if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines)
         return std::nullopt;
-    Ask ask{from.instance(), from.seq(), {}};
+    BorrowRequest ask{from.instance(), from.seq(), {}};
     if (ask.instance == 0 || ask.seq == 0) return std::nullopt;
     for (const wire::AskLine& l : from.lines()) {
         if (!sound(l.spent(), kSum) || !sound(l.returned(), kSum) || !sound(l.given(), kSum) ||
@@ -58,11 +58,11 @@
     }
     return ask;
 }
-std::optional<Answer> decode_answer(std::string_view octets) {
+std::optional<BorrowResponse> decode_borrow_response(std::string_view octets) {
     wire::Answer from;
     if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.lines_size() > kLines)
         return std::nullopt;
-    Answer answer{from.instance(), from.seq(), {}};
+    BorrowResponse answer{from.instance(), from.seq(), {}};
     for (const wire::AnswerLine& l : from.lines()) {
         if (!sound(l.granted(), kSum) || !sound(l.length(), 3'600'000'000) || !sound(l.share(), kMost) ||
             l.account().partner().size() > 64)
--- a/src/fleet/quota/message.h
+++ b/src/fleet/quota/message.h
@@ -20,23 +20,23 @@
     friend auto operator<=>(const Account&, const Account&) = default;
 };
 
-struct AskLine {
+struct BorrowRequestLine {
     Account account;
     std::uint64_t lease = 0;  ///< that the sums are of; zero: none yet
     Amount spent = 0, returned = 0;
     Amount demand = 0;  ///< a second, refused requests included
     Amount given =
         0;  ///< of a floor that its site does not need, to the federation: a sum since the instance began
-    friend bool operator==(const AskLine&, const AskLine&) = default;
+    friend bool operator==(const BorrowRequestLine&, const BorrowRequestLine&) = default;
 };
-struct Ask {
+struct BorrowRequest {
     std::uint64_t instance = 0;  ///< drawn at each start of the borrower
     std::uint64_t seq = 0;       ///< rises with each
-    std::vector<AskLine> lines;
-    friend bool operator==(const Ask&, const Ask&) = default;
+    std::vector<BorrowRequestLine> lines;
+    friend bool operator==(const BorrowRequest&, const BorrowRequest&) = default;
 };
 
-struct AnswerLine {
+struct BorrowResponseLine {
     Account account;
     std::uint64_t lease = 0;
     Amount granted = 0;
@@ -44,20 +44,20 @@
     Amount share = 0;         ///< a second: what it may reckon with
     bool recalled = false;    ///< what is unspent is to be given back now
     bool frozen = false;
-    friend bool operator==(const AnswerLine&, const AnswerLine&) = default;
+    friend bool operator==(const BorrowResponseLine&, const BorrowResponseLine&) = default;
 };
-struct Answer {
+struct BorrowResponse {
     std::uint64_t instance = 0, seq = 0;
-    std::vector<AnswerLine> lines;
-    friend bool operator==(const Answer&, const Answer&) = default;
+    std::vector<BorrowResponseLine> lines;
+    friend bool operator==(const BorrowResponse&, const BorrowResponse&) = default;
 };
 
 /// As protobuf (proto/quota.proto).
-std::string encode(const Ask& ask);
-std::string encode(const Answer& answer);
+std::string encode(const BorrowRequest& ask);
+std::string encode(const BorrowResponse& answer);
 /// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMost` lines or
 /// amounts).
-std::optional<Ask> decode_ask(std::string_view octets);
-std::optional<Answer> decode_answer(std::string_view octets);
+std::optional<BorrowRequest> decode_borrow_request(std::string_view octets);
+std::optional<BorrowResponse> decode_borrow_response(std::string_view octets);
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/pot.h
+++ b/src/fleet/quota/pot.h
@@ -49,7 +49,7 @@
     enum class Taken { Old, Late, Same, Anew };
     /// `asked`: when the ask that this answers was sent, by the borrower's clock. Anew: another lease began,
     /// and nothing of the one before counts any more.
-    Taken answered(TimePoint now, TimePoint asked, std::uint64_t seq, const AnswerLine& line,
+    Taken answered(TimePoint now, TimePoint asked, std::uint64_t seq, const BorrowResponseLine& line,
                    const Timing& timing) {
         if (seq <= seq_) return Taken::Old;
         seq_ = seq;
--- a/src/fleet/quota/lender.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/quota/lender.h"
+#include "fleet/quota/quota_allocator.h"
 
 #include <cmath>
 
@@ -30,30 +30,30 @@
 
 }  // namespace
 
-Lender::Lender(const LenderSettings& settings) : set_(settings) {}
+QuotaAllocator::QuotaAllocator(const QuotaAllocatorSettings& settings) : set_(settings) {}
 
-void Lender::handle(TimePoint now, const Event& event, Actions& actions) {
+void QuotaAllocator::handle(TimePoint now, const QuotaAllocatorEvent& event, QuotaAllocatorActions& actions) {
     // Before anything else: what has ended meanwhile has ended, however late this is looked at.
-    if (owned_ && !owns(now)) on(now, Disowned{}, actions);
+    if (owned_ && !owns(now)) on(now, OwnershipLost{}, actions);
     std::visit([&](const auto& e) { on(now, e, actions); }, event);
     flush(actions);
 }
 
 // ---- What is here
 
-Amount Lender::here(TimePoint now, const Tree& tree) const {
+Amount QuotaAllocator::here(TimePoint now, const Tree& tree) const {
     return tree.root ? tree.here : tree.pot.balance(now);
 }
 
 /// What comes back; of a budget that has shrunk only what it still has room for.
-void Lender::bring(Tree& tree, Amount amount) {
+void QuotaAllocator::bring(Tree& tree, Amount amount) {
     if (tree.root)
         tree.here += std::clamp<Amount>(tree.cap - tree.here - tree.lent_sum - tree.lost_sum, 0, amount);
     else
         tree.pot.put_back(amount);
 }
 
-void Lender::mint(TimePoint now, Tree& tree) {
+void QuotaAllocator::mint(TimePoint now, Tree& tree) {
     std::int64_t at = micros(now);
     if (at <= tree.minted) return;
     // Longer than it takes to fill all of it makes no difference, and would not fit a number.
@@ -65,7 +65,7 @@
     tree.here += std::min(more, room);
 }
 
-void Lender::lose(const Account& account, Tree& tree, const std::string& name, Child& child) {
+void QuotaAllocator::lose(const Account& account, Tree& tree, const std::string& name, Child& child) {
     if (child.lent() > 0) {
         tree.lost.push_back({name, child.instance, child.lease, child.lent(), child.ends});
         tree.lost_sum += child.lent();
@@ -77,14 +77,14 @@
     child.lease = 0;
 }
 
-void Lender::forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance,
-                    std::uint64_t lease) {
+void QuotaAllocator::forget(const Account& account, Tree& tree, const std::string& name,
+                            std::uint64_t instance, std::uint64_t lease) {
     if (!durable(tree) || lease == 0) return;
     to_record_.erase({account, name});
     closed_.push_back({account, name, instance, lease, 0, 0, 0, true});
 }
 
-void Lender::tick(TimePoint now, const Account& account, Tree& tree) {
+void QuotaAllocator::tick(TimePoint now, const Account& account, Tree& tree) {
     if (!tree.root && !tree.pot.live(now)) {
         // Nothing below outlives this; whatever was not told as spent is counted so.
         tree.pot.count_spent(tree.lent_sum + tree.lost_sum);
@@ -118,7 +118,7 @@
 
 /// Weighted max-min of what comes in over what children are believed to need; what is left over by weight, so
 /// that who grows need not ask first.
-void Lender::share_out(TimePoint now, Tree& tree) {
+void QuotaAllocator::share_out(TimePoint now, Tree& tree) {
     Duration passed = now - tree.shared;
     if (passed < kShares) return;
     tree.shared = now;
@@ -164,13 +164,14 @@
 }
 
 /// What it is short of.
-Amount Lender::wanted(const Tree& tree, const Child& child) const {
+Amount QuotaAllocator::wanted(const Tree& tree, const Child& child) const {
     if (child.demand == 0 || child.recalled) return 0;
     Amount target = over(child.believed, cover()) + tree.dearest;
     return std::max<Amount>(0, target - child.lent());
 }
 
-void Lender::lend(TimePoint now, const Account& account, Tree& tree, const std::string& name, Child& child) {
+void QuotaAllocator::lend(TimePoint now, const Account& account, Tree& tree, const std::string& name,
+                          Child& child) {
     if (tree.frozen || tree.recalling || now < waits_until_ ||
         (!tree.root && (tree.pot.recalled() || tree.pot.frozen())))
         return;
@@ -192,24 +193,24 @@
     if (durable(tree)) note(account, name, child);
 }
 
-void Lender::note(const Account& account, const std::string& name, const Child& child) {
+void QuotaAllocator::note(const Account& account, const std::string& name, const Child& child) {
     to_record_[{account, name}] = {account,       name,        child.instance, child.lease,
                                    child.granted, child.spent, child.returned, false};
 }
 
 // ---- What happens
 
-void Lender::on(TimePoint now, const Woken&, Actions& actions) {
+void QuotaAllocator::on(TimePoint now, const TimerFired&, QuotaAllocatorActions& actions) {
     for (auto& [account, tree] : trees_) tick(now, account, tree);
     if (now >= asks_at_) {
         asks_at_ = now + set_.timing.ask;
         if (!set_.site.empty() && owns(now)) ask_up(now, actions);
     }
-    actions.push_back(WakeAt{asks_at_});
+    actions.push_back(SetTimer{asks_at_});
 }
 
-void Lender::ask_up(TimePoint now, Actions& actions) {
-    Ask ask{set_.instance, ++seq_, {}};
+void QuotaAllocator::ask_up(TimePoint now, QuotaAllocatorActions& actions) {
+    BorrowRequest ask{set_.instance, ++seq_, {}};
     for (auto& [account, tree] : trees_) {
         if (account.floor) continue;
         share_out(now, tree);
@@ -238,15 +239,15 @@
     }
     asked_[seq_] = now;
     while (asked_.size() > 64) asked_.erase(asked_.begin());
-    actions.push_back(SendUp{std::move(ask)});
+    actions.push_back(SendRequest{std::move(ask)});
 }
 
-void Lender::on(TimePoint now, const Answered& answered, Actions&) {
+void QuotaAllocator::on(TimePoint now, const ResponseReceived& answered, QuotaAllocatorActions&) {
     if (answered.answer.instance != set_.instance) return;
     auto asked = asked_.find(answered.answer.seq);
     if (asked == asked_.end()) return;
     answered_ = now;
-    for (const AnswerLine& line : answered.answer.lines) {
+    for (const BorrowResponseLine& line : answered.answer.lines) {
         auto found = trees_.find(line.account);
         if (found == trees_.end() || found->second.root) continue;
         Tree& tree = found->second;
@@ -262,7 +263,7 @@
 }
 
 /// What a child says of its lease. False: that cannot be.
-bool Lender::heard(Tree& tree, Child& child, const AskLine& line, TimePoint now) {
+bool QuotaAllocator::heard(Tree& tree, Child& child, const BorrowRequestLine& line, TimePoint now) {
     Amount spent = line.spent - child.spent, back = line.returned - child.returned;
     if (spent < 0 || back < 0 || spent + back > child.lent()) return false;
     child.spent += spent, child.returned += back;
@@ -277,11 +278,11 @@
     return true;
 }
 
-void Lender::on(TimePoint now, const Asked& asked, Actions&) {
+void QuotaAllocator::on(TimePoint now, const RequestReceived& asked, QuotaAllocatorActions&) {
     if (!owns(now)) return;
-    const Ask& ask = asked.ask;
-    Answer answer{ask.instance, ask.seq, {}};
-    for (const AskLine& line : ask.lines) {
+    const BorrowRequest& ask = asked.ask;
+    BorrowResponse answer{ask.instance, ask.seq, {}};
+    for (const BorrowRequestLine& line : ask.lines) {
         auto found = trees_.find(line.account);
         if (found == trees_.end()) continue;
         Tree& tree = found->second;
@@ -332,10 +333,10 @@
     waiting_.push_back({behind, {asked.child, std::move(answer)}});
 }
 
-/// One Record at a time; what comes meanwhile goes with the next.
-void Lender::flush(Actions& actions) {
+/// One RecordLeases at a time; what comes meanwhile goes with the next.
+void QuotaAllocator::flush(QuotaAllocatorActions& actions) {
     if (recorded_ == recording_ && (!to_record_.empty() || !closed_.empty())) {
-        Record record{++recording_, std::move(closed_)};
+        RecordLeases record{++recording_, std::move(closed_)};
         closed_.clear();
         for (auto& [key, book] : to_record_) record.books.push_back(std::move(book));
         to_record_.clear();
@@ -347,15 +348,15 @@
     waiting_.erase(waiting_.begin(), waiting_.begin() + std::ptrdiff_t(out));
 }
 
-void Lender::on(TimePoint, const Recorded& recorded, Actions&) {
+void QuotaAllocator::on(TimePoint, const LeasesRecorded& recorded, QuotaAllocatorActions&) {
     recorded_ = std::max(recorded_, std::min(recorded.number, recording_));
 }
 
-void Lender::on(TimePoint now, const Owned& owned, Actions& actions) {
+void QuotaAllocator::on(TimePoint now, const OwnershipConfirmed& owned, QuotaAllocatorActions& actions) {
     if (!owned_) {
         owned_ = true;
         if (owned.books) {
-            for (const Book& book : *owned.books) {
+            for (const OutstandingLease& book : *owned.books) {
                 auto found = trees_.find(book.account);
                 if (found == trees_.end() || !found->second.root || book.closed) continue;
                 Tree& tree = found->second;
@@ -373,13 +374,13 @@
         }
         for (auto& [account, tree] : trees_) tree.minted = micros(now), tree.carry = 0;
         asks_at_ = now;
-        actions.push_back(WakeAt{now});
+        actions.push_back(SetTimer{now});
     }
     owned_until_ = std::max(owned_until_, owned.until);
 }
 
 /// Somebody else may lend from here on: nothing of what was held may be used again.
-void Lender::on(TimePoint, const Disowned&, Actions&) {
+void QuotaAllocator::on(TimePoint, const OwnershipLost&, QuotaAllocatorActions&) {
     owned_ = false;
     owned_until_ = {};
     waiting_.clear(), to_record_.clear(), closed_.clear(), asked_.clear();
@@ -393,7 +394,8 @@
     set_.instance = mixed(set_.instance);
 }
 
-void Lender::shape(Tree& tree, TimePoint now, bool root, Amount rate, Amount cap, const Budget& budget) {
+void QuotaAllocator::shape(Tree& tree, TimePoint now, bool root, Amount rate, Amount cap,
+                           const Budget& budget) {
     bool fresh = tree.minted == 0 && tree.rate == 0;
     if (fresh)
         tree.minted = micros(now);
@@ -415,7 +417,7 @@
     }
 }
 
-void Lender::on(TimePoint now, const Configured& configured, Actions&) {
+void QuotaAllocator::on(TimePoint now, const BudgetsConfigured& configured, QuotaAllocatorActions&) {
     std::set<Account> named;
     for (const Budget& b : configured.budgets) {
         Amount rate = b.rate, burst = b.burst + b.bound;
@@ -434,26 +436,26 @@
             tree.rate = tree.cap = tree.here = 0, tree.recalling = tree.lent_sum > 0;
 }
 
-void Lender::on(TimePoint now, const Ordered& ordered, Actions&) {
+void QuotaAllocator::on(TimePoint now, const OperatorOrder& ordered, QuotaAllocatorActions&) {
     for (auto& [account, tree] : trees_) {
         if (account.partner != ordered.partner) continue;
         tick(now, account, tree);
-        if (ordered.what == Ordered::What::Freeze) tree.frozen = true;
-        if (ordered.what == Ordered::What::Thaw) tree.frozen = false;
+        if (ordered.what == OperatorOrder::What::Freeze) tree.frozen = true;
+        if (ordered.what == OperatorOrder::What::Thaw) tree.frozen = false;
         for (auto& [name, child] : tree.children) {
             if (!ordered.child.empty() && ordered.child != name) continue;
-            if (ordered.what == Ordered::What::Recall) child.recalled = child.lent() > 0;
-            if (ordered.what == Ordered::What::Lend) child.credit += ordered.amount;
+            if (ordered.what == OperatorOrder::What::Recall) child.recalled = child.lent() > 0;
+            if (ordered.what == OperatorOrder::What::Lend) child.credit += ordered.amount;
         }
     }
 }
 
-std::vector<Status> Lender::show(TimePoint now, std::string_view partner) const {
-    std::vector<Status> all;
+std::vector<QuotaAllocatorStatus> QuotaAllocator::show(TimePoint now, std::string_view partner) const {
+    std::vector<QuotaAllocatorStatus> all;
     for (const auto& [account, tree] : trees_) {
         if (!partner.empty() && account.partner != partner) continue;
-        Status status{account,  tree.root,       tree.frozen,   !tree.recalling, tree.rate,
-                      tree.cap, here(now, tree), tree.lent_sum, tree.lost_sum,   {}};
+        QuotaAllocatorStatus status{account,  tree.root,       tree.frozen,   !tree.recalling, tree.rate,
+                                    tree.cap, here(now, tree), tree.lent_sum, tree.lost_sum,   {}};
         if (!tree.root) status.rate = tree.pot.share();
         for (const auto& [name, child] : tree.children)
             status.children.push_back(
--- a/src/fleet/quota/lender.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -8,9 +8,9 @@
 // all that is let in is at most what was unspent at its beginning (the cap) and what was minted in it.
 // docs/design/quota.md has the proof.
 //
-// A root's leases are written down (Record) before they are answered, and whoever takes over goes on with
-// them (Owned): nobody is lent again what is lent already. One that borrows writes nothing: restarted, it is
-// another borrower, and whoever is above waits out the lease of the old one.
+// A root's leases are written down (RecordLeases) before they are answered, and whoever takes over goes on
+// with them (OwnershipConfirmed): nobody is lent again what is lent already. One that borrows writes nothing:
+// restarted, it is another borrower, and whoever is above waits out the lease of the old one.
 //
 // Threads: one. Nothing is drawn, and no clock is read; the same events give the same actions.
 #pragma once
@@ -27,7 +27,7 @@
 
 namespace ochrehub::quota {
 
-struct LenderSettings {
+struct QuotaAllocatorSettings {
     std::string site;  ///< whose floors are minted here; empty: the federation's, whose root all else has
     std::uint64_t instance = 0;  ///< drawn at each start, never zero
     int levels = 1;              ///< that lie below: 1 a site with nodes, 2 a federation of sites
@@ -35,67 +35,68 @@
 };
 
 /// A lease that is open, as it lasts.
-struct Book {
+struct OutstandingLease {
     Account account;
     std::string child;
     std::uint64_t instance = 0, lease = 0;
     Amount granted = 0, spent = 0, returned = 0;
-    bool closed = false;  ///< in a Record: it is over
-    friend bool operator==(const Book&, const Book&) = default;
+    bool closed = false;  ///< in a RecordLeases: it is over
+    friend bool operator==(const OutstandingLease&, const OutstandingLease&) = default;
 };
 
 // ---- What happens
-struct Woken {};
-struct Asked {
+struct TimerFired {};
+struct RequestReceived {
     std::string child;  ///< as the channel knows it
-    Ask ask;
+    BorrowRequest ask;
 };
-struct Answered {
-    Answer answer;
+struct ResponseReceived {
+    BorrowResponse answer;
 };
-struct Recorded {  ///< all Records up to this one last
+struct LeasesRecorded {  ///< all Records up to this one last
     std::uint64_t number = 0;
 };
 /// This process owns the lender until then, by its own clock, or for longer by a later one. `books`, the
 /// first time: what the owners before it have recorded. Without them and with `fresh` false it waits out the
 /// longest lease before it lends.
-struct Owned {
+struct OwnershipConfirmed {
     TimePoint until;
-    std::optional<std::vector<Book>> books;
+    std::optional<std::vector<OutstandingLease>> books;
     bool fresh = false;  ///< nobody has ever lent anything
 };
-struct Disowned {};
-struct Configured {
+struct OwnershipLost {};
+struct BudgetsConfigured {
     std::vector<Budget> budgets;
 };
 /// By operators. Recall: of one child, or of all. Lend: so much to one child, as soon as it is there.
-struct Ordered {
+struct OperatorOrder {
     enum class What { Freeze, Thaw, Recall, Lend };
     What what{};
     std::string partner, child;
     Amount amount = 0;
 };
-using Event = std::variant<Woken, Asked, Answered, Recorded, Owned, Disowned, Configured, Ordered>;
+using QuotaAllocatorEvent = std::variant<TimerFired, RequestReceived, ResponseReceived, LeasesRecorded,
+                                         OwnershipConfirmed, OwnershipLost, BudgetsConfigured, OperatorOrder>;
 
 // ---- What is to be done about it
-struct SendUp {
-    Ask ask;
+struct SendRequest {
+    BorrowRequest ask;
 };
-struct Reply {
+struct SendResponse {
     std::string child;
-    Answer answer;
+    BorrowResponse answer;
 };
-struct Record {
+struct RecordLeases {
     std::uint64_t number = 0;
-    std::vector<Book> books;
+    std::vector<OutstandingLease> books;
 };
-struct WakeAt {
+struct SetTimer {
     TimePoint at;
 };
-using Action = std::variant<SendUp, Reply, Record, WakeAt>;
-using Actions = std::vector<Action>;
+using QuotaAllocatorAction = std::variant<SendRequest, SendResponse, RecordLeases, SetTimer>;
+using QuotaAllocatorActions = std::vector<QuotaAllocatorAction>;
 
-struct Status {
+struct QuotaAllocatorStatus {
     Account account;
     bool root = false, frozen = false;
     bool in_force = true;  ///< a budget that has shrunk is, once what was lent of the larger one is back
@@ -107,13 +108,13 @@
     std::vector<Child> children;
 };
 
-class Lender {
+class QuotaAllocator {
 public:
-    explicit Lender(const LenderSettings& settings);
+    explicit QuotaAllocator(const QuotaAllocatorSettings& settings);
 
-    void handle(TimePoint now, const Event& event, Actions& actions);
+    void handle(TimePoint now, const QuotaAllocatorEvent& event, QuotaAllocatorActions& actions);
 
-    std::vector<Status> show(TimePoint now, std::string_view partner) const;
+    std::vector<QuotaAllocatorStatus> show(TimePoint now, std::string_view partner) const;
     bool owns(TimePoint now) const { return now < owned_until_; }
     std::uint64_t refused() const { return refused_; }  ///< lines that said what cannot be
 
@@ -154,14 +155,14 @@
         Amount lent_sum = 0, lost_sum = 0;
     };
 
-    void on(TimePoint now, const Woken&, Actions& actions);
-    void on(TimePoint now, const Asked& asked, Actions& actions);
-    void on(TimePoint now, const Answered& answered, Actions& actions);
-    void on(TimePoint now, const Recorded& recorded, Actions& actions);
-    void on(TimePoint now, const Owned& owned, Actions& actions);
-    void on(TimePoint now, const Disowned&, Actions& actions);
-    void on(TimePoint now, const Configured& configured, Actions& actions);
-    void on(TimePoint now, const Ordered& ordered, Actions& actions);
+    void on(TimePoint now, const TimerFired&, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const RequestReceived& asked, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const ResponseReceived& answered, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const LeasesRecorded& recorded, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const OwnershipConfirmed& owned, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const OwnershipLost&, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const BudgetsConfigured& configured, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const OperatorOrder& ordered, QuotaAllocatorActions& actions);
 
     void shape(Tree& tree, TimePoint now, bool root, Amount rate, Amount cap, const Budget& budget);
     void tick(TimePoint now, const Account& account, Tree& tree);
@@ -171,29 +172,29 @@
     void lose(const Account& account, Tree& tree, const std::string& name, Child& child);
     void forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance,
                 std::uint64_t lease);
-    bool heard(Tree& tree, Child& child, const AskLine& line, TimePoint now);
+    bool heard(Tree& tree, Child& child, const BorrowRequestLine& line, TimePoint now);
     void share_out(TimePoint now, Tree& tree);
     void lend(TimePoint now, const Account& account, Tree& tree, const std::string& name, Child& child);
     Amount wanted(const Tree& tree, const Child& child) const;
     Duration cover() const { return set_.timing.cover * set_.levels; }
     void note(const Account& account, const std::string& name, const Child& child);
-    void ask_up(TimePoint now, Actions& actions);
-    void flush(Actions& actions);
+    void ask_up(TimePoint now, QuotaAllocatorActions& actions);
+    void flush(QuotaAllocatorActions& actions);
     bool durable(const Tree& tree) const { return tree.root; }
 
-    LenderSettings set_;
+    QuotaAllocatorSettings set_;
     std::map<Account, Tree> trees_;
     TimePoint owned_until_{}, waits_until_{}, asks_at_{};
     bool owned_ = false;  // since when it last was not
     std::uint64_t leases_ = 0, seq_ = 0, refused_ = 0;
     std::map<std::uint64_t, TimePoint> asked_;  // the asks that may yet be answered
     TimePoint answered_{};
-    std::map<std::pair<Account, std::string>, Book> to_record_;
-    std::vector<Book> closed_;
+    std::map<std::pair<Account, std::string>, OutstandingLease> to_record_;
+    std::vector<OutstandingLease> closed_;
     std::uint64_t recorded_ = 0, recording_ = 0;
     struct Waiting {
         std::uint64_t behind = 0;
-        Reply reply;
+        SendResponse reply;
     };
     std::vector<Waiting> waiting_;
 };
--- a/src/fleet/quota/machine.cpp
+++ b/src/fleet/quota/quota_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "fleet/quota/machine.h"
+#include "fleet/quota/quota_state_machine.h"
 
 #include <quota.pb.h>
 
@@ -9,22 +9,22 @@
 
 constexpr Amount kSum = std::int64_t(1) << 62;
 
-void put(const Book& book, wire::Book& to) {
+void put(const OutstandingLease& book, wire::Book& to) {
     to.mutable_account()->set_partner(book.account.partner),
         to.mutable_account()->set_floor(book.account.floor);
     to.set_child(book.child), to.set_instance(book.instance), to.set_lease(book.lease);
     to.set_granted(book.granted), to.set_spent(book.spent), to.set_returned(book.returned),
         to.set_closed(book.closed);
 }
-std::optional<Book> get(const wire::Book& from) {
-    Book book{{from.account().partner(), from.account().floor()},
-              from.child(),
-              from.instance(),
-              from.lease(),
-              from.granted(),
-              from.spent(),
-              from.returned(),
-              from.closed()};
+std::optional<OutstandingLease> get(const wire::Book& from) {
+    OutstandingLease book{{from.account().partner(), from.account().floor()},
+                          from.child(),
+                          from.instance(),
+                          from.lease(),
+                          from.granted(),
+                          from.spent(),
+                          from.returned(),
+                          from.closed()};
     auto sound = [](Amount a) { return a >= 0 && a <= kSum; };
     if (!sound(book.granted) || !sound(book.spent) || !sound(book.returned) || book.lease == 0 ||
         book.granted - book.spent < book.returned || book.account.partner.size() > 64 ||
@@ -66,14 +66,14 @@
     return budgets;
 }
 
-void put(const Ordered& order, wire::Operate& to) {
+void put(const OperatorOrder& order, wire::Operate& to) {
     to.set_what(wire::Operate::What(int(order.what)));
     to.set_partner(order.partner), to.set_child(order.child), to.set_amount(order.amount);
 }
-Ordered get(const wire::Operate& from) {
-    return {Ordered::What(int(from.what())), from.partner(), from.child(), from.amount()};
+OperatorOrder get(const wire::Operate& from) {
+    return {OperatorOrder::What(int(from.what())), from.partner(), from.child(), from.amount()};
 }
-void put(const Numbered& order, wire::Order& to) {
+void put(const NumberedOrder& order, wire::Order& to) {
     to.set_number(order.number);
     put(order.order, *to.mutable_operate());
 }
@@ -107,10 +107,10 @@
     command.mutable_get();
     return command.SerializeAsString();
 }
-std::string command_record(std::uint64_t epoch, const std::vector<Book>& books) {
+std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& books) {
     wire::Command command;
     command.mutable_record()->set_epoch(epoch);
-    for (const Book& book : books) put(book, *command.mutable_record()->add_books());
+    for (const OutstandingLease& book : books) put(book, *command.mutable_record()->add_books());
     return command.SerializeAsString();
 }
 std::string command_set(std::uint64_t version, const std::vector<Budget>& budgets) {
@@ -119,33 +119,33 @@
     put(budgets, *command.mutable_set());
     return command.SerializeAsString();
 }
-std::string command_order(const Ordered& order) {
+std::string command_order(const OperatorOrder& order) {
     wire::Command command;
     put(order, *command.mutable_operate());
     return command.SerializeAsString();
 }
-std::optional<MachineReply> decode_reply(std::string_view octets) {
+std::optional<CommandResponse> decode_command_response(std::string_view octets) {
     wire::Reply from;
     if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.error() > unsigned(Error::Frozen) + 1)
         return std::nullopt;
-    MachineReply reply{std::nullopt, from.about(), from.epoch(), from.version(), std::nullopt};
+    CommandResponse reply{std::nullopt, from.about(), from.epoch(), from.version(), std::nullopt};
     if (from.error() > 0) reply.error = Error(from.error() - 1);
     if (from.has_state()) reply.state = state_of(from.state());
     return reply;
 }
-std::optional<MachineNews> decode_news(std::string_view octets) {
+std::optional<SessionUpdate> decode_session_update(std::string_view octets) {
     wire::News from;
     if (!from.ParseFromArray(octets.data(), int(octets.size()))) return std::nullopt;
-    MachineNews news{from.epoch(), from.version(), from.orders(), from.owner(), {}, {}};
+    SessionUpdate news{from.epoch(), from.version(), from.orders(), from.owner(), {}, {}};
     for (const std::string& partner : from.frozen()) news.frozen.push_back(partner);
     for (const wire::Order& o : from.last()) news.last.push_back({o.number(), get(o.operate())});
     return news;
 }
 
-Quotas::Quotas(std::vector<std::string> sites, const Timing& timing)
+QuotaStateMachine::QuotaStateMachine(std::vector<std::string> sites, const Timing& timing)
     : sites_(std::move(sites)), timing_(timing) {}
 
-std::string Quotas::apply(const coordinator::Command& command) {
+std::string QuotaStateMachine::apply(const coordinator::Command& command) {
     wire::Command from;
     wire::Reply reply;
     auto answer = [&](std::optional<Error> error = std::nullopt, std::string about = {}) {
@@ -170,13 +170,13 @@
         case wire::Command::kRecord: {
             if (command.session != owner_ || owner_ == 0) return answer(Error::NotOwner);
             if (from.record().epoch() != epoch_) return answer(Error::Stale);
-            std::vector<Book> books;
+            std::vector<OutstandingLease> books;
             for (const wire::Book& b : from.record().books()) {
                 auto book = get(b);
                 if (!book) return answer(Error::Malformed, b.child());
                 books.push_back(std::move(*book));
             }
-            for (Book& book : books) {
+            for (OutstandingLease& book : books) {
                 Key key{book.account, book.child, book.lease};
                 if (book.closed)
                     books_.erase(key);
@@ -197,15 +197,15 @@
             return answer();
         }
         case wire::Command::kOperate: {
-            Ordered order = get(from.operate());
+            OperatorOrder order = get(from.operate());
             if (!wire::Operate::What_IsValid(from.operate().what()) || order.amount < 0 ||
                 order.amount > kMost)
                 return answer(Error::Malformed);
             if (std::none_of(budgets_.begin(), budgets_.end(),
                              [&](const Budget& b) { return b.partner == order.partner; }))
                 return answer(Error::Unknown, order.partner);
-            if (order.what == Ordered::What::Freeze) frozen_.insert(order.partner);
-            if (order.what == Ordered::What::Thaw) frozen_.erase(order.partner);
+            if (order.what == OperatorOrder::What::Freeze) frozen_.insert(order.partner);
+            if (order.what == OperatorOrder::What::Thaw) frozen_.erase(order.partner);
             last_.push_back({++orders_, std::move(order)});
             while (last_.size() > kOrders) last_.pop_front();
             return answer();
@@ -215,7 +215,7 @@
     }
 }
 
-std::string Quotas::query(std::string_view question) const {
+std::string QuotaStateMachine::query(std::string_view question) const {
     wire::Command from;
     wire::Reply reply;
     reply.set_epoch(epoch_), reply.set_version(version_);
@@ -226,25 +226,26 @@
     return reply.SerializeAsString();
 }
 
-void Quotas::session_opened(coordinator::SessionId session, std::string_view name, std::string_view) {
+void QuotaStateMachine::session_opened(coordinator::SessionId session, std::string_view name,
+                                       std::string_view) {
     sessions_[session] = name;
 }
-void Quotas::session_ended(coordinator::SessionId session) {
+void QuotaStateMachine::session_ended(coordinator::SessionId session) {
     sessions_.erase(session);
     if (owner_ == session) owner_ = 0;
 }
 
-std::string Quotas::session_update(coordinator::SessionId session) const {
+std::string QuotaStateMachine::session_update(coordinator::SessionId session) const {
     wire::News news;
     news.set_epoch(epoch_), news.set_version(version_), news.set_orders(orders_);
     news.set_owner(session != 0 && session == owner_);
     for (const std::string& partner : frozen_) news.add_frozen(partner);
     if (news.owner())
-        for (const Numbered& order : last_) put(order, *news.add_last());
+        for (const NumberedOrder& order : last_) put(order, *news.add_last());
     return news.SerializeAsString();
 }
 
-std::string Quotas::snapshot() const {
+std::string QuotaStateMachine::snapshot() const {
     wire::Snapshot to;
     to.set_epoch(epoch_), to.set_owner(owner_), to.set_orders(orders_);
     auto name = sessions_.find(owner_);
@@ -253,7 +254,7 @@
     put(budgets_, *to.mutable_budgets());
     for (const auto& [key, book] : books_) put(book, *to.add_books());
     for (const std::string& partner : frozen_) to.add_frozen(partner);
-    for (const Numbered& order : last_) put(order, *to.add_last());
+    for (const NumberedOrder& order : last_) put(order, *to.add_last());
     for (const auto& [id, named] : sessions_) {
         wire::Session& session = *to.add_sessions();
         session.set_id(id), session.set_name(named);
@@ -261,7 +262,7 @@
     return to.SerializeAsString();
 }
 
-bool Quotas::restore(std::uint32_t schema, std::string_view bytes) {
+bool QuotaStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::Snapshot from;
     if (schema != 1 || !from.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
     State state = state_of(from);
@@ -271,7 +272,8 @@
     for (const wire::Session& s : from.sessions()) sessions_[s.id()] = s.name();
     budgets_ = std::move(state.budgets);
     books_.clear();
-    for (Book& book : state.books) books_.insert_or_assign(Key{book.account, book.child, book.lease}, book);
+    for (OutstandingLease& book : state.books)
+        books_.insert_or_assign(Key{book.account, book.child, book.lease}, book);
     frozen_ = {state.frozen.begin(), state.frozen.end()};
     last_ = {state.last.begin(), state.last.end()};
     return true;
--- a/src/fleet/quota/machine.h
+++ b/src/fleet/quota/quota_state_machine.h
@@ -1,9 +1,10 @@
 // What the keepers keep of a lender: budgets with a version, whose the lender is (with an epoch), the leases
 // that are open, and what operators said. A site's keepers have one of these for the site's floors, the
-// federation's for all else. It knows no time: leases end by the owner's clock, which says so in a Record.
+// federation's for all else. It knows no time: leases end by the owner's clock, which says so in a
+// RecordLeases.
 //
-// A Record under an older epoch is refused: an owner that was stopped, and goes on when another has taken
-// over, can write nothing down any more, and so answers nothing that lends.
+// A RecordLeases under an older epoch is refused: an owner that was stopped, and goes on when another has
+// taken over, can write nothing down any more, and so answers nothing that lends.
 //
 // Threads: as every machine, the keeper's alone.
 #pragma once
@@ -17,20 +18,20 @@
 #include <vector>
 
 #include "fleet/coordinator/state_machine.h"
-#include "fleet/quota/lender.h"
+#include "fleet/quota/quota_allocator.h"
 
 namespace ochrehub::quota {
 
 /// Commands, for whoever proposes them.
 std::string command_own();
 std::string command_get();
-std::string command_record(std::uint64_t epoch, const std::vector<Book>& books);
+std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& books);
 std::string command_set(std::uint64_t version, const std::vector<Budget>& budgets);
-std::string command_order(const Ordered& order);
+std::string command_order(const OperatorOrder& order);
 
-struct Numbered {
+struct NumberedOrder {
     std::uint64_t number = 0;  ///< rises for ever
-    Ordered order;
+    OperatorOrder order;
 };
 /// All that a machine holds.
 struct State {
@@ -38,29 +39,29 @@
     coordinator::SessionId owner = 0;
     std::string owner_name;
     std::vector<Budget> budgets;
-    std::vector<Book> books;
+    std::vector<OutstandingLease> books;
     std::vector<std::string> frozen;
-    std::vector<Numbered> last;
+    std::vector<NumberedOrder> last;
 };
-struct MachineReply {
+struct CommandResponse {
     std::optional<Error> error;
     std::string about;  ///< of the error
     std::uint64_t epoch = 0, version = 0;
     std::optional<State> state;  ///< to command_own and command_get
 };
-std::optional<MachineReply> decode_reply(std::string_view octets);
-struct MachineNews {
+std::optional<CommandResponse> decode_command_response(std::string_view octets);
+struct SessionUpdate {
     std::uint64_t epoch = 0, version = 0, orders = 0;
     bool owner = false;  ///< the session that is told
     std::vector<std::string> frozen;
-    std::vector<Numbered> last;
+    std::vector<NumberedOrder> last;
 };
-std::optional<MachineNews> decode_news(std::string_view octets);
+std::optional<SessionUpdate> decode_session_update(std::string_view octets);
 
-class Quotas : public coordinator::StateMachine {
+class QuotaStateMachine : public coordinator::StateMachine {
 public:
     /// `sites`: what floors may name, none: any; `timing`: what budgets are checked against.
-    explicit Quotas(std::vector<std::string> sites = {}, const Timing& timing = {});
+    explicit QuotaStateMachine(std::vector<std::string> sites = {}, const Timing& timing = {});
 
     std::string_view kind() const override { return "quota"; }
     std::uint32_t schema() const override { return 1; }
@@ -88,9 +89,9 @@
     coordinator::SessionId owner_ = 0;
     std::map<coordinator::SessionId, std::string> sessions_;
     std::vector<Budget> budgets_;
-    std::map<Key, Book> books_;
+    std::map<Key, OutstandingLease> books_;
     std::set<std::string> frozen_;
-    std::deque<Numbered> last_;
+    std::deque<NumberedOrder> last_;
 };
 
 }  // namespace ochrehub::quota
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -5,7 +5,7 @@
 #include <thread>
 
 #include "fleet/quota/charger.h"
-#include "fleet/quota/machine.h"
+#include "fleet/quota/quota_state_machine.h"
 
 namespace ochrehub::quota {
 namespace {
@@ -82,18 +82,19 @@
 
 /// A root (or a site below one) and nodes, where each message arrives at once.
 struct Hall {
-    Lender lender;
+    QuotaAllocator lender;
     std::vector<std::unique_ptr<Charger>> nodes;
     std::vector<std::uint64_t> instances;
     std::vector<Budget> budgets;
     double now = 1;
     std::uint64_t records = 0;
-    std::vector<Book> books;  // as a machine would keep them
+    std::vector<OutstandingLease> books;  // as a machine would keep them
 
-    explicit Hall(std::vector<Budget> all, std::size_t count, LenderSettings settings = {"", 77, 1, {}})
+    explicit Hall(std::vector<Budget> all, std::size_t count,
+                  QuotaAllocatorSettings settings = {"", 77, 1, {}})
         : lender(settings), budgets(std::move(all)), timing(settings.timing) {
-        handle(Configured{budgets});
-        handle(Owned{at(1e9), std::vector<Book>{}, true});
+        handle(BudgetsConfigured{budgets});
+        handle(OwnershipConfirmed{at(1e9), std::vector<OutstandingLease>{}, true});
         for (std::size_t i = 0; i < count; ++i) nodes.emplace_back(), start(i);
     }
     Timing timing;
@@ -105,22 +106,22 @@
         nodes[node] = std::make_unique<Charger>(settings);
         nodes[node]->configure(budgets);
     }
-    std::vector<Reply> handle(const Event& event) {
-        std::vector<Reply> replies;
-        Actions actions;
+    std::vector<SendResponse> handle(const QuotaAllocatorEvent& event) {
+        std::vector<SendResponse> replies;
+        QuotaAllocatorActions actions;
         lender.handle(at(now), event, actions);
         for (std::size_t i = 0; i < actions.size(); ++i) {
-            if (auto* reply = std::get_if<Reply>(&actions[i])) replies.push_back(*reply);
-            if (auto* record = std::get_if<Record>(&actions[i])) {
+            if (auto* reply = std::get_if<SendResponse>(&actions[i])) replies.push_back(*reply);
+            if (auto* record = std::get_if<RecordLeases>(&actions[i])) {
                 ++records;
-                lender.handle(at(now), Recorded{record->number}, actions);
+                lender.handle(at(now), LeasesRecorded{record->number}, actions);
             }
         }
         return replies;
     }
     void ask(std::size_t node, bool all = true) {
-        Ask ask = nodes[node]->ask(at(now), all);
-        for (const Reply& reply : handle(Asked{"n" + std::to_string(node), ask}))
+        BorrowRequest ask = nodes[node]->ask(at(now), all);
+        for (const SendResponse& reply : handle(RequestReceived{"n" + std::to_string(node), ask}))
             nodes[node]->answered(at(now), reply.answer);
     }
     bool charge(std::size_t node, std::uint32_t partner = 0) {
@@ -128,9 +129,11 @@
         if (nodes[node]->asks_early()) ask(node, false);
         return in;
     }
-    Status status(std::string_view partner) const { return lender.show(at(now), partner).at(0); }
+    QuotaAllocatorStatus status(std::string_view partner) const {
+        return lender.show(at(now), partner).at(0);
+    }
     void held(std::string_view partner) const {
-        Status s = status(partner);
+        QuotaAllocatorStatus s = status(partner);
         EXPECT_LE(s.here + s.lent + s.lost, s.cap);
         EXPECT_GE(s.here, 0);
     }
@@ -155,7 +158,7 @@
     EXPECT_GE(in, 40 * kUnit);
     // Their leases over, it is free again.
     hall.now += 3001;
-    hall.handle(Woken{});
+    hall.handle(TimerFired{});
     EXPECT_EQ(hall.status("p").lost, 0);
 }
 
@@ -170,18 +173,18 @@
         else
             for (std::size_t n = 0; n < 5; ++n) hall.ask(n);
     }
-    Status before = hall.status("p");
+    QuotaAllocatorStatus before = hall.status("p");
     EXPECT_GE(before.lent + before.here, 85 * kUnit);
     EXPECT_GE(before.lent, 45 * kUnit);
     std::vector<Budget> cut{budget("p", 10, 10)};
-    hall.handle(Configured{cut});
+    hall.handle(BudgetsConfigured{cut});
     EXPECT_FALSE(hall.status("p").in_force);
     // Four say what is left; the fifth never answers again.
     for (int i = 0; i < 5; ++i) {
         hall.now += 100;
         for (std::size_t n = 0; n < 4; ++n) hall.ask(n);
     }
-    Status status = hall.status("p");
+    QuotaAllocatorStatus status = hall.status("p");
     EXPECT_LE(status.lent, before.lent);
     hall.now += 3000;
     hall.ask(0);
@@ -225,48 +228,48 @@
 }
 
 TEST(QuotaLender, ANextOwnerGoesOnWithWhatIsLent) {
-    LenderSettings settings{"", 5, 1, {}};
-    Lender first(settings);
-    Actions actions;
-    first.handle(at(1), Configured{{budget("p", 100, 100)}}, actions);
-    first.handle(at(1), Owned{at(5000), std::vector<Book>{}, true}, actions);
-    Ask ask{9, 1, {{{"p", false}, 0, 0, 0, 100 * kUnit, 0}}};
+    QuotaAllocatorSettings settings{"", 5, 1, {}};
+    QuotaAllocator first(settings);
+    QuotaAllocatorActions actions;
+    first.handle(at(1), BudgetsConfigured{{budget("p", 100, 100)}}, actions);
+    first.handle(at(1), OwnershipConfirmed{at(5000), std::vector<OutstandingLease>{}, true}, actions);
+    BorrowRequest ask{9, 1, {{{"p", false}, 0, 0, 0, 100 * kUnit, 0}}};
     actions.clear();
-    first.handle(at(1001), Asked{"n", ask}, actions);
+    first.handle(at(1001), RequestReceived{"n", ask}, actions);
     // Nothing is answered before it is written down.
     ASSERT_EQ(actions.size(), 1u);
-    Record record = std::get<Record>(actions[0]);
+    RecordLeases record = std::get<RecordLeases>(actions[0]);
     actions.clear();
-    first.handle(at(1002), Recorded{record.number}, actions);
+    first.handle(at(1002), LeasesRecorded{record.number}, actions);
     ASSERT_EQ(actions.size(), 1u);
-    Amount granted = std::get<Reply>(actions[0]).answer.lines.at(0).granted;
+    Amount granted = std::get<SendResponse>(actions[0]).answer.lines.at(0).granted;
     EXPECT_GT(granted, 0);
     // An owner whose time is over answers nothing, whatever it held.
     actions.clear();
     ask.seq = 2;
-    first.handle(at(5001), Asked{"n", ask}, actions);
+    first.handle(at(5001), RequestReceived{"n", ask}, actions);
     EXPECT_TRUE(actions.empty());
 
     settings.instance = 6;
-    Lender second(settings);
+    QuotaAllocator second(settings);
     actions.clear();
-    second.handle(at(1), Configured{{budget("p", 100, 100)}}, actions);
-    second.handle(at(1), Owned{at(9000), record.books, false}, actions);
-    Status status = second.show(at(1), "p").at(0);
+    second.handle(at(1), BudgetsConfigured{{budget("p", 100, 100)}}, actions);
+    second.handle(at(1), OwnershipConfirmed{at(9000), record.books, false}, actions);
+    QuotaAllocatorStatus status = second.show(at(1), "p").at(0);
     EXPECT_EQ(status.lent, granted);
     EXPECT_EQ(status.here, 0);
     actions.clear();
     ask.lines[0] = {{"p", false}, record.books[0].lease, granted, 0, 0, 0};
-    second.handle(at(500), Asked{"n", ask}, actions);
+    second.handle(at(500), RequestReceived{"n", ask}, actions);
     EXPECT_EQ(second.show(at(500), "p").at(0).lent, 0);
     // One that knows of no leases waits out the longest.
-    Lender third(settings);
+    QuotaAllocator third(settings);
     actions.clear();
-    third.handle(at(1), Configured{{budget("p", 100, 100)}}, actions);
-    third.handle(at(1), Owned{at(9000), std::nullopt, false}, actions);
-    third.handle(at(2900), quota::Woken{}, actions);
+    third.handle(at(1), BudgetsConfigured{{budget("p", 100, 100)}}, actions);
+    third.handle(at(1), OwnershipConfirmed{at(9000), std::nullopt, false}, actions);
+    third.handle(at(2900), quota::TimerFired{}, actions);
     EXPECT_EQ(third.show(at(2900), "p").at(0).here, 0);
-    third.handle(at(4001), quota::Woken{}, actions);
+    third.handle(at(4001), quota::TimerFired{}, actions);
     EXPECT_GT(third.show(at(4001), "p").at(0).here, 0);
 }
 
@@ -276,9 +279,9 @@
     hall.charge(0);
     hall.ask(0);
     auto child = hall.status("p").children.at(0);
-    Ask ask = hall.nodes[0]->ask(at(hall.now));
+    BorrowRequest ask = hall.nodes[0]->ask(at(hall.now));
     ask.lines.at(0).returned = child.lent + 1;
-    EXPECT_TRUE(hall.handle(Asked{"n0", ask}).at(0).answer.lines.empty());
+    EXPECT_TRUE(hall.handle(RequestReceived{"n0", ask}).at(0).answer.lines.empty());
     EXPECT_EQ(hall.lender.refused(), 1u);
     EXPECT_EQ(hall.status("p").lent, child.lent);
 }
@@ -290,7 +293,7 @@
         hall.charge(0), hall.charge(1);
         if (i % 10 == 0) hall.ask(0), hall.ask(1);
     }
-    hall.handle(Ordered{Ordered::What::Recall, "p", "n0", 0});
+    hall.handle(OperatorOrder{OperatorOrder::What::Recall, "p", "n0", 0});
     Amount before = hall.status("p").children.at(0).lent, least = before;
     EXPECT_GE(before, 10 * kUnit);
     for (int i = 0; i < 4; ++i) {
@@ -298,12 +301,12 @@
         least = std::min(least, hall.status("p").children.at(0).lent);
     }
     EXPECT_LT(least, before);  // and then it may have some again
-    hall.handle(Ordered{Ordered::What::Freeze, "p", "", 0});
+    hall.handle(OperatorOrder{OperatorOrder::What::Freeze, "p", "", 0});
     for (int i = 0; i < 4; ++i) hall.now += 100, hall.ask(0), hall.ask(1);
     auto outcome = hall.nodes[0]->charge(at(hall.now), 0, kNone);
     EXPECT_EQ(std::get<Refusal>(outcome).error, Error::Frozen);
     EXPECT_EQ(hall.status("p").lent, 0);
-    hall.handle(Ordered{Ordered::What::Thaw, "p", "", 0});
+    hall.handle(OperatorOrder{OperatorOrder::What::Thaw, "p", "", 0});
     for (int i = 0; i < 10; ++i) hall.now += 100, hall.charge(0), hall.ask(0);
     EXPECT_TRUE(hall.charge(0));
 }
@@ -311,7 +314,7 @@
 TEST(QuotaPot, OneGrantCountsOnceAndNotBehindItsEnd) {
     Pot pot;
     Timing timing;
-    AnswerLine line{{"p", false}, 7, 10, 3'000'000, 0, false, false};
+    BorrowResponseLine line{{"p", false}, 7, 10, 3'000'000, 0, false, false};
     EXPECT_EQ(pot.answered(at(10), at(0), 1, line, timing), Pot::Taken::Anew);
     EXPECT_EQ(pot.answered(at(11), at(0), 1, line, timing), Pot::Taken::Old);
     EXPECT_EQ(pot.balance(at(11)), 10);
@@ -404,9 +407,9 @@
 }
 
 struct Keepers {
-    Quotas machine{{"north", "south"}};
-    MachineReply say(coordinator::SessionId session, const std::string& body) {
-        return *decode_reply(machine.apply({session, body}));
+    QuotaStateMachine machine{{"north", "south"}};
+    CommandResponse say(coordinator::SessionId session, const std::string& body) {
+        return *decode_command_response(machine.apply({session, body}));
     }
 };
 
@@ -415,21 +418,21 @@
     keepers.machine.session_opened(1, "a", "");
     keepers.machine.session_opened(2, "b", "");
     EXPECT_EQ(keepers.say(3, command_own()).error, Error::NotOwner);
-    MachineReply first = keepers.say(1, command_own());
+    CommandResponse first = keepers.say(1, command_own());
     EXPECT_EQ(first.epoch, 1u);
     EXPECT_EQ(keepers.say(2, command_own()).error, Error::NotOwner);
-    Book book{{"p", false}, "n1", 11, 12, 100, 40, 10, false};
+    OutstandingLease book{{"p", false}, "n1", 11, 12, 100, 40, 10, false};
     EXPECT_FALSE(keepers.say(1, command_record(1, {book})).error);
     keepers.machine.session_ended(1);
-    MachineReply second = keepers.say(2, command_own());
+    CommandResponse second = keepers.say(2, command_own());
     EXPECT_EQ(second.epoch, 2u);
     ASSERT_TRUE(second.state);
-    EXPECT_EQ(second.state->books, std::vector<Book>{book});
+    EXPECT_EQ(second.state->books, std::vector<OutstandingLease>{book});
     EXPECT_EQ(second.state->owner_name, "b");
     EXPECT_EQ(keepers.say(1, command_record(1, {book})).error, Error::NotOwner);
     EXPECT_EQ(keepers.say(2, command_record(1, {book})).error, Error::Stale);
-    EXPECT_TRUE(decode_news(keepers.machine.session_update(2))->owner);
-    EXPECT_FALSE(decode_news(keepers.machine.session_update(1))->owner);
+    EXPECT_TRUE(decode_session_update(keepers.machine.session_update(2))->owner);
+    EXPECT_FALSE(decode_session_update(keepers.machine.session_update(1))->owner);
     book.closed = true;
     EXPECT_FALSE(keepers.say(2, command_record(2, {book})).error);
     EXPECT_EQ(keepers.machine.books(), 0u);
@@ -440,19 +443,20 @@
 TEST(QuotaMachine, TwoOperatorsAtOnceAndOrders) {
     Keepers keepers;
     EXPECT_FALSE(keepers.say(0, command_set(0, {budget("p", 100, 100)})).error);
-    MachineReply late = keepers.say(0, command_set(0, {budget("p", 100, 1)}));
+    CommandResponse late = keepers.say(0, command_set(0, {budget("p", 100, 1)}));
     EXPECT_EQ(late.error, Error::Stale);
     EXPECT_EQ(late.about, "version 1");
     EXPECT_EQ(keepers.say(0, command_set(1, {budget("p", 0, 100)})).error, Error::NoRate);
     Budget floored = budget("p", 100, 100);
     floored.floors = {{"north", 50 * kUnit, 50 * kUnit}};
     EXPECT_EQ(keepers.say(0, command_set(1, {floored})).error, Error::FloorRaisedAtOnce);
-    EXPECT_EQ(keepers.say(0, command_order({Ordered::What::Freeze, "nobody", "", 0})).error, Error::Unknown);
-    EXPECT_FALSE(keepers.say(0, command_order({Ordered::What::Freeze, "p", "", 0})).error);
-    EXPECT_FALSE(keepers.say(0, command_order({Ordered::What::Lend, "p", "north", 5})).error);
+    EXPECT_EQ(keepers.say(0, command_order({OperatorOrder::What::Freeze, "nobody", "", 0})).error,
+              Error::Unknown);
+    EXPECT_FALSE(keepers.say(0, command_order({OperatorOrder::What::Freeze, "p", "", 0})).error);
+    EXPECT_FALSE(keepers.say(0, command_order({OperatorOrder::What::Lend, "p", "north", 5})).error);
     keepers.machine.session_opened(4, "a", "");
     keepers.say(4, command_own());
-    auto news = decode_news(keepers.machine.session_update(4));
+    auto news = decode_session_update(keepers.machine.session_update(4));
     EXPECT_EQ(news->frozen, std::vector<std::string>{"p"});
     ASSERT_EQ(news->last.size(), 2u);
     EXPECT_EQ(news->last[1].order.amount, 5);
@@ -468,37 +472,38 @@
     keepers.machine.session_opened(2, "b", "");
     keepers.say(1, command_own());
     keepers.say(1, command_record(1, {{{"p", true}, "n1", 11, 12, 100, 40, 10, false}}));
-    keepers.say(0, command_order({Ordered::What::Freeze, "p", "", 0}));
+    keepers.say(0, command_order({OperatorOrder::What::Freeze, "p", "", 0}));
     Keepers other;
     std::string octets = keepers.machine.snapshot();
     ASSERT_TRUE(other.machine.restore(1, octets));
     EXPECT_EQ(other.machine.snapshot(), octets);
     EXPECT_FALSE(other.machine.restore(2, octets));
-    for (std::size_t cut = 0; cut < octets.size(); cut += 3) (void)Quotas().restore(1, octets.substr(0, cut));
+    for (std::size_t cut = 0; cut < octets.size(); cut += 3)
+        (void)QuotaStateMachine().restore(1, octets.substr(0, cut));
     keepers.machine.session_ended(1), other.machine.session_ended(1);
     EXPECT_EQ(keepers.say(2, command_own()).epoch, other.say(2, command_own()).epoch);
     EXPECT_EQ(other.machine.snapshot(), keepers.machine.snapshot());
 }
 
 TEST(QuotaMessages, CutOrChangedAreNoneOrSound) {
-    Ask ask{7, 3, {{{"p", true}, 9, 1, 2, 3, 4}, {{"q", false}, 1, 0, 0, 0, 0}}};
-    Answer answer{7, 3, {{{"p", true}, 9, 100, 3'000'000, 5, true, false}}};
-    EXPECT_EQ(decode_ask(encode(ask)), ask);
-    EXPECT_EQ(decode_answer(encode(answer)), answer);
+    BorrowRequest ask{7, 3, {{{"p", true}, 9, 1, 2, 3, 4}, {{"q", false}, 1, 0, 0, 0, 0}}};
+    BorrowResponse answer{7, 3, {{{"p", true}, 9, 100, 3'000'000, 5, true, false}}};
+    EXPECT_EQ(decode_borrow_request(encode(ask)), ask);
+    EXPECT_EQ(decode_borrow_response(encode(answer)), answer);
     boost::random::taus88 random(3);
     for (std::string octets : {encode(ask), encode(answer)})
         for (int i = 0; i < 20'000; ++i) {
             std::string changed =
                 octets.substr(0, random() % 4 == 0 ? random() % octets.size() : octets.size());
             if (!changed.empty()) changed[random() % changed.size()] = char(random());
-            auto read = decode_ask(changed);
-            for (const AskLine& l : read.value_or(Ask{}).lines)
+            auto read = decode_borrow_request(changed);
+            for (const BorrowRequestLine& l : read.value_or(BorrowRequest{}).lines)
                 EXPECT_TRUE(l.spent >= 0 && l.returned >= 0 && l.demand >= 0 && l.demand <= kMost);
-            (void)decode_answer(changed);
+            (void)decode_borrow_response(changed);
         }
     ask.lines[0].spent = -1;
-    EXPECT_FALSE(decode_ask(encode(ask)));
-    EXPECT_FALSE(decode_ask(encode(Ask{0, 3, {}})));
+    EXPECT_FALSE(decode_borrow_request(encode(ask)));
+    EXPECT_FALSE(decode_borrow_request(encode(BorrowRequest{0, 3, {}})));
 }
 
 }  // namespace
