--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -231,9 +231,9 @@
 
 void charge(std::uint64_t count) {
     using Clock = std::chrono::steady_clock;
-    quota::ChargerSettings settings;
+    quota::QuotaLimiterSettings settings;
     settings.instance = 1;
-    quota::Charger charger(settings);
+    quota::QuotaLimiter charger(settings);
     std::vector<quota::Budget> budgets;
     for (int i = 0; i < 10'000; ++i)
         budgets.push_back(
@@ -271,7 +271,7 @@
                                which(i % names.size()), kNone);
             auto ended = Clock::now();
             took.push_back(std::chrono::duration<double, std::nano>(ended - begun).count());
-            allowed += std::holds_alternative<quota::Receipt>(outcome);
+            allowed += std::holds_alternative<quota::Charge>(outcome);
         }
         std::sort(took.begin(), took.end());
         std::printf(
--- a/lab/quota/world.cpp
+++ b/lab/quota/world.cpp
@@ -137,7 +137,7 @@
         std::optional<std::pair<std::uint64_t, std::string>> command;  // that is not answered yet
         std::optional<std::uint64_t> recording;
         // node, and the owner of a site
-        std::unique_ptr<Charger> charger;
+        std::unique_ptr<QuotaLimiter> charger;
         int target = 0;
         TimePoint heard{}, asks_at{}, early_at{}, before_pause{};
         std::map<std::uint64_t, TimePoint> asked;
@@ -191,9 +191,9 @@
             one.asked.clear();
         }
         if (one.role == Role::Node) {
-            ChargerSettings settings;
+            QuotaLimiterSettings settings;
             settings.instance = one.instance, settings.timing = day_.timing;
-            one.charger = std::make_unique<Charger>(settings);
+            one.charger = std::make_unique<QuotaLimiter>(settings);
             one.charger->configure(day_.budgets);
             one.asks_at = own + day_.timing.ask * uniform();
             one.waiting.clear();
@@ -387,7 +387,8 @@
             else if (recording)
                 lender(p, own, LeasesRecorded{*recording});
         }
-        TimePoint until = end_of(asked->second, std::int64_t(day_.session.count() * 1000), day_.timing);
+        TimePoint until =
+            borrower_expiry(asked->second, std::int64_t(day_.session.count() * 1000), day_.timing);
         if (day_.saboteur == Saboteur::IgnoresEpochs) until = own + Duration{1e9};
         one.until = std::max(one.until, until);
         if (news->owner && one.epoch != 0) {
@@ -461,7 +462,7 @@
     /// With a bucket as full as a new one's: by a gift that nobody gave.
     void begin_full(std::size_t p, TimePoint own) {
         BorrowRequest ask{1, 0, {}};
-        for (Amount given : {Amount(0), kMost}) {
+        for (Amount given : {Amount(0), kMaxAmount}) {
             ask.lines.clear();
             ++ask.seq;
             for (const Budget& b : day_.budgets)
@@ -496,7 +497,7 @@
         for (quota::QuotaAllocatorAction& a : actions) {
             if (auto* up = std::get_if<SendRequest>(&a)) {
                 if (day_.liar && *day_.liar + 1 == one.group)
-                    for (BorrowRequestLine& l : up->ask.lines) l.demand = kMost;
+                    for (BorrowRequestLine& l : up->ask.lines) l.demand = kMaxAmount;
                 if (day_.saboteur == Saboteur::GiftsTwice)
                     for (BorrowRequestLine& l : up->ask.lines) l.given *= 2;
                 if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
@@ -582,12 +583,12 @@
         } else {
             auto outcome = one.charger->charge(own, *number, kNone);
             record_decision("limiter", own, *number, outcome.index());
-            if (auto* receipt = std::get_if<Receipt>(&outcome)) {
+            if (auto* receipt = std::get_if<Charge>(&outcome)) {
                 let();
                 if (uniform() < day_.never_ran) never_ran(p, std::move(*receipt), out_.let_in.size() - 1);
             } else {
                 ++out_.refused;
-                if (out_.backs.size() < 100'000) out_.backs.push_back(std::get<Refusal>(outcome).back);
+                if (out_.backs.size() < 100'000) out_.backs.push_back(std::get<Rejection>(outcome).back);
             }
         }
         if (one.charger->asks_early() && own - one.early_at >= day_.timing.ask / 5) {
@@ -595,8 +596,8 @@
             ask(p, own, false);
         }
     }
-    void never_ran(std::size_t p, Receipt receipt, std::size_t index) {
-        auto held = std::make_shared<Receipt>(std::move(receipt));
+    void never_ran(std::size_t p, Charge receipt, std::size_t index) {
+        auto held = std::make_shared<Charge>(std::move(receipt));
         std::uint64_t life = all_[p].instance;
         bool told = day_.saboteur == Saboteur::GivesBackTold;
         after(Duration{told ? 1500 : 150 * uniform()}, [=, this] {
--- a/lab/quota/world.h
+++ b/lab/quota/world.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/quota/charger.h"
+#include "fleet/quota/quota_limiter.h"
 #include "fleet/quota/quota_state_machine.h"
 #include "lab/quota/judge.h"
 #include "lab/swarm/net.h"
--- a/src/app/quota_command.cpp
+++ b/src/app/quota_command.cpp
@@ -37,7 +37,7 @@
     std::vector<CostTold> costs;
 };
 
-constexpr double kMostRequests = double(quota::kMost) / double(kUnit);
+constexpr double kMostRequests = double(quota::kMaxAmount) / double(kUnit);
 Amount amount(double requests) {
     return Amount(std::llround(requests * double(kUnit)));
 }
@@ -105,7 +105,7 @@
                 b->costs.push_back({told.costs[i].kind, amount(told.costs[i].cost)});
         if (budgets.empty())
             file.wrong("partner", "is missing: a [[partner]] with name, rate and burst for each");
-        for (const quota::Failure& fault : quota::check(budgets, {}, {})) {
+        for (const quota::Failure& fault : quota::validate(budgets, {}, {})) {
             auto found = numbers.find(fault.about.substr(0, fault.about.find(',')));
             file.wrong(
                 found == numbers.end() ? "partner" : "partner[" + std::to_string(found->second) + "].name",
@@ -173,7 +173,8 @@
     json::array partners;
     for (const quota::Budget& b : state.budgets)
         if (partner.empty() || b.partner == partner) partners.push_back(as_json(state, b));
-    if (!partner.empty() && partners.empty()) return refused(quota::row(quota::Error::Unknown), partner);
+    if (!partner.empty() && partners.empty())
+        return refused(quota::row(quota::Error::UnknownPartner), partner);
     if (as_json_text) {
         std::printf("%s\n", json::serialize(json::object{{"version", state.version},
                                                          {"epoch", state.epoch},
--- a/src/fleet/quota/pot.h
+++ b/src/fleet/quota/borrowed_budget.h
@@ -11,12 +11,12 @@
 namespace ochrehub::quota {
 
 /// A lender's instant by the borrower's clock: what it lent is over for the borrower so much earlier.
-inline TimePoint end_of(TimePoint asked, std::int64_t microseconds, const Timing& timing) {
+inline TimePoint borrower_expiry(TimePoint asked, std::int64_t microseconds, const Timing& timing) {
     Duration length{double(microseconds) / 1000};
     return asked + length * (1 - timing.drift / 1000.0) - timing.margin;
 }
 
-class Pot {
+class BorrowedBudget {
 public:
     std::uint64_t lease() const { return lease_; }
     Amount spent() const { return spent_; }
@@ -55,7 +55,7 @@
         seq_ = seq;
         share_ = line.share, recalled_ = line.recalled, frozen_ = line.frozen;
         look(now);
-        TimePoint ends = end_of(asked, line.length, timing);
+        TimePoint ends = borrower_expiry(asked, line.length, timing);
         if (ends <= now) return Taken::Late;  // what it granted comes with a later one, or is never spent
         bool anew = line.lease != lease_;
         if (anew) {
--- a/src/fleet/quota/budget.cpp
+++ b/src/fleet/quota/budget.cpp
@@ -63,7 +63,7 @@
     return std::max(most, kUnit);
 }
 
-Amount grown(Amount rate, std::int64_t microseconds, Amount& carry) {
+Amount accrued(Amount rate, std::int64_t microseconds, Amount& carry) {
     Amount whole = microseconds / 1'000'000, rest = rate * (microseconds % 1'000'000) / 1'000'000;
     carry += rate * (microseconds % 1'000'000) % 1'000'000;
     Amount more = carry / 1'000'000;
@@ -71,59 +71,60 @@
     return rate * whole + rest + more;
 }
 
-Amount under_way(Amount rate, const Timing& timing) {
+Amount amount_in_flight(Amount rate, const Timing& timing) {
     Amount carry =
         0;  // a node holds and tells late, its site once more, half of either being there on the average
-    return grown(rate, std::int64_t(1000 * (timing.ask.count() * (2 + timing.settle))), carry);
+    return accrued(rate, std::int64_t(1000 * (timing.ask.count() * (2 + timing.settle))), carry);
 }
 
-std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
-                           const Timing& timing, std::size_t most) {
+std::vector<Failure> validate(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
+                              const Timing& timing, std::size_t most) {
     std::vector<Failure> wrong;
     std::set<std::string, std::less<>> names, places;
     for (const std::string& site : sites)
-        if (!places.insert(site).second) wrong.push_back({Error::SiteTwice, site});
-    if (budgets.size() > most) wrong.push_back({Error::TooMany, std::to_string(budgets.size())});
+        if (!places.insert(site).second) wrong.push_back({Error::DuplicateSite, site});
+    if (budgets.size() > most) wrong.push_back({Error::TooManyPartners, std::to_string(budgets.size())});
     for (const Budget& b : budgets) {
         auto fault = [&](Error error, std::string_view more = {}) {
             wrong.push_back({error, more.empty() ? b.partner : b.partner + ", " + std::string(more)});
         };
         if (b.partner.empty()) fault(Error::NoName);
         if (b.partner.size() > 64) fault(Error::NameTooLong);
-        if (!names.insert(b.partner).second) fault(Error::TwiceNamed);
+        if (!names.insert(b.partner).second) fault(Error::DuplicatePartner);
         if (b.rate <= 0) fault(Error::NoRate);
         if (b.burst <= 0) fault(Error::NoBurst);
-        if (b.rate > kMost || b.burst > kMost || b.bound > kMost || b.bound < 0) fault(Error::TooLarge);
+        if (b.rate > kMaxAmount || b.burst > kMaxAmount || b.bound > kMaxAmount || b.bound < 0)
+            fault(Error::TooLarge);
         std::set<std::string_view> kinds, floors, weights;
         for (const Cost& c : b.costs) {
-            if (!kinds.insert(c.kind).second) fault(Error::KindTwice, c.kind);
-            if (c.cost <= 0) fault(Error::CostWrong, c.kind);
+            if (!kinds.insert(c.kind).second) fault(Error::DuplicateCost, c.kind);
+            if (c.cost <= 0) fault(Error::InvalidCost, c.kind);
             if (c.cost > b.burst) fault(Error::CostOverBurst, c.kind);
         }
         if (b.costs.empty() && b.burst > 0 && kUnit > b.burst) fault(Error::CostOverBurst);
         Amount rate = 0, burst = 0;
         for (const Floor& f : b.floors) {
-            if (!sites.empty() && !places.contains(f.site)) fault(Error::SiteUnknown, f.site);
-            if (!floors.insert(f.site).second) fault(Error::SiteTwice, f.site);
-            if (f.rate <= 0 || f.burst <= 0) fault(Error::FloorWrong, f.site);
+            if (!sites.empty() && !places.contains(f.site)) fault(Error::UnknownSite, f.site);
+            if (!floors.insert(f.site).second) fault(Error::DuplicateSite, f.site);
+            if (f.rate <= 0 || f.burst <= 0) fault(Error::InvalidFloor, f.site);
             // Each is held below the whole, so that no sum of many passes what can be counted.
-            rate = std::min(rate, kMost) + std::clamp<Amount>(f.rate, 0, kMost);
-            burst = std::min(burst, kMost) + std::clamp<Amount>(f.burst, 0, kMost);
+            rate = std::min(rate, kMaxAmount) + std::clamp<Amount>(f.rate, 0, kMaxAmount);
+            burst = std::min(burst, kMaxAmount) + std::clamp<Amount>(f.burst, 0, kMaxAmount);
         }
         for (const Weight& w : b.weights) {
-            if (!sites.empty() && !places.contains(w.site)) fault(Error::SiteUnknown, w.site);
-            if (!weights.insert(w.site).second) fault(Error::SiteTwice, w.site);
+            if (!sites.empty() && !places.contains(w.site)) fault(Error::UnknownSite, w.site);
+            if (!weights.insert(w.site).second) fault(Error::DuplicateSite, w.site);
             if (w.weight == 0 || w.weight > 1000) fault(Error::TooLarge, w.site);
         }
         if (rate > b.rate) fault(Error::FloorsOverRate);
         if (burst > b.burst) fault(Error::FloorsOverBurst);
-        if (b.bound == 0 && b.rate > 0 && b.rate <= kMost && b.burst < under_way(b.rate, timing))
+        if (b.bound == 0 && b.rate > 0 && b.rate <= kMaxAmount && b.burst < amount_in_flight(b.rate, timing))
             fault(Error::BurstTooSmall);
     }
     return wrong;
 }
 
-std::vector<Failure> check_change(const std::vector<Budget>& old, const std::vector<Budget>& next) {
+std::vector<Failure> validate_change(const std::vector<Budget>& old, const std::vector<Budget>& next) {
     std::vector<Failure> wrong;
     for (const Budget& b : next) {
         auto was =
@@ -143,7 +144,7 @@
         Amount rate = std::max(own[0], own[1]), held = std::max(burst[0], burst[1]);
         for (const auto& [site, most] : floors) rate += most.first, held += most.second;
         if (rate > std::max(was->rate, b.rate) || held > std::max(was->burst + was->bound, b.burst + b.bound))
-            wrong.push_back({Error::FloorRaisedAtOnce, b.partner});
+            wrong.push_back({Error::FloorRaisedTooEarly, b.partner});
     }
     return wrong;
 }
--- a/src/fleet/quota/budget.h
+++ b/src/fleet/quota/budget.h
@@ -15,7 +15,7 @@
 
 using Amount = std::int64_t;  ///< millionths
 inline constexpr Amount kUnit = 1'000'000;
-inline constexpr Amount kMost =
+inline constexpr Amount kMaxAmount =
     1'000'000 * kUnit;  ///< of a rate (a second), a burst, a bound: sums of all sites still fit
 
 /// What a site mints by itself, whoever it reaches; the rest of the budget is the federation's to lend.
@@ -67,27 +67,27 @@
 enum class Error {
     NoName,
     NameTooLong,
-    TwiceNamed,
-    TooMany,
+    DuplicatePartner,
+    TooManyPartners,
     NoRate,
     NoBurst,
     TooLarge,
-    CostWrong,
+    InvalidCost,
     CostOverBurst,
-    KindTwice,
-    SiteUnknown,
-    SiteTwice,
-    FloorWrong,
+    DuplicateCost,
+    UnknownSite,
+    DuplicateSite,
+    InvalidFloor,
     FloorsOverRate,
     FloorsOverBurst,
     BurstTooSmall,  ///< hard, and less than what is under way between levels: part of the rate could never be
                     ///< used
-    FloorRaisedAtOnce,  ///< a change that gives a floor what the federation may still have lent
-    Unknown,            ///< no such partner
+    FloorRaisedTooEarly,  ///< a change that gives a floor what the federation may still have lent
+    UnknownPartner,       ///< no such partner
     NotOwner,
     Stale,
     Malformed,
-    Dry,
+    Exhausted,
     Frozen,
 };
 const fleet::ErrorRow& row(Error error);
@@ -95,15 +95,15 @@
 
 /// Everything that is wrong, in the order of the budgets. Empty: they can be held to. `sites`: the
 /// federation's; none: any name is one.
-std::vector<Failure> check(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
-                           const Timing& timing, std::size_t most = 10'000);
+std::vector<Failure> validate(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
+                              const Timing& timing, std::size_t most = 10'000);
 /// What is wrong with going from one to the other in a single version: at no time may the federation's part
 /// and the floors be more than the larger budget.
-std::vector<Failure> check_change(const std::vector<Budget>& old, const std::vector<Budget>& next);
+std::vector<Failure> validate_change(const std::vector<Budget>& old, const std::vector<Budget>& next);
 /// Unspent or untold amounts that a rate needs under way with these times.
-Amount under_way(Amount rate, const Timing& timing);
+Amount amount_in_flight(Amount rate, const Timing& timing);
 
 /// `rate` over so many microseconds, rounded down; `carry` keeps what was rounded off, for the next.
-Amount grown(Amount rate, std::int64_t microseconds, Amount& carry);
+Amount accrued(Amount rate, std::int64_t microseconds, Amount& carry);
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/message.cpp
+++ b/src/fleet/quota/message.cpp
@@ -53,8 +53,8 @@
         if (!sound(l.spent(), kSum) || !sound(l.returned(), kSum) || !sound(l.given(), kSum) ||
             l.demand() < 0 || l.account().partner().size() > 64)
             return std::nullopt;
-        ask.lines.push_back(
-            {get(l.account()), l.lease(), l.spent(), l.returned(), std::min(l.demand(), kMost), l.given()});
+        ask.lines.push_back({get(l.account()), l.lease(), l.spent(), l.returned(),
+                             std::min(l.demand(), kMaxAmount), l.given()});
     }
     return ask;
 }
@@ -64,7 +64,7 @@
         return std::nullopt;
     BorrowResponse answer{from.instance(), from.seq(), {}};
     for (const wire::AnswerLine& l : from.lines()) {
-        if (!sound(l.granted(), kSum) || !sound(l.length(), 3'600'000'000) || !sound(l.share(), kMost) ||
+        if (!sound(l.granted(), kSum) || !sound(l.length(), 3'600'000'000) || !sound(l.share(), kMaxAmount) ||
             l.account().partner().size() > 64)
             return std::nullopt;
         answer.lines.push_back(
--- a/src/fleet/quota/message.h
+++ b/src/fleet/quota/message.h
@@ -55,8 +55,8 @@
 /// As protobuf (proto/quota.proto).
 std::string encode(const BorrowRequest& ask);
 std::string encode(const BorrowResponse& answer);
-/// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMost` lines or
-/// amounts).
+/// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMaxAmount` lines
+/// or amounts).
 std::optional<BorrowRequest> decode_borrow_request(std::string_view octets);
 std::optional<BorrowResponse> decode_borrow_response(std::string_view octets);
 
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -13,7 +13,7 @@
 }
 Amount over(Amount rate, Duration length) {
     Amount carry = 0;
-    return grown(rate, micros(length), carry);
+    return accrued(rate, micros(length), carry);
 }
 /// Lengths of clocks that are too fast mint less than they say.
 Amount cautious(Amount rate, const Timing& timing) {
@@ -60,7 +60,7 @@
     std::int64_t passed = std::min<std::int64_t>(at - tree.minted, 3'600'000'000);
     tree.minted = at;
     Amount room = tree.cap - tree.here - tree.lent_sum - tree.lost_sum;
-    Amount more = grown(cautious(tree.rate, set_.timing), passed, tree.carry);
+    Amount more = accrued(cautious(tree.rate, set_.timing), passed, tree.carry);
     if (tree.frozen || room <= 0 || now < waits_until_) return;
     tree.here += std::min(more, room);
 }
@@ -158,7 +158,7 @@
     Duration counted = std::min(passed, Duration{1000});
     for (Child* child : open) {
         child->share += weights ? left / Amount(weights) * child->weight : 0;
-        child->credit = std::min(child->credit + grown(child->share, micros(counted), child->credit_carry),
+        child->credit = std::min(child->credit + accrued(child->share, micros(counted), child->credit_carry),
                                  std::max(over(child->share, cover()), tree.dearest));
     }
 }
@@ -217,7 +217,7 @@
         Amount demand = 0;
         for (const auto& [name, child] : tree.children)
             if (now - child.asked <= set_.timing.lease) demand += child.demand;
-        demand = std::min(demand, kMost);
+        demand = std::min(demand, kMaxAmount);
         // What is more than the children may ask for soon goes back.
         if (tree.pot.recalled() || tree.pot.frozen()) {
             tree.pot.give_up(tree.pot.balance(now));
@@ -252,7 +252,8 @@
         if (found == trees_.end() || found->second.root) continue;
         Tree& tree = found->second;
         tick(now, line.account, tree);
-        if (tree.pot.answered(now, asked->second, answered.answer.seq, line, set_.timing) != Pot::Taken::Anew)
+        if (tree.pot.answered(now, asked->second, answered.answer.seq, line, set_.timing) !=
+            BorrowedBudget::Taken::Anew)
             continue;
         // Whatever was lent on of the lease before is not of this one.
         for (auto& [name, child] : tree.children)
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -23,7 +23,7 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/quota/pot.h"
+#include "fleet/quota/borrowed_budget.h"
 
 namespace ochrehub::quota {
 
@@ -145,7 +145,7 @@
         Amount here = 0;  // of a root, unlent
         Amount carry = 0;
         std::int64_t minted = 0;  // up to then, microseconds
-        Pot pot;                  // else
+        BorrowedBudget pot;       // else
         Amount given = 0;         // of this floor to the federation, ever
         std::map<std::string, Child> children;
         std::vector<Lost> lost;
--- a/src/fleet/quota/charger.cpp
+++ b/src/fleet/quota/quota_limiter.cpp
@@ -1,4 +1,4 @@
-#include "fleet/quota/charger.h"
+#include "fleet/quota/quota_limiter.h"
 
 #include <cmath>
 #include <cstddef>
@@ -11,18 +11,19 @@
 }
 Amount over(Amount rate, Duration length) {
     Amount carry = 0;
-    return grown(rate, micros(length), carry);
+    return accrued(rate, micros(length), carry);
 }
 constexpr Duration kUp{150}, kDown{600};  // how fast what is measured follows what is asked for
 constexpr Amount kLeast = kUnit / 1000;   // of a demand that is any
 
 }  // namespace
 
-Charger::Charger(const ChargerSettings& settings) : set_(settings), shards_(new Shard[kShards]) {
+QuotaLimiter::QuotaLimiter(const QuotaLimiterSettings& settings)
+    : set_(settings), shards_(new Shard[kShards]) {
     set_.timing.settle = std::clamp(set_.timing.settle, 0, int(kTurns) - 1);
 }
 
-void Charger::configure(const std::vector<Budget>& budgets) {
+void QuotaLimiter::configure(const std::vector<Budget>& budgets) {
     for (Entry& entry : entries_) entry.gone = true;
     for (const Budget& b : budgets) {
         auto [at, fresh] = names_.try_emplace(b.partner, std::uint32_t(entries_.size()));
@@ -45,12 +46,12 @@
 
 /// Of a partner that was not here for a while nothing is in the caches: all of it is fetched at once, not
 /// line by line.
-void Charger::fetch(const Entry& entry) {
+void QuotaLimiter::fetch(const Entry& entry) {
     for (std::size_t line = 0; line < sizeof(Entry); line += 64)
         __builtin_prefetch(reinterpret_cast<const char*>(&entry) + line);
 }
 
-std::optional<std::uint32_t> Charger::find(std::string_view partner) const {
+std::optional<std::uint32_t> QuotaLimiter::find(std::string_view partner) const {
     if (slots_.empty()) return std::nullopt;
     std::size_t hash = Hash()(partner), mask = slots_.size() - 1;
     for (std::size_t at = hash; slots_[at & mask].number != 0; ++at) {
@@ -63,7 +64,7 @@
     return std::nullopt;
 }
 
-bool Charger::spend(TimePoint now, Purse& purse, Amount cost, Receipt& receipt) {
+bool QuotaLimiter::spend(TimePoint now, Purse& purse, Amount cost, Charge& receipt) {
     if (!purse.pot.take(now, cost)) return false;
     purse.pot.count_spent(cost);
     purse.untold[purse.turn % kTurns] += cost;
@@ -71,7 +72,7 @@
     return true;
 }
 
-Charger::Outcome Charger::charge(TimePoint now, std::uint32_t partner, int kind) {
+QuotaLimiter::Outcome QuotaLimiter::charge(TimePoint now, std::uint32_t partner, int kind) {
     Entry& entry = entries_[partner];
     fetch(entry);
     auto lock = locked(partner);
@@ -80,7 +81,7 @@
     entry.offered += cost;
     entry.last = now;
     bool frozen = entry.shared.pot.frozen();
-    Receipt receipt;
+    Charge receipt;
     receipt.partner_ = partner;
     receipt.floor_ = entry.floors && !frozen && spend(now, entry.floor, cost, receipt);
     bool allowed = receipt.floor_ || (!frozen && spend(now, entry.shared, cost, receipt));
@@ -98,12 +99,12 @@
         early_.store(true, std::memory_order_relaxed);
     }
     if (allowed) return receipt;
-    return Refusal{frozen ? Error::Frozen : Error::Dry, back};
+    return Rejection{frozen ? Error::Frozen : Error::Exhausted, back};
 }
 
 /// Each that is refused is told a moment of its own, as far apart as this node's part lets them in. More than
 /// fit before the last moment are strewn over the later half, each where the gaps are widest.
-Duration Charger::slot(TimePoint now, Entry& entry, Amount cost) {
+Duration QuotaLimiter::slot(TimePoint now, Entry& entry, Amount cost) {
     Amount share = entry.floor.pot.share() + entry.shared.pot.share();
     Duration apart = share > 0 ? Duration{double(cost) / double(share) * 1000} : set_.back_least;
     TimePoint at = std::max(entry.next_slot, now + set_.back_least);
@@ -115,7 +116,7 @@
     return set_.back_most * (0.5 + 0.5 * double(entry.strewn >> 11) * 0x1p-53);
 }
 
-bool Charger::give_back(TimePoint now, Receipt receipt) {
+bool QuotaLimiter::give_back(TimePoint now, Charge receipt) {
     if (!receipt) return false;
     auto lock = locked(receipt.partner_);
     Entry& entry = entries_[receipt.partner_];
@@ -134,12 +135,12 @@
     return true;
 }
 
-void Charger::measure(TimePoint now, Entry& entry) {
+void QuotaLimiter::measure(TimePoint now, Entry& entry) {
     Duration passed = now - entry.measured;
     if (passed < set_.timing.ask / 5) return;
     std::int64_t length = std::max<std::int64_t>(1, micros(std::min(passed, Duration{10'000})));
-    Amount rate =
-        std::min(kMost, entry.offered / length * 1'000'000 + entry.offered % length * 1'000'000 / length);
+    Amount rate = std::min(kMaxAmount,
+                           entry.offered / length * 1'000'000 + entry.offered % length * 1'000'000 / length);
     std::int64_t follows = micros(rate > entry.demand ? kUp : kDown);
     entry.demand +=
         std::int64_t(double(rate - entry.demand) * double(std::min(length, follows)) / double(follows));
@@ -150,8 +151,8 @@
         entry.demand = std::max(entry.demand, kLeast);
 }
 
-void Charger::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
-                   std::vector<BorrowRequestLine>& lines) {
+void QuotaLimiter::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
+                        std::vector<BorrowRequestLine>& lines) {
     purse.pot.look(now);
     Amount demand = entry.demand;
     if (!floor && entry.floors) demand = std::max<Amount>(0, demand - entry.floor.pot.share());
@@ -170,7 +171,7 @@
         {{entry.partner, floor}, purse.pot.lease(), purse.told(), purse.pot.returned(), demand, 0});
 }
 
-BorrowRequest Charger::ask(TimePoint now, bool all) {
+BorrowRequest QuotaLimiter::ask(TimePoint now, bool all) {
     BorrowRequest ask{set_.instance, 0, {}};
     std::vector<std::uint32_t> dry;
     {
@@ -198,7 +199,7 @@
     return ask;
 }
 
-void Charger::answered(TimePoint now, const BorrowResponse& answer) {
+void QuotaLimiter::answered(TimePoint now, const BorrowResponse& answer) {
     if (answer.instance != set_.instance) return;
     TimePoint asked;
     {
@@ -212,15 +213,15 @@
         if (named == names_.end()) continue;
         auto lock = locked(named->second);
         Purse& purse = l.account.floor ? entries_[named->second].floor : entries_[named->second].shared;
-        if (purse.pot.answered(now, asked, answer.seq, l, set_.timing) == Pot::Taken::Anew)
+        if (purse.pot.answered(now, asked, answer.seq, l, set_.timing) == BorrowedBudget::Taken::Anew)
             purse.untold.fill(0);
     }
 }
 
-PartnerCounts Charger::counts(TimePoint now, std::uint32_t partner) const {
+PartnerCounters QuotaLimiter::counts(TimePoint now, std::uint32_t partner) const {
     auto lock = locked(partner);
     const Entry& entry = entries_[partner];
-    PartnerCounts counts = entry.counts;
+    PartnerCounters counts = entry.counts;
     counts.spent = entry.floor.pot.spent() + entry.shared.pot.spent();
     counts.balance = entry.floor.pot.balance(now) + entry.shared.pot.balance(now);
     counts.share = entry.floor.pot.share() + entry.shared.pot.share();
@@ -228,7 +229,7 @@
     return counts;
 }
 
-std::vector<std::string> Charger::partners() const {
+std::vector<std::string> QuotaLimiter::partners() const {
     std::vector<std::string> names;
     for (const Entry& entry : entries_)
         if (!entry.gone) names.push_back(entry.partner);
--- a/src/fleet/quota/charger.h
+++ b/src/fleet/quota/quota_limiter.h
@@ -22,11 +22,11 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/quota/pot.h"
+#include "fleet/quota/borrowed_budget.h"
 
 namespace ochrehub::quota {
 
-struct ChargerSettings {
+struct QuotaLimiterSettings {
     std::uint64_t instance = 0;      ///< drawn at each start, never zero
     std::vector<std::string> kinds;  ///< the classes' names, by their index
     Timing timing;
@@ -35,11 +35,11 @@
 };
 
 /// One charge, which may be given back once: move it there.
-class Receipt {
+class Charge {
 public:
-    Receipt() = default;
-    Receipt(Receipt&& o) noexcept { *this = std::move(o); }
-    Receipt& operator=(Receipt&& o) noexcept {
+    Charge() = default;
+    Charge(Charge&& o) noexcept { *this = std::move(o); }
+    Charge& operator=(Charge&& o) noexcept {
         partner_ = o.partner_, floor_ = o.floor_, lease_ = o.lease_, turn_ = o.turn_;
         cost_ = std::exchange(o.cost_, 0);
         return *this;
@@ -47,48 +47,48 @@
     explicit operator bool() const { return cost_ != 0; }
     Amount cost() const { return cost_; }
     /// For saboteurs alone: a charge that is given back twice.
-    Receipt forged() const {
-        Receipt copy;
+    Charge forged() const {
+        Charge copy;
         copy.partner_ = partner_, copy.floor_ = floor_, copy.lease_ = lease_, copy.turn_ = turn_,
         copy.cost_ = cost_;
         return copy;
     }
 
 private:
-    friend class Charger;
+    friend class QuotaLimiter;
     std::uint32_t partner_ = 0;
     bool floor_ = false;
     std::uint64_t lease_ = 0, turn_ = 0;
     Amount cost_ = 0;
 };
 
-struct Refusal {
-    Error error{};    ///< Dry or Frozen
+struct Rejection {
+    Error error{};    ///< Exhausted or Frozen
     Duration back{};  ///< when to come back: one slot a request at the rate that this node may reckon with
 };
 
-struct PartnerCounts {
+struct PartnerCounters {
     std::uint64_t allowed = 0, refused = 0, given_back = 0,
                   forfeited = 0;  ///< forfeited: given back when it was told as spent
     Amount spent = 0, balance = 0, share = 0, demand = 0;
 };
 
-class Charger {
+class QuotaLimiter {
 public:
-    explicit Charger(const ChargerSettings& settings);
+    explicit QuotaLimiter(const QuotaLimiterSettings& settings);
 
     /// The budgets from now on. A partner that is gone is refused nothing and charged nothing.
     void configure(const std::vector<Budget>& budgets);
     /// Its number, which it keeps; nothing where no budget is for it.
     std::optional<std::uint32_t> find(std::string_view partner) const;
 
-    using Outcome = std::variant<Receipt, Refusal>;
+    using Outcome = std::variant<Charge, Rejection>;
     /// One request, once: its retries and hedges are not charged again. `kind`: the class's index; kNone: a
     /// unit.
     Outcome charge(TimePoint now, std::uint32_t partner, int kind);
     /// Of a request that never ran. False: nothing came back, since the charge has been told as spent, its
     /// lease is over, or it was given back before.
-    bool give_back(TimePoint now, Receipt receipt);
+    bool give_back(TimePoint now, Charge receipt);
 
     /// Something runs dry before the next ask would be answered.
     bool asks_early() const { return early_.load(std::memory_order_relaxed); }
@@ -96,13 +96,13 @@
     BorrowRequest ask(TimePoint now, bool all = true);
     void answered(TimePoint now, const BorrowResponse& answer);
 
-    PartnerCounts counts(TimePoint now, std::uint32_t partner) const;
+    PartnerCounters counts(TimePoint now, std::uint32_t partner) const;
     std::vector<std::string> partners() const;
 
 private:
     static constexpr std::size_t kShards = 64, kTurns = 4;
     struct Purse {
-        Pot pot;
+        BorrowedBudget pot;
         std::array<Amount, kTurns> untold{};  // charged in this turn and the ones before it
         std::uint64_t turn = 0;
         int idle = 0;
@@ -117,7 +117,7 @@
         Amount offered = 0, demand = 0;
         TimePoint last{}, asked{}, next_slot{}, measured{};
         Purse shared;
-        PartnerCounts counts;
+        PartnerCounters counts;
         Purse floor;
         std::vector<Amount> costs;  // by class
         Amount dearest = kUnit;
@@ -136,13 +136,13 @@
         return std::unique_lock(shards_[partner % kShards].lock);
     }
     static void fetch(const Entry& entry);
-    bool spend(TimePoint now, Purse& purse, Amount cost, Receipt& receipt);
+    bool spend(TimePoint now, Purse& purse, Amount cost, Charge& receipt);
     Duration slot(TimePoint now, Entry& entry, Amount cost);
     void measure(TimePoint now, Entry& entry);
     void line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
               std::vector<BorrowRequestLine>& lines);
 
-    ChargerSettings set_;
+    QuotaLimiterSettings set_;
     std::deque<Entry> entries_;  // none ever moves
     std::unordered_map<std::string, std::uint32_t, Hash, std::equal_to<>> names_;
     struct Slot {
--- a/src/fleet/quota/quota_state_machine.cpp
+++ b/src/fleet/quota/quota_state_machine.cpp
@@ -189,8 +189,8 @@
             if (from.set().version() != version_)
                 return answer(Error::Stale, "version " + std::to_string(version_));
             std::vector<Budget> next = get_budgets(from.set());
-            std::vector<Failure> wrong = check(next, sites_, timing_);
-            if (wrong.empty()) wrong = check_change(budgets_, next);
+            std::vector<Failure> wrong = validate(next, sites_, timing_);
+            if (wrong.empty()) wrong = validate_change(budgets_, next);
             if (!wrong.empty()) return answer(wrong[0].error, wrong[0].about);
             budgets_ = std::move(next);
             ++version_;
@@ -199,11 +199,11 @@
         case wire::Command::kOperate: {
             OperatorOrder order = get(from.operate());
             if (!wire::Operate::What_IsValid(from.operate().what()) || order.amount < 0 ||
-                order.amount > kMost)
+                order.amount > kMaxAmount)
                 return answer(Error::Malformed);
             if (std::none_of(budgets_.begin(), budgets_.end(),
                              [&](const Budget& b) { return b.partner == order.partner; }))
-                return answer(Error::Unknown, order.partner);
+                return answer(Error::UnknownPartner, order.partner);
             if (order.what == OperatorOrder::What::Freeze) frozen_.insert(order.partner);
             if (order.what == OperatorOrder::What::Thaw) frozen_.erase(order.partner);
             last_.push_back({++orders_, std::move(order)});
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -4,7 +4,7 @@
 #include <boost/random/taus88.hpp>
 #include <thread>
 
-#include "fleet/quota/charger.h"
+#include "fleet/quota/quota_limiter.h"
 #include "fleet/quota/quota_state_machine.h"
 
 namespace ochrehub::quota {
@@ -26,12 +26,12 @@
 
 TEST(QuotaBudgets, EachThatCannotBeHeldToIsToldWhy) {
     const std::vector<std::string> sites{"north", "south"};
-    auto wrong = [&](Budget b, std::size_t most = 10) { return errors(check({b}, sites, {}, most)); };
+    auto wrong = [&](Budget b, std::size_t most = 10) { return errors(validate({b}, sites, {}, most)); };
     Budget good = budget("p", 100, 100);
     EXPECT_EQ(wrong(good), Errors{});
-    EXPECT_EQ(errors(check({good, good}, sites, {})), Errors{Error::TwiceNamed});
-    EXPECT_EQ(wrong(good, 0), Errors{Error::TooMany});
-    EXPECT_EQ(errors(check({}, {"a", "a"}, {})), Errors{Error::SiteTwice});
+    EXPECT_EQ(errors(validate({good, good}, sites, {})), Errors{Error::DuplicatePartner});
+    EXPECT_EQ(wrong(good, 0), Errors{Error::TooManyPartners});
+    EXPECT_EQ(errors(validate({}, {"a", "a"}, {})), Errors{Error::DuplicateSite});
     EXPECT_EQ(wrong(budget("", 100, 100)), Errors{Error::NoName});
     EXPECT_EQ(wrong(budget(std::string(65, 'p'), 100, 100)), Errors{Error::NameTooLong});
     EXPECT_EQ(wrong(budget("p", 0, 100)), Errors{Error::NoRate});
@@ -44,15 +44,15 @@
         return wrong(b);
     };
     EXPECT_EQ(with([](Budget& b) { b.burst = 2 * kUnit, b.bound = 100 * kUnit; }), Errors{});
-    EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 0}}; }), Errors{Error::CostWrong});
+    EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 0}}; }), Errors{Error::InvalidCost});
     EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 101 * kUnit}}; }), Errors{Error::CostOverBurst});
-    EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 1}, {"order", 2}}; }), Errors{Error::KindTwice});
-    EXPECT_EQ(with([](Budget& b) { b.floors = {{"west", 1, 1}}; }), Errors{Error::SiteUnknown});
+    EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 1}, {"order", 2}}; }), Errors{Error::DuplicateCost});
+    EXPECT_EQ(with([](Budget& b) { b.floors = {{"west", 1, 1}}; }), Errors{Error::UnknownSite});
     EXPECT_EQ(with([](Budget& b) {
                   b.floors = {{"north", 1, 1}, {"north", 1, 1}};
               }),
-              Errors{Error::SiteTwice});
-    EXPECT_EQ(with([](Budget& b) { b.floors = {{"north", 1, 0}}; }), Errors{Error::FloorWrong});
+              Errors{Error::DuplicateSite});
+    EXPECT_EQ(with([](Budget& b) { b.floors = {{"north", 1, 0}}; }), Errors{Error::InvalidFloor});
     EXPECT_EQ(with([](Budget& b) {
                   b.floors = {{"north", 60 * kUnit, 1}, {"south", 60 * kUnit, 1}};
               }),
@@ -61,29 +61,29 @@
                   b.floors = {{"north", 1, 60 * kUnit}, {"south", 1, 60 * kUnit}};
               }),
               Errors{Error::FloorsOverBurst});
-    EXPECT_EQ(with([](Budget& b) { b.weights = {{"west", 1}}; }), Errors{Error::SiteUnknown});
+    EXPECT_EQ(with([](Budget& b) { b.weights = {{"west", 1}}; }), Errors{Error::UnknownSite});
     for (int i = 0; i <= int(Error::Frozen); ++i) EXPECT_TRUE(row(Error(i)).code.starts_with("quota."));
 }
 
 TEST(QuotaBudgets, AFloorRisesOnlyBehindWhatItIsTakenFrom) {
     Budget old = budget("p", 100, 100), next = old;
     next.floors = {{"north", 50 * kUnit, 50 * kUnit}};
-    EXPECT_EQ(errors(check_change({old}, {next})), Errors{Error::FloorRaisedAtOnce});
+    EXPECT_EQ(errors(validate_change({old}, {next})), Errors{Error::FloorRaisedTooEarly});
     Budget less = budget("p", 50, 50);
-    EXPECT_EQ(errors(check_change({old}, {less})), Errors{});
-    EXPECT_EQ(errors(check_change({less}, {next})), Errors{});
+    EXPECT_EQ(errors(validate_change({old}, {less})), Errors{});
+    EXPECT_EQ(errors(validate_change({less}, {next})), Errors{});
 }
 
 TEST(QuotaBudgets, NothingIsLostToRounding) {
     Amount carry = 0, sum = 0;
-    for (int i = 0; i < 3'000'000; ++i) sum += grown(333'333, 1, carry);
+    for (int i = 0; i < 3'000'000; ++i) sum += accrued(333'333, 1, carry);
     EXPECT_EQ(sum, 999'999);
 }
 
 /// A root (or a site below one) and nodes, where each message arrives at once.
 struct Hall {
     QuotaAllocator lender;
-    std::vector<std::unique_ptr<Charger>> nodes;
+    std::vector<std::unique_ptr<QuotaLimiter>> nodes;
     std::vector<std::uint64_t> instances;
     std::vector<Budget> budgets;
     double now = 1;
@@ -100,10 +100,10 @@
     Timing timing;
     void start(std::size_t node) {
         static std::uint64_t instance = 1000;
-        ChargerSettings settings;
+        QuotaLimiterSettings settings;
         settings.instance = ++instance;
         settings.timing = timing;
-        nodes[node] = std::make_unique<Charger>(settings);
+        nodes[node] = std::make_unique<QuotaLimiter>(settings);
         nodes[node]->configure(budgets);
     }
     std::vector<SendResponse> handle(const QuotaAllocatorEvent& event) {
@@ -125,7 +125,7 @@
             nodes[node]->answered(at(now), reply.answer);
     }
     bool charge(std::size_t node, std::uint32_t partner = 0) {
-        bool in = std::holds_alternative<Receipt>(nodes[node]->charge(at(now), partner, kNone));
+        bool in = std::holds_alternative<Charge>(nodes[node]->charge(at(now), partner, kNone));
         if (nodes[node]->asks_early()) ask(node, false);
         return in;
     }
@@ -304,7 +304,7 @@
     hall.handle(OperatorOrder{OperatorOrder::What::Freeze, "p", "", 0});
     for (int i = 0; i < 4; ++i) hall.now += 100, hall.ask(0), hall.ask(1);
     auto outcome = hall.nodes[0]->charge(at(hall.now), 0, kNone);
-    EXPECT_EQ(std::get<Refusal>(outcome).error, Error::Frozen);
+    EXPECT_EQ(std::get<Rejection>(outcome).error, Error::Frozen);
     EXPECT_EQ(hall.status("p").lent, 0);
     hall.handle(OperatorOrder{OperatorOrder::What::Thaw, "p", "", 0});
     for (int i = 0; i < 10; ++i) hall.now += 100, hall.charge(0), hall.ask(0);
@@ -312,25 +312,25 @@
 }
 
 TEST(QuotaPot, OneGrantCountsOnceAndNotBehindItsEnd) {
-    Pot pot;
+    BorrowedBudget pot;
     Timing timing;
     BorrowResponseLine line{{"p", false}, 7, 10, 3'000'000, 0, false, false};
-    EXPECT_EQ(pot.answered(at(10), at(0), 1, line, timing), Pot::Taken::Anew);
-    EXPECT_EQ(pot.answered(at(11), at(0), 1, line, timing), Pot::Taken::Old);
+    EXPECT_EQ(pot.answered(at(10), at(0), 1, line, timing), BorrowedBudget::Taken::Anew);
+    EXPECT_EQ(pot.answered(at(11), at(0), 1, line, timing), BorrowedBudget::Taken::Old);
     EXPECT_EQ(pot.balance(at(11)), 10);
     line.granted = 15;
-    EXPECT_EQ(pot.answered(at(20), at(12), 3, line, timing), Pot::Taken::Same);
-    EXPECT_EQ(pot.answered(at(21), at(11), 2, line, timing), Pot::Taken::Old);
+    EXPECT_EQ(pot.answered(at(20), at(12), 3, line, timing), BorrowedBudget::Taken::Same);
+    EXPECT_EQ(pot.answered(at(21), at(11), 2, line, timing), BorrowedBudget::Taken::Old);
     EXPECT_EQ(pot.balance(at(21)), 15);
     // It ends by what is counted from before it was asked for, less the margins.
     EXPECT_TRUE(pot.live(at(2931)));
     EXPECT_EQ(pot.balance(at(2933)), 0);
     // ... and a grant that comes behind that is none, till a later answer bears it.
     line.granted = 20;
-    EXPECT_EQ(pot.answered(at(3000), at(13), 4, line, timing), Pot::Taken::Late);
+    EXPECT_EQ(pot.answered(at(3000), at(13), 4, line, timing), BorrowedBudget::Taken::Late);
     EXPECT_EQ(pot.balance(at(3000)), 0);
     EXPECT_EQ(pot.returned(), 15);
-    EXPECT_EQ(pot.answered(at(3002), at(3001), 5, line, timing), Pot::Taken::Same);
+    EXPECT_EQ(pot.answered(at(3002), at(3001), 5, line, timing), BorrowedBudget::Taken::Same);
     EXPECT_EQ(pot.balance(at(3002)), 5);
 }
 
@@ -339,10 +339,10 @@
     hall.now = 1000;
     hall.charge(0);
     for (int i = 0; i < 5; ++i) hall.now += 20, hall.ask(0);
-    Charger& node = *hall.nodes[0];
+    QuotaLimiter& node = *hall.nodes[0];
     Amount before = node.counts(at(hall.now), 0).balance;
     auto outcome = node.charge(at(hall.now), 0, kNone);
-    Receipt receipt = std::move(std::get<Receipt>(outcome));
+    Charge receipt = std::move(std::get<Charge>(outcome));
     EXPECT_EQ(node.counts(at(hall.now), 0).balance, before - kUnit);
     EXPECT_TRUE(node.give_back(at(hall.now), std::move(receipt)));
     EXPECT_FALSE(node.give_back(at(hall.now), std::move(receipt)));
@@ -350,7 +350,7 @@
     // Told as spent, it stays so.
     auto late = node.charge(at(hall.now), 0, kNone);
     for (int i = 0; i < 2; ++i) hall.now += 100, hall.ask(0);
-    Receipt told = std::move(std::get<Receipt>(late));
+    Charge told = std::move(std::get<Charge>(late));
     EXPECT_FALSE(node.give_back(at(hall.now), std::move(told)));
     EXPECT_EQ(node.counts(at(hall.now), 0).forfeited, 1u);
     EXPECT_FALSE(node.find("nobody"));
@@ -363,8 +363,8 @@
     std::vector<double> backs;
     for (int i = 0; i < 40; ++i) {
         auto outcome = hall.nodes[0]->charge(at(hall.now), 0, kNone);
-        if (auto* refusal = std::get_if<Refusal>(&outcome)) {
-            EXPECT_EQ(refusal->error, Error::Dry);
+        if (auto* refusal = std::get_if<Rejection>(&outcome)) {
+            EXPECT_EQ(refusal->error, Error::Exhausted);
             backs.push_back(refusal->back.count());
         }
     }
@@ -374,14 +374,15 @@
     // Of more than that no two hundred are told one second.
     std::map<int, int> seconds;
     for (int i = 0; i < 3000; ++i)
-        ++seconds[int(std::get<Refusal>(hall.nodes[0]->charge(at(hall.now), 0, kNone)).back.count() / 1000)];
+        ++seconds[int(std::get<Rejection>(hall.nodes[0]->charge(at(hall.now), 0, kNone)).back.count() /
+                      1000)];
     for (auto [second, count] : seconds) EXPECT_LE(count, 220) << second;
 }
 
 TEST(QuotaCharger, ThreadsChargeTogetherWhatIsThereAndNoMore) {
     Hall hall({budget("p", 10'000, 20'000), budget("q", 10'000, 20'000)}, 1);
     hall.now = 3000;
-    Charger& node = *hall.nodes[0];
+    QuotaLimiter& node = *hall.nodes[0];
     for (int i = 0; i < 20; ++i) {
         hall.now += 50;
         for (int r = 0; r < 500; ++r) (void)node.charge(at(hall.now), 0, kNone);
@@ -394,7 +395,7 @@
         threads.emplace_back([&, t] {
             for (int i = 0; i < 20'000; ++i) {
                 auto outcome = node.charge(at(hall.now), 0, kNone);
-                if (auto* receipt = std::get_if<Receipt>(&outcome)) {
+                if (auto* receipt = std::get_if<Charge>(&outcome)) {
                     in += kUnit;
                     if (i % 7 == 0 && node.give_back(at(hall.now), std::move(*receipt))) in -= kUnit;
                 }
@@ -449,9 +450,9 @@
     EXPECT_EQ(keepers.say(0, command_set(1, {budget("p", 0, 100)})).error, Error::NoRate);
     Budget floored = budget("p", 100, 100);
     floored.floors = {{"north", 50 * kUnit, 50 * kUnit}};
-    EXPECT_EQ(keepers.say(0, command_set(1, {floored})).error, Error::FloorRaisedAtOnce);
+    EXPECT_EQ(keepers.say(0, command_set(1, {floored})).error, Error::FloorRaisedTooEarly);
     EXPECT_EQ(keepers.say(0, command_order({OperatorOrder::What::Freeze, "nobody", "", 0})).error,
-              Error::Unknown);
+              Error::UnknownPartner);
     EXPECT_FALSE(keepers.say(0, command_order({OperatorOrder::What::Freeze, "p", "", 0})).error);
     EXPECT_FALSE(keepers.say(0, command_order({OperatorOrder::What::Lend, "p", "north", 5})).error);
     keepers.machine.session_opened(4, "a", "");
@@ -498,7 +499,7 @@
             if (!changed.empty()) changed[random() % changed.size()] = char(random());
             auto read = decode_borrow_request(changed);
             for (const BorrowRequestLine& l : read.value_or(BorrowRequest{}).lines)
-                EXPECT_TRUE(l.spent >= 0 && l.returned >= 0 && l.demand >= 0 && l.demand <= kMost);
+                EXPECT_TRUE(l.spent >= 0 && l.returned >= 0 && l.demand >= 0 && l.demand <= kMaxAmount);
             (void)decode_borrow_response(changed);
         }
     ask.lines[0].spent = -1;
