--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -231,9 +231,9 @@
 
 void charge(std::uint64_t count) {
     using Clock = std::chrono::steady_clock;
-    quota::ChargerSettings settings;
+    quota::QuotaLimiterSettings settings;
     settings.instance = 1;
-    quota::Charger charger(settings);
+    quota::QuotaLimiter charger(settings);
     std::vector<quota::Budget> budgets;
     for (int i = 0; i < 10'000; ++i)
         budgets.push_back(
@@ -250,9 +250,9 @@
     std::thread asker([&] {
         while (!done) {
             TimePoint now = TimePoint{} + Duration{double(Clock::now().time_since_epoch().count()) / 1e6};
-            quota::Ask ask = charger.ask(now);
-            quota::Answer answer{ask.instance, ask.seq, {}};
-            for (const quota::AskLine& l : ask.lines)
+            quota::BorrowRequest ask = charger.ask(now);
+            quota::BorrowResponse answer{ask.instance, ask.seq, {}};
+            for (const quota::BorrowRequestLine& l : ask.lines)
                 answer.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000,
                                         1000 * kUnit, false, false});
             charger.answered(now, answer);
@@ -271,7 +271,7 @@
                                which(i % names.size()), kNone);
             auto ended = Clock::now();
             took.push_back(std::chrono::duration<double, std::nano>(ended - begun).count());
-            allowed += std::holds_alternative<quota::Receipt>(outcome);
+            allowed += std::holds_alternative<quota::Charge>(outcome);
         }
         std::sort(took.begin(), took.end());
         std::printf(
