--- a/lab/bench/shards_bench.cpp
+++ b/lab/bench/shards_bench.cpp
@@ -39,7 +39,7 @@
 
 /// One in five is a write, of 64 octets, by compare and swap or not. Each 16th is timed.
 Figures run(std::size_t shards, unsigned threads, double seconds) {
-    ochrehub::shards::Settings set;
+    ochrehub::shards::TableSettings set;
     set.shards = shards;
     Table table(set);
     std::vector<std::string> keys;
--- a/lab/shards/faults.cpp
+++ b/lab/shards/faults.cpp
@@ -30,10 +30,10 @@
     return verdict;
 }
 std::size_t first_of(const World& world, std::uint32_t shard) {
-    return world.holder_of(world.map().entries[shard].first);
+    return world.holder_of(world.map().entries[shard].primary);
 }
 std::size_t second_of(const World& world, std::uint32_t shard) {
-    return world.holder_of(world.map().entries[shard].second);
+    return world.holder_of(world.map().entries[shard].backup);
 }
 
 World::Verdict with(const WorldSettings& settings, const std::function<void(World&)>& faults) {
@@ -60,8 +60,8 @@
     auto pick = [&] { return std::size_t(random() % world.holders()); };
     // Half of the faults are for holders of one shard, which is what it takes to reach it twice.
     auto holder = [&] {
-        const fleet::Entry& e = world.map().entries[0];
-        std::size_t h = world.holder_of(random() % 2 ? e.first : e.second);
+        const fleet::ShardAssignment& e = world.map().entries[0];
+        std::size_t h = world.holder_of(random() % 2 ? e.primary : e.backup);
         return random() % 2 == 0 || h == kNobody ? pick() : h;
     };
     while (next < stop) {
@@ -203,7 +203,7 @@
                  w.kill(second);
                  run(w, 3800);
                  w.start(second);
-                 std::size_t filling = w.holder_of(w.map().entries[0].filling);
+                 std::size_t filling = w.holder_of(w.map().entries[0].catching_up);
                  if (filling != kNobody) w.kill(filling);
                  run(w, 3300);
                  w.move_leader();
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 
 #include "fleet/keys/keys.h"
-#include "fleet/shards/side.h"
+#include "fleet/shards/shard_service.h"
 
 namespace {
 
@@ -75,7 +75,7 @@
     session.session.instance = instance, session.session.seed = instance + 1,
     session.session.lease = Duration(lease);
     session.cluster = "rig";
-    fleet_shards::SideSettings set;
+    fleet_shards::ShardServiceSettings set;
     set.threads = threads;
     set.holder.address = advertise;
     set.holder.page = 8;
@@ -86,7 +86,7 @@
     set.mesh.dial.first = Duration(30), set.mesh.dial.most = Duration(300);
     set.listen = *channel::Mesh::endpoint(listen);
     auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
-    fleet_shards::Side side(set, clock, *keeping);
+    fleet_shards::ShardService side(set, clock, *keeping);
     side.start();
     keeping->start();
 
@@ -113,12 +113,13 @@
                                    : 'w',
                            static_cast<unsigned long long>(value),
                            static_cast<unsigned long long>(seen[key].second), now_ns());
-                auto answered = std::make_shared<std::promise<fleet_shards::Client::Done>>();
+                auto answered = std::make_shared<std::promise<fleet_shards::ShardClient::Completed>>();
                 auto future = answered->get_future();
-                side.ask(writes, write, Duration(2500),
-                         [answered](const fleet_shards::Client::Done& d) { answered->set_value(d); });
+                side.ask(
+                    writes, write, Duration(2500),
+                    [answered](const fleet_shards::ShardClient::Completed& d) { answered->set_value(d); });
                 if (future.wait_for(std::chrono::seconds(20)) != std::future_status::ready) break;
-                fleet_shards::Client::Done done = future.get();
+                fleet_shards::ShardClient::Completed done = future.get();
                 std::uint64_t found = done.record ? std::stoull(done.record->payload) : 0;
                 diary.line("e %llu %d %llu %llu %llu %llu %lld\n", static_cast<unsigned long long>(id),
                            done.error ? int(*done.error) : 0, static_cast<unsigned long long>(found),
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -22,7 +22,7 @@
 
 #include "fleet/coordinator/session_thread.h"
 #include "fleet/shards/error.h"
-#include "fleet/shards/views.h"
+#include "fleet/shards/shard_map_planner.h"
 #include "lab/channel/relay.h"
 #include "lab/shards/history.h"
 
@@ -133,12 +133,12 @@
             start_node(n);
         }
     }
-    std::optional<shards::ViewMap> map() {
+    std::optional<shards::ShardMap> map() {
         auto told = std::make_shared<std::promise<std::string>>();
         auto future = told->get_future();
         asks->query("views", {},
                     [told](coordinator::Error, std::string bytes) { told->set_value(std::move(bytes)); });
-        shards::ViewMap map;
+        shards::ShardMap map;
         if (future.wait_for(std::chrono::seconds(10)) != std::future_status::ready ||
             !shards::decode(future.get(), map))
             return {};
@@ -148,10 +148,10 @@
     bool settles(std::size_t holders) {
         for (auto until = Clock_::now() + std::chrono::seconds(60); Clock_::now() < until;
              std::this_thread::sleep_for(std::chrono::milliseconds(50))) {
-            std::optional<shards::ViewMap> now = map();
+            std::optional<shards::ShardMap> now = map();
             if (now && now->holders.size() == holders &&
-                std::all_of(now->entries.begin(), now->entries.end(), [](const shards::Entry& e) {
-                    return e.first && e.second && !e.filling && !e.yields;
+                std::all_of(now->entries.begin(), now->entries.end(), [](const shards::ShardAssignment& e) {
+                    return e.primary && e.backup && !e.catching_up && !e.stepping_down;
                 }))
                 return true;
         }
@@ -205,7 +205,7 @@
             if (!words || !open.contains(id) || TimePoint(Duration(at * 1e-6)) > until) continue;
             auto [key, o] = open[id];
             auto e = shards::Error(error);
-            if (error != 0 && e != shards::Error::Changed && e != shards::Error::Lost) {
+            if (error != 0 && e != shards::Error::Changed && e != shards::Error::BothHoldersLost) {
                 e == shards::Error::Unknown ? ++j.unknown : ++j.never;
                 if (e != shards::Error::Unknown) open.erase(id);
                 continue;
@@ -217,7 +217,7 @@
             o.answered = TimePoint(Duration(at * 1e-6));
             if (error != 0 || o.what == Operation::What::Read) {
                 o.what = Operation::What::Read;
-                o.value = e == shards::Error::Lost ? lab::shards::kLost : found;
+                o.value = e == shards::Error::BothHoldersLost ? lab::shards::kLost : found;
             }
             histories[key].push_back(o);
             if (view != 0 && answered.try_emplace({shard, view}, holder).first->second != holder)
--- a/lab/shards/world.cpp
+++ b/lab/shards/world.cpp
@@ -7,12 +7,12 @@
 
 namespace ochrehub::lab::shards {
 
-using fleet::Client;
-using fleet::Entry;
 using fleet::Error;
-using fleet::Holder;
 using fleet::SessionId;
-using fleet::Views;
+using fleet::ShardAssignment;
+using fleet::ShardClient;
+using fleet::ShardHolder;
+using fleet::ShardMapPlanner;
 namespace wire = fleet::wire;
 
 struct Message {
@@ -61,7 +61,7 @@
     };
     struct HolderProcess : Shell {
         std::unique_ptr<fleet::Table> table;
-        std::unique_ptr<Holder> core;
+        std::unique_ptr<ShardHolder> core;
         bool muted = false;
         TimePoint last{}, resumed{Duration{-1}}, before{};  // for one that forgets to look at the clock
     };
@@ -70,9 +70,9 @@
         TimePoint next{};
     };
     struct NodeProcess : Shell {
-        std::unique_ptr<Client> core;
+        std::unique_ptr<ShardClient> core;
         std::vector<Worker> workers;
-        std::map<std::uint64_t, std::function<void(const Client::Done&)>> asks;
+        std::map<std::uint64_t, std::function<void(const ShardClient::Completed&)>> asks;
         std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> seen;  // key: version, value
         std::uint64_t next_ask = 1;
     };
@@ -89,7 +89,7 @@
     std::vector<std::pair<bool, std::size_t>> at;  // process to (holder, number)
 
     // ---- The log
-    std::unique_ptr<Views> machine;
+    std::unique_ptr<ShardMapPlanner> machine;
     std::map<SessionId, Standing> sessions;
     std::map<SessionId, std::size_t> process_of;
     std::size_t leader = 0;
@@ -121,9 +121,9 @@
                                return !(from >= kKeepers && at[from - kKeepers].first &&
                                         holders[at[from - kKeepers].second].muted);
                            }});
-        Views::Settings v;
+        ShardMapPlanner::Settings v;
         v.shards = set.shards;
-        machine = std::make_unique<Views>(v);
+        machine = std::make_unique<ShardMapPlanner>(v);
         histories.resize(set.keys), dropped.resize(set.keys);
         for (std::size_t k = 0; k < kKeepers; ++k)
             net->clock(k, rate()), net->wake_at(k, net->own(k) + kTick);
@@ -156,14 +156,14 @@
         return n;
     }
     void fresh(HolderProcess& h) {
-        fleet::Settings t;
+        fleet::TableSettings t;
         t.shards = set.shards;
         t.life = Duration(3'600'000);
         h.table = std::make_unique<fleet::Table>(t);
-        Holder::Settings s;
+        ShardHolder::Settings s;
         s.address = h.name;
         s.page = set.page;
-        h.core = std::make_unique<Holder>(s, *h.table);
+        h.core = std::make_unique<ShardHolder>(s, *h.table);
         h.asked.clear();
         h.last = h.next_renewal = h.next_core = net->own(h.process);
     }
@@ -173,10 +173,10 @@
         n.name = "node" + std::to_string(nodes.size() - 1);
         n.zone = "zone" + std::to_string((nodes.size() - 1) % set.zones);
         n.workers.resize(set.workers);
-        Client::Settings c;
+        ShardClient::Settings c;
         c.shards = set.shards;
         c.instance = set.seed * 1000 + nodes.size();
-        n.core = std::make_unique<Client>(c);
+        n.core = std::make_unique<ShardClient>(c);
     }
     Shell& shell(std::size_t process) {
         auto [holder, number] = at[process - kKeepers];
@@ -212,9 +212,9 @@
         if (own >= s.next_core) {
             s.next_core = TimePoint{Duration{1e15}};
             if (holder)
-                handle(holders[number], own, Holder::Woken{});
+                handle(holders[number], own, ShardHolder::TimerFired{});
             else
-                handle(nodes[number], own, Client::Woken{});
+                handle(nodes[number], own, ShardClient::TimerFired{});
         }
         if (!holder) work(nodes[number], own);
         arm(s);
@@ -234,9 +234,9 @@
                     Duration lease = set.lease * (sabotaged(Saboteur::IgnoresItsSessionsEnd) ? 100 : 1);
                     std::string news = sabotage(m.body, s);
                     handle(holders[number], own,
-                           Holder::Renewed{m.session, when + lease * 0.99 - Duration(50), news});
+                           ShardHolder::SessionRenewed{m.session, when + lease * 0.99 - Duration(50), news});
                 } else {
-                    handle(nodes[number], own, Client::News{m.body});
+                    handle(nodes[number], own, ShardClient::MapReceived{m.body});
                 }
                 break;
             }
@@ -245,17 +245,18 @@
                 s.session = 0;
                 s.asked.clear();
                 s.next_renewal = own;
-                if (holder) handle(holders[number], own, Holder::SessionOver{});
+                if (holder) handle(holders[number], own, ShardHolder::SessionExpired{});
                 break;
             case Message::Kind::Proposed:
                 early(s, own);
                 break;
             case Message::Kind::Asks:
             case Message::Kind::ToHolder:
-                if (holder) handle(holders[number], own, Holder::Received{from, weakened(m.body)});
+                if (holder)
+                    handle(holders[number], own, ShardHolder::MessageReceived{from, weakened(m.body)});
                 break;
             case Message::Kind::Answers:
-                if (!holder) handle(nodes[number], own, Client::Received{m.body});
+                if (!holder) handle(nodes[number], own, ShardClient::MessageReceived{m.body});
                 break;
             default:
                 break;
@@ -292,13 +293,13 @@
     // ---- Keepers
     template <class F>
     void change(F&& f) {
-        std::vector<Entry> before = machine->map().entries;
+        std::vector<ShardAssignment> before = machine->map().entries;
         f();
         for (std::uint32_t n = 0; n < before.size(); ++n) {
-            const Entry &was = before[n], &is = machine->map().entries[n];
+            const ShardAssignment &was = before[n], &is = machine->map().entries[n];
             if (is.view != was.view) ++figures.views;
             if (!is.lost || is.origin == was.origin) continue;
-            if (was.second != 0 && sessions.contains(was.second))
+            if (was.backup != 0 && sessions.contains(was.backup))
                 fault("a shard was called lost while its second holder lived");
             ++figures.lost;
             Operation loss;
@@ -318,12 +319,13 @@
         });
     }
     void forget_second(SessionId session) {
-        std::vector<Entry> before = machine->map().entries;
+        std::vector<ShardAssignment> before = machine->map().entries;
         machine->session_ended(session);
         wire::Snapshot snapshot;
         snapshot.ParseFromString(machine->snapshot());
         for (wire::Entry& e : *snapshot.mutable_map()->mutable_entries()) {
-            if (before[e.shard()].first != session || before[e.shard()].second != e.first() || e.first() == 0)
+            if (before[e.shard()].primary != session || before[e.shard()].backup != e.first() ||
+                e.first() == 0)
                 continue;
             for (const wire::Holder& h : snapshot.map().holders())
                 if (h.session() != e.first()) {
@@ -387,19 +389,20 @@
         m.kind = Message::Kind::Propose, m.session = h.session, m.body = body;
         for (std::size_t k = 0; k < kKeepers; ++k) net->send(h.process, k, m);
     }
-    void handle(HolderProcess& h, TimePoint own, const Holder::Event& event) {
+    void handle(HolderProcess& h, TimePoint own, const ShardHolder::Event& event) {
         TimePoint now = own;
         if (sabotaged(Saboteur::NoClockBehindAPause) && h.resumed == net->now() &&
-            std::holds_alternative<Holder::Received>(event))
+            std::holds_alternative<ShardHolder::MessageReceived>(event))
             now = h.before;
         else
             h.last = own;
-        Holder::Actions actions;
+        ShardHolder::Actions actions;
         h.core->handle(now, event, actions);
         record_decision("shard_holder", now, event, actions);
-        for (Holder::Action& action : actions) std::visit([&](auto& a) { carry_out(h, own, a); }, action);
+        for (ShardHolder::Action& action : actions)
+            std::visit([&](auto& a) { carry_out(h, own, a); }, action);
     }
-    void carry_out(HolderProcess& h, TimePoint own, Holder::Tell& a) {
+    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::SendMessage& a) {
         auto to = process_of.find(a.to);
         if (to == process_of.end()) return;
         if (sabotaged(Saboteur::AnswersBeforeTheSecond) || sabotaged(Saboteur::SaysFilledAtOnce))
@@ -408,15 +411,15 @@
         m.kind = Message::Kind::ToHolder, m.body = std::move(a.body);
         net->send(h.process, to->second, std::move(m));
     }
-    void carry_out(HolderProcess& h, TimePoint, Holder::Answered& a) {
+    void carry_out(HolderProcess& h, TimePoint, ShardHolder::SendResponse& a) {
         wire::Message decoded;
         decoded.ParseFromString(a.body);
         for (const wire::Answer& one : decoded.answers()) {
             if (h.muted) break;
-            bool tells =
-                one.error() == 0 || Error(one.error()) == Error::Changed || Error(one.error()) == Error::Lost;
+            bool tells = one.error() == 0 || Error(one.error()) == Error::Changed ||
+                         Error(one.error()) == Error::BothHoldersLost;
             if (!tells || one.shard() >= machine->map().entries.size()) continue;
-            if (machine->map().entries[one.shard()].first != h.session)
+            if (machine->map().entries[one.shard()].primary != h.session)
                 fault(h.name + " answered for shard " + std::to_string(one.shard()) +
                       " after it was given away");
             auto [it, fresh] = answered.try_emplace({one.shard(), one.view()}, one.holder());
@@ -427,21 +430,23 @@
         m.kind = Message::Kind::Answers, m.body = std::move(a.body);
         net->send(h.process, std::size_t(a.to), std::move(m));
     }
-    void carry_out(HolderProcess& h, TimePoint, Holder::Propose& a) { propose(h, a.body); }
-    void carry_out(HolderProcess& h, TimePoint own, Holder::AskNews&) { early(h, own); }
-    void carry_out(HolderProcess& h, TimePoint, Holder::WakeAt& a) { h.next_core = a.at; }
+    void carry_out(HolderProcess& h, TimePoint, ShardHolder::SubmitCommand& a) { propose(h, a.body); }
+    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { early(h, own); }
+    void carry_out(HolderProcess& h, TimePoint, ShardHolder::SetTimer& a) { h.next_core = a.at; }
 
     // ---- Saboteurs
     std::string sabotage(const std::string& news, Shell& s) {
         if (!sabotaged(Saboteur::LossIsSilent) && !sabotaged(Saboteur::AnswersWhileYielding)) return news;
-        fleet::ViewMap map;
+        fleet::ShardMap map;
         if (!fleet::decode(news, map)) return news;
         for (std::uint32_t n = 0; n < map.entries.size(); ++n) {
-            Entry& e = map.entries[n];
+            ShardAssignment& e = map.entries[n];
             if (sabotaged(Saboteur::LossIsSilent)) e.lost = false;
-            if (!sabotaged(Saboteur::AnswersWhileYielding) || !e.yields || e.first != s.session) continue;
-            e.yields = false;
-            propose(holders[at[s.process - kKeepers].second], Views::yielded(n, e.view));
+            if (!sabotaged(Saboteur::AnswersWhileYielding) || !e.stepping_down || e.primary != s.session)
+                continue;
+            e.stepping_down = false;
+            propose(holders[at[s.process - kKeepers].second],
+                    ShardMapPlanner::stepped_down_command(n, e.view));
         }
         return fleet::encode(map);
     }
@@ -459,43 +464,45 @@
         sent.ParseFromString(body);
         for (const wire::Copy& c : sent.copies()) {
             if (sabotaged(Saboteur::SaysFilledAtOnce)) {
-                if (c.number() == 1 && !c.keeps()) propose(h, Views::filled(c.shard(), c.view()));
+                if (c.number() == 1 && !c.keeps())
+                    propose(h, ShardMapPlanner::caught_up_command(c.shard(), c.view()));
                 continue;
             }
             wire::Copied& back = *forged.add_copied();
             back.set_shard(c.shard()), back.set_view(c.view()), back.set_from(c.to()), back.set_to(c.from());
             back.set_stream(c.stream()), back.set_upto(c.number() + std::uint64_t(c.steps_size()) - 1);
         }
-        if (forged.copied_size() > 0) handle(h, own, Holder::Received{0, forged.SerializeAsString()});
+        if (forged.copied_size() > 0)
+            handle(h, own, ShardHolder::MessageReceived{0, forged.SerializeAsString()});
     }
 
     // ---- Nodes
-    void handle(NodeProcess& n, TimePoint own, const Client::Event& event) {
-        Client::Actions actions;
+    void handle(NodeProcess& n, TimePoint own, const ShardClient::Event& event) {
+        ShardClient::Actions actions;
         n.core->handle(own, event, actions);
         record_decision("shard_client", own, event, actions);
-        for (Client::Action& action : actions) {
-            if (auto* tell = std::get_if<Client::Tell>(&action)) {
+        for (ShardClient::Action& action : actions) {
+            if (auto* tell = std::get_if<ShardClient::SendMessage>(&action)) {
                 auto to = process_of.find(tell->to);
                 if (to == process_of.end()) continue;
                 Message m;
                 m.kind = Message::Kind::Asks, m.body = std::move(tell->body);
                 net->send(n.process, to->second, std::move(m));
-            } else if (auto* done = std::get_if<Client::Done>(&action)) {
+            } else if (auto* done = std::get_if<ShardClient::Completed>(&action)) {
                 auto ask = n.asks.find(done->id);
                 auto f = std::move(ask->second);
                 n.asks.erase(ask);
                 f(*done);
             } else {
-                n.next_core = std::get<Client::WakeAt>(action).at;
+                n.next_core = std::get<ShardClient::SetTimer>(action).at;
             }
         }
     }
     void ask(NodeProcess& n, TimePoint own, bool writes, const fleet::Write& write,
-             std::function<void(const Client::Done&)> f) {
+             std::function<void(const ShardClient::Completed&)> f) {
         std::uint64_t id = n.next_ask++;
         n.asks[id] = std::move(f);
-        handle(n, own, Client::Ask{id, writes, write, own + set.deadline});
+        handle(n, own, ShardClient::Request{id, writes, write, own + set.deadline});
     }
     static std::string key_name(std::size_t key) { return "key" + std::to_string(key); }
     static std::uint64_t value_of(const std::optional<fleet::Record>& record) {
@@ -534,12 +541,12 @@
         histories[key].push_back(o);
         dropped[key].push_back(false);
         n.workers[worker].busy = true;
-        ask(n, own, writes, w, [this, &n, key, at_history, worker, w](const Client::Done& d) {
+        ask(n, own, writes, w, [this, &n, key, at_history, worker, w](const ShardClient::Completed& d) {
             done(n, key, at_history, worker, w, d);
         });
     }
     void done(NodeProcess& n, std::size_t key, std::size_t index, std::size_t worker, const fleet::Write& w,
-              const Client::Done& d) {
+              const ShardClient::Completed& d) {
         Operation& o = histories[key][index];
         bool reads = o.what == Operation::What::Read;
         auto end = [&] {
@@ -550,7 +557,7 @@
             ++figures.unknown;
             if (sabotaged(Saboteur::RepeatsBlindly) && !w.expect && !world.quiet_) {
                 ask(n, net->own(n.process), true, w,
-                    [this, &n, key, index, worker, w](const Client::Done& again) {
+                    [this, &n, key, index, worker, w](const ShardClient::Completed& again) {
                         done(n, key, index, worker, w, again);
                     });
                 return;
@@ -558,7 +565,7 @@
             return end();  // it may yet happen
         }
         end();
-        if (!d.error || d.error == Error::Changed || d.error == Error::Lost) {
+        if (!d.error || d.error == Error::Changed || d.error == Error::BothHoldersLost) {
             ++figures.answered;
             figures.last_answer = net->now();
             o.sure = true;
@@ -569,7 +576,7 @@
                 return;
             }
             o.what = Operation::What::Read;
-            o.value = d.error == Error::Lost ? kLost : value_of(d.record);
+            o.value = d.error == Error::BothHoldersLost ? kLost : value_of(d.record);
             n.seen[key] = {d.record ? d.record->version : 0, d.record ? o.value : kAbsent};
         } else {
             ++figures.unavailable;
@@ -646,7 +653,7 @@
 }
 void World::leave(std::size_t holder) {
     Impl::HolderProcess& h = impl_->holders[holder];
-    if (impl_->net->up(h.process)) impl_->handle(h, impl_->net->own(h.process), Holder::Leave{});
+    if (impl_->net->up(h.process)) impl_->handle(h, impl_->net->own(h.process), ShardHolder::Leave{});
 }
 std::size_t World::add_holder() {
     return impl_->add_holder();
@@ -659,7 +666,7 @@
     impl_->at_event = {number, what};
 }
 
-const fleet::ViewMap& World::map() const {
+const fleet::ShardMap& World::map() const {
     return impl_->machine->map();
 }
 std::size_t World::holder_of(SessionId session) const {
@@ -667,7 +674,7 @@
         if (session != 0 && impl_->holders[n].session == session && up(n)) return n;
     return kNobody;
 }
-const Holder& World::holder(std::size_t n) const {
+const ShardHolder& World::holder(std::size_t n) const {
     return *impl_->holders[n].core;
 }
 std::size_t World::holders() const {
@@ -676,12 +683,12 @@
 
 bool World::settled() const {
     const auto& holders = map().holders;
-    for (const Entry& e : map().entries) {
-        if (e.first == 0 || e.second == 0 || e.filling != 0 || e.yields) return false;
-        const std::string& zone = holders.at(e.first).zone;
+    for (const ShardAssignment& e : map().entries) {
+        if (e.primary == 0 || e.backup == 0 || e.catching_up != 0 || e.stepping_down) return false;
+        const std::string& zone = holders.at(e.primary).zone;
         bool another = std::any_of(holders.begin(), holders.end(),
                                    [&](const auto& h) { return !h.second.leaving && h.second.zone != zone; });
-        if (another && holders.at(e.second).zone == zone) return false;
+        if (another && holders.at(e.backup).zone == zone) return false;
     }
     return true;
 }
@@ -704,10 +711,10 @@
 
 bool World::copies_equal() const {
     for (std::uint32_t n = 0; n < map().entries.size(); ++n) {
-        const Entry& e = map().entries[n];
+        const ShardAssignment& e = map().entries[n];
         std::map<std::string, std::string> contents[2];
         for (int side = 0; side < 2; ++side) {
-            std::size_t h = holder_of(side ? e.second : e.first);
+            std::size_t h = holder_of(side ? e.backup : e.primary);
             if (h == kNobody) return false;
             std::vector<fleet::Record> records;
             TimePoint own = impl_->net->own(impl_->holders[h].process);
@@ -722,7 +729,7 @@
 }
 
 void World::ask(std::size_t node, bool writes, const fleet::Write& write,
-                std::function<void(const Client::Done&)> done) {
+                std::function<void(const ShardClient::Completed&)> done) {
     Impl::NodeProcess& n = impl_->nodes[node];
     if (!impl_->net->up(n.process)) return;
     impl_->ask(n, impl_->net->own(n.process), writes, write, std::move(done));
--- a/lab/shards/world.h
+++ b/lab/shards/world.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/shards/client.h"
-#include "fleet/shards/holder.h"
-#include "fleet/shards/sessions.h"
+#include "fleet/shards/session_records.h"
+#include "fleet/shards/shard_client.h"
+#include "fleet/shards/shard_holder.h"
 #include "lab/shards/history.h"
 #include "lab/swarm/net.h"
 
@@ -93,9 +93,9 @@
     void at_event(std::uint64_t number, AtEvent what);
     std::optional<std::size_t> hit() const { return hit_; }
 
-    const fleet::ViewMap& map() const;
+    const fleet::ShardMap& map() const;
     std::size_t holder_of(fleet::SessionId session) const;  ///< its number; ~0: none that lives
-    const fleet::Holder& holder(std::size_t n) const;
+    const fleet::ShardHolder& holder(std::size_t n) const;
     std::size_t holders() const;
 
     /// Each shard with two holders, in two zones where there are two, and none being filled.
@@ -112,7 +112,7 @@
 
     /// One ask by a node; for scripts. `done` is called once.
     void ask(std::size_t node, bool writes, const fleet::Write& write,
-             std::function<void(const fleet::Client::Done&)> done);
+             std::function<void(const fleet::ShardClient::Completed&)> done);
     fleet::SessionId node_session(std::size_t node) const;
     void kill_node(std::size_t node);
 
--- a/lab/tests/shards_test.cpp
+++ b/lab/tests/shards_test.cpp
@@ -143,8 +143,8 @@
     std::size_t bound = 0, kept = 0, by_itself = 0, sent = 0, twice = 0, unknown = 0;
     std::vector<bool> has_sent(kClients);
     for (std::size_t i = 0; i < kClients; ++i) {
-        fleet::Basket basket{"shop", client(i), std::uint32_t(i % kCells), 1, 0};
-        world.ask(0, true, fleet::bind_basket(basket, nullptr, Duration(600'000)),
+        fleet::SessionBinding basket{"shop", client(i), std::uint32_t(i % kCells), 1, 0};
+        world.ask(0, true, fleet::bind_session(basket, nullptr, Duration(600'000)),
                   [&](const auto& d) { bound += !d.error; });
         fleet::Order order{fleet::Order::State::Begun, world.node_session(0), 1, 0};
         world.ask(0, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)),
@@ -158,20 +158,21 @@
     EXPECT_EQ(sent, kClients);
     fleet::SessionId dead = world.node_session(0);
     world.kill_node(0);
-    world.kill(world.holder_of(world.map().entries[0].first));
+    world.kill(world.holder_of(world.map().entries[0].primary));
     world.run_to(at(14'000));
     for (std::size_t i = 0; i < kClients; ++i) {
-        world.ask(1, false, fleet::find_basket("shop", client(i)), [&, i](const auto& d) {
-            kept +=
-                d.record && fleet::basket_of(*d.record) && fleet::basket_of(*d.record)->cell == i % kCells;
+        world.ask(1, false, fleet::read_session_binding("shop", client(i)), [&, i](const auto& d) {
+            kept += d.record && fleet::decode_session_binding(*d.record) &&
+                    fleet::decode_session_binding(*d.record)->cell == i % kCells;
         });
         by_itself += (i * 2654435761u >> 7) % kCells == i % kCells;  // the rack that it would draw
         fleet::Order order{fleet::Order::State::Begun, world.node_session(1), 1, 0};
         world.ask(1, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)),
                   [&, i](const auto& d) {
-                      fleet::Begun b = fleet::begun(d, [&](fleet::SessionId who) { return who != dead; });
-                      twice += b.verdict == fleet::Begun::Verdict::Go && has_sent[i];
-                      unknown += b.verdict == fleet::Begun::Verdict::Unknown;
+                      fleet::OrderClaim b =
+                          fleet::claim_result(d, [&](fleet::SessionId who) { return who != dead; });
+                      twice += b.status == fleet::OrderClaim::Status::Granted && has_sent[i];
+                      unknown += b.status == fleet::OrderClaim::Status::Unknown;
                   });
     }
     world.run_to(at(18'000));
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -5,7 +5,7 @@
 #include "fleet/leadership/lease_state_machine.h"
 #include "fleet/quota/machine.h"
 #include "fleet/schema_migration/machine.h"
-#include "fleet/shards/views.h"
+#include "fleet/shards/shard_map_planner.h"
 
 namespace ochrehub::app {
 
@@ -13,7 +13,7 @@
 coordinator::StateMachines machines() {
     coordinator::StateMachines all;
     all.push_back(std::make_unique<leadership::LeaseStateMachine>());
-    all.push_back(std::make_unique<shards::Views>(shards::Views::Settings{}));
+    all.push_back(std::make_unique<shards::ShardMapPlanner>(shards::ShardMapPlanner::Settings{}));
     all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
     all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
     all.push_back(std::make_unique<config_distribution::Agreement>());
--- a/src/fleet/shards/sessions.cpp
+++ b/src/fleet/shards/session_records.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shards/sessions.h"
+#include "fleet/shards/session_records.h"
 
 #include "fleet/shards/wire.h"
 
@@ -25,13 +25,14 @@
 
 }  // namespace
 
-std::optional<Basket> basket_of(const Record& record) {
+std::optional<SessionBinding> decode_session_binding(const Record& record) {
     wire::Basket in;
-    if (record.kind != kBasketKind || record.schema != kSessionSchema || !in.ParseFromString(record.payload))
+    if (record.kind != kSessionBindingKind || record.schema != kSessionSchema ||
+        !in.ParseFromString(record.payload))
         return {};
-    return Basket{in.tenant(), in.client(), in.cell(), in.server(), in.since()};
+    return SessionBinding{in.tenant(), in.client(), in.cell(), in.server(), in.since()};
 }
-std::optional<Order> order_of(const Record& record) {
+std::optional<Order> decode_order(const Record& record) {
     wire::Order in;
     if (record.kind != kOrderKind || record.schema != kSessionSchema || !in.ParseFromString(record.payload) ||
         !wire::Order::State_IsValid(in.state()))
@@ -39,19 +40,19 @@
     return Order{Order::State(in.state()), in.by(), in.server(), in.status()};
 }
 
-std::string basket_key(std::string_view tenant, std::string_view client) {
+std::string session_binding_key(std::string_view tenant, std::string_view client) {
     return std::string(tenant).append(1, '\0').append(client);
 }
 std::string order_key(std::string_view tenant, std::string_view client, std::string_view request) {
-    return basket_key(tenant, client).append(1, '\0').append(request);
+    return session_binding_key(tenant, client).append(1, '\0').append(request);
 }
 
-Write find_basket(std::string_view tenant, std::string_view client) {
-    return of(kBasketKind, tenant, basket_key(tenant, client), {});
+Write read_session_binding(std::string_view tenant, std::string_view client) {
+    return of(kSessionBindingKind, tenant, session_binding_key(tenant, client), {});
 }
 
-Write bind_basket(const Basket& basket, const Record* over, Duration life) {
-    Write w = of(kBasketKind, basket.tenant, basket_key(basket.tenant, basket.client), life);
+Write bind_session(const SessionBinding& basket, const Record* over, Duration life) {
+    Write w = of(kSessionBindingKind, basket.tenant, session_binding_key(basket.tenant, basket.client), life);
     w.expect = over ? over->version : 0;
     wire::Basket out;
     out.set_tenant(basket.tenant);
@@ -71,8 +72,8 @@
     return w;
 }
 
-Write end_order(std::string_view tenant, std::string_view client, std::string_view request,
-                const Order& order, Duration life, std::uint64_t version) {
+Write finish_order(std::string_view tenant, std::string_view client, std::string_view request,
+                   const Order& order, Duration life, std::uint64_t version) {
     Write w = of(kOrderKind, tenant, order_key(tenant, client, request), life);
     w.expect = version;
     w.record.payload = encode(order);
--- a/src/fleet/shards/client.cpp
+++ b/src/fleet/shards/shard_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shards/client.h"
+#include "fleet/shards/shard_client.h"
 
 #include <algorithm>
 
@@ -16,17 +16,18 @@
 
 }  // namespace
 
-Client::Client(const Settings& settings) : set_(settings), random_(unsigned(mixed(settings.instance)) | 64u) {
+ShardClient::ShardClient(const Settings& settings)
+    : set_(settings), random_(unsigned(mixed(settings.instance)) | 64u) {
     map_.entries.resize(set_.shards);
 }
 
-void Client::handle(TimePoint now, const Event& event, Actions& actions) {
+void ShardClient::handle(TimePoint now, const Event& event, Actions& actions) {
     std::visit(
         [&](const auto& e) {
             using E = std::decay_t<decltype(e)>;
-            if constexpr (std::is_same_v<E, Ask>) {
+            if constexpr (std::is_same_v<E, Request>) {
                 if (open_.contains(e.id) || open_.size() >= set_.open) {
-                    Done done;
+                    Completed done;
                     done.id = e.id, done.error = Error::Busy;
                     actions.push_back(std::move(done));
                     return;
@@ -38,14 +39,14 @@
                 open.second.shard =
                     std::uint32_t(shard_of(e.write.record.kind, e.write.record.key, set_.shards));
                 route(now, open, actions);
-            } else if constexpr (std::is_same_v<E, Received>) {
+            } else if constexpr (std::is_same_v<E, MessageReceived>) {
                 received(now, e.body, actions);
-            } else if constexpr (std::is_same_v<E, News>) {
-                ViewMap map;
+            } else if constexpr (std::is_same_v<E, MapReceived>) {
+                ShardMap map;
                 if (!decode(e.map, map) || map.entries.size() != map_.entries.size())
                     ++counts_.malformed;
                 else if (map.number >= map_.number) {
-                    std::vector<Entry> known = std::move(map_.entries);
+                    std::vector<ShardAssignment> known = std::move(map_.entries);
                     map_ = std::move(map);
                     // Holders may have told of newer ones than the keepers' news.
                     for (std::uint32_t n = 0; n < known.size(); ++n) take(n, known[n]);
@@ -56,18 +57,18 @@
     wake(now, actions);
 }
 
-void Client::take(std::uint32_t shard, const Entry& entry) {
+void ShardClient::take(std::uint32_t shard, const ShardAssignment& entry) {
     if (entry.view > map_.entries[shard].view) map_.entries[shard] = entry;
 }
 
-void Client::due(Opens::value_type& open, TimePoint at) {
+void ShardClient::due(Opens::value_type& open, TimePoint at) {
     due_.erase({open.second.due, open.first});
     open.second.due = std::min(at, open.second.ask.deadline);
     due_.emplace(open.second.due, open.first);
 }
 
-void Client::route(TimePoint now, Opens::value_type& open, Actions& actions) {
-    SessionId first = map_.entries[open.second.shard].first;
+void ShardClient::route(TimePoint now, Opens::value_type& open, Actions& actions) {
+    SessionId first = map_.entries[open.second.shard].primary;
     if (first == 0) return later(now, open);
     open.second.state = State::Queued;
     std::vector<std::uint64_t>& queue = queued_[first];
@@ -79,8 +80,8 @@
         flush_at_ = now + set_.linger;
 }
 
-void Client::later(TimePoint now, Opens::value_type& open) {
-    open.second.state = State::Waits;
+void ShardClient::later(TimePoint now, Opens::value_type& open) {
+    open.second.state = State::AwaitingRetry;
     numbers_.erase(std::exchange(open.second.number, 0));
     Duration back_off =
         std::min(set_.back_off * double(1 << std::min(open.second.tries++, 10)), set_.back_off_most);
@@ -88,14 +89,14 @@
     ++counts_.again;
 }
 
-void Client::flush(TimePoint now, SessionId to, Actions& actions) {
+void ShardClient::flush(TimePoint now, SessionId to, Actions& actions) {
     auto queue = queued_.find(to);
     wire::Message message;
     for (std::uint64_t id : queue->second) {
         auto found = open_.find(id);
         if (found == open_.end() || found->second.state != State::Queued) continue;
         Open& open = found->second;
-        open.state = State::Asked;
+        open.state = State::Sent;
         open.number = ++number_;
         numbers_[open.number] = id;
         wire::Ask& ask = *message.add_asks();
@@ -115,17 +116,17 @@
     queued_.erase(queue);
     if (message.asks_size() == 0) return;
     ++counts_.messages;
-    actions.push_back(Tell{to, message.SerializeAsString()});
+    actions.push_back(SendMessage{to, message.SerializeAsString()});
 }
 
-void Client::finish(Opens::iterator open, Done done, Actions& actions) {
+void ShardClient::finish(Opens::iterator open, Completed done, Actions& actions) {
     numbers_.erase(open->second.number);
     due_.erase({open->second.due, open->first});
     open_.erase(open);
     actions.push_back(std::move(done));
 }
 
-void Client::received(TimePoint now, std::string_view body, Actions& actions) {
+void ShardClient::received(TimePoint now, std::string_view body, Actions& actions) {
     wire::Message message;
     if (!message.ParseFromArray(body.data(), int(body.size()))) {
         ++counts_.malformed;
@@ -138,7 +139,7 @@
         if (number == numbers_.end()) continue;
         auto it = open_.find(number->second);
         Open& open = it->second;
-        Done done;
+        Completed done;
         done.id = it->first, done.version = a.version(), done.view = a.view(), done.holder = a.holder();
         if (a.error() > std::uint32_t(kErrors)) {
             ++counts_.malformed;
@@ -150,10 +151,10 @@
             continue;
         }
         switch (done.error.value_or(Error::Unknown)) {
-            case Error::NotFirst:
-            case Error::Older:
-            case Error::Newer:
-            case Error::Over:
+            case Error::NotPrimary:
+            case Error::OlderView:
+            case Error::NewerView:
+            case Error::SessionExpired:
             case Error::Busy:  // it was not written; an earlier one of the same may have been
                 later(now, *it);
                 continue;
@@ -174,17 +175,17 @@
     }
 }
 
-void Client::wake(TimePoint now, Actions& actions) {
+void ShardClient::wake(TimePoint now, Actions& actions) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto it = open_.find(due_.begin()->second);
         Open& open = it->second;
-        bool out = open.state == State::Asked && open.ask.writes;
+        bool out = open.state == State::Sent && open.ask.writes;
         if (now >= open.ask.deadline) {
-            Done done;
+            Completed done;
             done.id = it->first;
             done.error = open.may_have_run || out ? Error::Unknown : Error::Unavailable;
             finish(it, std::move(done), actions);
-        } else if (open.state == State::Asked) {
+        } else if (open.state == State::Sent) {
             open.may_have_run |= out;
             later(now, *it);
         } else {
@@ -197,7 +198,7 @@
     }
     std::optional<TimePoint> at = flush_at_;
     if (!due_.empty()) at = at ? std::min(*at, due_.begin()->first) : due_.begin()->first;
-    if (at) actions.push_back(WakeAt{*at});
+    if (at) actions.push_back(SetTimer{*at});
 }
 
 }  // namespace ochrehub::shards
--- a/src/fleet/shards/client.h
+++ b/src/fleet/shards/shard_client.h
@@ -19,12 +19,12 @@
 #include <variant>
 #include <vector>
 
+#include "fleet/shards/shard_map_planner.h"
 #include "fleet/shards/table.h"
-#include "fleet/shards/views.h"
 
 namespace ochrehub::shards {
 
-class Client {
+class ShardClient {
 public:
     struct Settings {
         std::size_t shards = 256;  ///< as in the map
@@ -39,28 +39,28 @@
     };
 
     // ---- What happens
-    struct Ask {
+    struct Request {
         std::uint64_t id = 0;  ///< chosen by whoever asks, comes back in Done, once
         bool writes = false;
         Write write;  ///< to read: kind and key
         TimePoint deadline{};
         bool stays = false;  ///< nobody erases such a record: what expects none may be sent again
     };
-    struct Received {
+    struct MessageReceived {
         std::string_view body;
     };
-    struct News {  ///< the machine's, as it came with a renewal
+    struct MapReceived {  ///< the machine's, as it came with a renewal
         std::string_view map;
     };
-    struct Woken {};
-    using Event = std::variant<Ask, Received, News, Woken>;
+    struct TimerFired {};
+    using Event = std::variant<Request, MessageReceived, MapReceived, TimerFired>;
 
     // ---- What is to be done about it
-    struct Tell {
+    struct SendMessage {
         SessionId to = 0;
         std::string body;
     };
-    struct Done {
+    struct Completed {
         std::uint64_t id = 0;
         std::optional<Error> error;
         std::optional<Record> record;  ///< read; Changed: what is there
@@ -68,17 +68,17 @@
         std::uint64_t view = 0;        ///< who answered, for judges
         SessionId holder = 0;
     };
-    struct WakeAt {
+    struct SetTimer {
         TimePoint at;
     };
-    using Action = std::variant<Tell, Done, WakeAt>;
+    using Action = std::variant<SendMessage, Completed, SetTimer>;
     using Actions = std::vector<Action>;
 
-    explicit Client(const Settings& settings);
+    explicit ShardClient(const Settings& settings);
 
     void handle(TimePoint now, const Event& event, Actions& actions);
 
-    const ViewMap& map() const { return map_; }
+    const ShardMap& map() const { return map_; }
     std::size_t open() const { return open_.size(); }
     struct Counts {
         std::uint64_t messages = 0, asks = 0, again = 0, malformed = 0;
@@ -86,28 +86,28 @@
     const Counts& counts() const { return counts_; }
 
 private:
-    enum class State : std::uint8_t { Waits, Queued, Asked };
+    enum class State : std::uint8_t { AwaitingRetry, Queued, Sent };
     struct Open {
-        Ask ask;
+        Request ask;
         std::uint32_t shard = 0;
-        State state = State::Waits;
+        State state = State::AwaitingRetry;
         bool may_have_run = false;
         int tries = 0;
         std::uint64_t number = 0;  // of the ask that is out; answers to others count for nothing
         TimePoint due{};
     };
     using Opens = std::map<std::uint64_t, Open>;  // by the asker's id
-    void take(std::uint32_t shard, const Entry& entry);
+    void take(std::uint32_t shard, const ShardAssignment& entry);
     void due(Opens::value_type& open, TimePoint at);
     void route(TimePoint now, Opens::value_type& open, Actions& actions);
     void later(TimePoint now, Opens::value_type& open);
-    void finish(Opens::iterator open, Done done, Actions& actions);
+    void finish(Opens::iterator open, Completed done, Actions& actions);
     void flush(TimePoint now, SessionId to, Actions& actions);
     void received(TimePoint now, std::string_view body, Actions& actions);
     void wake(TimePoint now, Actions& actions);
 
     Settings set_;
-    ViewMap map_;
+    ShardMap map_;
     Opens open_;
     std::map<std::uint64_t, std::uint64_t> numbers_;  // of what is out, to the asker's id
     std::map<SessionId, std::vector<std::uint64_t>> queued_;
--- a/src/fleet/shards/holder.cpp
+++ b/src/fleet/shards/shard_holder.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shards/holder.h"
+#include "fleet/shards/shard_holder.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,19 +12,19 @@
 
 }  // namespace
 
-struct Holder::Asked {
-    Peer from = 0;
+struct ShardHolder::ClientRequest {
+    RequesterId from = 0;
     wire::Ask ask;
 };
 // A write that has its version and waits until all who must have it do.
-struct Holder::Pending {
+struct ShardHolder::PendingWrite {
     Prepared prepared;
-    Asked asked;
+    ClientRequest asked;
     TimePoint prepared_at{};
     std::vector<std::pair<SessionId, std::uint64_t>> needs;  // step of a stream
 };
 // A stream to the second holder, or to the one that is being filled.
-struct Holder::Target {
+struct ShardHolder::CopyStream {
     SessionId who = 0;
     std::uint64_t since = 0;  // as the map has it
     std::uint64_t stream = 0, version = 0;
@@ -43,17 +43,17 @@
     }
     bool ready() const { return synced && acked >= synced_at; }
 };
-struct Holder::Part {
-    Entry entry;
+struct ShardHolder::LocalShard {
+    ShardAssignment entry;
     std::uint64_t seen = 0;  // the newest view that anybody has named
     Role role = Role::None;
     std::uint64_t origin = 0;
     bool whole = false;         // all of that origin's contents are here
     TimePoint unknown_until{};  // what is not here may have been lost
     // As first:
-    std::vector<Target> targets;
-    std::deque<Pending> pending;
-    std::map<Key, std::deque<Asked>> busy;  // keys with a pending write, and who waits behind it
+    std::vector<CopyStream> targets;
+    std::deque<PendingWrite> pending;
+    std::map<Key, std::deque<ClientRequest>> busy;  // keys with a pending write, and who waits behind it
     std::size_t queued = 0;
     bool yielding = false;
     TimePoint yield_proposed{};
@@ -61,58 +61,58 @@
     SessionId from = 0;
     std::uint64_t stream = 0, upto = 0;
 };
-struct Holder::Outbox {
+struct ShardHolder::Outbox {
     std::map<SessionId, wire::Message> holders;
-    std::map<Peer, wire::Message> peers;
+    std::map<RequesterId, wire::Message> peers;
     std::vector<std::string> proposals;
     bool news = false;
 };
 
-Holder::Holder(const Settings& settings, Table& table)
+ShardHolder::ShardHolder(const Settings& settings, Table& table)
     : set_(settings), table_(table), parts_(table.shards()), out_(std::make_unique<Outbox>()) {}
-Holder::~Holder() = default;
-bool Holder::mine(std::uint32_t n) const {
+ShardHolder::~ShardHolder() = default;
+bool ShardHolder::mine(std::uint32_t n) const {
     return n < parts_.size() && n % set_.parts == set_.part;
 }
 
-void Holder::handle(TimePoint now, const Event& event, Actions& actions) {
+void ShardHolder::handle(TimePoint now, const Event& event, Actions& actions) {
     std::visit(
         [&](const auto& e) {
             using E = std::decay_t<decltype(e)>;
-            if constexpr (std::is_same_v<E, Renewed>)
+            if constexpr (std::is_same_v<E, SessionRenewed>)
                 renewed(now, e);
-            else if constexpr (std::is_same_v<E, SessionOver>)
+            else if constexpr (std::is_same_v<E, SessionExpired>)
                 reset();
-            else if constexpr (std::is_same_v<E, Received>)
+            else if constexpr (std::is_same_v<E, MessageReceived>)
                 received(now, e);
             else if constexpr (std::is_same_v<E, Leave>)
                 leaving_ = true, proposed_ = {};
             else {
                 look(now);
-                actions.push_back(WakeAt{now + set_.tick});
+                actions.push_back(SetTimer{now + set_.tick});
             }
         },
         event);
     flush(actions);
 }
 
-bool Holder::free() const {
-    for (const Entry& entry : map_.entries)
-        for (SessionId who : {entry.first, entry.second, entry.filling})
+bool ShardHolder::free() const {
+    for (const ShardAssignment& entry : map_.entries)
+        for (SessionId who : {entry.primary, entry.backup, entry.catching_up})
             if (who != 0 && who == session_) return false;
     return true;
 }
 
 // ---- The session and the map
 
-void Holder::renewed(TimePoint now, const Renewed& event) {
+void ShardHolder::renewed(TimePoint now, const SessionRenewed& event) {
     if (event.session != session_) {
         if (event.session < session_) return;  // late word of one that is over
         reset();
         session_ = event.session;
     }
     valid_until_ = std::max(valid_until_, event.until);
-    ViewMap map;
+    ShardMap map;
     if (!event.news.empty()) {
         if (!decode(event.news, map) || map.entries.size() != parts_.size())
             ++counts_.malformed;
@@ -125,7 +125,7 @@
     look(now);
 }
 
-void Holder::reset() {
+void ShardHolder::reset() {
     for (std::uint32_t n = 0; n < parts_.size(); ++n) {
         if (!mine(n)) continue;
         drop(n, parts_[n]);
@@ -135,29 +135,29 @@
     valid_until_ = proposed_ = {};
 }
 
-void Holder::take(TimePoint now, std::uint32_t n, const Entry& entry) {
-    Part& part = parts_[n];
+void ShardHolder::take(TimePoint now, std::uint32_t n, const ShardAssignment& entry) {
+    LocalShard& part = parts_[n];
     if (entry.view < part.seen) return;
     if (entry.view != part.entry.view) part.yielding = false;
     part.seen = entry.view;
     part.entry = entry;
-    if (entry.first == session_) {
+    if (entry.primary == session_) {
         become_first(now, n, part);
-    } else if (entry.second == session_ || entry.filling == session_) {
-        if (part.role == Role::First) step_down(part);
+    } else if (entry.backup == session_ || entry.catching_up == session_) {
+        if (part.role == Role::Primary) step_down(part);
     } else if (part.role != Role::None) {
         drop(n, part);
     }
 }
 
-void Holder::become_first(TimePoint now, std::uint32_t n, Part& part) {
-    const Entry& entry = part.entry;
-    if (part.role != Role::First) {
+void ShardHolder::become_first(TimePoint now, std::uint32_t n, LocalShard& part) {
+    const ShardAssignment& entry = part.entry;
+    if (part.role != Role::Primary) {
         if (part.origin != entry.origin || !part.whole) {
             // Its contents begin here. Versions are above all that were given in any view before. A part of a
             // copy is no contents: the keepers name nobody first who has no more, and if they did, it would
             // be told as a loss.
-            bool lost = entry.lost || (part.role == Role::Copy && part.origin == entry.origin);
+            bool lost = entry.lost || (part.role == Role::Replica && part.origin == entry.origin);
             drop(n, part);
             table_.clear(n, entry.origin << 32);
             part.origin = entry.origin;
@@ -165,37 +165,37 @@
             part.unknown_until = lost ? now + table_.settings().life : TimePoint{};
             counts_.lost += lost;
         }
-        part.role = Role::First;
+        part.role = Role::Primary;
         part.from = part.stream = part.upto = 0;
     }
-    std::erase_if(part.targets, [&](const Target& t) {
-        return !(t.who == entry.second && t.since == entry.second_since) &&
-               !(t.who == entry.filling && t.since == entry.filling_since);
+    std::erase_if(part.targets, [&](const CopyStream& t) {
+        return !(t.who == entry.backup && t.since == entry.backup_since) &&
+               !(t.who == entry.catching_up && t.since == entry.catching_up_since);
     });
     auto there = [&](SessionId who) {
         return std::any_of(part.targets.begin(), part.targets.end(),
-                           [who](const Target& t) { return t.who == who; });
+                           [who](const CopyStream& t) { return t.who == who; });
     };
     // A second without a stream is the first of the view before, which had all when it yielded.
-    if (entry.second != 0 && !there(entry.second)) begin(n, part, entry.second, entry.second_since, true);
-    if (entry.filling != 0 && !there(entry.filling))
-        begin(n, part, entry.filling, entry.filling_since, false);
+    if (entry.backup != 0 && !there(entry.backup)) begin(n, part, entry.backup, entry.backup_since, true);
+    if (entry.catching_up != 0 && !there(entry.catching_up))
+        begin(n, part, entry.catching_up, entry.catching_up_since, false);
 }
 
-void Holder::step_down(Part& part) {
-    for (Pending& p : part.pending) table_.abandon(p.prepared);
+void ShardHolder::step_down(LocalShard& part) {
+    for (PendingWrite& p : part.pending) table_.abandon(p.prepared);
     for (auto& [key, waiting] : part.busy)
-        for (const Asked& asked : waiting) answer(asked, Error::NotFirst);  // these never ran
+        for (const ClientRequest& asked : waiting) answer(asked, Error::NotPrimary);  // these never ran
     part.pending.clear();
     part.busy.clear();
     part.queued = 0;
     part.targets.clear();
     part.yielding = false;
-    part.role = Role::Copy;
+    part.role = Role::Replica;
 }
 
-void Holder::drop(std::uint32_t n, Part& part) {
-    if (part.role == Role::First) step_down(part);
+void ShardHolder::drop(std::uint32_t n, LocalShard& part) {
+    if (part.role == Role::Primary) step_down(part);
     if (part.role != Role::None) table_.clear(n);
     part.role = Role::None;
     part.origin = part.from = part.stream = part.upto = 0;
@@ -205,7 +205,7 @@
 
 // ---- Messages
 
-void Holder::received(TimePoint now, const Received& event) {
+void ShardHolder::received(TimePoint now, const MessageReceived& event) {
     wire::Message message;
     if (!message.ParseFromArray(event.body.data(), int(event.body.size()))) {
         ++counts_.malformed;
@@ -215,13 +215,13 @@
 
     for (const wire::Copy& c : message.copies()) {
         if (c.to() != session_ || session_ == 0 || !mine(c.shard())) continue;  // to another life
-        Part& part = parts_[c.shard()];
+        LocalShard& part = parts_[c.shard()];
         wire::Copied& reply = *out_->holders[c.from()].add_copied();
         reply.set_shard(c.shard());
         reply.set_from(session_);
         reply.set_to(c.from());
         reply.set_stream(c.stream());
-        if (c.view() < part.seen || (part.role == Role::First && c.view() <= part.entry.view)) {
+        if (c.view() < part.seen || (part.role == Role::Primary && c.view() <= part.entry.view)) {
             ++counts_.older;
             reply.set_view(part.seen);
             reply.set_older(true);
@@ -229,7 +229,7 @@
         }
         part.seen = c.view();
         reply.set_view(part.seen);
-        if (part.role == Role::First) step_down(part);  // it has yielded, and this is the view behind that
+        if (part.role == Role::Primary) step_down(part);  // it has yielded, and this is the view behind that
         std::uint64_t number = c.number();
         if (part.from != c.from() || part.stream != c.stream()) {
             bool begins = number == 1 && c.steps_size() > 0 && c.steps(0).what() == wire::Step::BEGIN;
@@ -241,7 +241,7 @@
                 table_.clear(c.shard(), c.version());
                 part.origin = c.origin();
             }
-            part.role = Role::Copy;
+            part.role = Role::Replica;
             part.from = c.from();
             part.stream = c.stream();
             part.upto = 0;
@@ -265,11 +265,11 @@
 
     for (const wire::Copied& c : message.copied()) {
         if (c.to() != session_ || session_ == 0 || !mine(c.shard())) continue;
-        Part& part = parts_[c.shard()];
+        LocalShard& part = parts_[c.shard()];
         part.seen = std::max(part.seen, c.view());  // above its own: it stops until it has heard of that view
         out_->news |= part.seen > part.entry.view;
-        if (c.older() || part.role != Role::First) continue;
-        for (Target& target : part.targets) {
+        if (c.older() || part.role != Role::Primary) continue;
+        for (CopyStream& target : part.targets) {
             if (target.who != c.from() || target.stream != c.stream() || c.upto() <= target.acked ||
                 c.upto() > target.last())
                 continue;
@@ -286,8 +286,8 @@
 
 // ---- Asks
 
-void Holder::answer(const Asked& asked, std::optional<Error> error, const Record* record,
-                    std::uint64_t version) {
+void ShardHolder::answer(const ClientRequest& asked, std::optional<Error> error, const Record* record,
+                         std::uint64_t version) {
     wire::Answer& a = *out_->peers[asked.from].add_answers();
     a.set_id(asked.ask.id());
     a.set_shard(asked.ask.shard());
@@ -299,26 +299,26 @@
         ++counts_.refused;
     }
     if (!mine(asked.ask.shard())) return;
-    const Entry& entry = parts_[asked.ask.shard()].entry;
+    const ShardAssignment& entry = parts_[asked.ask.shard()].entry;
     a.set_view(entry.view);
     if (error && asked.ask.view() != entry.view) to_wire(asked.ask.shard(), entry, *a.mutable_entry());
 }
 
-void Holder::ask(TimePoint now, const Asked& asked) {
+void ShardHolder::ask(TimePoint now, const ClientRequest& asked) {
     ++counts_.asks;
     const wire::Ask& a = asked.ask;
     Record record;
     if (!mine(a.shard()) || !from_wire(a.record(), record) ||
         table_.shard_of(record.kind, record.key) != a.shard())
         return answer(asked, Error::Malformed);
-    if (!serving(now)) return answer(asked, Error::Over);
-    Part& part = parts_[a.shard()];
+    if (!serving(now)) return answer(asked, Error::SessionExpired);
+    LocalShard& part = parts_[a.shard()];
     if (a.view() > part.entry.view || part.seen > part.entry.view) {
         out_->news = true;
-        return answer(asked, Error::Newer);
+        return answer(asked, Error::NewerView);
     }
-    if (a.view() < part.entry.view) return answer(asked, Error::Older);
-    if (part.role != Role::First || part.yielding) return answer(asked, Error::NotFirst);
+    if (a.view() < part.entry.view) return answer(asked, Error::OlderView);
+    if (part.role != Role::Primary || part.yielding) return answer(asked, Error::NotPrimary);
     if (auto busy = part.busy.find(Key(record.kind, record.key)); busy != part.busy.end()) {
         if (part.queued >= set_.waiting) return answer(asked, Error::Busy);
         ++part.queued;
@@ -330,14 +330,14 @@
     pump(now, a.shard(), part);
 }
 
-void Holder::execute(TimePoint now, Part& part, const Asked& asked) {
+void ShardHolder::execute(TimePoint now, LocalShard& part, const ClientRequest& asked) {
     const wire::Ask& a = asked.ask;
     Write write;
     if (!from_wire(a.record(), write.record)) return answer(asked, Error::Malformed);
     Record found;
     bool unknown = now < part.unknown_until && (!a.writes() || a.has_expect()) &&
                    !table_.find(write.record.kind, write.record.key, now, found);
-    if (unknown) return answer(asked, Error::Lost);
+    if (unknown) return answer(asked, Error::BothHoldersLost);
     if (!a.writes()) {
         bool there = table_.find(write.record.kind, write.record.key, now, found);
         return answer(asked, {}, there ? &found : nullptr);
@@ -345,25 +345,25 @@
     if (part.pending.size() >= set_.waiting) return answer(asked, Error::Busy);
     if (a.has_expect()) write.expect = a.expect();
     write.erase = a.erases();
-    Pending pending;
+    PendingWrite pending;
     Outcome outcome = table_.prepare(write, now, pending.prepared);
     if (outcome.error) return answer(asked, outcome.error, outcome.current ? &*outcome.current : nullptr);
     pending.asked = asked;
     pending.prepared_at = now;
     part.busy.try_emplace(Key(write.record.kind, write.record.key));
-    for (Target& target : part.targets) enter(pending, target, now);
+    for (CopyStream& target : part.targets) enter(pending, target, now);
     part.pending.push_back(std::move(pending));
 }
 
 /// What all who must have it have is done, answered, and lets those behind it go on.
-void Holder::complete(TimePoint now, std::uint32_t, Part& part) {
+void ShardHolder::complete(TimePoint now, std::uint32_t, LocalShard& part) {
     while (!part.pending.empty() && serving(now) && part.seen <= part.entry.view) {
-        for (const Target& target : part.targets) {
-            if (target.who != part.entry.second && !target.synced) continue;
+        for (const CopyStream& target : part.targets) {
+            if (target.who != part.entry.backup && !target.synced) continue;
             for (const auto& [who, step] : part.pending.front().needs)
                 if (who == target.who && step > target.acked) return;
         }
-        Pending pending = std::move(part.pending.front());
+        PendingWrite pending = std::move(part.pending.front());
         part.pending.pop_front();
         Key key(pending.prepared.record.kind, pending.prepared.record.key);
         std::uint64_t version = pending.prepared.record.version;
@@ -385,9 +385,9 @@
 
 // ---- Streams
 
-void Holder::begin(std::uint32_t n, Part& part, SessionId who, std::uint64_t since, bool keeps) {
+void ShardHolder::begin(std::uint32_t n, LocalShard& part, SessionId who, std::uint64_t since, bool keeps) {
     ++counts_.streams;
-    Target target;
+    CopyStream target;
     target.who = who;
     target.since = since;
     target.stream = ++streams_;
@@ -399,11 +399,11 @@
         target.synced = true;
         target.synced_at = 1;
     }
-    for (Pending& pending : part.pending) enter(pending, target, pending.prepared_at);
+    for (PendingWrite& pending : part.pending) enter(pending, target, pending.prepared_at);
     part.targets.push_back(std::move(target));
 }
 
-void Holder::enter(Pending& pending, Target& target, TimePoint) {
+void ShardHolder::enter(PendingWrite& pending, CopyStream& target, TimePoint) {
     wire::Step step;
     step.set_what(pending.prepared.erase ? wire::Step::ERASE : wire::Step::PUT);
     to_wire(pending.prepared.record, *step.mutable_record());
@@ -412,7 +412,7 @@
     pending.needs.emplace_back(target.who, number);
 }
 
-void Holder::next_page(TimePoint now, std::uint32_t n, Part& part, Target& target) {
+void ShardHolder::next_page(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target) {
     std::vector<Record> records;
     target.page = table_.for_shard(n, set_.page, *target.page, now, records);
     ++counts_.pages;
@@ -432,8 +432,8 @@
     target.page_end = target.last();
 }
 
-void Holder::pump(TimePoint now, std::uint32_t n, Part& part) {
-    if (part.role != Role::First || !serving(now) || part.seen > part.entry.view) return;
+void ShardHolder::pump(TimePoint now, std::uint32_t n, LocalShard& part) {
+    if (part.role != Role::Primary || !serving(now) || part.seen > part.entry.view) return;
     for (std::size_t i = 0; i < part.targets.size(); ++i) {
         if (!part.targets[i].synced && part.targets[i].steps.size() > set_.stream) {
             // It does not keep up, and what waits for it is bounded.
@@ -444,29 +444,30 @@
             begin(n, part, who, since, false);
             continue;
         }
-        Target& target = part.targets[i];
+        CopyStream& target = part.targets[i];
         if (target.page && target.acked >= target.page_end) next_page(now, n, part, target);
         if (!target.synced && !target.page && target.acked >= target.page_end) {
             target.synced = true;
             target.synced_at = target.last();
         }
-        if (target.ready() && target.who == part.entry.filling && now >= target.proposed) {
+        if (target.ready() && target.who == part.entry.catching_up && now >= target.proposed) {
             target.proposed = now + set_.propose;
-            out_->proposals.push_back(Views::filled(n, part.entry.view));
+            out_->proposals.push_back(ShardMapPlanner::caught_up_command(n, part.entry.view));
         }
         send(now, n, part, target);
     }
-    if (part.entry.yields && !part.yielding) part.yielding = true, part.yield_proposed = {};
+    if (part.entry.stepping_down && !part.yielding) part.yielding = true, part.yield_proposed = {};
     if (!part.yielding || !part.pending.empty() || now < part.yield_proposed) return;
-    bool all = std::all_of(part.targets.begin(), part.targets.end(),
-                           [&](const Target& t) { return t.who != part.entry.second || t.steps.empty(); });
-    if (all && part.entry.second != 0) {
+    bool all = std::all_of(part.targets.begin(), part.targets.end(), [&](const CopyStream& t) {
+        return t.who != part.entry.backup || t.steps.empty();
+    });
+    if (all && part.entry.backup != 0) {
         part.yield_proposed = now + set_.propose;
-        out_->proposals.push_back(Views::yielded(n, part.entry.view));
+        out_->proposals.push_back(ShardMapPlanner::stepped_down_command(n, part.entry.view));
     }
 }
 
-void Holder::send(TimePoint now, std::uint32_t n, Part& part, Target& target) {
+void ShardHolder::send(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target) {
     if (target.sent > target.acked && now >= target.resend) {
         target.sent = target.acked;
         ++counts_.resent;
@@ -489,11 +490,11 @@
     }
 }
 
-void Holder::look(TimePoint now) {
+void ShardHolder::look(TimePoint now) {
     if (session_ == 0) return;
     for (std::uint32_t n = 0; n < parts_.size(); ++n) {
         if (!mine(n)) continue;
-        Part& part = parts_[n];
+        LocalShard& part = parts_[n];
         if (part.role != Role::None) table_.expire(n, now, set_.sweep);
         pump(now, n, part);
         complete(now, n, part);
@@ -502,15 +503,16 @@
     auto place = map_.holders.find(session_);
     if (leaving_ ? place != map_.holders.end() && !place->second.leaving : place == map_.holders.end()) {
         proposed_ = now + set_.propose;
-        out_->proposals.push_back(leaving_ ? Views::leave() : Views::offer(set_.address));
+        out_->proposals.push_back(leaving_ ? ShardMapPlanner::leave_command()
+                                           : ShardMapPlanner::offer_command(set_.address));
     }
 }
 
-void Holder::flush(Actions& actions) {
-    for (auto& [to, message] : out_->holders) actions.push_back(Tell{to, message.SerializeAsString()});
-    for (auto& [to, message] : out_->peers) actions.push_back(Answered{to, message.SerializeAsString()});
-    for (std::string& body : out_->proposals) actions.push_back(Propose{std::move(body)});
-    if (std::exchange(out_->news, false)) actions.push_back(AskNews{});
+void ShardHolder::flush(Actions& actions) {
+    for (auto& [to, message] : out_->holders) actions.push_back(SendMessage{to, message.SerializeAsString()});
+    for (auto& [to, message] : out_->peers) actions.push_back(SendResponse{to, message.SerializeAsString()});
+    for (std::string& body : out_->proposals) actions.push_back(SubmitCommand{std::move(body)});
+    if (std::exchange(out_->news, false)) actions.push_back(QueryMap{});
     out_->holders.clear(), out_->peers.clear(), out_->proposals.clear();
 }
 
--- a/src/fleet/shards/holder.h
+++ b/src/fleet/shards/shard_holder.h
@@ -21,14 +21,14 @@
 #include <variant>
 #include <vector>
 
+#include "fleet/shards/shard_map_planner.h"
 #include "fleet/shards/table.h"
-#include "fleet/shards/views.h"
 
 namespace ochrehub::shards {
 
-using Peer = std::uint64_t;  ///< whoever asks: a number of the shell's, to answer to
+using RequesterId = std::uint64_t;  ///< whoever asks: a number of the shell's, to answer to
 
-class Holder {
+class ShardHolder {
 public:
     struct Settings {
         std::string address;      ///< where others reach it, for the map
@@ -46,49 +46,49 @@
     };
 
     // ---- What happens
-    struct Renewed {  ///< the session stands
+    struct SessionRenewed {  ///< the session stands
         SessionId session = 0;
         TimePoint until{};      ///< counted from before it was asked for, to a margin before its end:
                                 ///< coordinator::SessionRenewed
         std::string_view news;  ///< the machine's; empty: none came with it
     };
-    struct SessionOver {
+    struct SessionExpired {
     };  ///< the keepers said so, or the process gave it up: nothing that it holds counts any more
-    struct Received {
-        Peer from = 0;
+    struct MessageReceived {
+        RequesterId from = 0;
         std::string_view body;
     };
     struct Leave {};  ///< hand everything on
-    struct Woken {};
-    using Event = std::variant<Renewed, SessionOver, Received, Leave, Woken>;
+    struct TimerFired {};
+    using Event = std::variant<SessionRenewed, SessionExpired, MessageReceived, Leave, TimerFired>;
 
     // ---- What is to be done about it
-    struct Tell {  ///< another holder
+    struct SendMessage {  ///< another holder
         SessionId to = 0;
         std::string body;
     };
-    struct Answered {  ///< to who asked
-        Peer to = 0;
+    struct SendResponse {  ///< to who asked
+        RequesterId to = 0;
         std::string body;
     };
-    struct Propose {  ///< to the keepers' machine "views", for this session
+    struct SubmitCommand {  ///< to the keepers' machine "views", for this session
         std::string body;
     };
-    struct AskNews {};  ///< there is a newer map: renew now rather than in time
-    struct WakeAt {
+    struct QueryMap {};  ///< there is a newer map: renew now rather than in time
+    struct SetTimer {
         TimePoint at;
     };
-    using Action = std::variant<Tell, Answered, Propose, AskNews, WakeAt>;
+    using Action = std::variant<SendMessage, SendResponse, SubmitCommand, QueryMap, SetTimer>;
     using Actions = std::vector<Action>;
 
-    Holder(const Settings& settings, Table& table);
-    ~Holder();
+    ShardHolder(const Settings& settings, Table& table);
+    ~ShardHolder();
 
     void handle(TimePoint now, const Event& event, Actions& actions);
 
     bool serving(TimePoint now) const { return session_ != 0 && now < valid_until_; }
     SessionId session() const { return session_; }
-    const ViewMap& map() const { return map_; }
+    const ShardMap& map() const { return map_; }
     /// Nothing in the map names it any more: after Leave it may end.
     bool free() const;
 
@@ -99,38 +99,38 @@
     const Counts& counts() const { return counts_; }
 
 private:
-    enum class Role : std::uint8_t { None, First, Copy };
-    struct Asked;
-    struct Pending;
-    struct Target;
-    struct Part;
+    enum class Role : std::uint8_t { None, Primary, Replica };
+    struct ClientRequest;
+    struct PendingWrite;
+    struct CopyStream;
+    struct LocalShard;
     struct Outbox;
 
-    void renewed(TimePoint now, const Renewed& event);
-    void received(TimePoint now, const Received& event);
+    void renewed(TimePoint now, const SessionRenewed& event);
+    void received(TimePoint now, const MessageReceived& event);
     void reset();
-    void take(TimePoint now, std::uint32_t n, const Entry& entry);
-    void become_first(TimePoint now, std::uint32_t n, Part& part);
-    void step_down(Part& part);
-    void drop(std::uint32_t n, Part& part);
-    void ask(TimePoint now, const Asked& asked);
-    void execute(TimePoint now, Part& part, const Asked& asked);
-    void answer(const Asked& asked, std::optional<Error> error, const Record* record = nullptr,
+    void take(TimePoint now, std::uint32_t n, const ShardAssignment& entry);
+    void become_first(TimePoint now, std::uint32_t n, LocalShard& part);
+    void step_down(LocalShard& part);
+    void drop(std::uint32_t n, LocalShard& part);
+    void ask(TimePoint now, const ClientRequest& asked);
+    void execute(TimePoint now, LocalShard& part, const ClientRequest& asked);
+    void answer(const ClientRequest& asked, std::optional<Error> error, const Record* record = nullptr,
                 std::uint64_t version = 0);
-    void complete(TimePoint now, std::uint32_t n, Part& part);
-    void begin(std::uint32_t n, Part& part, SessionId who, std::uint64_t since, bool keeps);
-    void enter(Pending& pending, Target& target, TimePoint now);
-    void next_page(TimePoint now, std::uint32_t n, Part& part, Target& target);
-    void pump(TimePoint now, std::uint32_t n, Part& part);
-    void send(TimePoint now, std::uint32_t n, Part& part, Target& target);
+    void complete(TimePoint now, std::uint32_t n, LocalShard& part);
+    void begin(std::uint32_t n, LocalShard& part, SessionId who, std::uint64_t since, bool keeps);
+    void enter(PendingWrite& pending, CopyStream& target, TimePoint now);
+    void next_page(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target);
+    void pump(TimePoint now, std::uint32_t n, LocalShard& part);
+    void send(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target);
     void look(TimePoint now);
     void flush(Actions& actions);
     bool mine(std::uint32_t n) const;
 
     Settings set_;
     Table& table_;
-    ViewMap map_;
-    std::vector<Part> parts_;
+    ShardMap map_;
+    std::vector<LocalShard> parts_;
     SessionId session_ = 0;
     TimePoint valid_until_{}, proposed_{};
     bool leaving_ = false;
--- a/src/fleet/shards/views.cpp
+++ b/src/fleet/shards/shard_map_planner.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shards/views.h"
+#include "fleet/shards/shard_map_planner.h"
 
 #include <algorithm>
 #include <tuple>
@@ -9,10 +9,10 @@
 namespace ochrehub::shards {
 namespace {
 
-void to_wire_map(const ViewMap& map, wire::Map& out) {
+void to_wire_map(const ShardMap& map, wire::Map& out) {
     out.set_number(map.number);
     std::uint32_t shard = 0;
-    for (const Entry& entry : map.entries) to_wire(shard++, entry, *out.add_entries());
+    for (const ShardAssignment& entry : map.entries) to_wire(shard++, entry, *out.add_entries());
     for (const auto& [session, place] : map.holders) {
         wire::Holder& h = *out.add_holders();
         h.set_session(session);
@@ -22,8 +22,8 @@
         h.set_leaving(place.leaving);
     }
 }
-bool from_wire_map(const wire::Map& in, ViewMap& map) {
-    ViewMap read;
+bool from_wire_map(const wire::Map& in, ShardMap& map) {
+    ShardMap read;
     read.number = in.number();
     for (const wire::Entry& e : in.entries()) {
         if (e.shard() != read.entries.size()) return false;
@@ -43,45 +43,45 @@
 
 }  // namespace
 
-std::string encode(const ViewMap& map) {
+std::string encode(const ShardMap& map) {
     wire::Map out;
     to_wire_map(map, out);
     return out.SerializeAsString();
 }
-bool decode(std::string_view octets, ViewMap& map) {
+bool decode(std::string_view octets, ShardMap& map) {
     wire::Map in;
     return in.ParseFromArray(octets.data(), int(octets.size())) && in.entries_size() > 0 &&
            from_wire_map(in, map);
 }
 
-Views::Views(const Settings& settings) : set_(settings) {
+ShardMapPlanner::ShardMapPlanner(const Settings& settings) : set_(settings) {
     map_.entries.resize(set_.shards);
 }
 
-std::string Views::offer(std::string_view address) {
+std::string ShardMapPlanner::offer_command(std::string_view address) {
     wire::Command c;
     c.mutable_offer()->set_address(std::string(address));
     return c.SerializeAsString();
 }
-std::string Views::leave(SessionId session) {
+std::string ShardMapPlanner::leave_command(SessionId session) {
     wire::Command c;
     c.mutable_leave()->set_session(session);
     return c.SerializeAsString();
 }
-std::string Views::filled(std::uint32_t shard, std::uint64_t view) {
+std::string ShardMapPlanner::caught_up_command(std::uint32_t shard, std::uint64_t view) {
     wire::Command c;
     c.mutable_filled()->set_shard(shard);
     c.mutable_filled()->set_view(view);
     return c.SerializeAsString();
 }
-std::string Views::yielded(std::uint32_t shard, std::uint64_t view) {
+std::string ShardMapPlanner::stepped_down_command(std::uint32_t shard, std::uint64_t view) {
     wire::Command c;
     c.mutable_yielded()->set_shard(shard);
     c.mutable_yielded()->set_view(view);
     return c.SerializeAsString();
 }
 
-std::string Views::apply(const coordinator::Command& command) {
+std::string ShardMapPlanner::apply(const coordinator::Command& command) {
     wire::Command c;
     if (!c.ParseFromArray(command.body.data(), int(command.body.size())))
         return reply(map_.number, Error::Malformed);
@@ -91,12 +91,12 @@
             auto process = sessions_.find(command.session);
             const std::string& address = c.offer().address();
             if (process == sessions_.end())
-                error = Error::Over;
+                error = Error::SessionExpired;
             else if (address.empty() || address.size() > set_.address)
                 error = Error::Malformed;
             else if (!map_.holders.contains(command.session) && map_.holders.size() >= set_.holders)
                 error = Error::Full;
-            else if (HolderPlace place{process->second.name, process->second.zone, address, false};
+            else if (HolderInfo place{process->second.name, process->second.zone, address, false};
                      !map_.holders.contains(command.session) || map_.holders.at(command.session) != place) {
                 map_.holders[command.session] = std::move(place);
                 ++map_.number;
@@ -109,7 +109,7 @@
             if (command.session != 0 && command.session != who)
                 error = Error::Malformed;  // only operators speak for others
             else if (holder == map_.holders.end())
-                error = Error::Over;
+                error = Error::SessionExpired;
             else if (!holder->second.leaving)
                 holder->second.leaving = true, ++map_.number;
             break;
@@ -122,22 +122,22 @@
                 error = Error::Malformed;
                 break;
             }
-            Entry& entry = map_.entries[change.shard()];
+            ShardAssignment& entry = map_.entries[change.shard()];
             if (entry.view != change.view())
-                error = Error::Older;
-            else if (entry.first != command.session || command.session == 0)
-                error = Error::NotFirst;
-            else if (filled ? entry.filling == 0 : entry.second == 0 || !entry.yields)
+                error = Error::OlderView;
+            else if (entry.primary != command.session || command.session == 0)
+                error = Error::NotPrimary;
+            else if (filled ? entry.catching_up == 0 : entry.backup == 0 || !entry.stepping_down)
                 error = Error::Malformed;
             else if (filled) {
-                entry.second = std::exchange(entry.filling, 0);
-                entry.second_since = std::exchange(entry.filling_since, 0);
+                entry.backup = std::exchange(entry.catching_up, 0);
+                entry.backup_since = std::exchange(entry.catching_up_since, 0);
                 changed(entry);
             } else {
-                std::swap(entry.first, entry.second);
-                entry.yields = false;
+                std::swap(entry.primary, entry.backup);
+                entry.stepping_down = false;
                 changed(entry);
-                entry.second_since = entry.view;
+                entry.backup_since = entry.view;
             }
             break;
         }
@@ -148,53 +148,54 @@
     return reply(map_.number, error);
 }
 
-void Views::session_opened(SessionId session, std::string_view name, std::string_view zone) {
+void ShardMapPlanner::session_opened(SessionId session, std::string_view name, std::string_view zone) {
     sessions_[session] = {std::string(name), std::string(zone)};
 }
 
-void Views::session_ended(SessionId session) {
+void ShardMapPlanner::session_ended(SessionId session) {
     sessions_.erase(session);
     if (map_.holders.erase(session) == 0) return;
     ++map_.number;
-    for (Entry& entry : map_.entries) {
-        if (entry.filling == session) entry.filling = 0, changed(entry);
-        if (entry.second == session) entry.second = 0, entry.yields = false, changed(entry);
-        if (entry.first != session) continue;
-        entry.first = std::exchange(entry.second, 0);
-        entry.yields = false;
-        if (entry.first == 0) entry.filling = 0;  // it has a part alone, and of what nobody can say
+    for (ShardAssignment& entry : map_.entries) {
+        if (entry.catching_up == session) entry.catching_up = 0, changed(entry);
+        if (entry.backup == session) entry.backup = 0, entry.stepping_down = false, changed(entry);
+        if (entry.primary != session) continue;
+        entry.primary = std::exchange(entry.backup, 0);
+        entry.stepping_down = false;
+        if (entry.primary == 0) entry.catching_up = 0;  // it has a part alone, and of what nobody can say
         changed(entry);
     }
-    for (Entry& entry : map_.entries) {
-        if (entry.second == 0) entry.second_since = 0;
-        if (entry.filling == 0) entry.filling_since = 0;
+    for (ShardAssignment& entry : map_.entries) {
+        if (entry.backup == 0) entry.backup_since = 0;
+        if (entry.catching_up == 0) entry.catching_up_since = 0;
     }
     settle();
 }
 
-std::map<SessionId, Views::Load> Views::loads() const {
+std::map<SessionId, ShardMapPlanner::Load> ShardMapPlanner::loads() const {
     std::map<SessionId, Load> loads;
     for (const auto& [session, place] : map_.holders) loads[session];
-    for (const Entry& entry : map_.entries) {
+    for (const ShardAssignment& entry : map_.entries) {
         // As it will be when what is under way is over: else each plan would be made again until the first is
         // carried out.
-        if (entry.first)
-            ++loads[entry.first].roles, ++loads[entry.yields ? entry.second : entry.first].firsts;
-        if (entry.second && !entry.filling) ++loads[entry.second].roles;
-        if (entry.filling) ++loads[entry.filling].roles;
+        if (entry.primary)
+            ++loads[entry.primary].roles, ++loads[entry.stepping_down ? entry.backup : entry.primary].firsts;
+        if (entry.backup && !entry.catching_up) ++loads[entry.backup].roles;
+        if (entry.catching_up) ++loads[entry.catching_up].roles;
     }
     return loads;
 }
 
 // One that stays before one that leaves, one in another zone than the first before one in the same, the one
 // with the fewest shards. One that leaves is better than no second holder at all.
-SessionId Views::choose(const std::map<SessionId, Load>& loads, const Entry& entry, From from) const {
+SessionId ShardMapPlanner::choose(const std::map<SessionId, Load>& loads, const ShardAssignment& entry,
+                                  From from) const {
     SessionId best = 0;
     std::tuple<bool, bool, std::size_t> best_rank;
     for (const auto& [session, load] : loads) {
         bool leaving = map_.holders.at(session).leaving;
-        bool same = entry.first != 0 && !apart(session, entry.first);
-        if (session == entry.first || session == entry.second || (leaving && from != From::Anybody) ||
+        bool same = entry.primary != 0 && !apart(session, entry.primary);
+        if (session == entry.primary || session == entry.backup || (leaving && from != From::Anybody) ||
             (same && from == From::OtherZone))
             continue;
         std::tuple rank(leaving, same, load.roles);
@@ -203,7 +204,7 @@
     return best;
 }
 
-void Views::settle() {
+void ShardMapPlanner::settle() {
     while (settle_once(false)) {
     }
     // Each plan lets one move begin or finds none.
@@ -212,28 +213,29 @@
 }
 
 /// One change; false: there is none to be made now.
-bool Views::settle_once(bool plan) {
+bool ShardMapPlanner::settle_once(bool plan) {
     std::map<SessionId, Load> load = loads();
     if (load.empty()) return false;
     if (!plan) {
         std::size_t filling = 0;
-        for (const Entry& entry : map_.entries) filling += entry.filling != 0 && entry.second == 0;
-        for (Entry& entry : map_.entries) {
-            if (entry.first == 0) {
+        for (const ShardAssignment& entry : map_.entries)
+            filling += entry.catching_up != 0 && entry.backup == 0;
+        for (ShardAssignment& entry : map_.entries) {
+            if (entry.primary == 0) {
                 SessionId who = choose(load, entry, From::Anybody);
                 if (who == 0) continue;
-                entry.first = who;
+                entry.primary = who;
                 entry.lost = entry.origin != 0;
                 changed(entry);
                 entry.origin = entry.view;
                 ++load[who].roles;
             }
-            if (entry.second == 0 && entry.filling == 0 && filling < set_.repairs) {
+            if (entry.backup == 0 && entry.catching_up == 0 && filling < set_.repairs) {
                 SessionId who = choose(load, entry, From::Anybody);
                 if (who == 0) continue;
-                entry.filling = who;
+                entry.catching_up = who;
                 changed(entry);
-                entry.filling_since = entry.view;
+                entry.catching_up_since = entry.view;
                 ++load[who].roles, ++filling;
             }
         }
@@ -241,28 +243,30 @@
     }
     std::size_t moving = 0;
     bool repairing = false;
-    for (const Entry& entry : map_.entries) {
-        moving += (entry.filling != 0 && entry.second != 0) || entry.yields;
-        repairing |= entry.second == 0;
+    for (const ShardAssignment& entry : map_.entries) {
+        moving += (entry.catching_up != 0 && entry.backup != 0) || entry.stepping_down;
+        repairing |= entry.backup == 0;
     }
     if (moving >= set_.moves) return false;
-    auto still = [](const Entry& entry) { return entry.second != 0 && entry.filling == 0 && !entry.yields; };
-    auto fill = [&](Entry& entry, SessionId who) {
-        entry.filling = who;
+    auto still = [](const ShardAssignment& entry) {
+        return entry.backup != 0 && entry.catching_up == 0 && !entry.stepping_down;
+    };
+    auto fill = [&](ShardAssignment& entry, SessionId who) {
+        entry.catching_up = who;
         changed(entry);
-        entry.filling_since = entry.view;
+        entry.catching_up_since = entry.view;
         return true;
     };
-    auto yield = [&](Entry& entry) {  // the holders stay what they are until the first has stopped
-        entry.yields = true;
+    auto yield = [&](ShardAssignment& entry) {  // the holders stay what they are until the first has stopped
+        entry.stepping_down = true;
         ++map_.number;
         return true;
     };
     // Zones, and those who leave.
-    for (Entry& entry : map_.entries) {
+    for (ShardAssignment& entry : map_.entries) {
         if (!still(entry)) continue;
-        const HolderPlace &first = map_.holders.at(entry.first), &second = map_.holders.at(entry.second);
-        if (second.leaving || !apart(entry.first, entry.second)) {
+        const HolderInfo &first = map_.holders.at(entry.primary), &second = map_.holders.at(entry.backup);
+        if (second.leaving || !apart(entry.primary, entry.backup)) {
             SessionId who = choose(load, entry, second.leaving ? From::WhoStays : From::OtherZone);
             if (who != 0) return fill(entry, who);
         }
@@ -277,22 +281,22 @@
         if (least == 0 || l.roles < load[least].roles) least = session;
     }
     if (most != 0 && load[most].roles >= load[least].roles + 2) {
-        for (Entry& entry : map_.entries)
-            if (still(entry) && entry.second == most && entry.first != least && apart(entry.first, least))
+        for (ShardAssignment& entry : map_.entries)
+            if (still(entry) && entry.backup == most && entry.primary != least && apart(entry.primary, least))
                 return fill(entry, least);
-        for (Entry& entry : map_.entries)
-            if (still(entry) && entry.first == most && entry.second != least && apart(entry.second, least) &&
-                load[most].firsts > load[entry.second].firsts)
+        for (ShardAssignment& entry : map_.entries)
+            if (still(entry) && entry.primary == most && entry.backup != least &&
+                apart(entry.backup, least) && load[most].firsts > load[entry.backup].firsts)
                 return yield(entry);
     }
-    for (Entry& entry : map_.entries)
-        if (still(entry) && !map_.holders.at(entry.second).leaving &&
-            load[entry.first].firsts >= load[entry.second].firsts + 2)
+    for (ShardAssignment& entry : map_.entries)
+        if (still(entry) && !map_.holders.at(entry.backup).leaving &&
+            load[entry.primary].firsts >= load[entry.backup].firsts + 2)
             return yield(entry);
     return false;
 }
 
-std::string Views::session_update(SessionId) const {
+std::string ShardMapPlanner::session_update(SessionId) const {
     if (news_number_ != map_.number) {
         news_ = encode(map_);
         news_number_ = map_.number;
@@ -300,7 +304,7 @@
     return news_;
 }
 
-std::string Views::snapshot() const {
+std::string ShardMapPlanner::snapshot() const {
     wire::Snapshot out;
     to_wire_map(map_, *out.mutable_map());
     for (const auto& [id, process] : sessions_) {
@@ -312,14 +316,14 @@
     return out.SerializeAsString();
 }
 
-bool Views::restore(std::uint32_t of, std::string_view bytes) {
+bool ShardMapPlanner::restore(std::uint32_t of, std::string_view bytes) {
     wire::Snapshot in;
-    ViewMap map;
+    ShardMap map;
     if (of != schema() || !in.ParseFromArray(bytes.data(), int(bytes.size())) ||
         !from_wire_map(in.map(), map) || map.entries.size() != set_.shards)
         return false;
-    for (const Entry& entry : map.entries)
-        for (SessionId who : {entry.first, entry.second, entry.filling})
+    for (const ShardAssignment& entry : map.entries)
+        for (SessionId who : {entry.primary, entry.backup, entry.catching_up})
             if (who != 0 && !map.holders.contains(who)) return false;
     map_ = std::move(map);
     sessions_.clear();
--- a/src/fleet/shards/views.h
+++ b/src/fleet/shards/shard_map_planner.h
@@ -22,31 +22,31 @@
 using coordinator::SessionId;
 
 /// A shard in the map, as all sides use it.
-struct Entry {
+struct ShardAssignment {
     std::uint64_t view = 0, origin = 0;
     bool lost = false;
-    SessionId first = 0, second = 0, filling = 0;
-    bool yields = false;
+    SessionId primary = 0, backup = 0, catching_up = 0;
+    bool stepping_down = false;
     /// The views in which these two were given the shard: a holder that was taken out and put in again, which
     /// a first that slept over the view between cannot see otherwise, has nothing of before.
-    std::uint64_t second_since = 0, filling_since = 0;
-    friend bool operator==(const Entry&, const Entry&) = default;
+    std::uint64_t backup_since = 0, catching_up_since = 0;
+    friend bool operator==(const ShardAssignment&, const ShardAssignment&) = default;
 };
-struct HolderPlace {
+struct HolderInfo {
     std::string name, zone, address;
     bool leaving = false;
-    friend bool operator==(const HolderPlace&, const HolderPlace&) = default;
+    friend bool operator==(const HolderInfo&, const HolderInfo&) = default;
 };
-struct ViewMap {
+struct ShardMap {
     std::uint64_t number = 0;
-    std::vector<Entry> entries;
-    std::map<SessionId, HolderPlace> holders;
+    std::vector<ShardAssignment> entries;
+    std::map<SessionId, HolderInfo> holders;
 };
-std::string encode(const ViewMap& map);
+std::string encode(const ShardMap& map);
 /// False: octets that are no map; nothing was taken.
-bool decode(std::string_view octets, ViewMap& map);
+bool decode(std::string_view octets, ShardMap& map);
 
-class Views : public coordinator::StateMachine {
+class ShardMapPlanner : public coordinator::StateMachine {
 public:
     struct Settings {
         std::size_t shards = 256;
@@ -55,7 +55,7 @@
         std::size_t holders = 1024;
         std::size_t address = 256;  ///< octets of one
     };
-    explicit Views(const Settings& settings);
+    explicit ShardMapPlanner(const Settings& settings);
 
     std::string_view kind() const override { return "views"; }
     std::uint32_t schema() const override { return 1; }
@@ -70,13 +70,13 @@
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    const ViewMap& map() const { return map_; }
+    const ShardMap& map() const { return map_; }
 
     // What a process proposes.
-    static std::string offer(std::string_view address);
-    static std::string leave(SessionId session = 0);
-    static std::string filled(std::uint32_t shard, std::uint64_t view);
-    static std::string yielded(std::uint32_t shard, std::uint64_t view);
+    static std::string offer_command(std::string_view address);
+    static std::string leave_command(SessionId session = 0);
+    static std::string caught_up_command(std::uint32_t shard, std::uint64_t view);
+    static std::string stepped_down_command(std::uint32_t shard, std::uint64_t view);
 
 private:
     struct Process {
@@ -89,12 +89,12 @@
     bool settle_once(bool plan);
     std::map<SessionId, Load> loads() const;
     enum class From : std::uint8_t { OtherZone, WhoStays, Anybody };
-    SessionId choose(const std::map<SessionId, Load>& loads, const Entry& entry, From from) const;
+    SessionId choose(const std::map<SessionId, Load>& loads, const ShardAssignment& entry, From from) const;
     bool apart(SessionId a, SessionId b) const { return map_.holders.at(a).zone != map_.holders.at(b).zone; }
-    void changed(Entry& entry) { entry.view = ++map_.number; }
+    void changed(ShardAssignment& entry) { entry.view = ++map_.number; }
 
     Settings set_;
-    ViewMap map_;
+    ShardMap map_;
     std::map<SessionId, Process> sessions_;
     mutable std::string news_;
     mutable std::uint64_t news_number_ = ~0ull;
--- a/src/fleet/shards/side.cpp
+++ b/src/fleet/shards/shard_service.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shards/side.h"
+#include "fleet/shards/shard_service.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -17,7 +17,7 @@
     out << at;
     return out.str();
 }
-SideSettings agreed(SideSettings set) {
+ShardServiceSettings agreed(ShardServiceSettings set) {
     set.client.shards = set.table.shards;
     set.client.instance = set.mesh.channel.self.instance;
     set.threads = std::max<std::size_t>(1, set.threads);
@@ -27,29 +27,29 @@
 }  // namespace
 
 // Its shards are those whose number divided by the workers' leaves its own; nobody else calls its core.
-struct Side::Worker {
-    Worker(Side& s, const Holder::Settings& settings, Table& table, Clock clock)
+struct ShardService::Worker {
+    Worker(ShardService& s, const ShardHolder::Settings& settings, Table& table, Clock clock)
         : side(s), work(io.get_executor()), scheduler(io, clock), core(settings, table) {}
 
     void post(std::function<void()> what) { boost::asio::post(io, std::move(what)); }
-    void handle(const Holder::Event& event) {
-        Holder::Actions actions;
+    void handle(const ShardHolder::Event& event) {
+        ShardHolder::Actions actions;
         core.handle(scheduler.now(), event, actions);
-        for (Holder::Action& action : actions) {
-            if (auto* wake = std::get_if<Holder::WakeAt>(&action)) {
+        for (ShardHolder::Action& action : actions) {
+            if (auto* wake = std::get_if<ShardHolder::SetTimer>(&action)) {
                 if (timer != 0) scheduler.cancel(timer);
                 timer = scheduler.call_at(wake->at, [this] {
                     timer = 0;
-                    handle(Holder::Woken{});
+                    handle(ShardHolder::TimerFired{});
                 });
                 continue;
             }
             boost::asio::post(side.io_, [this, a = std::move(action)]() mutable {
-                if (auto* tell = std::get_if<Holder::Tell>(&a))
+                if (auto* tell = std::get_if<ShardHolder::SendMessage>(&a))
                     side.tell(tell->to, std::move(tell->body));
-                else if (auto* answered = std::get_if<Holder::Answered>(&a))
+                else if (auto* answered = std::get_if<ShardHolder::SendResponse>(&a))
                     side.answer(answered->to, std::move(answered->body));
-                else if (auto* proposes = std::get_if<Holder::Propose>(&a))
+                else if (auto* proposes = std::get_if<ShardHolder::SubmitCommand>(&a))
                     side.propose(std::move(proposes->body));
                 else
                     side.ask_news();
@@ -58,17 +58,17 @@
         if (core.map().number > 0) free.store(core.free(), std::memory_order_relaxed);
     }
 
-    Side& side;
+    ShardService& side;
     boost::asio::io_context io{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work;
     AsioScheduler scheduler;
-    Holder core;
+    ShardHolder core;
     TimerId timer = 0;
     std::atomic<bool> free{false};
     std::thread thread;
 };
 
-Side::Side(SideSettings settings, Clock clock, coordinator::SessionThread& keepers)
+ShardService::ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& keepers)
     : set_(agreed(std::move(settings))),
       clock_(clock),
       keepers_(keepers),
@@ -82,7 +82,7 @@
         if (kind == channel::Kind::Shard) deliver(peer.instance, body);
     };
     for (std::size_t i = 0; set_.holds && i < set_.threads; ++i) {
-        Holder::Settings holder = set_.holder;
+        ShardHolder::Settings holder = set_.holder;
         holder.part = i, holder.parts = set_.threads;
         workers_.push_back(std::make_unique<Worker>(*this, holder, table_, clock_));
     }
@@ -91,7 +91,7 @@
     });
 }
 
-Side::~Side() {
+ShardService::~ShardService() {
     for (auto& worker : workers_) worker->io.stop();
     for (auto& worker : workers_)
         if (worker->thread.joinable()) worker->thread.join();
@@ -103,53 +103,54 @@
     io_.poll();
 }
 
-void Side::start() {
+void ShardService::start() {
     auto ended = [](const std::exception& error) {
         log_line(LogLevel::Error, "shards: %s: this process takes no further part", error.what());
     };
     for (auto& worker : workers_) {
         Worker* w = worker.get();
-        w->post([w] { w->handle(Holder::Woken{}); });
+        w->post([w] { w->handle(ShardHolder::TimerFired{}); });
         w->thread = side_thread(w->io, ended);
     }
     thread_ = side_thread(io_, ended);
 }
 
-void Side::ask(bool writes, Write write, Duration within, Done done, bool stays) {
+void ShardService::ask(bool writes, Write write, Duration within, Callback done, bool stays) {
     boost::asio::post(
         io_, [this, writes, write = std::move(write), within, done = std::move(done), stays]() mutable {
             std::uint64_t id = next_++;
             done_.emplace(id, std::move(done));
-            handle(Client::Ask{id, writes, std::move(write), scheduler_.now() + within, stays});
+            handle(ShardClient::Request{id, writes, std::move(write), scheduler_.now() + within, stays});
         });
 }
 
-void Side::leave() {
-    for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(Holder::Leave{}); });
+void ShardService::leave() {
+    for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(ShardHolder::Leave{}); });
 }
 
-void Side::told(const coordinator::SessionThread::Notification& what) {
+void ShardService::told(const coordinator::SessionThread::Notification& what) {
     if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
         session_ = held->session, until_ = held->until;
         for (auto& worker : workers_)
             worker->post([w = worker.get(), s = session_, until = until_] {
-                w->handle(Holder::Renewed{s, until, {}});
+                w->handle(ShardHolder::SessionRenewed{s, until, {}});
             });
     } else if (const auto* lost = std::get_if<coordinator::SessionLost>(&what)) {
         if (lost->session == session_) session_ = 0;
-        for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(Holder::SessionOver{}); });
+        for (auto& worker : workers_)
+            worker->post([w = worker.get()] { w->handle(ShardHolder::SessionExpired{}); });
     } else if (const auto& one = std::get<coordinator::SessionUpdate>(what); one.kind == "views") {
         news(one.bytes);
     }
 }
 
-void Side::news(const std::string& map) {
+void ShardService::news(const std::string& map) {
     if (session_ != 0)
         for (auto& worker : workers_)
             worker->post([w = worker.get(), s = session_, until = until_, map] {
-                w->handle(Holder::Renewed{s, until, map});
+                w->handle(ShardHolder::SessionRenewed{s, until, map});
             });
-    handle(Client::News{map});
+    handle(ShardClient::MapReceived{map});
     map_number_.store(client_.map().number, std::memory_order_relaxed);
     std::set<std::string> addresses;
     for (const auto& [session, place] : client_.map().holders)
@@ -163,7 +164,7 @@
                         [](const auto& w) { return w->free.load(std::memory_order_relaxed); });
 }
 
-void Side::ask_news() {
+void ShardService::ask_news() {
     if (std::exchange(asking_news_, true)) return;
     keepers_.query("views", {}, [this](coordinator::Error error, std::string map) {
         boost::asio::post(io_, [this, error, map = std::move(map)] {
@@ -173,13 +174,13 @@
     });
 }
 
-void Side::propose(std::string body) {
+void ShardService::propose(std::string body) {
     keepers_.submit("views", std::move(body), [this](coordinator::Error error, const std::string&) {
         if (error == coordinator::Error::None) boost::asio::post(io_, [this] { ask_news(); });
     });
 }
 
-void Side::tell(SessionId to, std::string body) {
+void ShardService::tell(SessionId to, std::string body) {
     if (to == session_) return deliver(0, body);
     auto holder = client_.map().holders.find(to);
     if (holder == client_.map().holders.end()) return;
@@ -188,15 +189,15 @@
         mesh_.send(instance, channel::Kind::Shard, std::move(body));
 }
 
-void Side::answer(std::uint64_t to, std::string body) {
+void ShardService::answer(std::uint64_t to, std::string body) {
     if (to == 0) return deliver(0, body);
     mesh_.send(to, channel::Kind::Shard, std::move(body));
 }
 
-void Side::deliver(std::uint64_t from, const std::string& body) {
+void ShardService::deliver(std::uint64_t from, const std::string& body) {
     wire::Message message;
     if (!message.ParseFromString(body)) return;
-    if (message.answers_size() > 0) handle(Client::Received{body});
+    if (message.answers_size() > 0) handle(ShardClient::MessageReceived{body});
     if (workers_.empty()) return;
     std::vector<wire::Message> parts(workers_.size());
     for (wire::Ask& a : *message.mutable_asks()) parts[a.shard() % parts.size()].add_asks()->Swap(&a);
@@ -205,27 +206,27 @@
     for (std::size_t i = 0; i < parts.size(); ++i) {
         if (parts[i].ByteSizeLong() == 0) continue;
         workers_[i]->post([w = workers_[i].get(), from, part = parts[i].SerializeAsString()] {
-            w->handle(Holder::Received{from, part});
+            w->handle(ShardHolder::MessageReceived{from, part});
         });
     }
 }
 
-void Side::handle(const Client::Event& event) {
-    Client::Actions actions;
+void ShardService::handle(const ShardClient::Event& event) {
+    ShardClient::Actions actions;
     client_.handle(scheduler_.now(), event, actions);
-    for (Client::Action& action : actions) {
-        if (auto* say = std::get_if<Client::Tell>(&action)) {
+    for (ShardClient::Action& action : actions) {
+        if (auto* say = std::get_if<ShardClient::SendMessage>(&action)) {
             tell(say->to, std::move(say->body));
-        } else if (auto* done = std::get_if<Client::Done>(&action)) {
+        } else if (auto* done = std::get_if<ShardClient::Completed>(&action)) {
             auto it = done_.find(done->id);
-            Done told = std::move(it->second);
+            Callback told = std::move(it->second);
             done_.erase(it);
             told(*done);
         } else {
             if (timer_ != 0) scheduler_.cancel(timer_);
-            timer_ = scheduler_.call_at(std::get<Client::WakeAt>(action).at, [this] {
+            timer_ = scheduler_.call_at(std::get<ShardClient::SetTimer>(action).at, [this] {
                 timer_ = 0;
-                handle(Client::Woken{});
+                handle(ShardClient::TimerFired{});
             });
         }
     }
--- a/src/fleet/shards/side.h
+++ b/src/fleet/shards/shard_service.h
@@ -20,34 +20,34 @@
 #include "base/clock.h"
 #include "fleet/channel/mesh.h"
 #include "fleet/coordinator/session_thread.h"
-#include "fleet/shards/client.h"
-#include "fleet/shards/holder.h"
+#include "fleet/shards/shard_client.h"
+#include "fleet/shards/shard_holder.h"
 
 namespace ochrehub::shards {
 
-struct SideSettings {
+struct ShardServiceSettings {
     bool holds = true;        ///< else it only asks
     std::size_t threads = 2;  ///< that work on the shards it holds
-    Settings table;
-    Holder::Settings holder;  ///< its address is where this process listens, if it is empty
-    Client::Settings client;  ///< its shards and instance are those of the two others
+    TableSettings table;
+    ShardHolder::Settings holder;  ///< its address is where this process listens, if it is empty
+    ShardClient::Settings client;  ///< its shards and instance are those of the two others
     channel::MeshSettings mesh;
     channel::Mesh::Endpoint listen;
 };
 
-class Side {
+class ShardService {
 public:
-    using Done = std::function<void(const Client::Done&)>;
+    using Callback = std::function<void(const ShardClient::Completed&)>;
 
     /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
-    Side(SideSettings settings, Clock clock, coordinator::SessionThread& keepers);
-    ~Side();
-    Side(const Side&) = delete;
+    ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& keepers);
+    ~ShardService();
+    ShardService(const ShardService&) = delete;
     void start();
 
     // From any thread:
     /// `done` is called once, on the side's thread, unless the side ends before.
-    void ask(bool writes, Write write, Duration within, Done done, bool stays = false);
+    void ask(bool writes, Write write, Duration within, Callback done, bool stays = false);
     /// Hands on what it holds; `free` once that is done.
     void leave();
     bool free() const { return free_.load(std::memory_order_relaxed); }
@@ -67,9 +67,9 @@
     void tell(SessionId to, std::string body);
     void answer(std::uint64_t to, std::string body);
     void propose(std::string body);
-    void handle(const Client::Event& event);
+    void handle(const ShardClient::Event& event);
 
-    SideSettings set_;
+    ShardServiceSettings set_;
     Clock clock_;
     coordinator::SessionThread& keepers_;
     Table table_;
@@ -77,12 +77,12 @@
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     AsioScheduler scheduler_;
     channel::Mesh mesh_;
-    Client client_;
+    ShardClient client_;
     SessionId session_ = 0;
     TimePoint until_{};
     bool asking_news_ = false;
     std::set<std::string> dialled_;
-    std::map<std::uint64_t, Done> done_;
+    std::map<std::uint64_t, Callback> done_;
     std::uint64_t next_ = 1;
     TimerId timer_ = 0;
     std::atomic<bool> free_{false};
--- a/src/fleet/shards/table.cpp
+++ b/src/fleet/shards/table.cpp
@@ -8,7 +8,7 @@
 #include <boost/unordered/unordered_flat_map.hpp>
 #include <mutex>
 
-#include "fleet/shards/order.h"
+#include "fleet/shards/ordered_mutex.h"
 
 namespace ochrehub::shards {
 namespace {
@@ -199,7 +199,7 @@
     }
 };
 
-Table::Table(const Settings& settings) : set_(settings) {
+Table::Table(const TableSettings& settings) : set_(settings) {
     set_.shards = std::bit_ceil(std::max<std::size_t>(1, set_.shards));
     shards_ = std::make_unique<Shard[]>(set_.shards);
     for (std::size_t n = 0; n < set_.shards; ++n) shards_[n].mutex.number(std::uint32_t(n));
--- a/src/fleet/shards/table.h
+++ b/src/fleet/shards/table.h
@@ -22,7 +22,7 @@
 
 namespace ochrehub::shards {
 
-struct Settings {
+struct TableSettings {
     std::size_t shards = 256;               ///< a power of two
     std::size_t octets = 256 << 20;         ///< of all shards: each has its equal part
     std::size_t partner_octets = 32 << 20;  ///< ... and each partner has at most this much of them
@@ -69,10 +69,10 @@
 
 class Table {
 public:
-    explicit Table(const Settings& settings);
+    explicit Table(const TableSettings& settings);
     ~Table();
 
-    const Settings& settings() const { return set_; }
+    const TableSettings& settings() const { return set_; }
     std::size_t shards() const { return set_.shards; }
     std::size_t shard_of(std::uint16_t kind, std::string_view key) const {
         return shards::shard_of(kind, key, set_.shards);
@@ -115,7 +115,7 @@
     Outcome prepare_in(Shard& shard, std::uint64_t hash, const Write& write, TimePoint now,
                        Prepared& prepared);
 
-    Settings set_;
+    TableSettings set_;
     std::unique_ptr<Shard[]> shards_;
 };
 
--- a/src/fleet/shards/wire.cpp
+++ b/src/fleet/shards/wire.cpp
@@ -27,19 +27,19 @@
     return true;
 }
 
-void to_wire(std::uint32_t shard, const Entry& entry, wire::Entry& out) {
+void to_wire(std::uint32_t shard, const ShardAssignment& entry, wire::Entry& out) {
     out.set_shard(shard);
     out.set_view(entry.view);
     out.set_origin(entry.origin);
     out.set_lost(entry.lost);
-    out.set_first(entry.first);
-    out.set_second(entry.second);
-    out.set_filling(entry.filling);
-    out.set_yields(entry.yields);
-    out.set_second_since(entry.second_since);
-    out.set_filling_since(entry.filling_since);
+    out.set_first(entry.primary);
+    out.set_second(entry.backup);
+    out.set_filling(entry.catching_up);
+    out.set_yields(entry.stepping_down);
+    out.set_second_since(entry.backup_since);
+    out.set_filling_since(entry.catching_up_since);
 }
-Entry from_wire(const wire::Entry& in) {
+ShardAssignment from_wire(const wire::Entry& in) {
     return {in.view(),    in.origin(), in.lost(),         in.first(),        in.second(),
             in.filling(), in.yields(), in.second_since(), in.filling_since()};
 }
--- a/src/fleet/shards/wire.h
+++ b/src/fleet/shards/wire.h
@@ -3,15 +3,15 @@
 
 #include <shards.pb.h>
 
+#include "fleet/shards/shard_map_planner.h"
 #include "fleet/shards/table.h"
-#include "fleet/shards/views.h"
 
 namespace ochrehub::shards {
 
 void to_wire(const Record& record, wire::Record& out);
 /// False: it is none.
 bool from_wire(const wire::Record& in, Record& record);
-void to_wire(std::uint32_t shard, const Entry& entry, wire::Entry& out);
-Entry from_wire(const wire::Entry& in);
+void to_wire(std::uint32_t shard, const ShardAssignment& entry, wire::Entry& out);
+ShardAssignment from_wire(const wire::Entry& in);
 
 }  // namespace ochrehub::shards
--- a/tests/fleet/shards_table_test.cpp
+++ b/tests/fleet/shards_table_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "fleet/shards/order.h"
+#include "fleet/shards/ordered_mutex.h"
 #include "fleet/shards/table.h"
 
 namespace ochrehub::shards {
@@ -21,15 +21,15 @@
     w.record.key = std::move(key), w.record.payload = std::move(payload);
     return w;
 }
-Settings small() {
-    Settings set;
+TableSettings small() {
+    TableSettings set;
     set.shards = 4, set.octets = 4 * 2000, set.partner_octets = 4 * 800, set.payload = 600,
     set.life = Duration(5000);
     return set;
 }
 
 TEST(ShardsTable, ARecordIsReadAsItWasWrittenUntilItsEnd) {
-    Table table(Settings{});
+    Table table(TableSettings{});
     Outcome first = table.write(put("basket", "rack 7"), at(0));
     ASSERT_FALSE(first.error);
     Record found;
@@ -43,7 +43,7 @@
 }
 
 TEST(ShardsTable, WhoReadAnOlderVersionDoesNotWrite) {
-    Table table(Settings{});
+    Table table(TableSettings{});
     Write w = put("k", "a");
     w.expect = 0;
     Outcome made = table.write(w, at(0));
@@ -62,7 +62,7 @@
 }
 
 TEST(ShardsTable, FullRefusesAndForgetsNothing) {
-    Settings set = small();
+    TableSettings set = small();
     Table table(set);
     std::map<std::string, std::size_t> kept;
     std::set<Error> refusals;
@@ -92,7 +92,7 @@
 }
 
 TEST(ShardsTable, WhatIsPreparedHasItsMemory) {
-    Settings set = small();
+    TableSettings set = small();
     set.shards = 1, set.octets = 700, set.partner_octets = 700;
     Table table(set);
     Prepared a, b;
@@ -109,7 +109,7 @@
 }
 
 TEST(ShardsTable, TwoAreWrittenOrNeither) {
-    Table table(Settings{});
+    Table table(TableSettings{});
     Write a = put("client", "old"), b = put("tenant/client", "new");
     ASSERT_FALSE(table.write(a, at(0)).error);
     a.expect = 0;
@@ -124,7 +124,7 @@
 }
 
 TEST(ShardsTable, CopiesAreTakenInOrderOfTheirVersionsAndLiveALittleLonger) {
-    Table table(Settings{});
+    Table table(TableSettings{});
     Record r = put("k", "five").record;
     r.version = 5;
     table.copy(r, at(0));
@@ -149,7 +149,7 @@
     };
     for (unsigned seed = 1; seed <= 20; ++seed) {
         boost::random::taus88 random(seed);
-        Settings set;
+        TableSettings set;
         set.shards = 2;
         Table table(set);
         std::map<std::string, Kept> map;
@@ -218,7 +218,7 @@
 }
 
 TEST(ShardsTable, AScanSeesOnceWhatStaysWhileOthersComeAndGo) {
-    Settings set;
+    TableSettings set;
     set.shards = 1;
     Table table(set);
     for (int i = 0; i < 500; ++i) table.write(put("stays" + std::to_string(i), ""), at(0));
--- a/tests/fleet/shards_threads.cpp
+++ b/tests/fleet/shards_threads.cpp
@@ -27,7 +27,7 @@
 
 /// Each adds to few records by compare and swap; no addition is lost.
 void nothing_is_lost(int workers, int rounds) {
-    Settings set;
+    TableSettings set;
     set.shards = 4;
     Table table(set);
     constexpr int kKeys = 8;
@@ -52,7 +52,7 @@
 
 /// Moves between two records go on in both directions, while others scan, end and clear.
 void nothing_hangs(int workers, int rounds) {
-    Settings set;
+    TableSettings set;
     set.shards = 8;
     Table table(set);
     std::atomic<bool> done{false};
