--- a/lab/equivalence/shards.cpp
+++ b/lab/equivalence/shards.cpp
@@ -1,14 +1,14 @@
 // Decisions of the processes that hold shards and of their clients, under drawn faults.
 #include "lab/equivalence/runner.h"
-#include "lab/shards/faults.h"
+#include "lab/shards/fault_scenarios.h"
 
 using namespace ochrehub;
 
 int main(int count, char** words) {
     auto faults = [](std::uint64_t seed) {
-        lab::shards::WorldSettings settings;
+        lab::shards::SimulationSettings settings;
         settings.seed = seed;
-        lab::shards::drawn_day(settings);
+        lab::shards::run_random_faults(settings);
     };
     return lab::equivalence::run(count, words, {{"shards_faults", faults}});
 }
--- a/lab/shards/faults.h
+++ b/lab/shards/fault_scenarios.h
@@ -6,27 +6,28 @@
 #include <string_view>
 #include <vector>
 
-#include "lab/shards/world.h"
+#include "lab/shards/simulation.h"
 
 namespace ochrehub::lab::shards {
 
 /// 25 s of drawn faults, of which all are healed, then quiet until all is settled again.
-World::Verdict drawn_day(const WorldSettings& settings);
+Simulation::Result run_random_faults(const SimulationSettings& settings);
 
-struct Script {
+struct Scenario {
     std::string_view name;
-    std::function<World::Verdict(WorldSettings)> run;
+    std::function<Simulation::Result(SimulationSettings)> run;
 };
-const std::vector<Script>& scripts();
+const std::vector<Scenario>& scenarios();
 
 /// A day without other faults, with one at an event's number: killed in or behind it, or stopped and let go
 /// two views later.
-struct Hit {
-    bool hit = false;
-    World::Verdict verdict;
+struct FaultRun {
+    bool was_injected = false;
+    Simulation::Result result;
 };
-Hit day_with(std::uint64_t number, World::AtEvent what, std::uint64_t seed, std::size_t joins = 1);
+FaultRun run_with_fault_at(std::uint64_t number, Simulation::AtEvent what, std::uint64_t seed,
+                           std::size_t joins = 1);
 /// Events of that day's script.
-std::uint64_t day_events(std::uint64_t seed);
+std::uint64_t count_events(std::uint64_t seed);
 
 }  // namespace ochrehub::lab::shards
--- a/lab/shards/history.cpp
+++ b/lab/shards/history_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/shards/history.h"
+#include "lab/shards/history_checker.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -31,9 +31,9 @@
         .count();
 }
 
-class Diary {
+class EventLog {
 public:
-    explicit Diary(const std::string& path)
+    explicit EventLog(const std::string& path)
         : fd_(open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {}
     template <class... A>
     void line(const char* format, A... values) {
@@ -51,7 +51,7 @@
 int main(int argc, char** argv) {
     CLI::App app("a process of the shards' runs");
     std::vector<std::string> keepers;
-    std::string name, zone, listen, advertise, diary_path;
+    std::string name, zone, listen, advertise, event_log_path;
     std::uint64_t instance = 0;
     double lease = 1500;
     unsigned keys = 16, workers = 3, threads = 2;
@@ -60,7 +60,7 @@
     app.add_option("--zone", zone)->required();
     app.add_option("--listen", listen)->required();
     app.add_option("--advertise", advertise);
-    app.add_option("--diary", diary_path)->required();
+    app.add_option("--diary", event_log_path)->required();
     app.add_option("--instance", instance)->required();
     app.add_option("--lease", lease);
     app.add_option("--keys", keys);
@@ -90,7 +90,7 @@
     side.start();
     keeping->start();
 
-    Diary diary(diary_path);
+    EventLog event_log(event_log_path);
     std::atomic<std::uint64_t> next{0};
     std::vector<std::thread> all;
     for (unsigned t = 0; t < workers; ++t)
@@ -106,13 +106,13 @@
                 write.record.life = Duration(600'000), write.record.payload = std::to_string(value);
                 bool writes = kind >= 5, swaps = kind >= 8;
                 if (swaps) write.expect = seen[key].first;
-                diary.line("c %llu %llu %c %llu %llu %lld\n", static_cast<unsigned long long>(id),
-                           static_cast<unsigned long long>(key),
-                           !writes ? 'r'
-                           : swaps ? 's'
-                                   : 'w',
-                           static_cast<unsigned long long>(value),
-                           static_cast<unsigned long long>(seen[key].second), now_ns());
+                event_log.line("c %llu %llu %c %llu %llu %lld\n", static_cast<unsigned long long>(id),
+                               static_cast<unsigned long long>(key),
+                               !writes ? 'r'
+                               : swaps ? 's'
+                                       : 'w',
+                               static_cast<unsigned long long>(value),
+                               static_cast<unsigned long long>(seen[key].second), now_ns());
                 auto answered = std::make_shared<std::promise<fleet_shards::ShardClient::Completed>>();
                 auto future = answered->get_future();
                 side.ask(
@@ -121,12 +121,12 @@
                 if (future.wait_for(std::chrono::seconds(20)) != std::future_status::ready) break;
                 fleet_shards::ShardClient::Completed done = future.get();
                 std::uint64_t found = done.record ? std::stoull(done.record->payload) : 0;
-                diary.line("e %llu %d %llu %llu %llu %llu %lld\n", static_cast<unsigned long long>(id),
-                           done.error ? int(*done.error) : 0, static_cast<unsigned long long>(found),
-                           static_cast<unsigned long long>(
-                               fleet_shards::shard_of(9, write.record.key, set.table.shards)),
-                           static_cast<unsigned long long>(done.view),
-                           static_cast<unsigned long long>(done.holder), now_ns());
+                event_log.line("e %llu %d %llu %llu %llu %llu %lld\n", static_cast<unsigned long long>(id),
+                               done.error ? int(*done.error) : 0, static_cast<unsigned long long>(found),
+                               static_cast<unsigned long long>(
+                                   fleet_shards::shard_of(9, write.record.key, set.table.shards)),
+                               static_cast<unsigned long long>(done.view),
+                               static_cast<unsigned long long>(done.holder), now_ns());
                 if (!done.error || done.error == fleet_shards::Error::Changed)
                     seen[key] = writes && !done.error
                                     ? std::pair(done.version, value)
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -24,7 +24,7 @@
 #include "fleet/shards/error.h"
 #include "fleet/shards/shard_map_planner.h"
 #include "lab/channel/relay.h"
-#include "lab/shards/history.h"
+#include "lab/shards/history_checker.h"
 
 namespace {
 
@@ -78,13 +78,13 @@
     std::vector<std::string> addresses;
     std::vector<std::string> listens;
     std::vector<std::unique_ptr<lab::Relay>> relays;
-    std::vector<std::string> diaries;
+    std::vector<std::string> event_logs;
     std::uint64_t next_instance = 1;
     std::unique_ptr<coordinator::SessionThread> asks;
 
     void start_node(std::size_t n) {
         std::uint64_t instance = seed * 1000 + next_instance++;
-        diaries.push_back(folder + "/diary" + std::to_string(instance));
+        event_logs.push_back(folder + "/diary" + std::to_string(instance));
         std::vector<std::string> command{node,
                                          "--name",
                                          "node" + std::to_string(n),
@@ -95,7 +95,7 @@
                                          "--advertise",
                                          relays[n]->address(),
                                          "--diary",
-                                         diaries.back(),
+                                         event_logs.back(),
                                          "--instance",
                                          std::to_string(instance)};
         for (const std::string& address : addresses) command.insert(command.end(), {"--keeper", address});
@@ -162,19 +162,19 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(ms));
 }
 
-struct Judged {
-    std::vector<std::string> faults;
+struct CheckResult {
+    std::vector<std::string> violations;
     std::size_t answered = 0, unknown = 0, never = 0;
     double gap = 0;  // longest without any answer, ms
 };
 /// What is answered behind `until` counts as not answered: then they are ended one by one, both holders of a
 /// shard among them.
-Judged judge(const std::vector<std::string>& diaries, TimePoint until) {
-    Judged j;
+CheckResult check_event_logs(const std::vector<std::string>& event_logs, TimePoint until) {
+    CheckResult j;
     std::map<std::uint64_t, std::vector<Operation>> histories;
     std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> answered;
     std::vector<double> answers;
-    for (const std::string& path : diaries) {
+    for (const std::string& path : event_logs) {
         std::map<std::uint64_t, std::pair<std::uint64_t, Operation>> open;
         std::ifstream in(path);
         std::string line;
@@ -221,14 +221,14 @@
             }
             histories[key].push_back(o);
             if (view != 0 && answered.try_emplace({shard, view}, holder).first->second != holder)
-                j.faults.push_back("two answered for shard " + std::to_string(shard) + " in one view");
+                j.violations.push_back("two answered for shard " + std::to_string(shard) + " in one view");
         }
         for (auto& [id, one] : open)
             if (one.second.what != Operation::What::Read) histories[one.first].push_back(one.second);
     }
     for (const auto& [key, operations] : histories)
         if (!linearizable(operations))
-            j.faults.push_back("the history of key " + std::to_string(key) + " cannot have happened");
+            j.violations.push_back("the history of key " + std::to_string(key) + " cannot have happened");
     std::sort(answers.begin(), answers.end());
     for (std::size_t i = 1; i < answers.size(); ++i) j.gap = std::max(j.gap, answers[i] - answers[i - 1]);
     return j;
@@ -252,9 +252,9 @@
         if (!mkdtemp(made.data())) return 2;
         run.folder = made;
     }
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
     auto settles = [&](std::size_t holders, const char* when) {
-        if (!run.settles(holders)) faults.push_back(std::string("did not settle ") + when);
+        if (!run.settles(holders)) violations.push_back(std::string("did not settle ") + when);
     };
     run.begin();
     settles(4, "at the start");
@@ -279,13 +279,13 @@
     for (auto& node : run.nodes) node->end(SIGTERM);
     run.asks.reset();
     for (auto& keeper : run.keepers) keeper->end(SIGTERM);
-    Judged j = judge(run.diaries, until);
-    faults.insert(faults.end(), j.faults.begin(), j.faults.end());
-    for (const std::string& fault : faults) std::printf("FAULT: %s\n", fault.c_str());
+    CheckResult j = check_event_logs(run.event_logs, until);
+    violations.insert(violations.end(), j.violations.begin(), j.violations.end());
+    for (const std::string& violation : violations) std::printf("FAULT: %s\n", violation.c_str());
     std::printf("%zu answered, %zu unknown, %zu never written; longest without any answer %.0f ms\n",
                 j.answered, j.unknown, j.never, j.gap);
     if (j.answered < 500) std::printf("FAULT: too few answers to judge by\n");
-    bool good = faults.empty() && j.answered >= 500;
+    bool good = violations.empty() && j.answered >= 500;
     if (good && !keep)
         std::filesystem::remove_all(run.folder);
     else
--- a/lab/shards/runs.cpp
+++ b/lab/shards/runs.cpp
@@ -5,7 +5,7 @@
 #include <mutex>
 #include <thread>
 
-#include "lab/shards/faults.h"
+#include "lab/shards/fault_scenarios.h"
 
 namespace {
 
@@ -25,16 +25,16 @@
 
 struct Sum {
     std::mutex mutex;
-    World::Verdict figures;
+    Simulation::Result figures;
     std::size_t runs = 0, bad = 0;
-    void add(const std::string& what, const World::Verdict& v) {
+    void add(const std::string& what, const Simulation::Result& v) {
         std::lock_guard lock(mutex);
         ++runs;
         figures.answered += v.answered, figures.unknown += v.unknown, figures.unavailable += v.unavailable;
         figures.lost += v.lost, figures.views += v.views, figures.records += v.records;
-        if (v.faults.empty()) return;
+        if (v.violations.empty()) return;
         ++bad;
-        if (bad <= 20) std::printf("%s: %s\n", what.c_str(), v.faults.front().c_str());
+        if (bad <= 20) std::printf("%s: %s\n", what.c_str(), v.violations.front().c_str());
     }
     int print(const char* what) const {
         std::printf(
@@ -63,54 +63,55 @@
     auto* days = app.add_subcommand("days", "drawn days");
     auto* events =
         app.add_subcommand("events", "a day, killed in, killed behind and stopped behind each event");
-    auto* saboteurs = app.add_subcommand("saboteurs", "which script finds whom");
-    for (auto* sub : {days, events, saboteurs}) sub->fallthrough();
+    auto* mutants = app.add_subcommand("saboteurs", "which script finds whom");
+    for (auto* sub : {days, events, mutants}) sub->fallthrough();
     CLI11_PARSE(app, argc, argv);
 
     if (*days) {
         Sum sum;
         parallel(seeds, threads, [&](std::size_t i) {
-            WorldSettings s;
+            SimulationSettings s;
             s.seed = from + i;
-            sum.add("seed " + std::to_string(s.seed), drawn_day(s));
+            sum.add("seed " + std::to_string(s.seed), run_random_faults(s));
         });
         return sum.print("drawn days");
     }
     if (*events) {
         int worst = 0;
         for (std::uint64_t seed = from; seed < from + seeds; ++seed) {
-            std::uint64_t count = day_events(seed);
+            std::uint64_t count = count_events(seed);
             constexpr const char* kCalled[] = {"killed in", "killed behind", "stopped behind"};
-            for (auto what : {World::AtEvent::KillIn, World::AtEvent::KillBehind, World::AtEvent::Stop}) {
+            for (auto what : {Simulation::AtEvent::KillDuring, Simulation::AtEvent::KillAfter,
+                              Simulation::AtEvent::PauseAfter}) {
                 Sum sum;
                 parallel(count / stride, threads, [&](std::size_t i) {
                     std::uint64_t number = 1 + i * stride;
-                    Hit hit = day_with(number, what, seed);
-                    if (hit.hit)
+                    FaultRun hit = run_with_fault_at(number, what, seed);
+                    if (hit.was_injected)
                         sum.add("seed " + std::to_string(seed) + " event " + std::to_string(number),
-                                hit.verdict);
+                                hit.result);
                 });
                 worst = std::max(worst, sum.print(kCalled[std::size_t(what)]));
             }
         }
         return worst;
     }
-    for (int s = 0; s < kSaboteurs; ++s) {
-        std::printf("%s\n", std::string(name(Saboteur(s))).c_str());
-        for (const Script& script : scripts()) {
+    for (int s = 0; s < kMutants; ++s) {
+        std::printf("%s\n", std::string(name(Mutant(s))).c_str());
+        for (const Scenario& scenario : scenarios()) {
             std::size_t found = 0;
             std::string first;
             for (std::uint64_t seed = from; seed < from + seeds; ++seed) {
-                WorldSettings set;
+                SimulationSettings set;
                 set.seed = seed;
-                set.saboteur = Saboteur(s);
-                World::Verdict v = script.run(set);
-                found += !v.faults.empty();
-                if (first.empty() && !v.faults.empty()) first = v.faults.front();
+                set.mutant = Mutant(s);
+                Simulation::Result v = scenario.run(set);
+                found += !v.violations.empty();
+                if (first.empty() && !v.violations.empty()) first = v.violations.front();
             }
             if (found)
                 std::printf("    %3zu of %llu  %s: %s\n", found, static_cast<unsigned long long>(seeds),
-                            std::string(script.name).c_str(), first.c_str());
+                            std::string(scenario.name).c_str(), first.c_str());
         }
     }
 }
--- a/lab/shards/world.cpp
+++ b/lab/shards/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/shards/world.h"
+#include "lab/shards/simulation.h"
 
 #include <algorithm>
 
@@ -25,31 +25,31 @@
 
 namespace {
 
-constexpr std::size_t kKeepers = 3;
+constexpr std::size_t kCoordinators = 3;
 constexpr Duration kTick{50};
-constexpr std::size_t kNobody = ~std::size_t{0};
+constexpr std::size_t kNoHolder = ~std::size_t{0};
 
 }  // namespace
 
-std::string_view name(Saboteur saboteur) {
-    constexpr std::string_view kNames[kSaboteurs] = {"none",
-                                                     "answers before the second",
-                                                     "second stores nothing",
-                                                     "ignores its session's end",
-                                                     "counts from the answer",
-                                                     "no clock behind a pause",
-                                                     "says filled at once",
-                                                     "answers while yielding",
-                                                     "keeps its session over death",
-                                                     "keepers end sessions early",
-                                                     "new leader forgets lengths",
-                                                     "keepers forget the second",
-                                                     "loss is silent",
-                                                     "repeats blindly"};
-    return kNames[std::size_t(saboteur)];
+std::string_view name(Mutant mutant) {
+    constexpr std::string_view kNames[kMutants] = {"none",
+                                                   "answers before the second",
+                                                   "second stores nothing",
+                                                   "ignores its session's end",
+                                                   "counts from the answer",
+                                                   "no clock behind a pause",
+                                                   "says filled at once",
+                                                   "answers while yielding",
+                                                   "keeps its session over death",
+                                                   "keepers end sessions early",
+                                                   "new leader forgets lengths",
+                                                   "keepers forget the second",
+                                                   "loss is silent",
+                                                   "repeats blindly"};
+    return kNames[std::size_t(mutant)];
 }
 
-struct World::Impl {
+struct Simulation::Impl {
     // ---- Processes
     struct Shell {  // what each has: a session, renewed
         std::size_t process = 0;
@@ -62,7 +62,7 @@
     struct HolderProcess : Shell {
         std::unique_ptr<fleet::Table> table;
         std::unique_ptr<ShardHolder> core;
-        bool muted = false;
+        bool is_muted = false;
         TimePoint last{}, resumed{Duration{-1}}, before{};  // for one that forgets to look at the clock
     };
     struct Worker {
@@ -80,8 +80,8 @@
         TimePoint counted{};
     };
 
-    World& world;
-    WorldSettings set;
+    Simulation& simulation;
+    SimulationSettings set;
     boost::random::taus88 random;
     std::unique_ptr<Network> net;
     std::vector<HolderProcess> holders;
@@ -100,14 +100,14 @@
     std::vector<std::vector<bool>> dropped;
     std::uint64_t last_value = 0;
     std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId> answered;  // shard and view: by whom
-    std::vector<std::string> faults;
-    Verdict figures;
+    std::vector<std::string> violations;
+    Result figures;
     std::optional<std::pair<std::uint64_t, AtEvent>> at_event;
 
-    Impl(World& w, const WorldSettings& settings)
-        : world(w), set(settings), random(unsigned(settings.seed * 2654435761u) | 64u) {
+    Impl(Simulation& w, const SimulationSettings& settings)
+        : simulation(w), set(settings), random(unsigned(settings.seed * 2654435761u) | 64u) {
         NetSettings n;
-        n.processes = kKeepers;
+        n.processes = kCoordinators;
         n.loss = set.loss;
         n.in_order = true;
         n.seed = set.seed;
@@ -118,14 +118,14 @@
                                happens(to, own, [&] { received(to, from, own, m); });
                            },
                            [this](std::size_t from, std::size_t, Message&) {
-                               return !(from >= kKeepers && at[from - kKeepers].first &&
-                                        holders[at[from - kKeepers].second].muted);
+                               return !(from >= kCoordinators && at[from - kCoordinators].first &&
+                                        holders[at[from - kCoordinators].second].is_muted);
                            }});
         ShardMapPlanner::Settings v;
         v.shards = set.shards;
         machine = std::make_unique<ShardMapPlanner>(v);
         histories.resize(set.keys), dropped.resize(set.keys);
-        for (std::size_t k = 0; k < kKeepers; ++k)
+        for (std::size_t k = 0; k < kCoordinators; ++k)
             net->clock(k, rate()), net->wake_at(k, net->own(k) + kTick);
         holders.reserve(64), nodes.reserve(64);
         for (std::size_t i = 0; i < set.holders; ++i) add_holder();
@@ -134,9 +134,9 @@
 
     double uniform() { return double(random()) * 0x1p-32; }
     double rate() { return 1 + set.clocks * (2 * uniform() - 1); }
-    bool sabotaged(Saboteur s) const { return set.saboteur == s; }
-    void fault(const std::string& what) {
-        if (faults.size() < 10) faults.push_back(what);
+    bool is_mutant(Mutant s) const { return set.mutant == s; }
+    void report_violation(const std::string& what) {
+        if (violations.size() < 10) violations.push_back(what);
     }
 
     std::size_t add_process(bool holder, std::size_t number) {
@@ -179,7 +179,7 @@
         n.core = std::make_unique<ShardClient>(c);
     }
     Shell& shell(std::size_t process) {
-        auto [holder, number] = at[process - kKeepers];
+        auto [holder, number] = at[process - kCoordinators];
         if (holder) return holders[number];
         return nodes[number];
     }
@@ -187,28 +187,28 @@
     // ---- What happens
     template <class F>
     void happens(std::size_t process, TimePoint, F&& f) {
-        bool now = at_event && net->happened() == at_event->first && process >= kKeepers &&
-                   at[process - kKeepers].first;
+        bool now = at_event && net->happened() == at_event->first && process >= kCoordinators &&
+                   at[process - kCoordinators].first;
         if (!now) return f();
-        std::size_t n = at[process - kKeepers].second;
-        world.hit_ = n;
-        holders[n].muted = at_event->second == AtEvent::KillIn;
+        std::size_t n = at[process - kCoordinators].second;
+        simulation.faulted_holder_ = n;
+        holders[n].is_muted = at_event->second == AtEvent::KillDuring;
         f();
-        holders[n].muted = false;
-        if (at_event->second == AtEvent::Stop)
-            world.stop(n);
+        holders[n].is_muted = false;
+        if (at_event->second == AtEvent::PauseAfter)
+            simulation.pause(n);
         else
-            world.kill(n);
+            simulation.kill(n);
     }
     void woken(std::size_t process, TimePoint own) {
-        if (process < kKeepers) {
+        if (process < kCoordinators) {
             tick(process, own);
             net->wake_at(process, own + kTick);
             return;
         }
         Shell& s = shell(process);
         if (own >= s.next_renewal) renew(s, own);
-        auto [holder, number] = at[process - kKeepers];
+        auto [holder, number] = at[process - kCoordinators];
         if (own >= s.next_core) {
             s.next_core = TimePoint{Duration{1e15}};
             if (holder)
@@ -220,19 +220,19 @@
         arm(s);
     }
     void received(std::size_t to, std::size_t from, TimePoint own, const Message& m) {
-        if (to < kKeepers) return keeper(to, from, own, m);
+        if (to < kCoordinators) return keeper(to, from, own, m);
         Shell& s = shell(to);
-        auto [holder, number] = at[to - kKeepers];
+        auto [holder, number] = at[to - kCoordinators];
         switch (m.kind) {
             case Message::Kind::Renewed: {
                 auto asked = s.asked.find(m.nonce);
                 if (asked == s.asked.end() || (s.session != 0 && m.session != s.session)) break;
                 s.session = m.session;
-                TimePoint when = sabotaged(Saboteur::CountsFromTheAnswer) ? own : asked->second;
+                TimePoint when = is_mutant(Mutant::CountsLeaseFromResponse) ? own : asked->second;
                 s.asked.erase(asked);
                 if (holder) {
-                    Duration lease = set.lease * (sabotaged(Saboteur::IgnoresItsSessionsEnd) ? 100 : 1);
-                    std::string news = sabotage(m.body, s);
+                    Duration lease = set.lease * (is_mutant(Mutant::IgnoresSessionExpiry) ? 100 : 1);
+                    std::string news = mutate_map(m.body, s);
                     handle(holders[number], own,
                            ShardHolder::SessionRenewed{m.session, when + lease * 0.99 - Duration(50), news});
                 } else {
@@ -253,7 +253,7 @@
             case Message::Kind::Asks:
             case Message::Kind::ToHolder:
                 if (holder)
-                    handle(holders[number], own, ShardHolder::MessageReceived{from, weakened(m.body)});
+                    handle(holders[number], own, ShardHolder::MessageReceived{from, mutate_copies(m.body)});
                 break;
             case Message::Kind::Answers:
                 if (!holder) handle(nodes[number], own, ShardClient::MessageReceived{m.body});
@@ -265,7 +265,7 @@
     }
     void arm(Shell& s) {
         TimePoint next = std::min(s.next_renewal, s.next_core);
-        auto [holder, number] = at[s.process - kKeepers];
+        auto [holder, number] = at[s.process - kCoordinators];
         if (!holder)
             for (const Worker& w : nodes[number].workers)
                 if (!w.busy) next = std::min(next, w.next);
@@ -282,7 +282,7 @@
         m.nonce = ++s.nonce;
         s.asked[m.nonce] = own;
         if (s.asked.size() > 32) s.asked.erase(s.asked.begin());
-        for (std::size_t k = 0; k < kKeepers; ++k) net->send(s.process, k, m);
+        for (std::size_t k = 0; k < kCoordinators; ++k) net->send(s.process, k, m);
     }
     void early(Shell& s, TimePoint own) {
         if (own < s.renewed_early + Duration(20)) return;
@@ -300,7 +300,7 @@
             if (is.view != was.view) ++figures.views;
             if (!is.lost || is.origin == was.origin) continue;
             if (was.backup != 0 && sessions.contains(was.backup))
-                fault("a shard was called lost while its second holder lived");
+                report_violation("a shard was called lost while its second holder lived");
             ++figures.lost;
             Operation loss;
             loss.what = Operation::What::Loss;
@@ -314,7 +314,7 @@
     void over(SessionId session) {
         sessions.erase(session);
         change([&] {
-            if (sabotaged(Saboteur::KeepersForgetTheSecond)) return forget_second(session);
+            if (is_mutant(Mutant::CoordinatorsForgetBackup)) return forget_second(session);
             machine->session_ended(session);
         });
     }
@@ -337,7 +337,7 @@
     }
     void tick(std::size_t keeper, TimePoint own) {
         if (keeper != leader) return;
-        Duration lease = set.lease / (sabotaged(Saboteur::KeepersEndSessionsEarly) ? 3 : 1);
+        Duration lease = set.lease / (is_mutant(Mutant::CoordinatorsExpireSessionsEarly) ? 3 : 1);
         std::vector<SessionId> ended;
         for (const auto& [id, standing] : sessions)
             if (own >= standing.counted + lease) ended.push_back(id);
@@ -372,10 +372,10 @@
         }
     }
     void move_leader() {
-        leader = (leader + 1 + random() % (kKeepers - 1)) % kKeepers;
+        leader = (leader + 1 + random() % (kCoordinators - 1)) % kCoordinators;
         TimePoint own = net->own(leader);
         for (auto& [id, standing] : sessions) standing.counted = own;
-        if (!sabotaged(Saboteur::NewLeaderForgetsLengths)) return;
+        if (!is_mutant(Mutant::NewLeaderForgetsLeases)) return;
         std::vector<SessionId> all;
         for (const auto& [id, standing] : sessions)
             if (machine->map().holders.contains(id)) all.push_back(id);
@@ -387,11 +387,11 @@
     void propose(HolderProcess& h, const std::string& body) {
         Message m;
         m.kind = Message::Kind::Propose, m.session = h.session, m.body = body;
-        for (std::size_t k = 0; k < kKeepers; ++k) net->send(h.process, k, m);
+        for (std::size_t k = 0; k < kCoordinators; ++k) net->send(h.process, k, m);
     }
     void handle(HolderProcess& h, TimePoint own, const ShardHolder::Event& event) {
         TimePoint now = own;
-        if (sabotaged(Saboteur::NoClockBehindAPause) && h.resumed == net->now() &&
+        if (is_mutant(Mutant::StaleClockAfterPause) && h.resumed == net->now() &&
             std::holds_alternative<ShardHolder::MessageReceived>(event))
             now = h.before;
         else
@@ -405,8 +405,8 @@
     void carry_out(HolderProcess& h, TimePoint own, ShardHolder::SendMessage& a) {
         auto to = process_of.find(a.to);
         if (to == process_of.end()) return;
-        if (sabotaged(Saboteur::AnswersBeforeTheSecond) || sabotaged(Saboteur::SaysFilledAtOnce))
-            forge(h, own, a.body);
+        if (is_mutant(Mutant::RespondsBeforeBackupAck) || is_mutant(Mutant::ReportsCaughtUpEarly))
+            forge_acknowledgements(h, own, a.body);
         Message m;
         m.kind = Message::Kind::ToHolder, m.body = std::move(a.body);
         net->send(h.process, to->second, std::move(m));
@@ -415,16 +415,16 @@
         wire::Message decoded;
         decoded.ParseFromString(a.body);
         for (const wire::Answer& one : decoded.answers()) {
-            if (h.muted) break;
+            if (h.is_muted) break;
             bool tells = one.error() == 0 || Error(one.error()) == Error::Changed ||
                          Error(one.error()) == Error::BothHoldersLost;
             if (!tells || one.shard() >= machine->map().entries.size()) continue;
             if (machine->map().entries[one.shard()].primary != h.session)
-                fault(h.name + " answered for shard " + std::to_string(one.shard()) +
-                      " after it was given away");
+                report_violation(h.name + " answered for shard " + std::to_string(one.shard()) +
+                                 " after it was given away");
             auto [it, fresh] = answered.try_emplace({one.shard(), one.view()}, one.holder());
             if (it->second != one.holder())
-                fault("two answered for shard " + std::to_string(one.shard()) + " in one view");
+                report_violation("two answered for shard " + std::to_string(one.shard()) + " in one view");
         }
         Message m;
         m.kind = Message::Kind::Answers, m.body = std::move(a.body);
@@ -435,23 +435,23 @@
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SetTimer& a) { h.next_core = a.at; }
 
     // ---- Saboteurs
-    std::string sabotage(const std::string& news, Shell& s) {
-        if (!sabotaged(Saboteur::LossIsSilent) && !sabotaged(Saboteur::AnswersWhileYielding)) return news;
+    std::string mutate_map(const std::string& news, Shell& s) {
+        if (!is_mutant(Mutant::HidesLoss) && !is_mutant(Mutant::RespondsAfterSteppingDown)) return news;
         fleet::ShardMap map;
         if (!fleet::decode(news, map)) return news;
         for (std::uint32_t n = 0; n < map.entries.size(); ++n) {
             ShardAssignment& e = map.entries[n];
-            if (sabotaged(Saboteur::LossIsSilent)) e.lost = false;
-            if (!sabotaged(Saboteur::AnswersWhileYielding) || !e.stepping_down || e.primary != s.session)
+            if (is_mutant(Mutant::HidesLoss)) e.lost = false;
+            if (!is_mutant(Mutant::RespondsAfterSteppingDown) || !e.stepping_down || e.primary != s.session)
                 continue;
             e.stepping_down = false;
-            propose(holders[at[s.process - kKeepers].second],
+            propose(holders[at[s.process - kCoordinators].second],
                     ShardMapPlanner::stepped_down_command(n, e.view));
         }
         return fleet::encode(map);
     }
-    std::string weakened(const std::string& body) {
-        if (!sabotaged(Saboteur::SecondStoresNothing)) return body;
+    std::string mutate_copies(const std::string& body) {
+        if (!is_mutant(Mutant::BackupStoresNothing)) return body;
         wire::Message m;
         m.ParseFromString(body);
         for (wire::Copy& c : *m.mutable_copies())
@@ -459,11 +459,11 @@
                 if (step.what() == wire::Step::PUT) step.clear_record();
         return m.SerializeAsString();
     }
-    void forge(HolderProcess& h, TimePoint own, const std::string& body) {
+    void forge_acknowledgements(HolderProcess& h, TimePoint own, const std::string& body) {
         wire::Message sent, forged;
         sent.ParseFromString(body);
         for (const wire::Copy& c : sent.copies()) {
-            if (sabotaged(Saboteur::SaysFilledAtOnce)) {
+            if (is_mutant(Mutant::ReportsCaughtUpEarly)) {
                 if (c.number() == 1 && !c.keeps())
                     propose(h, ShardMapPlanner::caught_up_command(c.shard(), c.view()));
                 continue;
@@ -513,7 +513,7 @@
             Worker& w = n.workers[i];
             if (w.busy || own < w.next) continue;
             w.next = own + set.think * (0.5 + uniform());
-            if (!world.quiet_) begin(n, own, i);
+            if (!simulation.clients_stopped_) begin(n, own, i);
         }
     }
     void begin(NodeProcess& n, TimePoint own, std::size_t worker) {
@@ -555,7 +555,7 @@
         };
         if (d.error == Error::Unknown) {
             ++figures.unknown;
-            if (sabotaged(Saboteur::RepeatsBlindly) && !w.expect && !world.quiet_) {
+            if (is_mutant(Mutant::RetriesBlindly) && !w.expect && !simulation.clients_stopped_) {
                 ask(n, net->own(n.process), true, w,
                     [this, &n, key, index, worker, w](const ShardClient::Completed& again) {
                         done(n, key, index, worker, w, again);
@@ -585,103 +585,104 @@
     }
 };
 
-World::World(const WorldSettings& settings) : impl_(std::make_unique<Impl>(*this, settings)) {}
-World::~World() = default;
+Simulation::Simulation(const SimulationSettings& settings) : impl_(std::make_unique<Impl>(*this, settings)) {}
+Simulation::~Simulation() = default;
 
-TimePoint World::now() const {
+TimePoint Simulation::now() const {
     return impl_->net->now();
 }
-void World::run_to(TimePoint at) {
+void Simulation::run_to(TimePoint at) {
     impl_->net->run_to(at);
 }
-void World::run_events(std::uint64_t count) {
+void Simulation::run_events(std::uint64_t count) {
     for (std::uint64_t end = events() + count; events() < end && impl_->net->step();) {
     }
 }
-std::uint64_t World::events() const {
+std::uint64_t Simulation::events() const {
     return impl_->net->happened();
 }
 
-void World::kill(std::size_t holder) {
+void Simulation::kill(std::size_t holder) {
     impl_->net->crash(impl_->holders[holder].process);
 }
-void World::start(std::size_t holder) {
+void Simulation::start(std::size_t holder) {
     Impl::HolderProcess& h = impl_->holders[holder];
     if (impl_->net->up(h.process)) return;
-    if (!impl_->sabotaged(Saboteur::KeepsItsSessionOverDeath)) h.session = 0;
+    if (!impl_->is_mutant(Mutant::KeepsSessionAcrossRestart)) h.session = 0;
     impl_->fresh(h);
     impl_->net->start(h.process);
     impl_->net->wake_at(h.process, impl_->net->own(h.process));
 }
-void World::stop(std::size_t holder) {
+void Simulation::pause(std::size_t holder) {
     impl_->net->stop(impl_->holders[holder].process);
 }
-void World::go_on(std::size_t holder) {
+void Simulation::resume(std::size_t holder) {
     Impl::HolderProcess& h = impl_->holders[holder];
     h.resumed = now();
     h.before = h.last;
     impl_->net->go_on(h.process);
 }
-void World::cut_from_keepers(std::size_t holder, bool to, bool from) {
-    for (std::size_t k = 0; k < kKeepers; ++k) {
+void Simulation::cut_from_coordinators(std::size_t holder, bool to, bool from) {
+    for (std::size_t k = 0; k < kCoordinators; ++k) {
         if (to) impl_->net->cut(impl_->holders[holder].process, k);
         if (from) impl_->net->cut(k, impl_->holders[holder].process);
     }
 }
-void World::cut(std::size_t from, std::size_t to) {
+void Simulation::cut(std::size_t from, std::size_t to) {
     impl_->net->cut(impl_->holders[from].process, impl_->holders[to].process);
 }
-void World::cut_node(std::size_t node, std::size_t holder, bool to, bool from) {
+void Simulation::cut_node(std::size_t node, std::size_t holder, bool to, bool from) {
     std::size_t n = impl_->nodes[node].process, h = impl_->holders[holder].process;
     if (to) impl_->net->cut(n, h);
     if (from) impl_->net->cut(h, n);
 }
-void World::late(std::size_t from, std::size_t to, Duration most) {
+void Simulation::delay(std::size_t from, std::size_t to, Duration most) {
     impl_->net->delay(impl_->holders[from].process, impl_->holders[to].process, most);
 }
-void World::late_from_keepers(std::size_t holder, Duration most) {
-    for (std::size_t k = 0; k < kKeepers; ++k) impl_->net->delay(k, impl_->holders[holder].process, most);
+void Simulation::delay_from_coordinators(std::size_t holder, Duration most) {
+    for (std::size_t k = 0; k < kCoordinators; ++k)
+        impl_->net->delay(k, impl_->holders[holder].process, most);
 }
-void World::heal() {
+void Simulation::heal() {
     impl_->net->heal();
 }
-void World::lose_nothing() {
+void Simulation::stop_message_loss() {
     impl_->net->loss(0);
 }
-void World::move_leader() {
+void Simulation::move_leader() {
     impl_->move_leader();
 }
-void World::leave(std::size_t holder) {
+void Simulation::leave(std::size_t holder) {
     Impl::HolderProcess& h = impl_->holders[holder];
     if (impl_->net->up(h.process)) impl_->handle(h, impl_->net->own(h.process), ShardHolder::Leave{});
 }
-std::size_t World::add_holder() {
+std::size_t Simulation::add_holder() {
     return impl_->add_holder();
 }
-bool World::up(std::size_t holder) const {
+bool Simulation::up(std::size_t holder) const {
     return impl_->net->up(impl_->holders[holder].process);
 }
-void World::at_event(std::uint64_t number, AtEvent what) {
-    hit_.reset();
+void Simulation::at_event(std::uint64_t number, AtEvent what) {
+    faulted_holder_.reset();
     impl_->at_event = {number, what};
 }
 
-const fleet::ShardMap& World::map() const {
+const fleet::ShardMap& Simulation::map() const {
     return impl_->machine->map();
 }
-std::size_t World::holder_of(SessionId session) const {
+std::size_t Simulation::holder_of(SessionId session) const {
     for (std::size_t n = 0; n < impl_->holders.size(); ++n)
         if (session != 0 && impl_->holders[n].session == session && up(n)) return n;
-    return kNobody;
+    return kNoHolder;
 }
-const ShardHolder& World::holder(std::size_t n) const {
+const ShardHolder& Simulation::holder(std::size_t n) const {
     return *impl_->holders[n].core;
 }
-std::size_t World::holders() const {
+std::size_t Simulation::holders() const {
     return impl_->holders.size();
 }
 
-bool World::settled() const {
+bool Simulation::settled() const {
     const auto& holders = map().holders;
     for (const ShardAssignment& e : map().entries) {
         if (e.primary == 0 || e.backup == 0 || e.catching_up != 0 || e.stepping_down) return false;
@@ -693,29 +694,30 @@
     return true;
 }
 
-World::Verdict World::judge() const {
-    Verdict verdict = impl_->figures;
-    verdict.faults = impl_->faults;
+Simulation::Result Simulation::check() const {
+    Result result = impl_->figures;
+    result.violations = impl_->violations;
     for (std::size_t key = 0; key < impl_->histories.size(); ++key) {
         std::vector<Operation> kept;
         for (std::size_t i = 0; i < impl_->histories[key].size(); ++i)
             if (const Operation& o = impl_->histories[key][i];
                 !impl_->dropped[key][i] && (o.sure || o.what != Operation::What::Read))
                 kept.push_back(o);
-        verdict.records += kept.size();
+        result.records += kept.size();
         if (!linearizable(kept))
-            verdict.faults.push_back("the history of key " + std::to_string(key) + " cannot have happened");
+            result.violations.push_back("the history of key " + std::to_string(key) +
+                                        " cannot have happened");
     }
-    return verdict;
+    return result;
 }
 
-bool World::copies_equal() const {
+bool Simulation::copies_equal() const {
     for (std::uint32_t n = 0; n < map().entries.size(); ++n) {
         const ShardAssignment& e = map().entries[n];
         std::map<std::string, std::string> contents[2];
         for (int side = 0; side < 2; ++side) {
             std::size_t h = holder_of(side ? e.backup : e.primary);
-            if (h == kNobody) return false;
+            if (h == kNoHolder) return false;
             std::vector<fleet::Record> records;
             TimePoint own = impl_->net->own(impl_->holders[h].process);
             for (std::optional<std::size_t> from = 0; from;)
@@ -728,17 +730,17 @@
     return true;
 }
 
-void World::ask(std::size_t node, bool writes, const fleet::Write& write,
-                std::function<void(const ShardClient::Completed&)> done) {
+void Simulation::ask(std::size_t node, bool writes, const fleet::Write& write,
+                     std::function<void(const ShardClient::Completed&)> done) {
     Impl::NodeProcess& n = impl_->nodes[node];
     if (!impl_->net->up(n.process)) return;
     impl_->ask(n, impl_->net->own(n.process), writes, write, std::move(done));
     impl_->arm(n);
 }
-SessionId World::node_session(std::size_t node) const {
+SessionId Simulation::node_session(std::size_t node) const {
     return impl_->nodes[node].session;
 }
-void World::kill_node(std::size_t node) {
+void Simulation::kill_node(std::size_t node) {
     impl_->net->crash(impl_->nodes[node].process);
 }
 
