--- a/lab/equivalence/admission.cpp
+++ b/lab/equivalence/admission.cpp
@@ -33,7 +33,7 @@
 };
 
 struct OpenRequest {
-    AdmissionController::Knock request;
+    AdmissionController::AdmissionRequest request;
     TimePoint since{};
     TimePoint ends{};
 };
@@ -46,19 +46,19 @@
     std::mt19937_64 random(seed);
     auto uniform = [&random] { return double(random() >> 11) * 0x1p-53; };
     AdmissionController::Settings settings;
-    settings.worth = {5, 3, 8, 3};
-    settings.give_up = {Duration{1000}, Duration{300}, Duration{2000}, Duration{1000}};
-    settings.shares = {0.5, 0.3, 0.2};
-    settings.room = 60 + 40 * (seed % 4);
-    settings.most_advice = Duration{seed % 3 == 0 ? 30'000.0 : 1200.0};
+    settings.priority_weights = {5, 3, 8, 3};
+    settings.request_timeouts = {Duration{1000}, Duration{300}, Duration{2000}, Duration{1000}};
+    settings.tenant_shares = {0.5, 0.3, 0.2};
+    settings.max_connections = 60 + 40 * (seed % 4);
+    settings.max_retry_after = Duration{seed % 3 == 0 ? 30'000.0 : 1200.0};
     settings.seed = seed;
     AdmissionController admission(settings);
     std::deque<OpenRequest> open;
     TimePoint now{Duration{1e6}};
     auto record = [&](const Event& event, double value) {
-        lab::record_decision(
-            "admission", now, event,
-            std::vector<Decision>{{value, admission.open(), std::uint8_t(admission.load_state().state())}});
+        lab::record_decision("admission", now, event,
+                             std::vector<Decision>{{value, admission.open_requests(),
+                                                    std::uint8_t(admission.load_state().state())}});
     };
     for (int step = 0; step < kSteps; ++step) {
         // Calm, then an overload, then slow servers, then calm again.
@@ -68,18 +68,18 @@
             const OpenRequest request = open.front();
             open.pop_front();
             const bool served = uniform() < (phase == 2 ? 0.6 : 0.98);
-            admission.leave(now, request.request, served, now - request.since, now - request.since);
-            record({Call::Complete, request.request.cls, request.request.tenant, request.request.repeat,
-                    request.request.who},
+            admission.complete(now, request.request, served, now - request.since, now - request.since);
+            record({Call::Complete, request.request.class_index, request.request.tenant,
+                    request.request.is_retry, request.request.client_id},
                    served);
         }
-        AdmissionController::Knock request;
-        request.cls = int(random() % kClasses);
+        AdmissionController::AdmissionRequest request;
+        request.class_index = int(random() % kClasses);
         request.tenant = random() % 10 == 0 ? kNone : int(random() % kTenants);
-        request.repeat = uniform() < (phase == 1 ? 0.5 : 0.05);
-        request.who = random() % 200;
-        Event event{Call::Admit, request.cls, request.tenant, request.repeat, request.who};
-        const auto rejected = admission.arrive(now, request);
+        request.is_retry = uniform() < (phase == 1 ? 0.5 : 0.05);
+        request.client_id = random() % 200;
+        Event event{Call::Admit, request.class_index, request.tenant, request.is_retry, request.client_id};
+        const auto rejected = admission.admit(now, request);
         record(event, rejected ? rejected->count() : -1);
         if (!rejected) {
             const double took = (phase == 2 ? 400 : 60) * (0.5 + uniform());
@@ -87,11 +87,11 @@
         }
         if (step % 17 == 0) {
             event.call = Call::RejectLater;
-            record(event, admission.refuse(now, request).count());
+            record(event, admission.reject(now, request).count());
         }
         if (step % 23 == 0) {
             event.call = Call::RejectConnection;
-            record(event, admission.turn_away(now, request).count());
+            record(event, admission.reject_connection(now, request).count());
         }
         if (step % 5 == 0) {
             event.call = Call::ConnectionOpened;
@@ -100,7 +100,7 @@
         }
         if (step % 50 == 0) {
             event.call = Call::Poll;
-            const auto change = admission.look(now);
+            const auto change = admission.poll_state_change(now);
             record(event, change ? double(change->to) : -1);
         }
     }
--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -68,9 +68,10 @@
                  front_.listed(listing);
                  engine_.listed(listing);
              }),
-      front_(scheduler, world, engine_,
-             AdmissionController::of(settings, budget_of(day, node).asked, ~seed, bounded_admission),
-             budget_of(day, node), meddler, pool_.hands(), std::move(load_state)) {
+      front_(
+          scheduler, world, engine_,
+          AdmissionController::from_settings(settings, budget_of(day, node).asked, ~seed, bounded_admission),
+          budget_of(day, node), meddler, pool_.hands(), std::move(load_state)) {
     engine_.connect(pool_, watch_);
     if (DecisionRecorder::active())
         engine_.observe_decisions([](TimePoint now, const Event& event, const Actions& actions) {
--- a/lab/sim/sim_front.cpp
+++ b/lab/sim/sim_front.cpp
@@ -53,16 +53,18 @@
         message->wait = ask.wait;
         message->give_up_at = came + ask.patience;
         message_ = message;
-        knock_ = {ask.cls, ask.tenant, ask.marked, connection_};
+        admission_request_ = {ask.cls, ask.tenant, ask.marked, connection_};
         if (over_) {
             close_after_ = true;
-            return turn_away(front_.admission_.turn_away(front_.scheduler_.now(), knock_));
+            return turn_away(
+                front_.admission_.reject_connection(front_.scheduler_.now(), admission_request_));
         }
         if (now - came >= front_.lag_.most(ask.patience)) {
             front_.scheduler_.was_cheap();
-            return turn_away(front_.admission_.turn_away(now, knock_));
+            return turn_away(front_.admission_.reject_connection(now, admission_request_));
         }
-        if (auto back = front_.admission_.arrive(front_.scheduler_.now(), knock_)) return turn_away(*back);
+        if (auto back = front_.admission_.admit(front_.scheduler_.now(), admission_request_))
+            return turn_away(*back);
         call.request.class_index = ask.cls;
         call.request.tenant = ask.tenant;
         call.request.is_client_retry = ask.marked;
@@ -90,9 +92,10 @@
         bool entered = std::exchange(submitted_, false);
         if (entered) {
             TimePoint now = front_.scheduler_.now();
-            front_.admission_.leave(now, knock_, reply.verdict == Verdict::Served, now - since_,
-                                    reply.server_took);
-            if (reply.verdict == Verdict::Refused) reply.retry_after = front_.admission_.refuse(now, knock_);
+            front_.admission_.complete(now, admission_request_, reply.verdict == Verdict::Served,
+                                       now - since_, reply.server_took);
+            if (reply.verdict == Verdict::Refused)
+                reply.retry_after = front_.admission_.reject(now, admission_request_);
         }
         SimReply out;
         out.heard = reply.verdict == Verdict::Served    ? Heard::Served
@@ -133,7 +136,7 @@
         if (std::exchange(submitted_, false)) {
             front_.engine_.depart(request_);
             TimePoint now = front_.scheduler_.now();
-            front_.admission_.leave(now, knock_, false, now - since_);
+            front_.admission_.complete(now, admission_request_, false, now - since_);
         }
         std::shared_ptr<Session> self = front_.table_.leave(place_, standing_);
         front_.sessions_.erase(connection_);
@@ -159,7 +162,7 @@
     Table::Place place_{};
     TimePoint since_;
     RequestId request_ = 0;
-    AdmissionController::Knock knock_;
+    AdmissionController::AdmissionRequest admission_request_;
     std::shared_ptr<const SimMessage> message_;
 };
 
@@ -243,7 +246,7 @@
         if (session->late()) late.push_back(session);
     });
     for (const auto& session : late) session->close();
-    std::optional<LoadState::Change> change = admission_.look(scheduler_.now());
+    std::optional<LoadState::Change> change = admission_.poll_state_change(scheduler_.now());
     if (change && load_state_) load_state_(*change);
     scheduler_.call_at(scheduler_.now() + kSweep, [this] { sweep(); });
 }
--- a/lab/tests/explore_test.cpp
+++ b/lab/tests/explore_test.cpp
@@ -116,7 +116,7 @@
 class Node : public Registry {
 public:
     explicit Node(int listed, std::uint64_t seed)
-        : admission(AdmissionController::of(settings(), 12, seed)),
+        : admission(AdmissionController::from_settings(settings(), 12, seed)),
           fleet(scheduler),
           engine(scheduler, settings(), seed),
           listed_(listed) {
@@ -144,7 +144,7 @@
             entry.phase = in ? Phase::Ready : Phase::Draining;
             listing.addresses.emplace_back();
         }
-        admission.listed(scheduler.now(), listing.update);
+        admission.update_endpoints(scheduler.now(), listing.update);
         engine.listed(listing);
     }
     void run_to(double ms) {
@@ -171,12 +171,12 @@
     void ask() {
         if (served || left) return;
         TimePoint now = node_.scheduler.now();
-        knock_ = {cls_, tenant_, tries_++ > 0, std::uint64_t(number_ + 1)};
-        if (auto back = node_.admission.arrive(now, knock_)) return again(*back);
+        admission_request_ = {cls_, tenant_, tries_++ > 0, std::uint64_t(number_ + 1)};
+        if (auto back = node_.admission.admit(now, admission_request_)) return again(*back);
         Call call;
         call.request.class_index = cls_;
         call.request.tenant = tenant_;
-        call.request.is_client_retry = knock_.repeat;
+        call.request.is_client_retry = admission_request_.is_retry;
         call.request.deadline = now + Duration{patience_};
         call.message = std::make_shared<Message>();
         entered_ = now;
@@ -190,7 +190,8 @@
         if (!std::exchange(out_, false)) return;
         ++departed;
         node_.engine.depart(open_);
-        node_.admission.leave(node_.scheduler.now(), knock_, false, node_.scheduler.now() - entered_);
+        node_.admission.complete(node_.scheduler.now(), admission_request_, false,
+                                 node_.scheduler.now() - entered_);
     }
 
     bool served = false, left = false;
@@ -210,10 +211,10 @@
         TimePoint now = node_.scheduler.now();
         out_ = false;
         ++answered;
-        node_.admission.leave(now, knock_, reply.verdict == Verdict::Served, now - entered_,
-                              reply.server_took);
+        node_.admission.complete(now, admission_request_, reply.verdict == Verdict::Served, now - entered_,
+                                 reply.server_took);
         served |= reply.verdict == Verdict::Served;
-        if (reply.verdict == Verdict::Refused) return again(node_.admission.refuse(now, knock_));
+        if (reply.verdict == Verdict::Refused) return again(node_.admission.reject(now, admission_request_));
         if (reply.verdict == Verdict::Failed) again(Duration{100});
     }
     void again(Duration back) {
@@ -226,7 +227,7 @@
     double patience_;
     bool heeds_, out_ = false;
     int tries_ = 0;
-    AdmissionController::Knock knock_;
+    AdmissionController::AdmissionRequest admission_request_;
     TimePoint entered_{};
     RequestId open_ = 0;
 };
@@ -294,7 +295,7 @@
     node.run_to(now + kHealsWithin + 2000);
     seen.open = node.engine.open_requests();
     seen.held = node.engine.held_requests();
-    seen.admission = node.admission.open();
+    seen.admission = node.admission.open_requests();
     return seen;
 }
 
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -89,13 +89,13 @@
     return booked_;
 }
 
-std::uint64_t Heed::mixed(std::uint64_t who) {
+std::uint64_t RetryAfterCompliance::mixed(std::uint64_t who) {
     who = (who ^ who >> 33) * 0xff51afd7ed558ccd;
     who = (who ^ who >> 33) * 0xc4ceb9fe1a85ec53;
     return who ^ who >> 33;
 }
 
-void Heed::told(TimePoint now, std::uint64_t who, Duration back) {
+void RetryAfterCompliance::told(TimePoint now, std::uint64_t who, Duration back) {
     std::uint64_t mix = mixed(who);
     Entry& entry = entries_[mix % kPlaces];
     auto tag = std::uint16_t(mix >> 48);
@@ -103,7 +103,7 @@
     entry.due = std::uint32_t(std::uint64_t((now + back).time_since_epoch().count()));
 }
 
-Heed::Comes Heed::comes(TimePoint now, std::uint64_t who) {
+RetryAfterCompliance::Comes RetryAfterCompliance::comes(TimePoint now, std::uint64_t who) {
     std::uint64_t mix = mixed(who);
     Entry& entry = entries_[mix % kPlaces];
     if (entry.tag != std::uint16_t(mix >> 48) || entry.due == 0) return Comes::Unknown;
@@ -118,7 +118,7 @@
     return Comes::OnTime;
 }
 
-int Heed::strikes(TimePoint now, std::uint64_t who) const {
+int RetryAfterCompliance::strikes(TimePoint now, std::uint64_t who) const {
     std::uint64_t mix = mixed(who);
     const Entry& entry = entries_[mix % kPlaces];
     if (entry.tag != std::uint16_t(mix >> 48)) return 0;
@@ -127,39 +127,40 @@
 }
 
 AdmissionController::AdmissionController(const Settings& settings)
-    : room_(double(std::max<std::size_t>(settings.room, 1))),
-      bounded_(settings.bounded),
-      advises_(settings.most_advice.count() > 0),
-      retry_after_(settings.most_advice, settings.seed),
+    : room_(double(std::max<std::size_t>(settings.max_connections, 1))),
+      bounded_(settings.limits_open_requests),
+      advises_(settings.max_retry_after.count() > 0),
+      retry_after_(settings.max_retry_after, settings.seed),
       load_state_(
           [&] {
-              std::vector<Duration> give_up = settings.give_up;
-              give_up.resize(settings.worth.size(), Duration{1000});
+              std::vector<Duration> give_up = settings.request_timeouts;
+              give_up.resize(settings.priority_weights.size(), Duration{1000});
               return give_up;
           }(),
-          settings.shares.size()) {
-    for (double worth : settings.worth) classes_.push_back({worth, 0, {}});
-    for (std::size_t i = 0; i < std::min(classes_.size(), settings.give_up.size()); ++i)
-        classes_[i].give_up = settings.give_up[i];
+          settings.tenant_shares.size()) {
+    for (double worth : settings.priority_weights) classes_.push_back({worth, 0, {}});
+    for (std::size_t i = 0; i < std::min(classes_.size(), settings.request_timeouts.size()); ++i)
+        classes_[i].give_up = settings.request_timeouts[i];
     double sum = 0;
-    for (double share : settings.shares) sum += share;
-    for (double share : settings.shares) tenants_.push_back({sum > 0 ? std::max(share, 1e-3 * sum) : 1, 0});
-    tenants_.push_back({sum > 0 ? sum / double(settings.shares.size()) : 1, 0});
+    for (double share : settings.tenant_shares) sum += share;
+    for (double share : settings.tenant_shares)
+        tenants_.push_back({sum > 0 ? std::max(share, 1e-3 * sum) : 1, 0});
+    tenants_.push_back({sum > 0 ? sum / double(settings.tenant_shares.size()) : 1, 0});
 }
 
-AdmissionController AdmissionController::of(const ochrehub::Settings& settings, std::size_t room,
-                                            std::uint64_t seed, bool bounded) {
+AdmissionController AdmissionController::from_settings(const ochrehub::Settings& settings, std::size_t room,
+                                                       std::uint64_t seed, bool bounded) {
     Settings own{{},   {},     {}, room, settings.retry_after ? settings.max_retry_after : Duration{0},
                  seed, bounded};
     for (const ClassSettings& c : settings.classes) {
-        own.worth.push_back(c.priority_weight);
-        own.give_up.push_back(c.request_timeout);
+        own.priority_weights.push_back(c.priority_weight);
+        own.request_timeouts.push_back(c.request_timeout);
     }
-    for (const TenantSettings& t : settings.tenants) own.shares.push_back(t.fair_share);
+    for (const TenantSettings& t : settings.tenants) own.tenant_shares.push_back(t.fair_share);
     return AdmissionController(own);
 }
 
-std::size_t AdmissionController::bytes() const {
+std::size_t AdmissionController::memory_bytes() const {
     return sizeof(*this) - sizeof(load_state_) + load_state_.bytes() + classes_.capacity() * sizeof(Class) +
            tenants_.capacity() * sizeof(Tenant);
 }
@@ -186,24 +187,26 @@
     return sum >= room;
 }
 
-AdmissionController::Tenant& AdmissionController::tenant(const Knock& knock) {
-    return tenants_[knock.tenant == kNone ? tenants_.size() - 1 : std::size_t(knock.tenant)];
+AdmissionController::Tenant& AdmissionController::tenant(const AdmissionRequest& request) {
+    return tenants_[request.tenant == kNone ? tenants_.size() - 1 : std::size_t(request.tenant)];
 }
 
-std::uint64_t AdmissionController::known_as(const Knock& knock) const {
-    return knock.who == 0 ? 0 : knock.who * tenants_.size() + std::uint64_t(knock.tenant + 1);
+std::uint64_t AdmissionController::known_as(const AdmissionRequest& request) const {
+    return request.client_id == 0 ? 0
+                                  : request.client_id * tenants_.size() + std::uint64_t(request.tenant + 1);
 }
 
-bool AdmissionController::may_enter(TimePoint now, const Knock& knock) {
-    std::uint64_t who = known_as(knock);
-    Heed::Comes comes = who != 0 ? heed_.comes(now, who) : Heed::Comes::Unknown;
-    load_state_.came(now, knock.tenant, knock.repeat);
+bool AdmissionController::may_enter(TimePoint now, const AdmissionRequest& request) {
+    std::uint64_t who = known_as(request);
+    RetryAfterCompliance::Comes comes =
+        who != 0 ? compliance_.comes(now, who) : RetryAfterCompliance::Comes::Unknown;
+    load_state_.came(now, request.tenant, request.is_retry);
     // One that is known to come too early takes nobody's seat.
-    bool in_turn = !knock.repeat;
-    if (knock.repeat && comes != Heed::Comes::Early)
-        in_turn = retry_after_.keep(now) || comes == Heed::Comes::OnTime;
-    double own = part(classes_[std::size_t(knock.cls)]), part = own;
-    if (!in_turn) part = who != 0 && heed_.strikes(now, who) >= kDeaf ? kRoomDeaf : kRoomRepeats;
+    bool in_turn = !request.is_retry;
+    if (request.is_retry && comes != RetryAfterCompliance::Comes::Early)
+        in_turn = retry_after_.keep(now) || comes == RetryAfterCompliance::Comes::OnTime;
+    double own = part(classes_[std::size_t(request.class_index)]), part = own;
+    if (!in_turn) part = who != 0 && compliance_.strikes(now, who) >= kDeaf ? kRoomDeaf : kRoomRepeats;
     // Of the most and not of what is served now: that would fall for its own fall, and never rise above what
     // is let in.
     double rate = most_ * std::exp(-((now - most_at_) / kMostFade));
@@ -221,48 +224,48 @@
     // What is worth the least for its time makes way first here too. Who comes as it was told keeps its turn.
     double rank = (own - kRoomLeast) / (kRoomMost - kRoomLeast);
     double shared = room * (kRoomShared + (1 - kRoomShared) * rank);
-    return (knock.repeat && in_turn) || double(open_) < shared || !beyond_share(tenant(knock), shared);
+    return (request.is_retry && in_turn) || double(open_) < shared || !beyond_share(tenant(request), shared);
 }
 
-std::optional<Duration> AdmissionController::arrive(TimePoint now, const Knock& knock) {
-    if (!may_enter(now, knock)) return refuse(now, knock);
+std::optional<Duration> AdmissionController::admit(TimePoint now, const AdmissionRequest& request) {
+    if (!may_enter(now, request)) return reject(now, request);
     ++open_;
-    ++tenant(knock).open;
+    ++tenant(request).open;
     return std::nullopt;
 }
 
-void AdmissionController::leave(TimePoint now, const Knock& knock, bool served, Duration took,
-                                Duration server_took) {
+void AdmissionController::complete(TimePoint now, const AdmissionRequest& request, bool served, Duration took,
+                                   Duration server_took) {
     --open_;
-    --tenant(knock).open;
-    load_state_.ended(now, knock.cls, served, took);
+    --tenant(request).open;
+    load_state_.ended(now, request.class_index, served, took);
     if (!served) return;
-    if (server_took.count() > 0) load_state_.answered(now, knock.cls, server_took);
+    if (server_took.count() > 0) load_state_.answered(now, request.class_index, server_took);
     served_ = served_ * std::exp(-((now - served_at_) / kServedOver)) + 1000 / kServedOver.count();
     served_at_ = now;
     most_ = std::max(served_, most_ * std::exp(-((now - most_at_) / kMostFade)));
     most_at_ = now;
-    usual_ms_ += (usual_ms_ > 0 ? kTookGain : 1) * (load_state_.usual_ms(knock.cls) - usual_ms_);
-    Class& c = classes_[std::size_t(knock.cls)];
+    usual_ms_ += (usual_ms_ > 0 ? kTookGain : 1) * (load_state_.usual_ms(request.class_index) - usual_ms_);
+    Class& c = classes_[std::size_t(request.class_index)];
     c.took_ms += (c.took_ms > 0 ? kTookGain : 1) * (took.count() - c.took_ms);
 }
 
-Duration AdmissionController::refuse(TimePoint now, const Knock& knock) {
-    return advise(now, knock, classes_[std::size_t(knock.cls)].give_up);
+Duration AdmissionController::reject(TimePoint now, const AdmissionRequest& request) {
+    return advise(now, request, classes_[std::size_t(request.class_index)].give_up);
 }
 
-Duration AdmissionController::advise(TimePoint now, const Knock& knock, Duration patience) {
+Duration AdmissionController::advise(TimePoint now, const AdmissionRequest& request, Duration patience) {
     load_state_.refused(now);
     if (!advises_) return Duration{0};
     double rate = served_ * std::exp(-((now - served_at_) / kServedOver));
     Duration back = retry_after_.give(now, kReturnsShare * rate, patience);
-    if (std::uint64_t who = known_as(knock)) heed_.told(now, who, back);
+    if (std::uint64_t who = known_as(request)) compliance_.told(now, who, back);
     return back;
 }
 
-Duration AdmissionController::turn_away(TimePoint now, const Knock& knock) {
-    load_state_.came(now, knock.tenant, knock.repeat);
-    return advise(now, knock, {});  // nobody has read what it asks for
+Duration AdmissionController::reject_connection(TimePoint now, const AdmissionRequest& request) {
+    load_state_.came(now, request.tenant, request.is_retry);
+    return advise(now, request, {});  // nobody has read what it asks for
 }
 
 }  // namespace ochrehub
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -49,7 +49,7 @@
 /// connection and tenant: an address is that of whatever stands before the clients. Memory: fixed, one place
 /// by hash, so that what is remembered of one may be forgotten for another; what is over for long counts no
 /// more.
-class Heed {
+class RetryAfterCompliance {
 public:
     enum class Comes { Unknown, Early, OnTime };
 
@@ -80,58 +80,59 @@
 class AdmissionController {
 public:
     struct Settings {
-        std::vector<double> worth;      ///< of each class
-        std::vector<Duration> give_up;  ///< ... how long its clients wait; empty: a second
-        std::vector<double> shares;     ///< of each tenant, in any unit
-        std::size_t room = 0;           ///< connections of clients that may be kept
-        Duration most_advice{0};        ///< the longest that clients heed; zero: none is given
+        std::vector<double> priority_weights;    ///< of each class
+        std::vector<Duration> request_timeouts;  ///< ... how long its clients wait; empty: a second
+        std::vector<double> tenant_shares;       ///< of each tenant, in any unit
+        std::size_t max_connections = 0;         ///< connections of clients that may be kept
+        Duration max_retry_after{0};             ///< the longest that clients compliance; zero: none is given
         std::uint64_t seed = 0;
-        bool bounded = true;  ///< false: everything enters
+        bool limits_open_requests = true;  ///< false: everything enters
     };
     explicit AdmissionController(const Settings& settings);
     /// `room`: as in Settings; the rest is as the module is told.
-    static AdmissionController of(const ochrehub::Settings& settings, std::size_t room, std::uint64_t seed,
-                                  bool bounded = true);
+    static AdmissionController from_settings(const ochrehub::Settings& settings, std::size_t room,
+                                             std::uint64_t seed, bool bounded = true);
 
-    struct Knock {
-        int cls = 0, tenant = kNone;
-        bool repeat = false;    ///< as the client marks it
-        std::uint64_t who = 0;  ///< its connection, by a number that no other has; zero: not known
+    struct AdmissionRequest {
+        int class_index = 0, tenant = kNone;
+        bool is_retry = false;        ///< as the client marks it
+        std::uint64_t client_id = 0;  ///< its connection, by a number that no other has; zero: not known
     };
-    /// A request has come. None: it may enter, and must leave(); else it is refused, and told this.
-    std::optional<Duration> arrive(TimePoint now, const Knock& knock);
+    /// A request has come. None: it may enter, and must complete(); else it is refused, and told this.
+    std::optional<Duration> admit(TimePoint now, const AdmissionRequest& request);
     /// One that entered is over; `took`: since it entered, and the server since it was sent there.
-    void leave(TimePoint now, const Knock& knock, bool served, Duration took, Duration server_took = {});
+    void complete(TimePoint now, const AdmissionRequest& request, bool served, Duration took,
+                  Duration server_took = {});
     /// For one that entered and is refused by others: when to come back.
-    Duration refuse(TimePoint now, const Knock& knock);
+    Duration reject(TimePoint now, const AdmissionRequest& request);
     /// For one whose connection there is no room for.
-    Duration turn_away(TimePoint now, const Knock& knock);
+    Duration reject_connection(TimePoint now, const AdmissionRequest& request);
 
     /// Of a client's.
     void connection_opened(TimePoint now) { load_state_.opened(now); }
-    void listed(TimePoint now, const EndpointUpdate& update) { load_state_.listed(now, update); }
+    void update_endpoints(TimePoint now, const EndpointUpdate& update) { load_state_.listed(now, update); }
     /// To be called now and then: how the weather has changed since.
-    std::optional<LoadState::Change> look(TimePoint now) { return load_state_.look(now); }
+    std::optional<LoadState::Change> poll_state_change(TimePoint now) { return load_state_.look(now); }
     const LoadState& load_state() const { return load_state_; }
-    std::size_t bytes() const;
+    std::size_t memory_bytes() const;
 
-    std::size_t open() const { return open_; }
+    std::size_t open_requests() const { return open_; }
 
 private:
     struct Class {
         double worth = 1, took_ms = 0;  // of those served
         Duration give_up{};
     };
-    Duration advise(TimePoint now, const Knock& knock, Duration patience);
+    Duration advise(TimePoint now, const AdmissionRequest& request, Duration patience);
     double part(const Class& cls) const;
     struct Tenant {
         double share = 1;
         std::uint32_t open = 0;
     };
     bool beyond_share(const Tenant& own, double room) const;
-    Tenant& tenant(const Knock& knock);
-    std::uint64_t known_as(const Knock& knock) const;
-    bool may_enter(TimePoint now, const Knock& knock);
+    Tenant& tenant(const AdmissionRequest& request);
+    std::uint64_t known_as(const AdmissionRequest& request) const;
+    bool may_enter(TimePoint now, const AdmissionRequest& request);
 
     std::vector<Class> classes_;
     std::vector<Tenant> tenants_;  // the last: those that are none
@@ -139,7 +140,7 @@
     std::size_t open_ = 0;
     bool bounded_, advises_;
     RetryAfterSchedule retry_after_;
-    Heed heed_;
+    RetryAfterCompliance compliance_;
     LoadState load_state_;
     double served_ = 0;    // a second, smoothed over kServedOver
     double most_ = 0;      // ... at most, of late
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -94,7 +94,8 @@
             close_after_ = true;
             if (!begun_)
                 heard_ = Steady::now();  // nothing of it has been read: the figures time it from here
-            return reject_unread(503, retry_after(front_.admission().turn_away(front_.engine().now(), {})));
+            return reject_unread(
+                503, retry_after(front_.admission().reject_connection(front_.engine().now(), {})));
         }
         if (!unread_) unread_ = front_.pool().take();
         Received got = receive(socket_, unread_.free_space(), unread_.room());
@@ -243,15 +244,15 @@
     reading.call.request.receiving_body = bool(upload_);
     if (!upload_) figured_ = front_.figures().came(class_, tenant_, heard_);
     entered_ = front_.engine().now();
-    knock_ = {reading.call.request.class_index, reading.call.request.tenant,
-              reading.call.request.is_client_retry, number_};
-    if (overloaded_) return refuse(front_.admission().turn_away(entered_, knock_));
+    admission_request_ = {reading.call.request.class_index, reading.call.request.tenant,
+                          reading.call.request.is_client_retry, number_};
+    if (overloaded_) return refuse(front_.admission().reject_connection(entered_, admission_request_));
     if (reading.status != 200) {
         close_after_ = true;
         return reject(reading.status, reading.status == 405 ? "Allow: " + reading.allow + "\r\n" : "");
     }
     if (entered_ - came_ >= front_.lag().most(reading.patience) && reading.patience.count() > 0)
-        return refuse(front_.admission().turn_away(entered_, knock_));
+        return refuse(front_.admission().reject_connection(entered_, admission_request_));
     if (!front_.profile().makes_trace_ids) {
         trace_ = request->header("X-Trace-Id");
         if (!front_.claim(trace_)) {
@@ -263,7 +264,7 @@
         request->headers.emplace_back("X-Trace-Id", front_.calls().make_trace_id());
     }
     head_only_ = request->method == "HEAD";
-    if (auto back = front_.admission().arrive(entered_, knock_)) {
+    if (auto back = front_.admission().admit(entered_, admission_request_)) {
         if (!trace_.empty()) front_.release(trace_);
         return refuse(*back);
     }
@@ -335,7 +336,7 @@
     if (!trace_.empty()) front_.release(trace_);
     front_.engine().depart(request_);
     TimePoint now = front_.engine().now();
-    front_.admission().leave(now, knock_, false, now - entered_);
+    front_.admission().complete(now, admission_request_, false, now - entered_);
 }
 
 /// The answer in hand ends the connection. A node that stops ends each behind its answer; what it has read of
@@ -350,9 +351,9 @@
     socket_.cancel(ignored);  // the watch
     if (!trace_.empty()) front_.release(trace_);
     TimePoint now = front_.engine().now();
-    front_.admission().leave(now, knock_, reply.verdict == Verdict::Served, now - entered_,
-                             reply.server_took);
-    if (reply.verdict == Verdict::Refused) return refuse(front_.admission().refuse(now, knock_));
+    front_.admission().complete(now, admission_request_, reply.verdict == Verdict::Served, now - entered_,
+                                reply.server_took);
+    if (reply.verdict == Verdict::Refused) return refuse(front_.admission().reject(now, admission_request_));
     if (reply.verdict == Verdict::Failed) return reject(reply.timed_out ? 504 : 502);
     pass_on(std::static_pointer_cast<const HttpMessage>(std::move(reply.message)));
 }
@@ -543,7 +544,7 @@
 void ClientSession::close() {
     if (state_ == State::Reading && begun_) {
         close_after_ = true;
-        reject_unread(503, retry_after(front_.admission().turn_away(front_.engine().now(), {})));
+        reject_unread(503, retry_after(front_.admission().reject_connection(front_.engine().now(), {})));
     }
     if (state_ == State::Lingering) drop_unread();
     end();
--- a/src/http/client_session.h
+++ b/src/http/client_session.h
@@ -107,7 +107,7 @@
     Duration patience_{};
     int class_ = kNone, tenant_ = kNone;
     std::uint64_t number_;
-    AdmissionController::Knock knock_;  // of the request that admission let in
+    AdmissionController::AdmissionRequest admission_request_;  // of the request that admission let in
     TimePoint entered_{};
     // The rules that this request came under count for its answer too, with its class and path.
     std::shared_ptr<const rewrite::Rewrites> rewrites_;
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -51,7 +51,7 @@
       acceptor_(io),
       retry_(io),
       sweep_(io),
-      admission_(AdmissionController::of(settings, budget.asked, seed)),
+      admission_(AdmissionController::from_settings(settings, budget.asked, seed)),
       sessions_(budget),
       shared_(inherited.has_value()) {
     if (shared_) {
@@ -190,7 +190,7 @@
     });
     for (const auto& session : late) session->time_out();
     accept_if_full();
-    if (auto change = admission_.look(engine_.now())) tell(*change);
+    if (auto change = admission_.poll_state_change(engine_.now())) tell(*change);
     sweep_.expires_after(kSweep);
     sweep_.async_wait([this](error_code stopped) {
         if (!stopped) sweep();
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -28,8 +28,8 @@
     const std::vector<double> took = {50, 60, 200, 200};
     int cls = 0;
     for (double t = from; t < to; t += 1000 / per_s, cls = (cls + 1) % 4) {
-        ASSERT_FALSE(admission.arrive(at(t), {cls, kNone, false}));
-        admission.leave(at(t), {cls}, true, Duration{took[std::size_t(cls)]});
+        ASSERT_FALSE(admission.admit(at(t), {cls, kNone, false}));
+        admission.complete(at(t), {cls}, true, Duration{took[std::size_t(cls)]});
     }
 }
 
@@ -77,10 +77,10 @@
     serve(admission, 0, 5000, 1000);
     int entered = 0, refused = 0;
     for (int i = 0; i < 1000; ++i)
-        (admission.arrive(at(5000 + i * 0.1), {i % 4, kNone, false}) ? refused : entered) += 1;
+        (admission.admit(at(5000 + i * 0.1), {i % 4, kNone, false}) ? refused : entered) += 1;
     EXPECT_EQ(entered, 90);
     EXPECT_EQ(refused, 910);
-    EXPECT_EQ(admission.open(), 90u);
+    EXPECT_EQ(admission.open_requests(), 90u);
 }
 
 TEST(AdmissionController, RepeatsOutOfTurnGoFirstThenWhatIsWorthTheLeastForItsTime) {
@@ -90,8 +90,8 @@
     std::map<int, std::size_t> shut;
     for (int i = 0; i < 1000; ++i)
         for (int kind : {4, 3, 1, 2, 0})
-            if (admission.arrive(at(5000), {kind % 4, kNone, kind == 4}) && !shut.contains(kind))
-                shut[kind] = admission.open();
+            if (admission.admit(at(5000), {kind % 4, kNone, kind == 4}) && !shut.contains(kind))
+                shut[kind] = admission.open_requests();
     // Worth for the time: 0.1, 0.05, 0.04, 0.015.
     EXPECT_EQ(shut[4], 50u);
     EXPECT_EQ(shut[3], 70u);
@@ -104,13 +104,13 @@
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
     int open = 0;
-    while (!admission.arrive(at(5000), {3, kNone, false})) ++open;
-    auto back = admission.arrive(at(5000), {3, kNone, false});
+    while (!admission.admit(at(5000), {3, kNone, false})) ++open;
+    auto back = admission.admit(at(5000), {3, kNone, false});
     ASSERT_TRUE(back);
     // 55 open: closed to repeats out of turn.
-    for (int i = 0; i < 15; ++i) admission.leave(at(5001), {3}, false, Duration{1});
-    EXPECT_TRUE(admission.arrive(at(5002), {0, kNone, true}));
-    EXPECT_FALSE(admission.arrive(at(5000 + back->count()), {0, kNone, true}));
+    for (int i = 0; i < 15; ++i) admission.complete(at(5001), {3}, false, Duration{1});
+    EXPECT_TRUE(admission.admit(at(5002), {0, kNone, true}));
+    EXPECT_FALSE(admission.admit(at(5000 + back->count()), {0, kNone, true}));
 }
 
 // In a brownout less is served; if what may be open followed that down, less would be served for it.
@@ -119,8 +119,8 @@
     serve(admission, 0, 10000, 500);
     auto open_at = [&](double ms) {
         int open = 0;
-        while (!admission.arrive(at(ms), {0, kNone, false})) ++open;
-        for (int i = 0; i < open; ++i) admission.leave(at(ms), {0}, false, Duration{1});
+        while (!admission.admit(at(ms), {0, kNone, false})) ++open;
+        for (int i = 0; i < open; ++i) admission.complete(at(ms), {0}, false, Duration{1});
         return open;
     };
     int before = open_at(10000);
@@ -139,12 +139,12 @@
         int asked = 0, refused = 0, cls = 0;
         for (double t = 0; t < 60'000; t += 5, cls = (cls + 1) % 4) {
             while (!open.empty() && open.begin()->first <= t) {
-                admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
-                                Duration{took});
+                admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
+                                   Duration{took});
                 open.erase(open.begin());
             }
-            admission.look(at(t));
-            bool enters = !admission.arrive(at(t), {cls});
+            admission.poll_state_change(at(t));
+            bool enters = !admission.admit(at(t), {cls});
             if (enters) open.emplace(t + took, cls);
             if (t >= 5000 + 4 * took) ++asked, refused += !enters;
         }
@@ -162,12 +162,12 @@
     for (double t = 0; t < 40'000; t += 2, cls = (cls + 1) % 4) {  // 500 a second
         double took = t < 10'000 ? 60 : 1200;
         while (!open.empty() && open.begin()->first <= t) {
-            admission.leave(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
-                            Duration{took});
+            admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
+                               Duration{took});
             open.erase(open.begin());
         }
-        admission.look(at(t));
-        if (!admission.arrive(at(t), {cls})) open.emplace(t + took, cls);
+        admission.poll_state_change(at(t));
+        if (!admission.admit(at(t), {cls})) open.emplace(t + took, cls);
         if (t < 20'000) most = std::max(most, open.size());
     }
     EXPECT_LT(most, 0.9 * 0.4 * 500 + 10);
@@ -177,28 +177,27 @@
 TEST(AdmissionController, ABurstBehindAStartEnters) {
     AdmissionController admission(settings(300));
     int entered = 0;
-    for (int i = 0; i < 200; ++i)
-        entered += !admission.arrive(at(i / 4.0), {i % 4, kNone, false}).has_value();
+    for (int i = 0; i < 200; ++i) entered += !admission.admit(at(i / 4.0), {i % 4, kNone, false}).has_value();
     EXPECT_EQ(entered, 200);
-    for (int i = 0; i < 100; ++i) admission.leave(at(100 + i), {i % 4}, true, Duration{90});
+    for (int i = 0; i < 100; ++i) admission.complete(at(100 + i), {i % 4}, true, Duration{90});
     // Once it has watched for a while it holds to what it has seen served.
-    for (int i = 0; i < 100; ++i) admission.leave(at(2500 + i), {i % 4}, true, Duration{90});
+    for (int i = 0; i < 100; ++i) admission.complete(at(2500 + i), {i % 4}, true, Duration{90});
     int later = 0;
-    for (int i = 0; i < 200; ++i) later += !admission.arrive(at(2700), {i % 4, kNone, false}).has_value();
+    for (int i = 0; i < 200; ++i) later += !admission.admit(at(2700), {i % 4, kNone, false}).has_value();
     EXPECT_LT(later, 60);
     EXPECT_GT(later, 10);
 }
 
 TEST(AdmissionController, GivesNoAdviceWhereNoneIsHeeded) {
     AdmissionController admission(settings(10, 0));
-    while (!admission.arrive(at(0), {0, kNone, false})) continue;
-    EXPECT_EQ(admission.refuse(at(0), {}).count(), 0);
+    while (!admission.admit(at(0), {0, kNone, false})) continue;
+    EXPECT_EQ(admission.reject(at(0), {}).count(), 0);
 }
 
 // Told to come back when they had given up.
 TEST(AdmissionController, AdviceIsWithinTheTimeOfClientsThatWaitBriefly) {
     AdmissionController::Settings set = settings(100);
-    set.give_up = {Duration{200}, Duration{400}, Duration{500}, Duration{2000}};
+    set.request_timeouts = {Duration{200}, Duration{400}, Duration{500}, Duration{2000}};
     const std::vector<std::pair<double, double>> span = {{50, 150}, {100, 300}, {250, 1050}, {250, 1050}};
     for (int cls = 0; cls < 4; ++cls) {
         AdmissionController admission(set);
@@ -206,11 +205,10 @@
         for (int i = 0; i < 100; ++i) {
             double t = 3000 * i + 1000;
             serve(admission, t - 1000, t, 100);
-            double back = admission.refuse(at(t), {cls}).count();
+            double back = admission.reject(at(t), {cls}).count();
             least = std::min(least, back), most = std::max(most, back);
-            EXPECT_TRUE(admission.arrive(at(t + back), {cls, kNone, true}) == std::nullopt)
-                << "it has a seat";
-            admission.leave(at(t + back + 20), {cls}, true, Duration{20});
+            EXPECT_TRUE(admission.admit(at(t + back), {cls, kNone, true}) == std::nullopt) << "it has a seat";
+            admission.complete(at(t + back + 20), {cls}, true, Duration{20});
         }
         EXPECT_NEAR(least, span[std::size_t(cls)].first, 40) << cls;
         EXPECT_NEAR(most, span[std::size_t(cls)].second, 40) << cls;
@@ -224,7 +222,7 @@
 /// Asks for one tenant till it is refused; how many entered.
 int fill(AdmissionController& admission, double ms, int tenant, int cls = 3) {
     int entered = 0;
-    while (!admission.arrive(at(ms), {cls, tenant})) ++entered;
+    while (!admission.admit(at(ms), {cls, tenant})) ++entered;
     return entered;
 }
 
@@ -237,32 +235,32 @@
     EXPECT_LT(alone, 70);
     EXPECT_EQ(alone + fill(admission, 5000, 0), 70) << "what is within its share has the rest";
     // As they leave, the one beyond its share does not come back in their place.
-    for (int i = 0; i < 20; ++i) admission.leave(at(5001), {3, 1}, false, Duration{1});
+    for (int i = 0; i < 20; ++i) admission.complete(at(5001), {3, 1}, false, Duration{1});
     EXPECT_LT(fill(admission, 5001, 1), 18);
     EXPECT_GT(fill(admission, 5001, 2), 2);
-    for (int i = 0; i < 20; ++i) admission.leave(at(5002), {3, 1}, false, Duration{1});
+    for (int i = 0; i < 20; ++i) admission.complete(at(5002), {3, 1}, false, Duration{1});
     EXPECT_EQ(fill(admission, 5002, 2), 20) << "a share of its own, unlike the other's third";
 }
 
 TEST(AdmissionController, ATenantThatIsAboveItsShareByChanceIsNotBeyondIt) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
-    for (int i = 0; i < 30; ++i) ASSERT_FALSE(admission.arrive(at(5000), {3, 0}));
-    for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.arrive(at(5000), {3, 1}));
-    for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.arrive(at(5000), {3, 2}));
-    EXPECT_FALSE(admission.arrive(at(5000), {3, 1})) << "15 of 60 is a quarter";
-    EXPECT_FALSE(admission.arrive(at(5000), {3, kNone})) << "one of no tenant has a share too";
+    for (int i = 0; i < 30; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 0}));
+    for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 1}));
+    for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 2}));
+    EXPECT_FALSE(admission.admit(at(5000), {3, 1})) << "15 of 60 is a quarter";
+    EXPECT_FALSE(admission.admit(at(5000), {3, kNone})) << "one of no tenant has a share too";
 }
 
 TEST(AdmissionController, WhoComesAsToldKeepsItsTurnThoughItsTenantIsBeyondItsShare) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
     fill(admission, 5000, 1);
-    auto back = admission.arrive(at(5000), {3, 1, false, 77});
+    auto back = admission.admit(at(5000), {3, 1, false, 77});
     ASSERT_TRUE(back);
-    EXPECT_TRUE(admission.arrive(at(5000 + back->count()), {3, 1, false, 78}))
+    EXPECT_TRUE(admission.admit(at(5000 + back->count()), {3, 1, false, 78}))
         << "a first try of the same tenant";
-    EXPECT_FALSE(admission.arrive(at(5000 + back->count()), {3, 1, true, 77}));
+    EXPECT_FALSE(admission.admit(at(5000 + back->count()), {3, 1, true, 77}));
 }
 
 // Those who ask again at once took the seats of whoever was due just then.
@@ -270,46 +268,45 @@
     for (bool known : {false, true}) {
         AdmissionController admission(settings(100));
         serve(admission, 0, 5000, 1000);
-        while (!admission.arrive(at(5000), {0})) continue;
-        double due = 5000 + admission.refuse(at(5000), {3, kNone, false, 1}).count();
-        for (int i = 0; i < 25; ++i) admission.leave(at(5001), {0}, false, Duration{1});  // 65 open
+        while (!admission.admit(at(5000), {0})) continue;
+        double due = 5000 + admission.reject(at(5000), {3, kNone, false, 1}).count();
+        for (int i = 0; i < 25; ++i) admission.complete(at(5001), {0}, false, Duration{1});  // 65 open
         // The other is told later, and comes when the first one is due.
         double later = due;
         while (later < due + 200)
-            later = due - 50 + admission.refuse(at(due - 50), {3, kNone, false, 2}).count();
-        EXPECT_EQ(admission.arrive(at(due), {3, kNone, true, known ? 2ul : 0ul}).has_value(), known);
-        EXPECT_EQ(admission.arrive(at(due + 1), {3, kNone, true, known ? 1ul : 0ul}).has_value(), !known);
+            later = due - 50 + admission.reject(at(due - 50), {3, kNone, false, 2}).count();
+        EXPECT_EQ(admission.admit(at(due), {3, kNone, true, known ? 2ul : 0ul}).has_value(), known);
+        EXPECT_EQ(admission.admit(at(due + 1), {3, kNone, true, known ? 1ul : 0ul}).has_value(), !known);
     }
 }
 
 TEST(AdmissionController, WhoComesOutOfTurnAgainAndAgainIsRefusedFirstAndNobodyElse) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
-    for (int i = 0; i < 40; ++i)
-        ASSERT_FALSE(admission.arrive(at(5000), {0}));  // below what repeats may have
-    admission.refuse(at(5000), {3, 0, false, 1});
-    EXPECT_FALSE(admission.arrive(at(5001), {3, 0, true, 1})) << "once";
-    admission.refuse(at(5002), {3, 0, false, 1});
-    EXPECT_TRUE(admission.arrive(at(5003), {3, 0, true, 1})) << "again";
-    EXPECT_FALSE(admission.arrive(at(5004), {3, 0, true, 2})) << "another connection";
-    EXPECT_FALSE(admission.arrive(at(5004), {3, 0, false, 1})) << "its first tries are as good as any";
-    EXPECT_FALSE(admission.arrive(at(30000), {3, 0, true, 1})) << "forgotten";
+    for (int i = 0; i < 40; ++i) ASSERT_FALSE(admission.admit(at(5000), {0}));  // below what repeats may have
+    admission.reject(at(5000), {3, 0, false, 1});
+    EXPECT_FALSE(admission.admit(at(5001), {3, 0, true, 1})) << "once";
+    admission.reject(at(5002), {3, 0, false, 1});
+    EXPECT_TRUE(admission.admit(at(5003), {3, 0, true, 1})) << "again";
+    EXPECT_FALSE(admission.admit(at(5004), {3, 0, true, 2})) << "another connection";
+    EXPECT_FALSE(admission.admit(at(5004), {3, 0, false, 1})) << "its first tries are as good as any";
+    EXPECT_FALSE(admission.admit(at(30000), {3, 0, true, 1})) << "forgotten";
 }
 
-TEST(Heed, OneThatMendsItsWaysIsForgiven) {
-    Heed heed;
+TEST(RetryAfterCompliance, OneThatMendsItsWaysIsForgiven) {
+    RetryAfterCompliance compliance;
     for (int i = 0; i < 4; ++i) {
-        heed.told(at(i), 5, Duration{500});
-        EXPECT_EQ(heed.comes(at(i + 0.5), 5), Heed::Comes::Early);
+        compliance.told(at(i), 5, Duration{500});
+        EXPECT_EQ(compliance.comes(at(i + 0.5), 5), RetryAfterCompliance::Comes::Early);
     }
-    EXPECT_EQ(heed.strikes(at(5), 5), 4);
-    EXPECT_EQ(heed.strikes(at(5), 6), 0);
-    EXPECT_EQ(heed.comes(at(500), 5), Heed::Comes::OnTime);
-    EXPECT_EQ(heed.strikes(at(501), 5), 2);
-    heed.told(at(501), 5, Duration{500});
-    EXPECT_EQ(heed.comes(at(1000), 5), Heed::Comes::OnTime);
-    EXPECT_EQ(heed.strikes(at(1001), 5), 1);
-    EXPECT_EQ(heed.comes(at(1500), 5), Heed::Comes::Unknown) << "too late";
+    EXPECT_EQ(compliance.strikes(at(5), 5), 4);
+    EXPECT_EQ(compliance.strikes(at(5), 6), 0);
+    EXPECT_EQ(compliance.comes(at(500), 5), RetryAfterCompliance::Comes::OnTime);
+    EXPECT_EQ(compliance.strikes(at(501), 5), 2);
+    compliance.told(at(501), 5, Duration{500});
+    EXPECT_EQ(compliance.comes(at(1000), 5), RetryAfterCompliance::Comes::OnTime);
+    EXPECT_EQ(compliance.strikes(at(1001), 5), 1);
+    EXPECT_EQ(compliance.comes(at(1500), 5), RetryAfterCompliance::Comes::Unknown) << "too late";
 }
 
 // A million clients, each told and some of them deaf: what admission control holds is what it held before
@@ -317,21 +314,22 @@
 TEST(AdmissionController, AMillionClientsCostItNoMemory) {
     AdmissionController admission = shared_admission(300);
     serve(admission, 0, 3000, 300);
-    std::size_t bytes = admission.bytes(), before = allocations();
+    std::size_t bytes = admission.memory_bytes(), before = allocations();
     double now = 3000;
     std::size_t refused = 0;
     for (std::uint64_t who = 1; who <= 1000000; ++who) {
         now += 0.5;
         admission.connection_opened(at(now));
-        AdmissionController::Knock knock{int(who % 4), int(who % 4) - 1, who % 3 == 0, who};
-        refused += admission.arrive(at(now), knock).has_value();
-        if (admission.open() > 200)
-            admission.leave(at(now), {knock.cls, int(who % 3)}, who % 2 == 0, Duration{60}, Duration{40});
-        if (who % 64 == 0) admission.look(at(now));
+        AdmissionController::AdmissionRequest request{int(who % 4), int(who % 4) - 1, who % 3 == 0, who};
+        refused += admission.admit(at(now), request).has_value();
+        if (admission.open_requests() > 200)
+            admission.complete(at(now), {request.class_index, int(who % 3)}, who % 2 == 0, Duration{60},
+                               Duration{40});
+        if (who % 64 == 0) admission.poll_state_change(at(now));
     }
     EXPECT_GT(refused, 300000u);
     EXPECT_EQ(allocations(), before);
-    EXPECT_EQ(admission.bytes(), bytes);
+    EXPECT_EQ(admission.memory_bytes(), bytes);
     EXPECT_LT(bytes, 45000u);
 }
 
@@ -346,21 +344,21 @@
             now += event >> 8 & 0xff;
             int cls = int(event % 4);
             if (event & 0x10 && !open.empty()) {
-                admission.leave(at(now), {open.back()}, event & 0x20, Duration{double(event >> 24)});
+                admission.complete(at(now), {open.back()}, event & 0x20, Duration{double(event >> 24)});
                 open.pop_back();
             } else {
                 bool repeat = event & 0x40;
-                auto back = admission.arrive(at(now), {cls, kNone, repeat});
+                auto back = admission.admit(at(now), {cls, kNone, repeat});
                 if (!back) open.push_back(cls);
                 if (back) RC_ASSERT(open.size() >= 12u);
                 if (back) RC_ASSERT(back->count() > 0 && back->count() <= 1200);
             }
-            RC_ASSERT(admission.open() == open.size());
+            RC_ASSERT(admission.open_requests() == open.size());
             RC_ASSERT(open.size() <= 40u);
         }
         // Free capacity: whoever comes then enters.
-        while (!open.empty()) admission.leave(at(now), {open.back()}, false, Duration{1}), open.pop_back();
-        for (int cls = 0; cls < 4; ++cls) RC_ASSERT(!admission.arrive(at(now), {cls, kNone, true}));
+        while (!open.empty()) admission.complete(at(now), {open.back()}, false, Duration{1}), open.pop_back();
+        for (int cls = 0; cls < 4; ++cls) RC_ASSERT(!admission.admit(at(now), {cls, kNone, true}));
     }));
 }
 
