--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -161,8 +161,8 @@
 }
 
 std::size_t AdmissionController::memory_bytes() const {
-    return sizeof(*this) - sizeof(load_state_) + load_state_.bytes() + classes_.capacity() * sizeof(Class) +
-           tenants_.capacity() * sizeof(Tenant);
+    return sizeof(*this) - sizeof(load_state_) + load_state_.memory_bytes() +
+           classes_.capacity() * sizeof(Class) + tenants_.capacity() * sizeof(Tenant);
 }
 
 // Between the least and the most by how many other classes are worth less for their time.
@@ -200,7 +200,7 @@
     std::uint64_t who = known_as(request);
     RetryAfterCompliance::Comes comes =
         who != 0 ? compliance_.comes(now, who) : RetryAfterCompliance::Comes::Unknown;
-    load_state_.came(now, request.tenant, request.is_retry);
+    load_state_.request_arrived(now, request.tenant, request.is_retry);
     // One that is known to come too early takes nobody's seat.
     bool in_turn = !request.is_retry;
     if (request.is_retry && comes != RetryAfterCompliance::Comes::Early)
@@ -238,9 +238,9 @@
                                    Duration server_took) {
     --open_;
     --tenant(request).open;
-    load_state_.ended(now, request.class_index, served, took);
+    load_state_.request_completed(now, request.class_index, served, took);
     if (!served) return;
-    if (server_took.count() > 0) load_state_.answered(now, request.class_index, server_took);
+    if (server_took.count() > 0) load_state_.server_responded(now, request.class_index, server_took);
     served_ = served_ * std::exp(-((now - served_at_) / kServedOver)) + 1000 / kServedOver.count();
     served_at_ = now;
     most_ = std::max(served_, most_ * std::exp(-((now - most_at_) / kMostFade)));
@@ -255,7 +255,7 @@
 }
 
 Duration AdmissionController::advise(TimePoint now, const AdmissionRequest& request, Duration patience) {
-    load_state_.refused(now);
+    load_state_.request_rejected(now);
     if (!advises_) return Duration{0};
     double rate = served_ * std::exp(-((now - served_at_) / kServedOver));
     Duration back = retry_after_.give(now, kReturnsShare * rate, patience);
@@ -264,7 +264,7 @@
 }
 
 Duration AdmissionController::reject_connection(TimePoint now, const AdmissionRequest& request) {
-    load_state_.came(now, request.tenant, request.is_retry);
+    load_state_.request_arrived(now, request.tenant, request.is_retry);
     return advise(now, request, {});  // nobody has read what it asks for
 }
 
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -109,10 +109,12 @@
     Duration reject_connection(TimePoint now, const AdmissionRequest& request);
 
     /// Of a client's.
-    void connection_opened(TimePoint now) { load_state_.opened(now); }
-    void update_endpoints(TimePoint now, const EndpointUpdate& update) { load_state_.listed(now, update); }
+    void connection_opened(TimePoint now) { load_state_.connection_opened(now); }
+    void update_endpoints(TimePoint now, const EndpointUpdate& update) {
+        load_state_.update_endpoints(now, update);
+    }
     /// To be called now and then: how the weather has changed since.
-    std::optional<LoadState::Change> poll_state_change(TimePoint now) { return load_state_.look(now); }
+    std::optional<LoadState::Change> poll_state_change(TimePoint now) { return load_state_.poll_change(now); }
     const LoadState& load_state() const { return load_state_; }
     std::size_t memory_bytes() const;
 
--- a/src/admission/load_state.cpp
+++ b/src/admission/load_state.cpp
@@ -40,7 +40,7 @@
     return kNames[std::size_t(state)];
 }
 
-std::size_t LoadState::bytes() const {
+std::size_t LoadState::memory_bytes() const {
     return sizeof(*this) + classes_.capacity() * sizeof(Class) + tenants_.capacity() * sizeof(Tenant) +
            (ready_.capacity() + draining_.capacity()) * sizeof(EndpointId);
 }
@@ -54,26 +54,26 @@
     return steps_[at_ % kSteps];
 }
 
-void LoadState::opened(TimePoint now) {
+void LoadState::connection_opened(TimePoint now) {
     ++step(now).opened;
 }
-void LoadState::came(TimePoint now, int tenant, bool repeat) {
+void LoadState::request_arrived(TimePoint now, int tenant, bool repeat) {
     Step& s = step(now);
     ++(repeat ? s.repeats : s.first);
     if (tenant >= 0 && std::size_t(tenant) < tenants_.size()) ++tenants_[std::size_t(tenant)].came;
 }
-void LoadState::refused(TimePoint now) {
+void LoadState::request_rejected(TimePoint now) {
     ++step(now).refused;
 }
 
-void LoadState::ended(TimePoint now, int cls, bool served, Duration took) {
+void LoadState::request_completed(TimePoint now, int cls, bool served, Duration took) {
     Step& s = step(now);
     ++s.ended;
     s.served += served;
     s.late += took > classes_[std::size_t(cls)].give_up * kLate;
 }
 
-void LoadState::answered(TimePoint now, int cls, Duration took) {
+void LoadState::server_responded(TimePoint now, int cls, Duration took) {
     Step& s = step(now);
     Class& c = classes_[std::size_t(cls)];
     double log = std::log(std::max(0.1, took.count()));
@@ -84,7 +84,7 @@
     ++s.answers;
 }
 
-void LoadState::listed(TimePoint now, const EndpointUpdate& update) {
+void LoadState::update_endpoints(TimePoint now, const EndpointUpdate& update) {
     if (update.kind == UpdateKind::Failed) return;
     step(now);
     std::size_t place = at_ % joined_.size();
@@ -131,28 +131,29 @@
     const double window = kStep.count() * double(kSteps) / 1000;
     auto part = [](double some, double all) { return all > 0 ? std::min(1.0, some / all) : 0; };
     double tries = sum.first + sum.repeats;
-    signs_.tries = tries / window;
-    signs_.repeats = part(sum.repeats, tries);
-    signs_.refused = part(sum.refused, tries);
-    signs_.late = part(sum.late, sum.ended);
-    signs_.served = sum.served / window;
-    signs_.slow = sum.answers > 0 ? std::exp(sum.slow / sum.answers) : 1;
-    signs_.opened = sum.opened / window;
-    signs_.capacity = std::max(signs_.served, signs_.capacity * std::exp(-kStep.count() / kCapacityFade));
-    signs_.draining = signs_.fresh = 0;
-    for (std::uint8_t left : left_) signs_.draining += left;
-    for (std::uint8_t joined : joined_) signs_.fresh += joined;
-    signs_.tenant = kNone;
-    signs_.grew = 1;
+    signals_.requests_per_s = tries / window;
+    signals_.retry_fraction = part(sum.repeats, tries);
+    signals_.rejected_fraction = part(sum.refused, tries);
+    signals_.late_fraction = part(sum.late, sum.ended);
+    signals_.served_per_s = sum.served / window;
+    signals_.slowdown = sum.answers > 0 ? std::exp(sum.slow / sum.answers) : 1;
+    signals_.connections_per_s = sum.opened / window;
+    signals_.peak_served_per_s = std::max(
+        signals_.served_per_s, signals_.peak_served_per_s * std::exp(-kStep.count() / kCapacityFade));
+    signals_.draining_servers = signals_.new_servers = 0;
+    for (std::uint8_t left : left_) signals_.draining_servers += left;
+    for (std::uint8_t joined : joined_) signals_.new_servers += joined;
+    signals_.tenant = kNone;
+    signals_.tenant_growth = 1;
     for (std::size_t i = 0; i < tenants_.size(); ++i) {
         Tenant& t = tenants_[i];
         const double fade = std::exp(-1 / double(kSteps));
         t.recent = t.recent * fade + t.came * (1 - fade) * 1000 / kStep.count();
         // One that asks little must not be called for a few more, nor one that asked nothing.
-        double grew = t.recent / std::max(t.usual, kTenantLeast * signs_.usual_first);
-        if (learnt_ < kLearnAtLeast || grew <= signs_.grew) continue;
-        signs_.tenant = int(i);
-        signs_.grew = grew;
+        double grew = t.recent / std::max(t.usual, kTenantLeast * signals_.usual_first_attempts_per_s);
+        if (learnt_ < kLearnAtLeast || grew <= signals_.tenant_growth) continue;
+        signals_.tenant = int(i);
+        signals_.tenant_growth = grew;
     }
 }
 
@@ -169,7 +170,7 @@
     int needed = seen < state_ ? kOverFor : seen == State::Storm ? kStormFor : kOtherFor;
     if (seen != state_ && wanted_for_ >= needed) {
         TimePoint at{kStep * double(at_ + 1)};
-        change_ = Change{at, state_, seen, signs_};
+        change_ = Change{at, state_, seen, signals_};
         state_ = seen;
         since_ = at;
     }
@@ -183,8 +184,11 @@
     auto gain = [](std::uint32_t steps) {
         return std::max(1 - std::exp(-kStep.count() / kLearnOver), 1.0 / steps);
     };
-    signs_.usual_first += gain(learnt_) * (signs_.tries * (1 - signs_.repeats) - signs_.usual_first);
-    signs_.usual_opened += gain(learnt_) * (signs_.opened - signs_.usual_opened);
+    signals_.usual_first_attempts_per_s +=
+        gain(learnt_) *
+        (signals_.requests_per_s * (1 - signals_.retry_fraction) - signals_.usual_first_attempts_per_s);
+    signals_.usual_connections_per_s +=
+        gain(learnt_) * (signals_.connections_per_s - signals_.usual_connections_per_s);
     for (Tenant& t : tenants_) {
         // What grows all at once becomes usual slowly, or a storm would be usual before it is called.
         bool sudden = learnt_ >= kLearnAtLeast && t.recent > 2 * t.usual;
@@ -203,24 +207,27 @@
 }
 
 LoadState::State LoadState::judge() const {
-    const Signs& s = signs_;
-    if (s.draining >= 1 && s.draining + s.fresh >= 2) return State::Release;
+    const OverloadSignals& s = signals_;
+    if (s.draining_servers >= 1 && s.draining_servers + s.new_servers >= 2) return State::Release;
     const bool known = learnt_ >= kLearnAtLeast;
     const bool storm = state_ == State::Storm, brownout = state_ == State::Brownout;
-    const double first = s.tries * (1 - s.repeats);
+    const double first = s.requests_per_s * (1 - s.retry_fraction);
     // Fewer are answered than could be before, though no more come: the servers have less to give.
-    const bool less = known && s.served < 0.8 * s.capacity && s.served > 0.1 * s.capacity;
-    const bool no_more = first < (brownout ? 1.6 : 1.35) * s.usual_first;
-    if (less && no_more && s.slow >= (brownout ? 1.15 : 1.35) && s.refused >= (brownout ? 0.1 : 0.25))
+    const bool less =
+        known && s.served_per_s < 0.8 * s.peak_served_per_s && s.served_per_s > 0.1 * s.peak_served_per_s;
+    const bool no_more = first < (brownout ? 1.6 : 1.35) * s.usual_first_attempts_per_s;
+    if (less && no_more && s.slowdown >= (brownout ? 1.15 : 1.35) &&
+        s.rejected_fraction >= (brownout ? 0.1 : 0.25))
         return State::Brownout;
     // More comes than can be answered, and what was refused comes again.
-    if (known && s.refused >= (storm ? 0.15 : 0.35) && s.repeats >= (storm ? 0.15 : 0.25))
+    if (known && s.rejected_fraction >= (storm ? 0.15 : 0.35) && s.retry_fraction >= (storm ? 0.15 : 0.25))
         return State::Storm;
-    if (known && s.grew >= (storm ? 2 : 3) && s.refused >= (storm ? 0.02 : 0.05)) return State::Storm;
-    return s.refused >= 0.02 || s.repeats >= 0.1 ? State::Busy : State::Calm;
+    if (known && s.tenant_growth >= (storm ? 2 : 3) && s.rejected_fraction >= (storm ? 0.02 : 0.05))
+        return State::Storm;
+    return s.rejected_fraction >= 0.02 || s.retry_fraction >= 0.1 ? State::Busy : State::Calm;
 }
 
-std::optional<LoadState::Change> LoadState::look(TimePoint now) {
+std::optional<LoadState::Change> LoadState::poll_change(TimePoint now) {
     step(now);
     return std::exchange(change_, std::nullopt);
 }
--- a/src/admission/load_state.h
+++ b/src/admission/load_state.h
@@ -21,48 +21,53 @@
     static constexpr std::size_t kStates = 5;
 
     /// Over the last kWindow, and what they are held against.
-    struct Signs {
-        double tries = 0;     ///< a second
-        double repeats = 0;   ///< part of them: marked, or on a connection whose last request was refused
-        double refused = 0;   ///< part of them: by admission control, the module or for want of a connection
-        double late = 0;      ///< part of what ended: after more than half of the time that its client waits
-        double served = 0;    ///< a second
-        double capacity = 0;  ///< the most that were served a second, of late
-        double slow = 1;      ///< a server's time over what it takes usually, class by class
-        double opened = 0;    ///< connections a second
-        double usual_first = 0, usual_opened = 0;  ///< a second, as learnt while it was calm or busy
-        int draining = 0, fresh = 0;               ///< servers that were told to leave, and new ones, of late
-        int tenant = kNone;  ///< the one whose requests grew the most against what it usually asks
-        double grew = 1;     ///< ... so many times
+    struct OverloadSignals {
+        double requests_per_s = 0;  ///< a second
+        double retry_fraction =
+            0;  ///< part of them: marked, or on a connection whose last request was refused
+        double rejected_fraction =
+            0;  ///< part of them: by admission control, the module or for want of a connection
+        double late_fraction =
+            0;  ///< part of what ended: after more than half of the time that its client waits
+        double served_per_s = 0;       ///< a second
+        double peak_served_per_s = 0;  ///< the most that were served a second, of late
+        double slowdown = 1;           ///< a server's time over what it takes usually, class by class
+        double connections_per_s = 0;  ///< connections a second
+        double usual_first_attempts_per_s = 0,
+               usual_connections_per_s = 0;  ///< a second, as learnt while it was calm or busy
+        int draining_servers = 0,
+            new_servers = 0;       ///< servers that were told to leave, and new ones, of late
+        int tenant = kNone;        ///< the one whose requests grew the most against what it usually asks
+        double tenant_growth = 1;  ///< ... so many times
     };
     struct Change {
         TimePoint at{};
         State from = State::Calm, to = State::Calm;
-        Signs why;
+        OverloadSignals signals;
     };
 
     /// `give_up`: of each class, how long its clients wait.
     LoadState(std::vector<Duration> give_up, std::size_t tenants);
 
-    void opened(TimePoint now);
-    void came(TimePoint now, int tenant, bool repeat);
-    void refused(TimePoint now);
+    void connection_opened(TimePoint now);
+    void request_arrived(TimePoint now, int tenant, bool repeat);
+    void request_rejected(TimePoint now);
     /// A request that had entered is over; `took` since then.
-    void ended(TimePoint now, int cls, bool served, Duration took);
+    void request_completed(TimePoint now, int cls, bool served, Duration took);
     /// A server's answer, `took` after it was sent there.
-    void answered(TimePoint now, int cls, Duration took);
-    void listed(TimePoint now, const EndpointUpdate& update);
+    void server_responded(TimePoint now, int cls, Duration took);
+    void update_endpoints(TimePoint now, const EndpointUpdate& update);
 
     /// Whatever else happens, time passes: to be called now and then. The change since the last call, if any.
-    std::optional<Change> look(TimePoint now);
+    std::optional<Change> poll_change(TimePoint now);
 
     State state() const { return state_; }
     /// What a server's answer takes usually, in ms; zero: not known.
     double usual_ms(int cls) const;
     TimePoint since() const { return since_; }
-    const Signs& signs() const { return signs_; }
+    const OverloadSignals& signals() const { return signals_; }
     /// But for an entry a class, a tenant and a listed server it is fixed.
-    std::size_t bytes() const;
+    std::size_t memory_bytes() const;
 
     static const char* name(State state);
 
@@ -97,7 +102,7 @@
     std::uint64_t at_ = 0;  // the step that is being filled
     std::uint64_t began_ = 0;
     std::uint32_t learnt_ = 0;
-    Signs signs_;
+    OverloadSignals signals_;
     State state_ = State::Calm, wanted_ = State::Calm;
     int wanted_for_ = 0;  // steps
     TimePoint since_{};
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -213,26 +213,26 @@
 }
 
 void Front::tell(const LoadState::Change& change) {
-    const LoadState::Signs& why = change.why;
+    const LoadState::OverloadSignals& signals = change.signals;
     auto percent = [](double part) { return std::lround(100 * part); };
     LogLevel level = change.to > LoadState::State::Busy     ? LogLevel::Warn
                      : change.from > LoadState::State::Busy ? LogLevel::Info
                                                             : LogLevel::Debug;  // busy is no news
     log(level, std::string("weather: ") + LoadState::name(change.to),
         {{"from", LoadState::name(change.from)},
-         {"tries_per_s", std::lround(why.tries)},
-         {"usual_first_per_s", std::lround(why.usual_first)},
-         {"repeats_percent", percent(why.repeats)},
-         {"refused_percent", percent(why.refused)},
-         {"late_percent", percent(why.late)},
-         {"served_per_s", std::lround(why.served)},
-         {"most_served_per_s", std::lround(why.capacity)},
-         {"server_time_percent", percent(why.slow)},
-         {"opened_per_s", std::lround(why.opened)},
-         {"servers_leaving", why.draining},
-         {"servers_new", why.fresh},
-         {"tenant", why.tenant >= 0 ? names_.tenants[std::size_t(why.tenant)] : std::string("-")},
-         {"tenant_percent", percent(why.grew)}});
+         {"tries_per_s", std::lround(signals.requests_per_s)},
+         {"usual_first_per_s", std::lround(signals.usual_first_attempts_per_s)},
+         {"repeats_percent", percent(signals.retry_fraction)},
+         {"refused_percent", percent(signals.rejected_fraction)},
+         {"late_percent", percent(signals.late_fraction)},
+         {"served_per_s", std::lround(signals.served_per_s)},
+         {"most_served_per_s", std::lround(signals.peak_served_per_s)},
+         {"server_time_percent", percent(signals.slowdown)},
+         {"opened_per_s", std::lround(signals.connections_per_s)},
+         {"servers_leaving", signals.draining_servers},
+         {"servers_new", signals.new_servers},
+         {"tenant", signals.tenant >= 0 ? names_.tenants[std::size_t(signals.tenant)] : std::string("-")},
+         {"tenant_percent", percent(signals.tenant_growth)}});
 }
 
 bool Front::awaited() {
--- a/tests/load_state_test.cpp
+++ b/tests/load_state_test.cpp
@@ -34,18 +34,19 @@
             auto each = [](double& sum, double rate, auto f) {
                 for (sum += rate * 0.005; sum >= 1; --sum) f();
             };
-            each(first, rates.first - rates.of_tenant, [&] { load_state.came(at(now), turn++ % 3, false); });
-            each(own, rates.of_tenant, [&] { load_state.came(at(now), rates.tenant, false); });
-            each(repeats, rates.repeats, [&] { load_state.came(at(now), turn++ % 3, true); });
-            each(refused, rates.refused, [&] { load_state.refused(at(now)); });
-            each(opened, rates.opened, [&] { load_state.opened(at(now)); });
+            each(first, rates.first - rates.of_tenant,
+                 [&] { load_state.request_arrived(at(now), turn++ % 3, false); });
+            each(own, rates.of_tenant, [&] { load_state.request_arrived(at(now), rates.tenant, false); });
+            each(repeats, rates.repeats, [&] { load_state.request_arrived(at(now), turn++ % 3, true); });
+            each(refused, rates.refused, [&] { load_state.request_rejected(at(now)); });
+            each(opened, rates.opened, [&] { load_state.connection_opened(at(now)); });
             each(served, rates.served, [&] {
                 int cls = turn++ % 2;
                 double took = rates.server_ms * (cls + 1) * (0.7 + 0.1 * (turn % 7));
-                load_state.ended(at(now), cls, true, Duration{took + 5});
-                load_state.answered(at(now), cls, Duration{took});
+                load_state.request_completed(at(now), cls, true, Duration{took + 5});
+                load_state.server_responded(at(now), cls, Duration{took});
             });
-            if (auto change = load_state.look(at(now))) changes.push_back(*change);
+            if (auto change = load_state.poll_change(at(now))) changes.push_back(*change);
         }
     }
     int called(State state) const {
@@ -63,7 +64,7 @@
         EndpointUpdate update;
         update.kind = kind;
         update.entries = entries;
-        load_state.listed(at(now), update);
+        load_state.update_endpoints(at(now), update);
     }
 };
 
@@ -97,7 +98,7 @@
     EXPECT_LT(day.after(State::Storm, 10000), 4000);
     EXPECT_EQ(day.called(State::Brownout), 0);
     // What is called is not taken for usual.
-    EXPECT_NEAR(day.load_state.signs().usual_first, 200, 30);
+    EXPECT_NEAR(day.load_state.signals().usual_first_attempts_per_s, 200, 30);
     day.pass(8000, {});
     EXPECT_EQ(day.load_state.state(), State::Calm);
 }
@@ -109,7 +110,7 @@
     EXPECT_EQ(day.load_state.state(), State::Brownout);
     EXPECT_LT(day.after(State::Brownout, 10000), 3000);
     EXPECT_EQ(day.called(State::Storm), 0);
-    EXPECT_GT(day.changes.back().why.slow, 1.35);
+    EXPECT_GT(day.changes.back().signals.slowdown, 1.35);
     day.pass(8000, {});
     EXPECT_EQ(day.load_state.state(), State::Calm);
 }
@@ -127,8 +128,8 @@
     day.pass(5000, {.first = 400, .refused = 60, .served = 340, .tenant = 1, .of_tenant = 270});
     EXPECT_EQ(day.load_state.state(), State::Storm);
     ASSERT_FALSE(day.changes.empty());
-    EXPECT_EQ(day.changes.back().why.tenant, 1);
-    EXPECT_GT(day.changes.back().why.grew, 3);
+    EXPECT_EQ(day.changes.back().signals.tenant, 1);
+    EXPECT_GT(day.changes.back().signals.tenant_growth, 3);
 }
 
 TEST(LoadState, ServersThatDrainAndNewOnesAreARelease) {
@@ -193,23 +194,24 @@
             int many = 1 + int(event >> 24) % 40;
             for (int i = 0; i < many; ++i) switch (event % 5) {
                     case 0:
-                        load_state.came(at(now), int(event >> 5) % 4 - 1, event & 0x20);
+                        load_state.request_arrived(at(now), int(event >> 5) % 4 - 1, event & 0x20);
                         break;
                     case 1:
-                        load_state.refused(at(now));
+                        load_state.request_rejected(at(now));
                         break;
                     case 2:
-                        load_state.ended(at(now), int(event >> 5) % 2, event & 0x40,
-                                         Duration{double(event >> 20)});
+                        load_state.request_completed(at(now), int(event >> 5) % 2, event & 0x40,
+                                                     Duration{double(event >> 20)});
                         break;
                     case 3:
-                        load_state.answered(at(now), int(event >> 5) % 2, Duration{double(event >> 20)});
+                        load_state.server_responded(at(now), int(event >> 5) % 2,
+                                                    Duration{double(event >> 20)});
                         break;
                     default:
-                        load_state.opened(at(now));
+                        load_state.connection_opened(at(now));
                 }
             State before = load_state.state();
-            auto change = load_state.look(at(now));
+            auto change = load_state.poll_change(at(now));
             if (change) {
                 RC_ASSERT(change->to == load_state.state());
                 RC_ASSERT(change->at >= told);
@@ -219,8 +221,9 @@
                 RC_ASSERT(load_state.state() == before);
             }
             RC_ASSERT(known == load_state.state());
-            const LoadState::Signs& s = load_state.signs();
-            RC_ASSERT(std::isfinite(s.slow) && s.repeats <= 1 && s.refused <= 1 && s.late <= 1);
+            const LoadState::OverloadSignals& s = load_state.signals();
+            RC_ASSERT(std::isfinite(s.slowdown) && s.retry_fraction <= 1 && s.rejected_fraction <= 1 &&
+                      s.late_fraction <= 1);
         }
     }));
 }
