--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -64,7 +64,7 @@
     : engine_(scheduler, settings, seed),
       pool_(scheduler, world, engine_, settings, budget_of(day, node).servers, meddler),
       watch_(day, scheduler, world, seed * 3 + 1,
-             [this](const Listing& listing) {
+             [this](const EndpointList& listing) {
                  front_.listed(listing);
                  engine_.listed(listing);
              }),
--- a/lab/sim/sim_front.cpp
+++ b/lab/sim/sim_front.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-class SimFront::Session : public Caller, public std::enable_shared_from_this<Session> {
+class SimFront::Session : public ResponseSink, public std::enable_shared_from_this<Session> {
 public:
     enum class State { Reading, Waiting, Leaving, Closed };
 
@@ -43,7 +43,7 @@
         bool again = !std::exchange(first_, false);
         again_ = again;
         stand(Standing::Busy);
-        Call call;
+        IncomingRequest call;
         auto message = std::make_shared<SimMessage>();
         message->id = ask.id;
         message->call = ask.call;
@@ -87,20 +87,20 @@
         leave();
     }
 
-    void answer(Reply reply) override {
+    void respond(FinalResponse reply) override {
         if (state_ == State::Closed || state_ == State::Leaving) return;
         bool entered = std::exchange(submitted_, false);
         if (entered) {
             TimePoint now = front_.scheduler_.now();
-            front_.admission_.complete(now, admission_request_, reply.verdict == Verdict::Served,
+            front_.admission_.complete(now, admission_request_, reply.status == FinalStatus::Served,
                                        now - since_, reply.server_took);
-            if (reply.verdict == Verdict::Refused)
+            if (reply.status == FinalStatus::Rejected)
                 reply.retry_after = front_.admission_.reject(now, admission_request_);
         }
         SimReply out;
-        out.heard = reply.verdict == Verdict::Served    ? Heard::Served
-                    : reply.verdict == Verdict::Refused ? Heard::Refused
-                                                        : Heard::Failed;
+        out.heard = reply.status == FinalStatus::Served     ? Heard::Served
+                    : reply.status == FinalStatus::Rejected ? Heard::Refused
+                                                            : Heard::Failed;
         out.status = out.heard == Heard::Served    ? 200
                      : out.heard == Heard::Refused ? 503
                      : reply.timed_out             ? 504
@@ -144,7 +144,7 @@
     }
 
 private:
-    void turn_away(Duration back) { answer({Verdict::Refused, back, false, nullptr}); }
+    void turn_away(Duration back) { respond({FinalStatus::Rejected, back, false, nullptr}); }
     void enter(State state) {
         state_ = state;
         since_ = front_.scheduler_.now();
--- a/lab/sim/sim_front.h
+++ b/lab/sim/sim_front.h
@@ -28,7 +28,9 @@
     void asked(const Ask& ask);
     void noise(ClientConnection connection);
     void closed(ClientConnection connection);
-    void listed(const Listing& listing) { admission_.update_endpoints(scheduler_.now(), listing.update); }
+    void listed(const EndpointList& listing) {
+        admission_.update_endpoints(scheduler_.now(), listing.update);
+    }
     void drain() { draining_ = true; }
     bool quiet() const;
 
--- a/lab/sim/sim_pool.cpp
+++ b/lab/sim/sim_pool.cpp
@@ -57,7 +57,7 @@
     retire_idle();
 }
 
-void SimPool::servers(const Listing& listing) {
+void SimPool::servers(const EndpointList& listing) {
     if (listing.update.kind == UpdateKind::Failed) return;
     if (listing.update.kind != UpdateKind::Delta && removal_binds_)
         for (EndpointId id : sendable_) servers_[id].sendable = false;
--- a/lab/sim/sim_pool.h
+++ b/lab/sim/sim_pool.h
@@ -15,7 +15,7 @@
     SimPool(Scheduler& scheduler, NodeWorld& world, UpstreamEvents& events, const Settings& settings,
             std::size_t most_connections, Meddler* meddler);
 
-    void servers(const Listing& listing) override;
+    void servers(const EndpointList& listing) override;
     void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                Duration patience) override;
     bool stop(AttemptId id) override;
--- a/lab/sim/sim_watch.cpp
+++ b/lab/sim/sim_watch.cpp
@@ -17,7 +17,7 @@
     : day_(day), scheduler_(scheduler), world_(world), heard_(std::move(heard)), watch_({}, seed) {}
 
 void SimWatch::cached(const ListOut& known) {
-    Listing listing = listing_of(known);
+    EndpointList listing = listing_of(known);
     listing.update.kind = UpdateKind::Cached;
     if (known.complete && !known.members.empty()) happens(discovery::Known{known.revision});
     heard_(listing);
@@ -74,13 +74,13 @@
     }
     if (take && list) heard_(listing_of(*list));
     if (!failed) return;
-    Listing listing;
+    EndpointList listing;
     listing.update.kind = UpdateKind::Failed;
     heard_(listing);
 }
 
-Listing SimWatch::listing_of(const ListOut& list) {
-    Listing listing;
+EndpointList SimWatch::listing_of(const ListOut& list) {
+    EndpointList listing;
     listing.update.kind = list.complete ? UpdateKind::Full : UpdateKind::Delta;
     listing.update.entries.reserve(list.members.size());
     listing.addresses.reserve(list.members.size());
--- a/lab/sim/sim_watch.h
+++ b/lab/sim/sim_watch.h
@@ -13,7 +13,7 @@
 
 class SimWatch : public Registry {
 public:
-    using Heard = std::function<void(const Listing&)>;
+    using Heard = std::function<void(const EndpointList&)>;
 
     SimWatch(const Day& day, Scheduler& scheduler, NodeWorld& world, std::uint64_t seed, Heard heard);
 
@@ -26,7 +26,7 @@
 private:
     void happens(const discovery::WatchEvent& event, const ListOut* list = nullptr);
     discovery::CallNo number(ListCall call) const;
-    Listing listing_of(const ListOut& list);
+    EndpointList listing_of(const ListOut& list);
 
     const Day& day_;
     Scheduler& scheduler_;
--- a/lab/tests/engine_test.cpp
+++ b/lab/tests/engine_test.cpp
@@ -30,7 +30,7 @@
     using Fate = std::function<std::pair<Outcome, double>(AttemptId)>;
 
     explicit Servers(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
-    void servers(const Listing&) override {}
+    void servers(const EndpointList&) override {}
     void start(AttemptId id, EndpointId, std::shared_ptr<const Message> message, Duration) override {
         auto [outcome, after] = fate(id);
         ++started;
@@ -61,15 +61,15 @@
     void watch() override {}
 };
 
-struct Client : Caller {
-    void answer(Reply reply) override {
+struct Client : ResponseSink {
+    void respond(FinalResponse reply) override {
         ++heard;
-        verdict = reply.verdict;
+        status = reply.status;
     }
-    bool gone() override { return left; }
+    bool is_client_disconnected() override { return left; }
     bool left = false;
     int heard = 0;
-    Verdict verdict{};
+    FinalStatus status{};
 };
 
 struct Rig {
@@ -78,7 +78,7 @@
         servers.events = &engine;
         servers.fate = [](AttemptId) { return std::pair(Outcome::Ok, 20.0); };
         engine.connect(servers, registry);
-        Listing listing;
+        EndpointList listing;
         for (int i = 0; i < listed; ++i) {
             EndpointEntry& entry = listing.update.entries.emplace_back();
             entry.endpoint = EndpointId(i + 1);
@@ -110,7 +110,7 @@
         return set;
     }
     std::shared_ptr<Client> ask(int cls, double patience) {
-        Call call;
+        IncomingRequest call;
         call.request.class_index = cls;
         call.request.deadline = engine.now() + Duration{patience};
         call.message = std::make_shared<Body>(bodies);
@@ -141,7 +141,7 @@
     rig.run_to(2000);
     for (const auto& client : rig.clients) {
         EXPECT_EQ(client->heard, 1);
-        EXPECT_EQ(client->verdict, Verdict::Refused);
+        EXPECT_EQ(client->status, FinalStatus::Rejected);
     }
     EXPECT_EQ(rig.engine.open_requests(), 0u);
     EXPECT_EQ(rig.engine.held_requests(), 0u);
@@ -242,7 +242,7 @@
 // A list of servers that drain or are gone serves nobody.
 TEST(Engine, HasServersOnceOneIsReady) {
     Rig rig(0);
-    Listing listing;
+    EndpointList listing;
     for (Phase phase : {Phase::Draining, Phase::Removed}) {
         EndpointEntry& entry = listing.update.entries.emplace_back();
         entry.endpoint = EndpointId(listing.addresses.size() + 1);
--- a/lab/tests/explore_test.cpp
+++ b/lab/tests/explore_test.cpp
@@ -54,7 +54,7 @@
     enum class Does { Answers, Silent, Errs, TurnsAway, Resets, Unreachable, Slow, kAll };
 
     explicit Fleet(VirtualScheduler& scheduler) : scheduler_(scheduler) { does.fill(Does::Answers); }
-    void servers(const Listing&) override {}
+    void servers(const EndpointList&) override {}
     void start(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
         auto key = std::pair(id.request, id.attempt);
         out_[key] = server;
@@ -127,13 +127,13 @@
     /// Asked for a list, it has none to add: the caller says when one changes.
     void watch() override {
         scheduler.call_at(scheduler.now() + Duration{100}, [this] {
-            Listing none;
+            EndpointList none;
             none.update.kind = failing ? UpdateKind::Failed : UpdateKind::Delta;
             engine.listed(none);
         });
     }
     void list(UpdateKind kind, int mask) {
-        Listing listing;
+        EndpointList listing;
         listing.update.kind = kind;
         for (int i = 0; i < listed_; ++i) {
             bool in = mask >> i & 1;
@@ -173,7 +173,7 @@
         TimePoint now = node_.scheduler.now();
         admission_request_ = {cls_, tenant_, tries_++ > 0, std::uint64_t(number_ + 1)};
         if (auto back = node_.admission.admit(now, admission_request_)) return again(*back);
-        Call call;
+        IncomingRequest call;
         call.request.class_index = cls_;
         call.request.tenant = tenant_;
         call.request.is_client_retry = admission_request_.is_retry;
@@ -198,24 +198,25 @@
     int entered = 0, answered = 0, departed = 0, twice = 0;
 
 private:
-    struct Hears : Caller {
+    struct Hears : ResponseSink {
         explicit Hears(Client& client) : client_(client) {}
-        void answer(Reply reply) override {
+        void respond(FinalResponse reply) override {
             if (heard_++ > 0 || !client_.out_) ++client_.twice;
             client_.hear(reply);
         }
         Client& client_;
         int heard_ = 0;
     };
-    void hear(const Reply& reply) {
+    void hear(const FinalResponse& reply) {
         TimePoint now = node_.scheduler.now();
         out_ = false;
         ++answered;
-        node_.admission.complete(now, admission_request_, reply.verdict == Verdict::Served, now - entered_,
+        node_.admission.complete(now, admission_request_, reply.status == FinalStatus::Served, now - entered_,
                                  reply.server_took);
-        served |= reply.verdict == Verdict::Served;
-        if (reply.verdict == Verdict::Refused) return again(node_.admission.reject(now, admission_request_));
-        if (reply.verdict == Verdict::Failed) again(Duration{100});
+        served |= reply.status == FinalStatus::Served;
+        if (reply.status == FinalStatus::Rejected)
+            return again(node_.admission.reject(now, admission_request_));
+        if (reply.status == FinalStatus::Failed) again(Duration{100});
     }
     void again(Duration back) {
         Duration wait = heeds_ ? back : Duration{20};
--- a/src/admin/side.cpp
+++ b/src/admin/side.cpp
@@ -44,7 +44,7 @@
     if (thread_.joinable()) thread_.join();
 }
 
-void Side::listed(const Listing& listing) {
+void Side::listed(const EndpointList& listing) {
     const EndpointUpdate& update = listing.update;
     if (update.kind == UpdateKind::Failed) return;
     if (update.kind != UpdateKind::Delta) ids_.clear();
--- a/src/admin/side.h
+++ b/src/admin/side.h
@@ -44,7 +44,7 @@
     /// Answers calls from now on: what came before waits. Once the node has handled the list that it was
     /// started with.
     void start();
-    void listed(const Listing& listing);
+    void listed(const EndpointList& listing);
     void serves(bool does) { serves_.store(does, std::memory_order_relaxed); }
 
 private:
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -105,7 +105,7 @@
             if (!stopped) now();
         });
     }
-    void listed(const Listing& listing) {
+    void listed(const EndpointList& listing) {
         bool fresh = listing.update.kind == UpdateKind::Full || listing.update.kind == UpdateKind::Delta;
         if (waits_ && fresh) now();
     }
@@ -174,7 +174,7 @@
 class Servers {
 public:
     Servers(asio::io_context& io, Scheduler& scheduler, BufferPool& pool, const Plan& plan,
-            std::function<void(const Listing&)> listed) {
+            std::function<void(const EndpointList&)> listed) {
         const NodeConfig& node = plan.node;
         if (plan.servers)
             fixed_.emplace(node.names, listed);
@@ -263,7 +263,7 @@
     auto show = [&] {
         if (side) side->serves(front->serves());
     };
-    Servers servers(io, scheduler, pool, plan, [&](const Listing& listing) {
+    Servers servers(io, scheduler, pool, plan, [&](const EndpointList& listing) {
         front->listed(listing);
         if (side) side->listed(listing);
         if (rules) rules->listed(listing);
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -169,7 +169,7 @@
     rules_out_ = std::move(keys);
 }
 
-void Rules::listed(const Listing& listing) {
+void Rules::listed(const EndpointList& listing) {
     if (listing.update.kind == UpdateKind::Failed) return;
     if (listing.update.kind != UpdateKind::Delta) listed_.clear();
     for (std::size_t i = 0; i < listing.ids.size() && i < listing.update.entries.size(); ++i) {
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -47,7 +47,7 @@
 
     /// Before each decision: what no permit holds any more is no longer acted on. Cheap.
     void look() { acting_.look(clock_.now()); }
-    void listed(const Listing& listing);
+    void listed(const EndpointList& listing);
     /// What operators said at the second address: a server is out while they or a document say so.
     void by_desk(std::uint64_t key, bool out, TimePoint since);
     /// The operators' own rules for headers, which come before those of documents.
--- a/src/discovery/static_list.h
+++ b/src/discovery/static_list.h
@@ -27,7 +27,7 @@
 
 class StaticList : public Registry {
 public:
-    using Listed = std::function<void(const Listing&)>;
+    using Listed = std::function<void(const EndpointList&)>;
 
     StaticList(Names names, Listed listed) : names_(std::move(names)), listed_(std::move(listed)) {}
 
@@ -38,7 +38,7 @@
 private:
     Names names_;
     Listed listed_;
-    Listing listing_;
+    EndpointList listing_;
     std::unordered_map<std::string, EndpointId> ids_;  // of the servers listed; a number is never given twice
     EndpointId next_id_ = 0;
 };
--- a/src/discovery/watcher.cpp
+++ b/src/discovery/watcher.cpp
@@ -45,7 +45,7 @@
 }
 
 void Watcher::cached(const ServerList& known) {
-    Listing listing = listing_of(known);
+    EndpointList listing = listing_of(known);
     listing.update.kind = UpdateKind::Cached;
     // The watch starts from there: it costs discovery the changes since, where the whole list and then a
     // watch are two calls, one of every line. Guards against a fleet that starts together and fills
@@ -87,7 +87,7 @@
     if (take && list) listed_(listing_of(*list));
     if (!failed) return;
     log_line(LogLevel::Warn, "discovery: %s", why_);
-    Listing listing;
+    EndpointList listing;
     listing.update.kind = UpdateKind::Failed;
     listed_(listing);
 }
@@ -146,8 +146,8 @@
     happens(Answered{call, list.revision, list.complete}, &list);
 }
 
-Listing Watcher::listing_of(const ServerList& list) {
-    Listing listing;
+EndpointList Watcher::listing_of(const ServerList& list) {
+    EndpointList listing;
     listing.update.kind = list.complete ? UpdateKind::Full : UpdateKind::Delta;
     for (const ServerList::Member& member : list.members) {
         EndpointEntry& entry = listing.update.entries.emplace_back(member.entry);
--- a/src/discovery/watcher.h
+++ b/src/discovery/watcher.h
@@ -19,7 +19,7 @@
 
 class Watcher : public Registry {
 public:
-    using Listed = std::function<void(const Listing&)>;
+    using Listed = std::function<void(const EndpointList&)>;
 
     /// `gone_stays`: a server that the list calls gone may still be used, so its id keeps its meaning.
     Watcher(boost::asio::io_context& io, Scheduler& scheduler, BufferPool& pool, Names names, bool gone_stays,
@@ -44,7 +44,7 @@
     void make(const MakeCall& call);
     void drop(CallNo call);
     void ended(CallNo call, const http::Connection::Result& result);
-    Listing listing_of(const ServerList& list);
+    EndpointList listing_of(const ServerList& list);
     void forget_unnamed(const ServerList& list);
 
     boost::asio::io_context& io_;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-RequestId Engine::submit(Call call, std::shared_ptr<Caller> caller) {
+RequestId Engine::submit(IncomingRequest call, std::shared_ptr<ResponseSink> caller) {
     if (look_) look_();
     RequestId id = next_id_++;
     Request& request = requests_[id];
@@ -56,7 +56,7 @@
         if (!late || late->answered) return;
         late->overdue = 0;
         log_line(LogLevel::Error, "request %llu was left unanswered", static_cast<unsigned long long>(id));
-        conclude(*late, {Verdict::Failed, {}, true, nullptr});
+        conclude(*late, {FinalStatus::Failed, {}, true, nullptr});
         post(ClientDisconnected{id});
         drop_if_over(id);
     });
@@ -91,7 +91,7 @@
     });
 }
 
-void Engine::listed(const Listing& listing) {
+void Engine::listed(const EndpointList& listing) {
     upstream_->servers(listing);
     const auto& entries = listing.update.entries;
     auto ready = [](const EndpointEntry& entry) { return entry.phase == Phase::Ready; };
@@ -155,9 +155,10 @@
                 forward(a);
             } else if constexpr (std::is_same_v<T, Reject>) {
                 if (Request* r = find(a.request))
-                    conclude(*r, {Verdict::Refused, a.retry_after, false, nullptr});
+                    conclude(*r, {FinalStatus::Rejected, a.retry_after, false, nullptr});
             } else if constexpr (std::is_same_v<T, Fail>) {
-                if (Request* r = find(a.request)) conclude(*r, {Verdict::Failed, {}, r->timed_out, nullptr});
+                if (Request* r = find(a.request))
+                    conclude(*r, {FinalStatus::Failed, {}, r->timed_out, nullptr});
             } else if constexpr (std::is_same_v<T, Cancel>) {
                 Request* r = find(a.request);
                 if (!r || a.attempt < 0 || std::size_t(a.attempt) >= r->attempts.size()) return;
@@ -184,7 +185,7 @@
 // A client that has left may not have been read to its end yet. Nothing begins for it, and nothing is owed.
 bool Engine::still_wanted(Request& request) {
     if (request.answered) return false;
-    if (!request.caller->gone()) return true;
+    if (!request.caller->is_client_disconnected()) return true;
     depart(request.id);
     return false;
 }
@@ -239,21 +240,22 @@
     stop_timer(attempt.limit);
     --request->open;
     if ((result.outcome == Outcome::Ok || result.message) && !request->answered)
-        conclude(*request,
-                 {Verdict::Served, {}, false, std::move(result.message), scheduler_.now() - attempt.sent});
+        conclude(
+            *request,
+            {FinalStatus::Served, {}, false, std::move(result.message), scheduler_.now() - attempt.sent});
     request->timed_out = result.outcome == Outcome::Timeout;
     post(AttemptEnded{id.request, id.attempt, attempt.server, result.outcome, scheduler_.now() - attempt.sent,
                       request->answered, result.report, request->message->replayable()});
 }
 
-bool Engine::conclude(Request& request, Reply reply) {
+bool Engine::conclude(Request& request, FinalResponse reply) {
     if (request.answered) return false;
     request.answered = true;
     --unanswered_;
     stop_timer(request.overdue);
     concluded_.push_back(request.id);
-    std::shared_ptr<Caller> caller = std::move(request.caller);
-    caller->answer(std::move(reply));
+    std::shared_ptr<ResponseSink> caller = std::move(request.caller);
+    caller->respond(std::move(reply));
     return true;
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -28,13 +28,13 @@
     }
 
     /// Takes a request; `caller` hears its final answer. Never answers before it returns.
-    RequestId submit(Call call, std::shared_ptr<Caller> caller);
+    RequestId submit(IncomingRequest call, std::shared_ptr<ResponseSink> caller);
     /// The body of a call that was submitted as uploading is whole; its client gives up at `give_up_at`.
     void uploaded(RequestId id, TimePoint give_up_at);
     /// The client of this request has gone: nothing is owed any more.
     void depart(RequestId id);
 
-    void listed(const Listing& listing);
+    void listed(const EndpointList& listing);
     /// Called before each request is decided on, so that what must not be acted on any more is not.
     void look_first(std::function<void()> look) { look_ = std::move(look); }
     /// Operators take a server out, or put it back cold at `since`; whether it is listed now does not matter.
@@ -72,7 +72,7 @@
     };
     struct Request {
         RequestId id = 0;
-        std::shared_ptr<Caller> caller;
+        std::shared_ptr<ResponseSink> caller;
         std::shared_ptr<const Message> message;
         TimePoint give_up_at{};
         std::vector<Attempt> attempts;
@@ -92,7 +92,7 @@
     void limit(Request& request);
     void attempt_late(AttemptId id);
     void end_attempt(AttemptId id, AttemptResult result);
-    bool conclude(Request& request, Reply reply);
+    bool conclude(Request& request, FinalResponse reply);
     void drop_if_over(RequestId id);
     void set_wake(TimePoint at);
     Request* find(RequestId id);
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -19,15 +19,15 @@
 };
 
 /// A request as a front hands it over.
-struct Call {
+struct IncomingRequest {
     RequestArrived request;  ///< class, tenant, key, deadline and marks; the engine gives it its number
     std::shared_ptr<const Message> message;
 };
 
-enum class Verdict { Served, Refused, Failed };
+enum class FinalStatus { Served, Rejected, Failed };
 
-struct Reply {
-    Verdict verdict = Verdict::Failed;
+struct FinalResponse {
+    FinalStatus status = FinalStatus::Failed;
     Duration retry_after{};                  ///< refused: when to come back; zero: no advice
     bool timed_out = false;                  ///< failed: for want of time
     std::shared_ptr<const Message> message;  ///< served: the server's answer
@@ -35,13 +35,13 @@
 };
 
 /// A front's side of one call. Hears of it exactly once, unless it departs first.
-class Caller {
+class ResponseSink {
 public:
-    virtual ~Caller() = default;
-    virtual void answer(Reply reply) = 0;
+    virtual ~ResponseSink() = default;
+    virtual void respond(FinalResponse reply) = 0;
     /// Looked at in the instant before an attempt begins, and before its first byte leaves: the client has
     /// closed its connection or called its request off, though nobody has read that yet.
-    virtual bool gone() { return false; }
+    virtual bool is_client_disconnected() { return false; }
 };
 
 struct AttemptId {
@@ -57,7 +57,7 @@
 };
 
 /// The server list as discovery words it, with an address for each entry.
-struct Listing {
+struct EndpointList {
     EndpointUpdate update;
     std::vector<std::string> addresses;  ///< one for each entry
     std::vector<std::string> ids;        ///< ... and what operators call it; empty where nobody does
@@ -80,7 +80,7 @@
 class Upstream {
 public:
     virtual ~Upstream() = default;
-    virtual void servers(const Listing& listing) = 0;
+    virtual void servers(const EndpointList& listing) = 0;
     virtual void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                        Duration patience) = 0;
     /// Gives an attempt up, its connection closed on return. False: it was never written whole.
--- a/src/http/call_reader.h
+++ b/src/http/call_reader.h
@@ -24,7 +24,7 @@
         int status = 200;
         std::string allow;  ///< of a 405
         Duration patience{0};
-        Call call;
+        IncomingRequest call;
     };
     /// `came`: its client's time runs from then.
     Reading read(const HttpMessage& request, TimePoint came) const;
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -276,7 +276,7 @@
     if (!upload_) watch_client();
 }
 
-bool ClientSession::gone() {
+bool ClientSession::is_client_disconnected() {
     if (state_ == State::Closed) return true;
     if (state_ != State::Waiting || !http::gone(socket_.native_handle())) return false;
     // Later: whoever asks is in the midst of what a close would call off.
@@ -296,7 +296,7 @@
         taken_.moved(outgoing_.written() - left);
     }
     bool unwatched = upload_ ? upload_full_ : unread_ && unread_.room() == 0;
-    if (state_ == State::Waiting && unwatched) (void)gone();
+    if (state_ == State::Waiting && unwatched) (void)is_client_disconnected();
 }
 
 // Here and not where attempts start: each of them sends the same.
@@ -345,16 +345,17 @@
     return close_after_ || (front_.draining() && (front_.ending() || unread_.view().empty()));
 }
 
-void ClientSession::answer(Reply reply) {
+void ClientSession::respond(FinalResponse reply) {
     if (state_ != State::Waiting) return;
     error_code ignored;
     socket_.cancel(ignored);  // the watch
     if (!trace_.empty()) front_.release(trace_);
     TimePoint now = front_.engine().now();
-    front_.admission().complete(now, admission_request_, reply.verdict == Verdict::Served, now - entered_,
+    front_.admission().complete(now, admission_request_, reply.status == FinalStatus::Served, now - entered_,
                                 reply.server_took);
-    if (reply.verdict == Verdict::Refused) return refuse(front_.admission().reject(now, admission_request_));
-    if (reply.verdict == Verdict::Failed) return reject(reply.timed_out ? 504 : 502);
+    if (reply.status == FinalStatus::Rejected)
+        return refuse(front_.admission().reject(now, admission_request_));
+    if (reply.status == FinalStatus::Failed) return reject(reply.timed_out ? 504 : 502);
     pass_on(std::static_pointer_cast<const HttpMessage>(std::move(reply.message)));
 }
 
--- a/src/http/client_session.h
+++ b/src/http/client_session.h
@@ -14,7 +14,7 @@
 
 namespace ochrehub::http {
 
-class ClientSession : public Caller, public std::enable_shared_from_this<ClientSession> {
+class ClientSession : public ResponseSink, public std::enable_shared_from_this<ClientSession> {
 public:
     using Steady = std::chrono::steady_clock;
 
@@ -23,9 +23,9 @@
     ClientSession(boost::asio::ip::tcp::socket socket, Front& front, bool overloaded, std::uint64_t number);
 
     void start(Front::Table::Place place);
-    void answer(Reply reply) override;
+    void respond(FinalResponse reply) override;
     /// Also where its end lies behind bytes that nobody has read. It closes then, once its caller is through.
-    bool gone() override;
+    bool is_client_disconnected() override;
 
     /// Nothing is lost if it is closed now: nothing is unread, and it stands between requests, its first
     /// request is not yet whole, or it only waits for the client's close.
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -78,7 +78,7 @@
 
     AdmissionController& admission() { return admission_; }
     /// The list as the engine hears it.
-    void listed(const Listing& listing) { admission_.update_endpoints(engine_.now(), listing.update); }
+    void listed(const EndpointList& listing) { admission_.update_endpoints(engine_.now(), listing.update); }
 
     /// The ids of the requests that are open here: another with the same would be taken for a second copy.
     bool claim(const std::string& id) { return open_ids_.insert(id).second; }
--- a/src/http/server_pool.cpp
+++ b/src/http/server_pool.cpp
@@ -89,7 +89,7 @@
     retire_idle();
 }
 
-void ServerPool::servers(const Listing& listing) {
+void ServerPool::servers(const EndpointList& listing) {
     if (listing.update.kind == UpdateKind::Failed) return;
     if (listing.update.kind != UpdateKind::Delta && removal_binds_)
         for (auto& [id, server] : servers_) server.sendable = false;
--- a/src/http/server_pool.h
+++ b/src/http/server_pool.h
@@ -42,7 +42,7 @@
                const Settings& settings, std::size_t most_connections, const HttpProfile& profile = {},
                Counters* counters = nullptr, const Reuse& reuse = {});
 
-    void servers(const Listing& listing) override;
+    void servers(const EndpointList& listing) override;
     void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
                Duration patience) override;
     bool stop(AttemptId id) override;
--- a/tests/long_list_test.cpp
+++ b/tests/long_list_test.cpp
@@ -68,11 +68,11 @@
     boost::asio::io_context io;
     Clock clock;
     AsioScheduler scheduler{io, clock};
-    std::vector<Listing> lists;
+    std::vector<EndpointList> lists;
     discovery::Watcher watcher{io,    scheduler,
                                pool,  Names{{}, {}, {"a"}, {"m"}},
                                false, *parse_address(door.address),
-                               7,     [this](const Listing& listing) { lists.push_back(listing); }};
+                               7,     [this](const EndpointList& listing) { lists.push_back(listing); }};
 };
 
 class LongList : public ::testing::TestWithParam<bool> {};
--- a/tests/server_peer.h
+++ b/tests/server_peer.h
@@ -200,7 +200,7 @@
     }
 
     void list(const std::string& address, Phase phase = Phase::Ready) {
-        Listing listing;
+        EndpointList listing;
         listing.update.kind = UpdateKind::Full;
         EndpointEntry& entry = listing.update.entries.emplace_back();
         entry.endpoint = kServer;
--- a/tests/server_pool_test.cpp
+++ b/tests/server_pool_test.cpp
@@ -818,7 +818,7 @@
 TEST(ServerPool, TheConnectionThatHasRestedLongestMakesRoom) {
     Rig rig(always_rested(), Rig::settings(), 2);
     Door second;
-    Listing both;
+    EndpointList both;
     both.update.kind = UpdateKind::Full;
     for (EndpointId id : {Rig::kServer, Rig::kServer + 1}) both.update.entries.emplace_back().endpoint = id;
     both.addresses = {rig.door.address, second.address};
@@ -858,7 +858,7 @@
 TEST(ServerPool, AServerThatHasStartedAnewGetsNothingOnAnEarlierConnection) {
     Rig rig(always_rested());
     auto list = [&](Duration start) {
-        Listing listing;
+        EndpointList listing;
         listing.update.kind = UpdateKind::Delta;
         EndpointEntry& entry = listing.update.entries.emplace_back();
         entry.endpoint = Rig::kServer;
--- a/tests/watcher_test.cpp
+++ b/tests/watcher_test.cpp
@@ -40,7 +40,7 @@
 struct Node {
     Node()
         : watcher(io, scheduler, pool, {}, false, *parse_address(door.address), 1,
-                  [this](const Listing& listing) { lists.push_back(listing); }) {
+                  [this](const EndpointList& listing) { lists.push_back(listing); }) {
         ServerList known;
         known.revision = 41;
         known.complete = true;
@@ -74,7 +74,7 @@
         until([&] { return !(head = far.head()).empty(); });
         return head.substr(4, head.find(' ', 4) - 4);
     }
-    const Listing& listed() {
+    const EndpointList& listed() {
         until([&] { return !lists.empty(); });
         taken = lists.front();
         lists.pop_front();
@@ -85,8 +85,8 @@
     BufferPool pool{8};
     boost::asio::io_context io;
     ByHand scheduler;
-    std::deque<Listing> lists;
-    Listing taken;
+    std::deque<EndpointList> lists;
+    EndpointList taken;
     discovery::Watcher watcher;
 };
 
@@ -112,7 +112,7 @@
     EXPECT_EQ(node.call_at(*far), watched(41));
     far->say(
         list(42, false, member("b") + "," + member("c", "terminated") + "," + member("d", "terminating")));
-    const Listing& listing = node.listed();
+    const EndpointList& listing = node.listed();
     EXPECT_EQ(listing.update.kind, UpdateKind::Delta);
     ASSERT_EQ(listing.update.entries.size(), 3u);
     std::set<EndpointId> numbers{1};  // that of "a"
@@ -129,7 +129,7 @@
     FarPtr far = node.accept();
     node.call_at(*far);
     far->say(list(42, false, member("a", "in_service", "127.0.0.1:2")));
-    Listing listing = node.listed();
+    EndpointList listing = node.listed();
     EXPECT_EQ(listing.update.entries[0].endpoint, 1u);
     EXPECT_EQ(listing.addresses[0], "127.0.0.1:2");
     EXPECT_FALSE(listing.update.entries[0].last_start);
@@ -145,7 +145,7 @@
     FarPtr far = node.accept();
     node.call_at(*far);
     far->say(list(42, false, member("a", "terminated") + "," + member("a")));
-    Listing listing = node.listed();
+    EndpointList listing = node.listed();
     ASSERT_EQ(listing.update.entries.size(), 2u);
     EXPECT_EQ(listing.update.entries[0].endpoint, 1u);
     EndpointId back = listing.update.entries[1].endpoint;
