--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -66,7 +66,7 @@
       watch_(day, scheduler, world, seed * 3 + 1,
              [this](const EndpointList& listing) {
                  front_.listed(listing);
-                 engine_.listed(listing);
+                 engine_.update_endpoints(listing);
              }),
       front_(
           scheduler, world, engine_,
--- a/lab/sim/emulated_node.h
+++ b/lab/sim/emulated_node.h
@@ -33,7 +33,7 @@
     void link_broken(ConnectionNo connection) override { pool_.link_broken(connection); }
     void listed(ListCall call, const ListOut& list) override { watch_.listed(call, list); }
     void list_failed(ListCall call) override { watch_.failed(call); }
-    void sharers(int gateways, int me) override { engine_.sharers(gateways, me); }
+    void sharers(int gateways, int me) override { engine_.set_fleet_size(gateways, me); }
     void drain() override { front_.drain(); }
     bool quiet() const override { return engine_.open_requests() == 0 && front_.quiet(); }
     void reload(bool moved) override {
--- a/lab/sim/sim_front.cpp
+++ b/lab/sim/sim_front.cpp
@@ -134,7 +134,7 @@
         if (state_ == State::Closed) return;
         state_ = State::Closed;
         if (std::exchange(submitted_, false)) {
-            front_.engine_.depart(request_);
+            front_.engine_.client_disconnected(request_);
             TimePoint now = front_.scheduler_.now();
             front_.admission_.complete(now, admission_request_, false, now - since_);
         }
--- a/lab/sim/sim_pool.cpp
+++ b/lab/sim/sim_pool.cpp
@@ -57,7 +57,7 @@
     retire_idle();
 }
 
-void SimPool::servers(const EndpointList& listing) {
+void SimPool::update_endpoints(const EndpointList& listing) {
     if (listing.update.kind == UpdateKind::Failed) return;
     if (listing.update.kind != UpdateKind::Delta && removal_binds_)
         for (EndpointId id : sendable_) servers_[id].sendable = false;
@@ -78,7 +78,7 @@
     }
     std::erase_if(sendable_, [this](EndpointId id) {
         if (servers_[id].sendable) return false;
-        close_idle(id);
+        close_idle_connections(id);
         servers_[id].number = kNobody;
         return true;
     });
@@ -130,7 +130,8 @@
     return true;
 }
 
-void SimPool::start(AttemptId id, EndpointId to, std::shared_ptr<const Message> message, Duration patience) {
+void SimPool::start_attempt(AttemptId id, EndpointId to, std::shared_ptr<const Message> message,
+                            Duration patience) {
     Server* server = find(to);
     ConnectionNo number = server ? take(to, *server) : 0;
     attempts_[id] = number;
@@ -254,7 +255,7 @@
     events_.attempt_ended(id, std::move(result));
 }
 
-bool SimPool::stop(AttemptId id) {
+bool SimPool::cancel_attempt(AttemptId id) {
     auto it = attempts_.find(id);
     if (it == attempts_.end()) return false;
     ConnectionNo number = it->second;
@@ -290,7 +291,7 @@
     if (link.state == State::Busy) begin(number, link);
 }
 
-void SimPool::close_idle(EndpointId id) {
+void SimPool::close_idle_connections(EndpointId id) {
     Server* server = find(id);
     if (!server) return;
     for (ConnectionNo number : std::exchange(server->idle, {})) forget(number, true);
--- a/lab/sim/sim_pool.h
+++ b/lab/sim/sim_pool.h
@@ -15,12 +15,12 @@
     SimPool(Scheduler& scheduler, NodeWorld& world, UpstreamEvents& events, const Settings& settings,
             std::size_t most_connections, Meddler* meddler);
 
-    void servers(const EndpointList& listing) override;
-    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
-               Duration patience) override;
-    bool stop(AttemptId id) override;
+    void update_endpoints(const EndpointList& listing) override;
+    void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
+                       Duration patience) override;
+    bool cancel_attempt(AttemptId id) override;
     void probe(EndpointId server, Duration limit) override;
-    void close_idle(EndpointId server) override;
+    void close_idle_connections(EndpointId server) override;
 
     void link_up(ConnectionNo connection);
     void link_refused(ConnectionNo connection);
--- a/lab/sim/sim_watch.h
+++ b/lab/sim/sim_watch.h
@@ -11,7 +11,7 @@
 
 namespace ochrehub::lab {
 
-class SimWatch : public Registry {
+class SimWatch : public DiscoverySource {
 public:
     using Heard = std::function<void(const EndpointList&)>;
 
--- a/lab/tests/engine_test.cpp
+++ b/lab/tests/engine_test.cpp
@@ -30,8 +30,8 @@
     using Fate = std::function<std::pair<Outcome, double>(AttemptId)>;
 
     explicit Servers(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
-    void servers(const EndpointList&) override {}
-    void start(AttemptId id, EndpointId, std::shared_ptr<const Message> message, Duration) override {
+    void update_endpoints(const EndpointList&) override {}
+    void start_attempt(AttemptId id, EndpointId, std::shared_ptr<const Message> message, Duration) override {
         auto [outcome, after] = fate(id);
         ++started;
         out_[{id.request, id.attempt}] = std::move(message);
@@ -42,11 +42,11 @@
                 id, {outcome, {}, outcome == Outcome::Ok ? std::make_shared<Body>(answers) : nullptr});
         });
     }
-    bool stop(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
+    bool cancel_attempt(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
     void probe(EndpointId server, Duration) override {
         scheduler_.post([this, server] { events->probe_ended(server, Duration{1}, Outcome::Ok, {}); });
     }
-    void close_idle(EndpointId) override {}
+    void close_idle_connections(EndpointId) override {}
 
     Fate fate;
     UpstreamEvents* events = nullptr;
@@ -57,7 +57,7 @@
     std::map<std::pair<RequestId, int>, std::shared_ptr<const Message>> out_;
 };
 
-struct NoRegistry : Registry {
+struct NoRegistry : DiscoverySource {
     void watch() override {}
 };
 
@@ -85,7 +85,7 @@
             entry.zone = 0;
             listing.addresses.emplace_back();
         }
-        engine.listed(listing);
+        engine.update_endpoints(listing);
     }
     static Settings settings() {
         Settings set;
@@ -154,7 +154,7 @@
     for (int i = 0; i < 60; ++i) rig.ask(i % 3, 500);
     rig.run_to(50);
     EXPECT_GT(rig.servers.started, 0);
-    for (RequestId id : rig.ids) rig.engine.depart(id);
+    for (RequestId id : rig.ids) rig.engine.client_disconnected(id);
     rig.run_to(3000);
     EXPECT_EQ(rig.engine.held_requests(), 0u);
     EXPECT_EQ(rig.bodies, 0);
@@ -197,11 +197,11 @@
     rig.run_to(10);
     EXPECT_EQ(rig.servers.started, 2);
     leaves->left = true;
-    EXPECT_TRUE(rig.engine.wanted({rig.ids[0], 0}));
-    EXPECT_FALSE(rig.engine.wanted({rig.ids[1], 0}));
-    EXPECT_FALSE(rig.engine.wanted({99, 0}));
+    EXPECT_TRUE(rig.engine.may_send({rig.ids[0], 0}));
+    EXPECT_FALSE(rig.engine.may_send({rig.ids[1], 0}));
+    EXPECT_FALSE(rig.engine.may_send({99, 0}));
     rig.run_to(400);
-    EXPECT_FALSE(rig.engine.wanted({rig.ids[0], 0})) << "answered";
+    EXPECT_FALSE(rig.engine.may_send({rig.ids[0], 0})) << "answered";
     EXPECT_EQ(leaves->heard, 0);
     EXPECT_EQ(rig.engine.held_requests(), 0u);
 }
@@ -216,12 +216,12 @@
     std::vector<bool> wanted;
     for (double ms : {1900.0, 2100.0})  // the first attempt was sent at 0, its window is 2000
         rig.scheduler.call_at(TimePoint{Duration{ms}}, [&] {
-            wanted.push_back(rig.engine.wanted({rig.ids[0], 1}));
+            wanted.push_back(rig.engine.may_send({rig.ids[0], 1}));
         });
     rig.run_to(2100);
     EXPECT_EQ(rig.servers.started, 2);
     EXPECT_EQ(wanted, (std::vector<bool>{true, false}));
-    EXPECT_FALSE(rig.engine.wanted({rig.ids[0], 2})) << "there is none";
+    EXPECT_FALSE(rig.engine.may_send({rig.ids[0], 2})) << "there is none";
 }
 
 TEST(Engine, SaysOfEachAttemptWhetherItsRequestMayBeSentAgain) {
@@ -229,14 +229,14 @@
     rig.servers.fate = [](AttemptId) { return std::pair(Outcome::Ok, 50.0); };
     for (int cls : {0, 1, 2}) rig.ask(cls, 500);  // free, single_shot, guarded
     rig.run_to(10);
-    EXPECT_TRUE(rig.engine.may_repeat({rig.ids[0], 0}));
-    EXPECT_TRUE(rig.engine.may_repeat({rig.ids[0], 1}));
-    EXPECT_FALSE(rig.engine.may_repeat({rig.ids[0], 2})) << "of three";
-    EXPECT_FALSE(rig.engine.may_repeat({rig.ids[1], 0}));
-    EXPECT_TRUE(rig.engine.may_repeat({rig.ids[2], 0}));
-    EXPECT_FALSE(rig.engine.may_repeat({99, 0}));
+    EXPECT_TRUE(rig.engine.may_retry({rig.ids[0], 0}));
+    EXPECT_TRUE(rig.engine.may_retry({rig.ids[0], 1}));
+    EXPECT_FALSE(rig.engine.may_retry({rig.ids[0], 2})) << "of three";
+    EXPECT_FALSE(rig.engine.may_retry({rig.ids[1], 0}));
+    EXPECT_TRUE(rig.engine.may_retry({rig.ids[2], 0}));
+    EXPECT_FALSE(rig.engine.may_retry({99, 0}));
     rig.run_to(400);
-    EXPECT_FALSE(rig.engine.may_repeat({rig.ids[0], 0})) << "over";
+    EXPECT_FALSE(rig.engine.may_retry({rig.ids[0], 0})) << "over";
 }
 
 // A list of servers that drain or are gone serves nobody.
@@ -249,13 +249,13 @@
         entry.phase = phase;
         listing.addresses.emplace_back();
     }
-    rig.engine.listed(listing);
+    rig.engine.update_endpoints(listing);
     EXPECT_FALSE(rig.engine.has_servers());
     listing.update.entries[0].phase = Phase::Ready;
-    rig.engine.listed(listing);
+    rig.engine.update_endpoints(listing);
     EXPECT_TRUE(rig.engine.has_servers());
     listing.update.entries[0].phase = Phase::Draining;
-    rig.engine.listed(listing);
+    rig.engine.update_endpoints(listing);
     EXPECT_TRUE(rig.engine.has_servers()) << "what has begun to serve stays in service";
 }
 
@@ -279,7 +279,7 @@
             if (random.uniform() < 0.1) {
                 std::size_t which = random.next() % rig.ids.size();
                 if (rig.clients[which]->heard == 0) left.insert(rig.ids[which]);
-                rig.engine.depart(rig.ids[which]);
+                rig.engine.client_disconnected(rig.ids[which]);
             }
         }
         rig.run_to(10000);
--- a/lab/tests/explore_test.cpp
+++ b/lab/tests/explore_test.cpp
@@ -54,8 +54,8 @@
     enum class Does { Answers, Silent, Errs, TurnsAway, Resets, Unreachable, Slow, kAll };
 
     explicit Fleet(VirtualScheduler& scheduler) : scheduler_(scheduler) { does.fill(Does::Answers); }
-    void servers(const EndpointList&) override {}
-    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
+    void update_endpoints(const EndpointList&) override {}
+    void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
         auto key = std::pair(id.request, id.attempt);
         out_[key] = server;
         double after = 1;
@@ -71,7 +71,7 @@
             events->attempt_ended(id, {how, {}, how == Outcome::Ok ? std::make_shared<Message>() : nullptr});
         });
     }
-    bool stop(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
+    bool cancel_attempt(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
     void probe(EndpointId server, Duration limit) override {
         double after = 1;
         Outcome how = outcome(server, after);
@@ -80,7 +80,7 @@
             events->probe_ended(server, Duration{after}, how, {});
         });
     }
-    void close_idle(EndpointId) override {}
+    void close_idle_connections(EndpointId) override {}
 
     std::array<Does, kServers> does;
     UpstreamEvents* events = nullptr;
@@ -113,7 +113,7 @@
     std::uint64_t turn_ = 0;
 };
 
-class Node : public Registry {
+class Node : public DiscoverySource {
 public:
     explicit Node(int listed, std::uint64_t seed)
         : admission(AdmissionController::from_settings(settings(), 12, seed)),
@@ -129,7 +129,7 @@
         scheduler.call_at(scheduler.now() + Duration{100}, [this] {
             EndpointList none;
             none.update.kind = failing ? UpdateKind::Failed : UpdateKind::Delta;
-            engine.listed(none);
+            engine.update_endpoints(none);
         });
     }
     void list(UpdateKind kind, int mask) {
@@ -145,7 +145,7 @@
             listing.addresses.emplace_back();
         }
         admission.update_endpoints(scheduler.now(), listing.update);
-        engine.listed(listing);
+        engine.update_endpoints(listing);
     }
     void run_to(double ms) {
         scheduler.call_at(TimePoint{Duration{ms}}, [] {});
@@ -189,7 +189,7 @@
         left = true;
         if (!std::exchange(out_, false)) return;
         ++departed;
-        node_.engine.depart(open_);
+        node_.engine.client_disconnected(open_);
         node_.admission.complete(node_.scheduler.now(), admission_request_, false,
                                  node_.scheduler.now() - entered_);
     }
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -38,18 +38,18 @@
     for (std::size_t i = 0; i < classes.size(); ++i) {
         const Counters::Class& c = counters.classes[i];
         std::string label = "app_transactions_total{group=\"" + escaped(classes[i]) + "\",state=\"";
-        put(out, label + "answered\"}", c.answered.get());
-        put(out, label + "deferred\"}", c.deferred.get());
-        put(out, label + "errored\"}", c.errored.get());
+        put(out, label + "answered\"}", c.succeeded.get());
+        put(out, label + "deferred\"}", c.rejected.get());
+        put(out, label + "errored\"}", c.failed.get());
     }
     describe(out, "app_sends_total", "counter", "Attempts written whole to servers.");
-    put(out, "app_sends_total", counters.sends.get());
+    put(out, "app_sends_total", counters.attempts_sent.get());
     describe(out, "app_current", "gauge", "Requests taken and not ended.");
-    put(out, "app_current", std::max<std::int64_t>(0, counters.current.get()));
+    put(out, "app_current", std::max<std::int64_t>(0, counters.active_requests.get()));
     describe(out, "app_cluster_size", "gauge", "Servers in the list.");
-    put(out, "app_cluster_size", counters.listed.get());
+    put(out, "app_cluster_size", counters.listed_endpoints.get());
     describe(out, "app_cluster_unhealthy", "gauge", "Listed servers that get nothing new now.");
-    put(out, "app_cluster_unhealthy", counters.avoided.get());
+    put(out, "app_cluster_unhealthy", counters.unavailable_endpoints.get());
     return out;
 }
 
--- a/src/admin/side.cpp
+++ b/src/admin/side.cpp
@@ -53,7 +53,7 @@
             ids_.erase(listing.ids[i]);
         else
             ids_.insert(listing.ids[i]);
-    counters_.listed.set(std::int64_t(ids_.size()));
+    counters_.listed_endpoints.set(std::int64_t(ids_.size()));
     auto fresh = std::make_shared<const Ids>(ids_);
     std::lock_guard lock(publishing_);
     published_ = std::move(fresh);
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -182,7 +182,7 @@
             watcher_.emplace(io, scheduler, pool, node.names, node.settings.removal_not_binding,
                              node.discovery, node.seed, listed);
     }
-    Registry& registry() {
+    DiscoverySource& registry() {
         if (fixed_) return *fixed_;
         return *watcher_;
     }
@@ -239,21 +239,21 @@
     AsioScheduler scheduler(io, clock);
     Engine engine(scheduler, config.settings, config.seed);
     Counters counters(config.names.classes.size());
-    engine.count_in(&counters);
+    engine.set_counters(&counters);
     http::ServerPool connections(io, pool, engine, config.settings, budget.servers, plan.profile, &counters);
     std::optional<membership::MembershipService> fleet;  // before whatever shows it
     open_fleet(fleet, plan, [&](int gateways, int me) {
-        asio::post(io, [&engine, gateways, me] { engine.sharers(gateways, me); });
+        asio::post(io, [&engine, gateways, me] { engine.set_fleet_size(gateways, me); });
     });
     auto by_hand = [&engine](std::uint64_t key, bool out, TimePoint since) {
-        engine.by_hand(key, out, since);
+        engine.set_admin_override(key, out, since);
     };
     std::optional<Rules> rules;
     if (plan.keepers.on) {
         rules.emplace(
             io, clock, plan.keepers, config.name, plan.zone,
             Rules::Node{by_hand, [&](const std::string& detail) { record("rules", "keepers", detail); }});
-        engine.look_first([&rules] { rules->look(); });
+        engine.set_pre_submit_hook([&rules] { rules->look(); });
         if (plan.keepers.keys.empty())
             log(LogLevel::Warn, "[keepers] has no key_file: whoever answers there is believed");
     }
@@ -267,7 +267,7 @@
         front->listed(listing);
         if (side) side->listed(listing);
         if (rules) rules->listed(listing);
-        engine.listed(listing);
+        engine.update_endpoints(listing);
         opening.listed(listing);
         show();
     });
@@ -303,7 +303,7 @@
         front->keep_to(part);
         connections.keep_to(part.servers);
         pool.keep_to(twin ? config.memory_mb / 2 : config.memory_mb);
-        engine.twinned(twin);
+        engine.set_handover_peer_present(twin);
     };
     // From its first connection on: before that it needs next to nothing, and the other process serves alone.
     std::optional<Twins> twins;
--- a/src/discovery/static_list.h
+++ b/src/discovery/static_list.h
@@ -25,7 +25,7 @@
 
 config::Table<StaticServer> static_settings();
 
-class StaticList : public Registry {
+class StaticList : public DiscoverySource {
 public:
     using Listed = std::function<void(const EndpointList&)>;
 
--- a/src/discovery/watcher.h
+++ b/src/discovery/watcher.h
@@ -17,7 +17,7 @@
 
 namespace ochrehub::discovery {
 
-class Watcher : public Registry {
+class Watcher : public DiscoverySource {
 public:
     using Listed = std::function<void(const EndpointList&)>;
 
--- a/src/engine/counters.h
+++ b/src/engine/counters.h
@@ -10,7 +10,7 @@
 namespace ochrehub {
 
 /// Has one writer, so that an addition needs no lock.
-class Count {
+class Counter {
 public:
     void add(std::int64_t more = 1) { set(get() + more); }
     void set(std::int64_t value) { value_.store(value, std::memory_order_relaxed); }
@@ -24,16 +24,16 @@
     /// Of whole requests of a class, by the answer that went out whole: 200 (off the platform: below 400),
     /// 429 or 503, any other. One whose client left is in none of them.
     struct Class {
-        Count answered, deferred, errored;
+        Counter succeeded, rejected, failed;
     };
 
     explicit Counters(std::size_t class_count) : classes(class_count) {}
 
     std::vector<Class> classes;
-    Count current;  ///< requests taken and neither answered whole nor left
-    Count sends;    ///< attempts written whole to a server
-    Count listed;   ///< servers in the list
-    Count avoided;  ///< ... that get nothing new now
+    Counter active_requests;        ///< requests taken and neither answered whole nor left
+    Counter attempts_sent;          ///< attempts written whole to a server
+    Counter listed_endpoints;       ///< servers in the list
+    Counter unavailable_endpoints;  ///< ... that get nothing new now
 };
 
 }  // namespace ochrehub
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -62,7 +62,7 @@
     });
 }
 
-void Engine::uploaded(RequestId id, TimePoint give_up_at) {
+void Engine::body_received(RequestId id, TimePoint give_up_at) {
     Request* request = find(id);
     if (!request || request->answered) return;
     request->uploading = false;
@@ -78,7 +78,7 @@
     post(RequestBodyReceived{id, give_up_at});
 }
 
-void Engine::depart(RequestId id) {
+void Engine::client_disconnected(RequestId id) {
     Request* request = find(id);
     if (!request || request->answered) return;
     request->answered = true;
@@ -91,16 +91,16 @@
     });
 }
 
-void Engine::listed(const EndpointList& listing) {
-    upstream_->servers(listing);
+void Engine::update_endpoints(const EndpointList& listing) {
+    upstream_->update_endpoints(listing);
     const auto& entries = listing.update.entries;
     auto ready = [](const EndpointEntry& entry) { return entry.phase == Phase::Ready; };
     has_servers_ = has_servers_ || std::any_of(entries.begin(), entries.end(), ready);
     post(listing.update);
 }
 
-void Engine::by_hand(std::uint64_t key, bool out, TimePoint since) {
-    upstream_->by_hand(key, out);
+void Engine::set_admin_override(std::uint64_t key, bool out, TimePoint since) {
+    upstream_->set_admin_override(key, out);
     post(AdminOverride{key, out, since});
 }
 
@@ -144,7 +144,7 @@
         if (const auto* gone = std::get_if<ClientDisconnected>(&event)) drop_if_over(gone->request);
     }
     draining_ = false;
-    if (counters_) counters_->avoided.set(std::int64_t(balancer_.unavailable_endpoints()));
+    if (counters_) counters_->unavailable_endpoints.set(std::int64_t(balancer_.unavailable_endpoints()));
 }
 
 void Engine::carry_out(const Action& action) {
@@ -164,12 +164,12 @@
                 if (!r || a.attempt < 0 || std::size_t(a.attempt) >= r->attempts.size()) return;
                 if (r->attempts[std::size_t(a.attempt)].ended) return;
                 AttemptId id{a.request, a.attempt};
-                upstream_->stop(id);
+                upstream_->cancel_attempt(id);
                 end_attempt(id, {Outcome::Cancelled, {}, nullptr});
             } else if constexpr (std::is_same_v<T, Probe>) {
                 upstream_->probe(a.endpoint, a.timeout);
             } else if constexpr (std::is_same_v<T, CloseIdleConnections>) {
-                upstream_->close_idle(a.endpoint);
+                upstream_->close_idle_connections(a.endpoint);
             } else if constexpr (std::is_same_v<T, WatchEndpoints>) {
                 registry_->watch();
             } else if constexpr (std::is_same_v<T, SetTimer>) {
@@ -186,18 +186,18 @@
 bool Engine::still_wanted(Request& request) {
     if (request.answered) return false;
     if (!request.caller->is_client_disconnected()) return true;
-    depart(request.id);
+    client_disconnected(request.id);
     return false;
 }
 
-bool Engine::wanted(AttemptId id) {
+bool Engine::may_send(AttemptId id) {
     Request* request = find(id.request);
     if (!request || std::size_t(id.attempt) >= request->attempts.size()) return false;
     TimePoint by = std::min(request->give_up_at, request->attempts[std::size_t(id.attempt)].begin_by);
     return (request->uploading || scheduler_.now() < by) && still_wanted(*request);
 }
 
-bool Engine::may_repeat(AttemptId id) {
+bool Engine::may_retry(AttemptId id) {
     Request* request = find(id.request);
     return request && request->repeatable && id.attempt + 1 < max_attempts_;
 }
@@ -219,7 +219,7 @@
     TimePoint until = request->give_up_at;
     if (action.timeout.count() > 0) until = std::min(until, now + action.timeout);
     if (!request->uploading) attempt.limit = scheduler_.call_at(until, [this, id] { attempt_late(id); });
-    upstream_->start(id, action.endpoint, request->message, until - now);
+    upstream_->start_attempt(id, action.endpoint, request->message, until - now);
 }
 
 void Engine::attempt_late(AttemptId id) {
@@ -227,7 +227,7 @@
     if (!request || request->attempts[std::size_t(id.attempt)].ended) return;
     // What was never written whole has not run, and the module may go on as it may after no other time-out.
     request->attempts[std::size_t(id.attempt)].limit = 0;
-    bool written = upstream_->stop(id);
+    bool written = upstream_->cancel_attempt(id);
     end_attempt(id, {written ? Outcome::Timeout : Outcome::ConnectFailed, {}, nullptr});
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -22,7 +22,7 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    void connect(Upstream& upstream, Registry& registry) {
+    void connect(Upstream& upstream, DiscoverySource& registry) {
         upstream_ = &upstream;
         registry_ = &registry;
     }
@@ -30,28 +30,28 @@
     /// Takes a request; `caller` hears its final answer. Never answers before it returns.
     RequestId submit(IncomingRequest call, std::shared_ptr<ResponseSink> caller);
     /// The body of a call that was submitted as uploading is whole; its client gives up at `give_up_at`.
-    void uploaded(RequestId id, TimePoint give_up_at);
+    void body_received(RequestId id, TimePoint give_up_at);
     /// The client of this request has gone: nothing is owed any more.
-    void depart(RequestId id);
+    void client_disconnected(RequestId id);
 
-    void listed(const EndpointList& listing);
+    void update_endpoints(const EndpointList& listing);
     /// Called before each request is decided on, so that what must not be acted on any more is not.
-    void look_first(std::function<void()> look) { look_ = std::move(look); }
+    void set_pre_submit_hook(std::function<void()> look) { look_ = std::move(look); }
     /// Operators take a server out, or put it back cold at `since`; whether it is listed now does not matter.
-    void by_hand(std::uint64_t key, bool out, TimePoint since);
+    void set_admin_override(std::uint64_t key, bool out, TimePoint since);
     /// Another process of this node lives, or no longer does.
-    void twinned(bool twin) { post(HandoverPeerChanged{twin}); }
-    void sharers(int gateways, int me) { post(FleetSizeChanged{gateways < 1 ? 1 : gateways, me}); }
+    void set_handover_peer_present(bool twin) { post(HandoverPeerChanged{twin}); }
+    void set_fleet_size(int gateways, int me) { post(FleetSizeChanged{gateways < 1 ? 1 : gateways, me}); }
     /// Receives each event of the decision core and the actions it led to, before they are carried out: for
     /// recorders. Called on the engine's thread; must not call the engine.
     using DecisionObserver = std::function<void(TimePoint now, const Event& event, const Actions& actions)>;
     void observe_decisions(DecisionObserver observer) { decision_observer_ = std::move(observer); }
     /// Where the module's count of avoided servers goes; may be null.
-    void count_in(Counters* counters) { counters_ = counters; }
+    void set_counters(Counters* counters) { counters_ = counters; }
     /// It may still be written: its request is unanswered, its time and the window for a repeat are not over,
     /// and its caller is not gone; where that is, the request departs.
-    bool wanted(AttemptId id) override;
-    bool may_repeat(AttemptId id) override;
+    bool may_send(AttemptId id) override;
+    bool may_retry(AttemptId id) override;
     void attempt_ended(AttemptId id, AttemptResult result) override;
     void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) override;
 
@@ -106,7 +106,7 @@
     int max_attempts_;
     Upstream* upstream_ = nullptr;
     Counters* counters_ = nullptr;
-    Registry* registry_ = nullptr;
+    DiscoverySource* registry_ = nullptr;
     TimerId wake_ = 0;
     std::unordered_map<RequestId, Request> requests_;
     RequestId next_id_ = 0;
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -69,9 +69,9 @@
     virtual ~UpstreamEvents() = default;
     /// Somebody still waits for this attempt, and it may still be written. Asked once its connection is up,
     /// which may be long after its start, and before each further write of what was not written at once.
-    virtual bool wanted(AttemptId /*id*/) { return true; }
+    virtual bool may_send(AttemptId /*id*/) { return true; }
     /// Its request may be sent again where this attempt ends without an answer, though it may have run.
-    virtual bool may_repeat(AttemptId /*id*/) { return true; }
+    virtual bool may_retry(AttemptId /*id*/) { return true; }
     virtual void attempt_ended(AttemptId id, AttemptResult result) = 0;
     virtual void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) = 0;
 };
@@ -80,22 +80,22 @@
 class Upstream {
 public:
     virtual ~Upstream() = default;
-    virtual void servers(const EndpointList& listing) = 0;
-    virtual void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
-                       Duration patience) = 0;
+    virtual void update_endpoints(const EndpointList& listing) = 0;
+    virtual void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
+                               Duration patience) = 0;
     /// Gives an attempt up, its connection closed on return. False: it was never written whole.
-    virtual bool stop(AttemptId id) = 0;
+    virtual bool cancel_attempt(AttemptId id) = 0;
     virtual void probe(EndpointId server, Duration limit) = 0;
-    virtual void close_idle(EndpointId server) = 0;
+    virtual void close_idle_connections(EndpointId server) = 0;
     /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out.
     /// For an upstream whose connections are up at once the module's own word is enough.
-    virtual void by_hand(std::uint64_t /*key*/, bool /*out*/) {}
+    virtual void set_admin_override(std::uint64_t /*key*/, bool /*out*/) {}
 };
 
 /// Whatever tells of servers; answers each call of watch() with at least one listing, a failed one included.
-class Registry {
+class DiscoverySource {
 public:
-    virtual ~Registry() = default;
+    virtual ~DiscoverySource() = default;
     virtual void watch() = 0;
 };
 
--- a/src/figures/figures.cpp
+++ b/src/figures/figures.cpp
@@ -101,7 +101,7 @@
 
 Figures::Request Figures::came(int class_index, int tenant, Steady::time_point heard, bool whole) {
     Request request{classes_.slot(class_index), tenants_.slot(tenant), heard, class_index, whole};
-    if (counters_ && whole) counters_->current.add();
+    if (counters_ && whole) counters_->active_requests.add();
     ++inflight(request);
     gauges_[request.class_slot * tenants_.names.size() + request.tenant_slot].seen = true;
     return request;
@@ -111,7 +111,7 @@
     left(request);
     if (counters_ && request.whole && request.counted != kNone) {
         Counters::Class& c = counters_->classes[std::size_t(request.counted)];
-        (code < 400 ? c.answered : code == 429 || code == 503 ? c.deferred : c.errored).add();
+        (code < 400 ? c.succeeded : code == 429 || code == 503 ? c.rejected : c.failed).add();
     }
     if (!told_.on) return;
     ++counts_[{request.class_slot, request.tenant_slot, code}];
@@ -122,7 +122,7 @@
 
 void Figures::left(const Request& request) {
     --inflight(request);
-    if (counters_ && request.whole) counters_->current.add(-1);
+    if (counters_ && request.whole) counters_->active_requests.add(-1);
 }
 
 void Figures::append(const Figure& figure) {
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -222,7 +222,7 @@
     std::exchange(upload_, nullptr)->end();
     figured_ = front_.figures().came(class_, tenant_, heard_);
     if (unread_.view().empty()) unread_.release();
-    front_.engine().uploaded(request_, came_ + patience_);
+    front_.engine().body_received(request_, came_ + patience_);
     if (state_ == State::Waiting) watch_client();
 }
 
@@ -334,7 +334,7 @@
 /// The request goes on for nobody, its client's connection or not.
 void ClientSession::call_off() {
     if (!trace_.empty()) front_.release(trace_);
-    front_.engine().depart(request_);
+    front_.engine().client_disconnected(request_);
     TimePoint now = front_.engine().now();
     front_.admission().complete(now, admission_request_, false, now - entered_);
 }
--- a/src/http/server_pool.cpp
+++ b/src/http/server_pool.cpp
@@ -89,7 +89,7 @@
     retire_idle();
 }
 
-void ServerPool::servers(const EndpointList& listing) {
+void ServerPool::update_endpoints(const EndpointList& listing) {
     if (listing.update.kind == UpdateKind::Failed) return;
     if (listing.update.kind != UpdateKind::Delta && removal_binds_)
         for (auto& [id, server] : servers_) server.sendable = false;
@@ -98,7 +98,7 @@
         Server& server = servers_[entry.endpoint];
         auto address = parse_address(listing.addresses[i]);
         if (address != server.address) {  // it has moved
-            close_idle(entry.endpoint);
+            close_idle_connections(entry.endpoint);
             server.answers = 0;
         }
         // Guards against connections of its earlier process: its machine may have vanished without a word.
@@ -111,7 +111,7 @@
     }
     // Nothing new goes to the others, and what is out there needs no more than its connection.
     for (auto it = servers_.begin(); it != servers_.end();) {
-        if (!it->second.sendable) close_idle(it->first);
+        if (!it->second.sendable) close_idle_connections(it->first);
         it = it->second.sendable ? std::next(it) : servers_.erase(it);
     }
 }
@@ -180,8 +180,8 @@
     return true;
 }
 
-void ServerPool::start(AttemptId id, EndpointId to, std::shared_ptr<const Message> message,
-                       Duration patience) {
+void ServerPool::start_attempt(AttemptId id, EndpointId to, std::shared_ptr<const Message> message,
+                               Duration patience) {
     auto request = std::static_pointer_cast<const HttpMessage>(std::move(message));
     // Guards against half a body that would look whole.
     ConnectionPtr connection = request->replayable() ? connection_to(to) : nullptr;
@@ -192,7 +192,7 @@
     // time pass. The time of one whose body is still to come begins with its end.
     auto head = [this, id, to, at = connection->to(), request, began,
                  patience]() -> std::optional<std::string> {
-        if (!may_send(to, at) || !events_.wanted(id)) return std::nullopt;
+        if (!may_send(to, at) || !events_.may_send(id)) return std::nullopt;
         auto from = time_of(*request, began);
         if (!from) return request_head(*request, patience);
         Duration left = patience - (Connection::Steady::now() - *from);
@@ -203,12 +203,12 @@
         auto most = std::max<Connection::Steady::duration>(profile_.answer_most, span(patience / 4));
         std::optional<Connection::Steady::time_point> stream_by;
         if (profile_.streams_end) stream_by = began + span(patience) + kStreamOver;
-        connection->limit_answer(events_.may_repeat(id) ? most : span(Duration{0}), stream_by);
+        connection->limit_answer(events_.may_retry(id) ? most : span(Duration{0}), stream_by);
     } else {
         connection->limit_answer(profile_.answer_most, std::nullopt);
     }
     // Guards rule 2: a repeat whose last byte would be written behind its window.
-    connection->ask_before_more([this, id] { return events_.wanted(id); });
+    connection->ask_before_more([this, id] { return events_.may_send(id); });
     bool doubted = connection->doubted();
     connection->exchange(
         std::move(head), request,
@@ -216,7 +216,7 @@
             attempt_done(id, to, used, std::move(result), doubted);
         },
         [this, request, began, patience, used = connection.get()] {
-            if (counters_) counters_->sends.add();
+            if (counters_) counters_->attempts_sent.add();
             if (request->rest && profile_.answer_by_request && profile_.streams_end)
                 used->stream_to(time_of(*request, began).value_or(began) + span(patience) + kStreamOver);
         });
@@ -263,7 +263,7 @@
     });
 }
 
-bool ServerPool::stop(AttemptId id) {
+bool ServerPool::cancel_attempt(AttemptId id) {
     auto it = attempts_.find(id);
     if (it == attempts_.end()) return false;
     ConnectionPtr connection = std::move(it->second);
@@ -308,7 +308,7 @@
         });
 }
 
-void ServerPool::close_idle(EndpointId id) {
+void ServerPool::close_idle_connections(EndpointId id) {
     Server* server = find(id);
     if (!server) return;
     for (const ConnectionPtr& connection : server->idle) connection->close();
@@ -324,11 +324,11 @@
     });
 }
 
-void ServerPool::by_hand(std::uint64_t key, bool out) {
+void ServerPool::set_admin_override(std::uint64_t key, bool out) {
     if (!out) return void(out_.erase(key));
     out_.insert(key);
     for (const auto& [id, server] : servers_)
-        if (server.key == key) close_idle(id);
+        if (server.key == key) close_idle_connections(id);
 }
 
 void ServerPool::keep_to(std::size_t most_connections) {
--- a/src/http/server_pool.h
+++ b/src/http/server_pool.h
@@ -42,13 +42,13 @@
                const Settings& settings, std::size_t most_connections, const HttpProfile& profile = {},
                Counters* counters = nullptr, const Reuse& reuse = {});
 
-    void servers(const EndpointList& listing) override;
-    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
-               Duration patience) override;
-    bool stop(AttemptId id) override;
+    void update_endpoints(const EndpointList& listing) override;
+    void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
+                       Duration patience) override;
+    bool cancel_attempt(AttemptId id) override;
     void probe(EndpointId server, Duration limit) override;
-    void close_idle(EndpointId server) override;
-    void by_hand(std::uint64_t key, bool out) override;
+    void close_idle_connections(EndpointId server) override;
+    void set_admin_override(std::uint64_t key, bool out) override;
     /// No more connections than this from now on, idle ones that are over it included.
     void keep_to(std::size_t most_connections);
     /// Those that come up, carry something or rest.
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -67,10 +67,10 @@
 
 TEST(Metrics, EveryClassIsThereFromTheStartAndNamesAreEscaped) {
     Counters counters(2);
-    counters.classes[1].deferred.add();
-    counters.classes[1].deferred.add();
-    counters.sends.add(7);
-    counters.current.add(-1);  // never below nothing, whatever a reader meets
+    counters.classes[1].rejected.add();
+    counters.classes[1].rejected.add();
+    counters.attempts_sent.add(7);
+    counters.active_requests.add(-1);  // never below nothing, whatever a reader meets
     std::string text = admin::metrics(counters, {"plain", "a\"b\\c\nd"});
     auto has = [&](const std::string& line) {
         return ("\n" + text).find("\n" + line + "\n") != std::string::npos;
--- a/tests/server_peer.h
+++ b/tests/server_peer.h
@@ -123,8 +123,8 @@
     std::map<RequestId, std::vector<AttemptResult>> results;
     std::vector<Outcome> probes;
 
-    bool wanted(AttemptId id) override { return asked(id); }
-    bool may_repeat(AttemptId id) override { return repeatable(id); }
+    bool may_send(AttemptId id) override { return asked(id); }
+    bool may_retry(AttemptId id) override { return repeatable(id); }
     void attempt_ended(AttemptId id, AttemptResult result) override {
         results[id.request].push_back(std::move(result));
         ended(id);
@@ -207,11 +207,11 @@
         entry.phase = phase;
         listing.addresses = {address};
         listing.ids = {"s"};
-        servers.servers(listing);
+        servers.update_endpoints(listing);
     }
     void start(RequestId id, std::shared_ptr<const Message> message,
                Duration patience = std::chrono::seconds(60)) {
-        servers.start({id, 0}, kServer, std::move(message), patience);
+        servers.start_attempt({id, 0}, kServer, std::move(message), patience);
     }
     void start(RequestId id, Duration patience = std::chrono::seconds(60)) {
         start(id, request(id), patience);
--- a/tests/server_pool_test.cpp
+++ b/tests/server_pool_test.cpp
@@ -302,7 +302,7 @@
         if (!whole) {
             EXPECT_EQ(told, 60);
         }
-        rig.servers.stop({1, 0});
+        rig.servers.cancel_attempt({1, 0});
         expect_balance(rig, 0);
     }
 }
@@ -340,7 +340,7 @@
     rig.start(2);
     rig.servers.probe(Rig::kServer, milliseconds(30));  // given up before its connection
     rig.servers.probe(Rig::kServer, milliseconds(30000));
-    EXPECT_FALSE(rig.servers.stop({2, 0}));
+    EXPECT_FALSE(rig.servers.cancel_attempt({2, 0}));
     EXPECT_EQ(rig.servers.connections(), 3u);
     EXPECT_EQ(rig.outcome(1), Outcome::ConnectFailed);
     rig.until([&] { return rig.events.probes.size() == 2; });
@@ -353,7 +353,7 @@
 TEST(ServerPool, AStopWhileItConnectsLeavesNothing) {
     Rig rig;
     rig.start(1);
-    EXPECT_FALSE(rig.servers.stop({1, 0}));
+    EXPECT_FALSE(rig.servers.cancel_attempt({1, 0}));
     rig.turn();
     EXPECT_TRUE(rig.events.results[1].empty());
     expect_balance(rig, 0);
@@ -373,11 +373,11 @@
     Rig rig;
     rig.start(1);
     FarPtr far = rig.door.accept();
-    rig.servers.by_hand(Rig::kServer, true);
+    rig.servers.set_admin_override(Rig::kServer, true);
     EXPECT_EQ(rig.outcome(1), Outcome::NotSent);
     EXPECT_EQ(far->heard(), "");
     expect_balance(rig, 0);
-    rig.servers.by_hand(Rig::kServer, false);
+    rig.servers.set_admin_override(Rig::kServer, false);
     one_at_rest(rig, 2);
     expect_balance(rig, 1);
 }
@@ -584,7 +584,7 @@
     rig.request_at(*far);
     far->say("HTTP/1.1 102 Processing\r\n\r\n");
     rig.turn();
-    EXPECT_TRUE(rig.servers.stop({2, 0}));
+    EXPECT_TRUE(rig.servers.cancel_attempt({2, 0}));
     expect_balance(rig, 0);
 }
 
@@ -641,7 +641,7 @@
         rig.start(3, Rig::request(3, std::string(32 << 20, 'r')));
         far = rig.accept();
         rig.request_at(*far);
-        EXPECT_FALSE(rig.servers.stop({3, 0}));
+        EXPECT_FALSE(rig.servers.cancel_attempt({3, 0}));
         expect_balance(rig, 0);
     }
 }
@@ -823,9 +823,9 @@
     for (EndpointId id : {Rig::kServer, Rig::kServer + 1}) both.update.entries.emplace_back().endpoint = id;
     both.addresses = {rig.door.address, second.address};
     both.ids = {"s", "t"};
-    rig.servers.servers(both);
+    rig.servers.update_endpoints(both);
     auto start = [&](RequestId id) {
-        rig.servers.start({id, 0}, Rig::kServer + 1, Rig::request(id), std::chrono::seconds(60));
+        rig.servers.start_attempt({id, 0}, Rig::kServer + 1, Rig::request(id), std::chrono::seconds(60));
     };
     auto at_second = [&] {
         rig.until([&] { return second.knocked(); });
@@ -865,7 +865,7 @@
         entry.last_start = TimePoint{start};
         listing.addresses = {rig.door.address};
         listing.ids = {"s"};
-        rig.servers.servers(listing);
+        rig.servers.update_endpoints(listing);
     };
     auto now = [] { return Duration(std::chrono::system_clock::now().time_since_epoch()); };
     Duration long_ago = now() - std::chrono::seconds(1);
@@ -912,8 +912,8 @@
     FarPtr far = rig.accept();
     rig.request_at(*far);
     far->say(answer("one"));
-    EXPECT_TRUE(rig.servers.stop({1, 0}));
-    EXPECT_FALSE(rig.servers.stop({1, 0}));
+    EXPECT_TRUE(rig.servers.cancel_attempt({1, 0}));
+    EXPECT_FALSE(rig.servers.cancel_attempt({1, 0}));
     rig.turn();
     EXPECT_TRUE(rig.events.results[1].empty());
     expect_balance(rig, 0);
@@ -939,7 +939,7 @@
     far->say("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + std::string(100000, 'a'));
     EXPECT_EQ(rig.outcome(1), Outcome::Ok);
     rig.turn();
-    EXPECT_FALSE(rig.servers.stop({1, 0})) << "it has been answered";
+    EXPECT_FALSE(rig.servers.cancel_attempt({1, 0})) << "it has been answered";
     rig.servers.keep_to(0);
     rig.list(rig.door.address, Phase::Draining);
     expect_balance(rig, 1);
