--- a/lab/sim/emulated_node.cpp
+++ b/lab/sim/emulated_node.cpp
@@ -64,13 +64,14 @@
     : engine_(scheduler, settings, seed),
       pool_(scheduler, world, engine_, settings, budget_of(day, node).servers, meddler),
       watch_(day, scheduler, world, seed * 3 + 1,
-             [this](const Listing& listing) {
+             [this](const EndpointList& listing) {
                  front_.listed(listing);
-                 engine_.listed(listing);
+                 engine_.update_endpoints(listing);
              }),
-      front_(scheduler, world, engine_,
-             AdmissionController::of(settings, budget_of(day, node).asked, ~seed, bounded_admission),
-             budget_of(day, node), meddler, pool_.hands(), std::move(load_state)) {
+      front_(
+          scheduler, world, engine_,
+          AdmissionController::from_settings(settings, budget_of(day, node).asked, ~seed, bounded_admission),
+          budget_of(day, node), meddler, pool_.hands(), std::move(load_state)) {
     engine_.connect(pool_, watch_);
     if (DecisionRecorder::active())
         engine_.observe_decisions([](TimePoint now, const Event& event, const Actions& actions) {
--- a/lab/sim/sim_front.cpp
+++ b/lab/sim/sim_front.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-class SimFront::Session : public Caller, public std::enable_shared_from_this<Session> {
+class SimFront::Session : public ResponseSink, public std::enable_shared_from_this<Session> {
 public:
     enum class State { Reading, Waiting, Leaving, Closed };
 
@@ -43,7 +43,7 @@
         bool again = !std::exchange(first_, false);
         again_ = again;
         stand(Standing::Busy);
-        Call call;
+        IncomingRequest call;
         auto message = std::make_shared<SimMessage>();
         message->id = ask.id;
         message->call = ask.call;
@@ -53,16 +53,18 @@
         message->wait = ask.wait;
         message->give_up_at = came + ask.patience;
         message_ = message;
-        knock_ = {ask.cls, ask.tenant, ask.marked, connection_};
+        admission_request_ = {ask.cls, ask.tenant, ask.marked, connection_};
         if (over_) {
             close_after_ = true;
-            return turn_away(front_.admission_.turn_away(front_.scheduler_.now(), knock_));
+            return turn_away(
+                front_.admission_.reject_connection(front_.scheduler_.now(), admission_request_));
         }
         if (now - came >= front_.lag_.most(ask.patience)) {
             front_.scheduler_.was_cheap();
-            return turn_away(front_.admission_.turn_away(now, knock_));
+            return turn_away(front_.admission_.reject_connection(now, admission_request_));
         }
-        if (auto back = front_.admission_.arrive(front_.scheduler_.now(), knock_)) return turn_away(*back);
+        if (auto back = front_.admission_.admit(front_.scheduler_.now(), admission_request_))
+            return turn_away(*back);
         call.request.class_index = ask.cls;
         call.request.tenant = ask.tenant;
         call.request.is_client_retry = ask.marked;
@@ -85,19 +87,20 @@
         leave();
     }
 
-    void answer(Reply reply) override {
+    void respond(FinalResponse reply) override {
         if (state_ == State::Closed || state_ == State::Leaving) return;
         bool entered = std::exchange(submitted_, false);
         if (entered) {
             TimePoint now = front_.scheduler_.now();
-            front_.admission_.leave(now, knock_, reply.verdict == Verdict::Served, now - since_,
-                                    reply.server_took);
-            if (reply.verdict == Verdict::Refused) reply.retry_after = front_.admission_.refuse(now, knock_);
+            front_.admission_.complete(now, admission_request_, reply.status == FinalStatus::Served,
+                                       now - since_, reply.server_took);
+            if (reply.status == FinalStatus::Rejected)
+                reply.retry_after = front_.admission_.reject(now, admission_request_);
         }
         SimReply out;
-        out.heard = reply.verdict == Verdict::Served    ? Heard::Served
-                    : reply.verdict == Verdict::Refused ? Heard::Refused
-                                                        : Heard::Failed;
+        out.heard = reply.status == FinalStatus::Served     ? Heard::Served
+                    : reply.status == FinalStatus::Rejected ? Heard::Refused
+                                                            : Heard::Failed;
         out.status = out.heard == Heard::Served    ? 200
                      : out.heard == Heard::Refused ? 503
                      : reply.timed_out             ? 504
@@ -131,9 +134,9 @@
         if (state_ == State::Closed) return;
         state_ = State::Closed;
         if (std::exchange(submitted_, false)) {
-            front_.engine_.depart(request_);
+            front_.engine_.client_disconnected(request_);
             TimePoint now = front_.scheduler_.now();
-            front_.admission_.leave(now, knock_, false, now - since_);
+            front_.admission_.complete(now, admission_request_, false, now - since_);
         }
         std::shared_ptr<Session> self = front_.table_.leave(place_, standing_);
         front_.sessions_.erase(connection_);
@@ -141,7 +144,7 @@
     }
 
 private:
-    void turn_away(Duration back) { answer({Verdict::Refused, back, false, nullptr}); }
+    void turn_away(Duration back) { respond({FinalStatus::Rejected, back, false, nullptr}); }
     void enter(State state) {
         state_ = state;
         since_ = front_.scheduler_.now();
@@ -159,7 +162,7 @@
     Table::Place place_{};
     TimePoint since_;
     RequestId request_ = 0;
-    AdmissionController::Knock knock_;
+    AdmissionController::AdmissionRequest admission_request_;
     std::shared_ptr<const SimMessage> message_;
 };
 
@@ -243,7 +246,7 @@
         if (session->late()) late.push_back(session);
     });
     for (const auto& session : late) session->close();
-    std::optional<LoadState::Change> change = admission_.look(scheduler_.now());
+    std::optional<LoadState::Change> change = admission_.poll_state_change(scheduler_.now());
     if (change && load_state_) load_state_(*change);
     scheduler_.call_at(scheduler_.now() + kSweep, [this] { sweep(); });
 }
--- a/lab/tests/explore_test.cpp
+++ b/lab/tests/explore_test.cpp
@@ -54,8 +54,8 @@
     enum class Does { Answers, Silent, Errs, TurnsAway, Resets, Unreachable, Slow, kAll };
 
     explicit Fleet(VirtualScheduler& scheduler) : scheduler_(scheduler) { does.fill(Does::Answers); }
-    void servers(const Listing&) override {}
-    void start(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
+    void update_endpoints(const EndpointList&) override {}
+    void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message>, Duration) override {
         auto key = std::pair(id.request, id.attempt);
         out_[key] = server;
         double after = 1;
@@ -71,7 +71,7 @@
             events->attempt_ended(id, {how, {}, how == Outcome::Ok ? std::make_shared<Message>() : nullptr});
         });
     }
-    bool stop(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
+    bool cancel_attempt(AttemptId id) override { return out_.erase({id.request, id.attempt}) > 0; }
     void probe(EndpointId server, Duration limit) override {
         double after = 1;
         Outcome how = outcome(server, after);
@@ -80,7 +80,7 @@
             events->probe_ended(server, Duration{after}, how, {});
         });
     }
-    void close_idle(EndpointId) override {}
+    void close_idle_connections(EndpointId) override {}
 
     std::array<Does, kServers> does;
     UpstreamEvents* events = nullptr;
@@ -113,10 +113,10 @@
     std::uint64_t turn_ = 0;
 };
 
-class Node : public Registry {
+class Node : public DiscoverySource {
 public:
     explicit Node(int listed, std::uint64_t seed)
-        : admission(AdmissionController::of(settings(), 12, seed)),
+        : admission(AdmissionController::from_settings(settings(), 12, seed)),
           fleet(scheduler),
           engine(scheduler, settings(), seed),
           listed_(listed) {
@@ -127,13 +127,13 @@
     /// Asked for a list, it has none to add: the caller says when one changes.
     void watch() override {
         scheduler.call_at(scheduler.now() + Duration{100}, [this] {
-            Listing none;
+            EndpointList none;
             none.update.kind = failing ? UpdateKind::Failed : UpdateKind::Delta;
-            engine.listed(none);
+            engine.update_endpoints(none);
         });
     }
     void list(UpdateKind kind, int mask) {
-        Listing listing;
+        EndpointList listing;
         listing.update.kind = kind;
         for (int i = 0; i < listed_; ++i) {
             bool in = mask >> i & 1;
@@ -144,8 +144,8 @@
             entry.phase = in ? Phase::Ready : Phase::Draining;
             listing.addresses.emplace_back();
         }
-        admission.listed(scheduler.now(), listing.update);
-        engine.listed(listing);
+        admission.update_endpoints(scheduler.now(), listing.update);
+        engine.update_endpoints(listing);
     }
     void run_to(double ms) {
         scheduler.call_at(TimePoint{Duration{ms}}, [] {});
@@ -171,12 +171,12 @@
     void ask() {
         if (served || left) return;
         TimePoint now = node_.scheduler.now();
-        knock_ = {cls_, tenant_, tries_++ > 0, std::uint64_t(number_ + 1)};
-        if (auto back = node_.admission.arrive(now, knock_)) return again(*back);
-        Call call;
+        admission_request_ = {cls_, tenant_, tries_++ > 0, std::uint64_t(number_ + 1)};
+        if (auto back = node_.admission.admit(now, admission_request_)) return again(*back);
+        IncomingRequest call;
         call.request.class_index = cls_;
         call.request.tenant = tenant_;
-        call.request.is_client_retry = knock_.repeat;
+        call.request.is_client_retry = admission_request_.is_retry;
         call.request.deadline = now + Duration{patience_};
         call.message = std::make_shared<Message>();
         entered_ = now;
@@ -189,32 +189,34 @@
         left = true;
         if (!std::exchange(out_, false)) return;
         ++departed;
-        node_.engine.depart(open_);
-        node_.admission.leave(node_.scheduler.now(), knock_, false, node_.scheduler.now() - entered_);
+        node_.engine.client_disconnected(open_);
+        node_.admission.complete(node_.scheduler.now(), admission_request_, false,
+                                 node_.scheduler.now() - entered_);
     }
 
     bool served = false, left = false;
     int entered = 0, answered = 0, departed = 0, twice = 0;
 
 private:
-    struct Hears : Caller {
+    struct Hears : ResponseSink {
         explicit Hears(Client& client) : client_(client) {}
-        void answer(Reply reply) override {
+        void respond(FinalResponse reply) override {
             if (heard_++ > 0 || !client_.out_) ++client_.twice;
             client_.hear(reply);
         }
         Client& client_;
         int heard_ = 0;
     };
-    void hear(const Reply& reply) {
+    void hear(const FinalResponse& reply) {
         TimePoint now = node_.scheduler.now();
         out_ = false;
         ++answered;
-        node_.admission.leave(now, knock_, reply.verdict == Verdict::Served, now - entered_,
-                              reply.server_took);
-        served |= reply.verdict == Verdict::Served;
-        if (reply.verdict == Verdict::Refused) return again(node_.admission.refuse(now, knock_));
-        if (reply.verdict == Verdict::Failed) again(Duration{100});
+        node_.admission.complete(now, admission_request_, reply.status == FinalStatus::Served, now - entered_,
+                                 reply.server_took);
+        served |= reply.status == FinalStatus::Served;
+        if (reply.status == FinalStatus::Rejected)
+            return again(node_.admission.reject(now, admission_request_));
+        if (reply.status == FinalStatus::Failed) again(Duration{100});
     }
     void again(Duration back) {
         Duration wait = heeds_ ? back : Duration{20};
@@ -226,7 +228,7 @@
     double patience_;
     bool heeds_, out_ = false;
     int tries_ = 0;
-    AdmissionController::Knock knock_;
+    AdmissionController::AdmissionRequest admission_request_;
     TimePoint entered_{};
     RequestId open_ = 0;
 };
@@ -294,7 +296,7 @@
     node.run_to(now + kHealsWithin + 2000);
     seen.open = node.engine.open_requests();
     seen.held = node.engine.held_requests();
-    seen.admission = node.admission.open();
+    seen.admission = node.admission.open_requests();
     return seen;
 }
 
--- a/src/admin/side.cpp
+++ b/src/admin/side.cpp
@@ -44,7 +44,7 @@
     if (thread_.joinable()) thread_.join();
 }
 
-void Side::listed(const Listing& listing) {
+void Side::listed(const EndpointList& listing) {
     const EndpointUpdate& update = listing.update;
     if (update.kind == UpdateKind::Failed) return;
     if (update.kind != UpdateKind::Delta) ids_.clear();
@@ -53,7 +53,7 @@
             ids_.erase(listing.ids[i]);
         else
             ids_.insert(listing.ids[i]);
-    counters_.listed.set(std::int64_t(ids_.size()));
+    counters_.listed_endpoints.set(std::int64_t(ids_.size()));
     auto fresh = std::make_shared<const Ids>(ids_);
     std::lock_guard lock(publishing_);
     published_ = std::move(fresh);
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -19,15 +19,15 @@
 };
 
 /// A request as a front hands it over.
-struct Call {
+struct IncomingRequest {
     RequestArrived request;  ///< class, tenant, key, deadline and marks; the engine gives it its number
     std::shared_ptr<const Message> message;
 };
 
-enum class Verdict { Served, Refused, Failed };
+enum class FinalStatus { Served, Rejected, Failed };
 
-struct Reply {
-    Verdict verdict = Verdict::Failed;
+struct FinalResponse {
+    FinalStatus status = FinalStatus::Failed;
     Duration retry_after{};                  ///< refused: when to come back; zero: no advice
     bool timed_out = false;                  ///< failed: for want of time
     std::shared_ptr<const Message> message;  ///< served: the server's answer
@@ -35,13 +35,13 @@
 };
 
 /// A front's side of one call. Hears of it exactly once, unless it departs first.
-class Caller {
+class ResponseSink {
 public:
-    virtual ~Caller() = default;
-    virtual void answer(Reply reply) = 0;
+    virtual ~ResponseSink() = default;
+    virtual void respond(FinalResponse reply) = 0;
     /// Looked at in the instant before an attempt begins, and before its first byte leaves: the client has
     /// closed its connection or called its request off, though nobody has read that yet.
-    virtual bool gone() { return false; }
+    virtual bool is_client_disconnected() { return false; }
 };
 
 struct AttemptId {
@@ -57,7 +57,7 @@
 };
 
 /// The server list as discovery words it, with an address for each entry.
-struct Listing {
+struct EndpointList {
     EndpointUpdate update;
     std::vector<std::string> addresses;  ///< one for each entry
     std::vector<std::string> ids;        ///< ... and what operators call it; empty where nobody does
@@ -69,9 +69,9 @@
     virtual ~UpstreamEvents() = default;
     /// Somebody still waits for this attempt, and it may still be written. Asked once its connection is up,
     /// which may be long after its start, and before each further write of what was not written at once.
-    virtual bool wanted(AttemptId /*id*/) { return true; }
+    virtual bool may_send(AttemptId /*id*/) { return true; }
     /// Its request may be sent again where this attempt ends without an answer, though it may have run.
-    virtual bool may_repeat(AttemptId /*id*/) { return true; }
+    virtual bool may_retry(AttemptId /*id*/) { return true; }
     virtual void attempt_ended(AttemptId id, AttemptResult result) = 0;
     virtual void probe_ended(EndpointId server, Duration elapsed, Outcome outcome, LoadReport report) = 0;
 };
@@ -80,22 +80,22 @@
 class Upstream {
 public:
     virtual ~Upstream() = default;
-    virtual void servers(const Listing& listing) = 0;
-    virtual void start(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
-                       Duration patience) = 0;
+    virtual void update_endpoints(const EndpointList& listing) = 0;
+    virtual void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
+                               Duration patience) = 0;
     /// Gives an attempt up, its connection closed on return. False: it was never written whole.
-    virtual bool stop(AttemptId id) = 0;
+    virtual bool cancel_attempt(AttemptId id) = 0;
     virtual void probe(EndpointId server, Duration limit) = 0;
-    virtual void close_idle(EndpointId server) = 0;
+    virtual void close_idle_connections(EndpointId server) = 0;
     /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out.
     /// For an upstream whose connections are up at once the module's own word is enough.
-    virtual void by_hand(std::uint64_t /*key*/, bool /*out*/) {}
+    virtual void set_admin_override(std::uint64_t /*key*/, bool /*out*/) {}
 };
 
 /// Whatever tells of servers; answers each call of watch() with at least one listing, a failed one included.
-class Registry {
+class DiscoverySource {
 public:
-    virtual ~Registry() = default;
+    virtual ~DiscoverySource() = default;
     virtual void watch() = 0;
 };
 
