--- a/lab/config_distribution/judge.cpp
+++ b/lab/config_distribution/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/config_distribution/judge.h"
+#include "lab/config_distribution/invariant_checker.h"
 
 #include <algorithm>
 
--- a/lab/config_distribution/judge.h
+++ b/lab/config_distribution/invariant_checker.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/config_distribution/holder.h"
+#include "fleet/config_distribution/config_subscriber.h"
 
 namespace ochrehub::lab {
 
--- a/lab/config_distribution/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <thread>
 
-#include "lab/config_distribution/world.h"
+#include "lab/config_distribution/simulation.h"
 
 namespace {
 
--- a/lab/config_distribution/saboteurs.cpp
+++ b/lab/config_distribution/mutants.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "lab/config_distribution/fleet.h"
+#include "lab/config_distribution/simulated_processes.h"
 
 namespace ochrehub::lab {
 namespace {
--- a/lab/config_distribution/fleet.cpp
+++ b/lab/config_distribution/simulated_processes.cpp
@@ -1,10 +1,10 @@
-#include "lab/config_distribution/fleet.h"
+#include "lab/config_distribution/simulated_processes.h"
 
 #include <coordinator.pb.h>
 
 #include <algorithm>
 
-#include "fleet/config_distribution/holder_file.h"
+#include "fleet/config_distribution/document_file.h"
 #include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
--- a/lab/config_distribution/fleet.h
+++ b/lab/config_distribution/simulated_processes.h
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/config_distribution/holder.h"
-#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/config_state_machine.h"
+#include "fleet/config_distribution/config_subscriber.h"
 #include "fleet/coordinator/replica.h"
 #include "fleet/coordinator/session.h"
 #include "fleet/raft/raft.h"
-#include "lab/config_distribution/judge.h"
-#include "lab/config_distribution/world.h"
+#include "lab/config_distribution/invariant_checker.h"
+#include "lab/config_distribution/simulation.h"
 #include "lab/swarm/net.h"
 
 namespace ochrehub::lab {
--- a/lab/config_distribution/world.cpp
+++ b/lab/config_distribution/simulation.cpp
@@ -1,12 +1,12 @@
-#include "lab/config_distribution/world.h"
+#include "lab/config_distribution/simulation.h"
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 #include <sstream>
 
-#include "fleet/config_distribution/stated.h"
-#include "lab/config_distribution/fleet.h"
+#include "fleet/config_distribution/max_inconsistency.h"
+#include "lab/config_distribution/simulated_processes.h"
 
 namespace ochrehub::lab {
 namespace {
--- a/lab/config_distribution/world.h
+++ b/lab/config_distribution/simulation.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/config_distribution/judge.h"
+#include "lab/config_distribution/invariant_checker.h"
 
 namespace ochrehub::lab {
 
--- a/lab/equivalence/config_distribution.cpp
+++ b/lab/equivalence/config_distribution.cpp
@@ -1,5 +1,5 @@
 // Decisions of the processes that act on distributed documents, under each kind of fault.
-#include "lab/config_distribution/world.h"
+#include "lab/config_distribution/simulation.h"
 #include "lab/equivalence/runner.h"
 
 using namespace ochrehub;
--- a/lab/tests/config_distribution_test.cpp
+++ b/lab/tests/config_distribution_test.cpp
@@ -3,7 +3,7 @@
 // with copied settings, which contradicts itself.
 #include <gtest/gtest.h>
 
-#include "lab/config_distribution/world.h"
+#include "lab/config_distribution/simulation.h"
 
 namespace ochrehub::lab {
 namespace {
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -4,7 +4,7 @@
 #include "app/commands.h"
 #include "app/keeper_config.h"
 #include "app/plan.h"
-#include "fleet/config_distribution/stated.h"
+#include "fleet/config_distribution/max_inconsistency.h"
 
 namespace ochrehub::app {
 namespace {
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -1,6 +1,6 @@
 #include "app/machines.h"
 
-#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/config_state_machine.h"
 #include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/lease_state_machine.h"
 #include "fleet/quota/machine.h"
--- a/src/app/plan.cpp
+++ b/src/app/plan.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "app/toml_sections.h"
-#include "fleet/config_distribution/stated.h"
+#include "fleet/config_distribution/max_inconsistency.h"
 
 namespace ochrehub::app {
 namespace {
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -16,7 +16,7 @@
 #include "base/clock.h"
 #include "config/table.h"
 #include "engine/types.h"
-#include "fleet/config_distribution/side.h"
+#include "fleet/config_distribution/config_subscriber_thread.h"
 #include "fleet/coordinator/session_thread.h"
 #include "ochrehub/balancer.h"
 #include "rewrite/rewrites.h"
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -13,7 +13,7 @@
 #include "app/commands.h"
 #include "app/node_config.h"
 #include "audit/journal.h"
-#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/config_state_machine.h"
 #include "fleet/coordinator/error.h"
 
 namespace ochrehub::app {
--- a/src/fleet/config_distribution/machine.cpp
+++ b/src/fleet/config_distribution/config_state_machine.cpp
@@ -1,9 +1,9 @@
-#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/config_state_machine.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/config_distribution/wire.h"
+#include "fleet/config_distribution/wire_codec.h"
 
 namespace ochrehub::config_distribution {
 namespace {
--- a/src/fleet/config_distribution/machine_state.cpp
+++ b/src/fleet/config_distribution/config_state_machine_codec.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "fleet/config_distribution/machine.h"
-#include "fleet/config_distribution/wire.h"
+#include "fleet/config_distribution/config_state_machine.h"
+#include "fleet/config_distribution/wire_codec.h"
 
 namespace ochrehub::config_distribution {
 
--- a/src/fleet/config_distribution/holder.cpp
+++ b/src/fleet/config_distribution/config_subscriber.cpp
@@ -1,11 +1,11 @@
-#include "fleet/config_distribution/holder.h"
+#include "fleet/config_distribution/config_subscriber.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/config_distribution/holder_file.h"
-#include "fleet/config_distribution/machine.h"
-#include "fleet/config_distribution/wire.h"
+#include "fleet/config_distribution/config_state_machine.h"
+#include "fleet/config_distribution/document_file.h"
+#include "fleet/config_distribution/wire_codec.h"
 
 namespace ochrehub::config_distribution {
 namespace {
--- a/src/fleet/config_distribution/side.cpp
+++ b/src/fleet/config_distribution/config_subscriber_thread.cpp
@@ -1,4 +1,4 @@
-#include "fleet/config_distribution/side.h"
+#include "fleet/config_distribution/config_subscriber_thread.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -8,7 +8,7 @@
 
 #include "base/log.h"
 #include "base/side_thread.h"
-#include "fleet/config_distribution/holder_file.h"
+#include "fleet/config_distribution/document_file.h"
 #include "fleet/store/posix_files.h"
 
 namespace ochrehub::config_distribution {
--- a/src/fleet/config_distribution/side.h
+++ b/src/fleet/config_distribution/config_subscriber_thread.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "fleet/config_distribution/holder.h"
+#include "fleet/config_distribution/config_subscriber.h"
 #include "fleet/coordinator/session_thread.h"
 #include "fleet/store/files.h"
 
--- a/src/fleet/config_distribution/stated.cpp
+++ b/src/fleet/config_distribution/max_inconsistency.cpp
@@ -1,4 +1,4 @@
-#include "fleet/config_distribution/stated.h"
+#include "fleet/config_distribution/max_inconsistency.h"
 
 #include <cmath>
 
--- a/src/fleet/config_distribution/wire.cpp
+++ b/src/fleet/config_distribution/wire_codec.cpp
@@ -1,4 +1,4 @@
-#include "fleet/config_distribution/wire.h"
+#include "fleet/config_distribution/wire_codec.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/tests/fleet/config_distribution_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -7,11 +7,11 @@
 #include <random>
 #include <set>
 
+#include "fleet/config_distribution/config_state_machine.h"
+#include "fleet/config_distribution/config_subscriber.h"
 #include "fleet/config_distribution/document.h"
-#include "fleet/config_distribution/holder.h"
-#include "fleet/config_distribution/holder_file.h"
-#include "fleet/config_distribution/machine.h"
-#include "fleet/config_distribution/stated.h"
+#include "fleet/config_distribution/document_file.h"
+#include "fleet/config_distribution/max_inconsistency.h"
 
 namespace ochrehub::config_distribution {
 namespace {
