--- a/lab/config_distribution/invariant_checker.cpp
+++ b/lab/config_distribution/invariant_checker.cpp
@@ -4,12 +4,12 @@
 
 namespace ochrehub::lab {
 
-using config_distribution::Acted;
-using config_distribution::How;
+using config_distribution::ConfigMode;
+using config_distribution::EffectiveConfig;
 
-void Judge::acts(std::size_t node, const std::string& name, const Acted& acted, TimePoint now) {
+void Judge::acts(std::size_t node, const std::string& name, const EffectiveConfig& acted, TimePoint now) {
     ++decisions_;
-    ++by_how_[acted.how];
+    ++by_mode_[acted.mode];
     if (!acted.content) return;
     Document& d = documents_[name];
     auto known = known_.find(acted.content.get());
@@ -22,18 +22,18 @@
         known = known_.emplace(acted.content.get(), std::pair{acted.content, id->second}).first;
     }
     std::size_t content = known->second.second;
-    if (acted.how == How::Version) versions_.emplace(name, acted.version);
+    if (acted.mode == ConfigMode::Full) versions_.emplace(name, acted.version);
     auto last = d.last.find(node);
     if (last != d.last.end()) {
         Spell& spell = d.spells[last->second];
-        if (!spell.over && spell.content == content && spell.how == acted.how &&
+        if (!spell.over && spell.content == content && spell.mode == acted.mode &&
             spell.version == acted.version) {
             spell.to = now;
             return;
         }
     }
     d.last[node] = d.spells.size();
-    d.spells.push_back({node, content, acted.version, acted.how, now, now, false});
+    d.spells.push_back({node, content, acted.version, acted.mode, now, now, false});
 }
 
 void Judge::gone(std::size_t node) {
@@ -47,7 +47,7 @@
         std::vector<std::vector<int>> clash(d.contents.size(), std::vector<int>(d.contents.size(), -1));
         std::vector<const Spell*> order;
         for (const Spell& s : d.spells)
-            if (s.how != How::Keep) order.push_back(&s);
+            if (s.mode != ConfigMode::KeepCurrent) order.push_back(&s);
         std::sort(order.begin(), order.end(),
                   [](const Spell* a, const Spell* b) { return a->from < b->from; });
         std::vector<const Spell*> open;
@@ -59,8 +59,8 @@
                 if (known < 0) known = contradict_(d.contents[o->content], d.contents[s->content]);
                 if (!known) continue;
                 Clash c{name,       o->node,    s->node,
-                        o->version, s->version, o->how,
-                        s->how,     s->from,    std::min(o->to, s->to) - s->from,
+                        o->version, s->version, o->mode,
+                        s->mode,    s->from,    std::min(o->to, s->to) - s->from,
                         {}};
                 for (std::uint64_t version : {o->version, s->version})
                     if (auto canary = canaries_.find({name, version}); canary != canaries_.end())
--- a/lab/config_distribution/invariant_checker.h
+++ b/lab/config_distribution/invariant_checker.h
@@ -20,11 +20,11 @@
     using Contradict =
         std::function<bool(const config_distribution::Content&, const config_distribution::Content&)>;
     /// `contradict`: another one proves that this judge needs it.
-    explicit Judge(Contradict contradict = config_distribution::contradict)
+    explicit Judge(Contradict contradict = config_distribution::conflicts)
         : contradict_(std::move(contradict)) {}
 
-    void acts(std::size_t node, const std::string& document, const config_distribution::Acted& acted,
-              TimePoint now);
+    void acts(std::size_t node, const std::string& document,
+              const config_distribution::EffectiveConfig& acted, TimePoint now);
     /// Its process is gone: it acts on nothing.
     void gone(std::size_t node);
     /// A version that is tried out in a part of the fleet for so long.
@@ -39,7 +39,7 @@
         std::string document;
         std::size_t a = 0, b = 0;  ///< nodes
         std::uint64_t version_a = 0, version_b = 0;
-        config_distribution::How how_a{}, how_b{};
+        config_distribution::ConfigMode mode_a{}, mode_b{};
         TimePoint from{};
         Duration length{};
         Duration allowed_more{};  ///< by a canary's length
@@ -49,7 +49,7 @@
     std::vector<Clash> clashes() const;
     std::uint64_t decisions() const { return decisions_; }
     /// By How.
-    const std::map<config_distribution::How, std::uint64_t>& by_how() const { return by_how_; }
+    const std::map<config_distribution::ConfigMode, std::uint64_t>& by_mode() const { return by_mode_; }
     /// Versions that were acted on by anybody as such.
     const std::set<std::pair<std::string, std::uint64_t>>& versions() const { return versions_; }
     const std::set<std::pair<std::string, std::uint64_t>>& refused() const { return refused_; }
@@ -58,7 +58,7 @@
     struct Spell {
         std::size_t node = 0, content = 0;
         std::uint64_t version = 0;
-        config_distribution::How how{};
+        config_distribution::ConfigMode mode{};
         TimePoint from{}, to{};
         bool over = false;
     };
@@ -76,7 +76,7 @@
              std::pair<std::shared_ptr<const config_distribution::Content>, std::size_t>>
         known_;
     std::uint64_t decisions_ = 0;
-    std::map<config_distribution::How, std::uint64_t> by_how_;
+    std::map<config_distribution::ConfigMode, std::uint64_t> by_mode_;
     std::set<std::pair<std::string, std::uint64_t>> versions_, refused_;
 };
 
--- a/lab/config_distribution/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -33,7 +33,7 @@
 struct Sum {
     std::uint64_t days = 0, broken = 0, proposed = 0, in_force = 0, decisions = 0;
     Duration longest{};
-    std::map<config_distribution::How, std::uint64_t> by_how;
+    std::map<config_distribution::ConfigMode, std::uint64_t> by_mode;
     std::map<std::string, int> stopped;
 };
 
@@ -52,7 +52,7 @@
         ++s.days, s.broken += !day.broken.empty(), s.proposed += std::uint64_t(day.proposed),
             s.in_force += std::uint64_t(day.in_force);
         s.decisions += day.decisions, s.longest = std::max(s.longest, day.longest_quick), stated = day.stated;
-        for (auto [how, n] : day.by_how) s.by_how[how] += n;
+        for (auto [mode, n] : day.by_mode) s.by_mode[mode] += n;
         for (const auto& [code, n] : day.stopped) s.stopped[code] += n;
         bad += !day.broken.empty();
         if (!copied)
@@ -67,14 +67,14 @@
     std::map<std::string, int> stopped;
     for (auto& [fault, s] : sums) {
         double all = double(s.decisions);
-        double without =
-            double(s.by_how[config_distribution::How::Keep] + s.by_how[config_distribution::How::Caution] +
-                   s.by_how[config_distribution::How::Refuse]);
+        double without = double(s.by_mode[config_distribution::ConfigMode::KeepCurrent] +
+                                s.by_mode[config_distribution::ConfigMode::Conservative] +
+                                s.by_mode[config_distribution::ConfigMode::DenyAll]);
         std::printf("| %s | %llu | %llu | %llu | %llu | %.0f | %.0f | %.4f | %.4f |\n",
                     std::string(name(fault)).c_str(), (unsigned long long)s.days,
                     (unsigned long long)s.broken, (unsigned long long)s.proposed,
                     (unsigned long long)s.in_force, s.longest.count(), stated.count(),
-                    double(s.by_how[config_distribution::How::Version]) / all, without / all);
+                    double(s.by_mode[config_distribution::ConfigMode::Full]) / all, without / all);
         for (const auto& [code, n] : s.stopped) stopped[code] += n;
     }
     for (const auto& [code, n] : stopped) std::printf("%s: %d\n", code.c_str(), n);
--- a/lab/config_distribution/mutants.cpp
+++ b/lab/config_distribution/mutants.cpp
@@ -10,29 +10,30 @@
 
 namespace wire = config_distribution::wire;
 
-class Erring : public config_distribution::Agreement {
+class Erring : public config_distribution::ConfigStateMachine {
 public:
     explicit Erring(Saboteur saboteur) : saboteur_(saboteur) {}
 
     std::string apply(const coordinator::Command& command) override {
         wire::Command in;
         if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
-            return Agreement::apply(command);
+            return ConfigStateMachine::apply(command);
         if (saboteur_ == Saboteur::NoIsYes && in.has_said()) in.mutable_said()->set_yes(true);
         std::string body = in.SerializeAsString();
-        std::string answer = Agreement::apply({command.session, body});
+        std::string answer = ConfigStateMachine::apply({command.session, body});
         if (in.has_attend()) sessions_.insert(command.session);
         if (saboteur_ == Saboteur::NoDraining || saboteur_ == Saboteur::MajorityGivesBack)
             for (const auto& [name, state] : drained()) {
                 if (saboteur_ == Saboteur::MajorityGivesBack && state.waits * 2 > state.all) continue;
                 for (coordinator::SessionId id : sessions_)
-                    Agreement::apply({id, config_distribution::gave_back(name, state.version)});
+                    ConfigStateMachine::apply(
+                        {id, config_distribution::release_command(name, state.version)});
             }
         return answer;
     }
     void session_ended(coordinator::SessionId session) override {
         sessions_.erase(session);
-        Agreement::session_ended(session);
+        ConfigStateMachine::session_ended(session);
     }
     bool restore(std::uint32_t schema, std::string_view bytes) override {
         wire::State state;
@@ -40,7 +41,7 @@
         if (state.ParseFromArray(bytes.data(), int(bytes.size())))
             for (const auto& s : state.sessions())
                 if (s.attends()) sessions_.insert(s.id());
-        return Agreement::restore(schema, bytes);
+        return ConfigStateMachine::restore(schema, bytes);
     }
 
 private:
@@ -50,12 +51,12 @@
     };
     std::map<std::string, Drained> drained() const {
         std::map<std::string, Drained> out;
-        auto all = config_distribution::read_answer(query(config_distribution::question("")));
+        auto all = config_distribution::decode_response(query(config_distribution::status_query("")));
         for (const auto& d : all->documents) {
             if (d.phase != config_distribution::Phase::Draining) continue;
             Drained& one = out[d.name];
             one.version = d.next->version, one.all = d.nodes.size();
-            for (const auto& node : d.nodes) one.waits += node.holds_up;
+            for (const auto& node : d.nodes) one.waits += node.blocks_drain;
         }
         return out;
     }
@@ -73,7 +74,7 @@
         if (errs)
             out.push_back(std::make_unique<Erring>(saboteur));
         else
-            out.push_back(std::make_unique<config_distribution::Agreement>());
+            out.push_back(std::make_unique<config_distribution::ConfigStateMachine>());
         return out;
     };
 }
--- a/lab/config_distribution/simulated_processes.cpp
+++ b/lab/config_distribution/simulated_processes.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 std::string local_check(const config_distribution::Content& content, const std::string& zone) {
-    std::string text = config_distribution::text(content);
+    std::string text = config_distribution::to_text(content);
     if (text.find("bad-all") != text.npos) return "bad for all";
     if (zone == "b" && text.find("bad-b") != text.npos) return "bad in b";
     return {};
@@ -112,10 +112,10 @@
     disk_.snapshot = w.snapshot;
 }
 
-const config_distribution::Agreement* KeeperProcess::machine() const {
-    return replica_
-               ? dynamic_cast<const config_distribution::Agreement*>(replica_->state().state_machine("rules"))
-               : nullptr;
+const config_distribution::ConfigStateMachine* KeeperProcess::machine() const {
+    return replica_ ? dynamic_cast<const config_distribution::ConfigStateMachine*>(
+                          replica_->state().state_machine("rules"))
+                    : nullptr;
 }
 
 // ---- What has a session
@@ -198,8 +198,9 @@
     carry_out(last_, actions);
     if (set_.saboteur == Saboteur::ActsFromDisk)
         for (const auto& d : kept) {
-            config_distribution::Acted acted{config_distribution::How::Version, d.version,
-                                             std::make_shared<config_distribution::Content>(d.content)};
+            config_distribution::EffectiveConfig acted{
+                config_distribution::ConfigMode::Full, d.version,
+                std::make_shared<config_distribution::Content>(d.content)};
             acted_[d.name] = {acted, acted, {}};
             std::erase_if(loop_, [&](const auto& posted) {
                 return std::holds_alternative<config_distribution::Apply>(posted.second);
@@ -237,7 +238,7 @@
         auto posted = std::move(loop_.front().second);
         loop_.pop_front();
         if (auto* apply = std::get_if<config_distribution::Apply>(&posted)) {
-            bool between = apply->permit.now.how == config_distribution::How::Between;
+            bool between = apply->permit.now.mode == config_distribution::ConfigMode::Transitional;
             if (set_.saboteur != Saboteur::GivesBackAtOnce || !between)
                 acted_[apply->document] = apply->permit;
             hold(config_distribution::Switched{apply->serial});
@@ -322,12 +323,12 @@
 
 // ---- Operators
 
-void OperatorProcess::look_up(const std::string& document, Answer then) {
+void OperatorProcess::look_up(const std::string& document, ConfigResponse then) {
     waiting_[++calls_] = std::move(then);
-    session(coordinator::QueryRequested{calls_, "rules", config_distribution::question(document)});
+    session(coordinator::QueryRequested{calls_, "rules", config_distribution::status_query(document)});
     wake();
 }
-void OperatorProcess::ask(const std::string& command, Answer then) {
+void OperatorProcess::ask(const std::string& command, ConfigResponse then) {
     waiting_[++calls_] = std::move(then);
     session(coordinator::CommandRequested{calls_, "rules", command});
     wake();
@@ -335,10 +336,10 @@
 void OperatorProcess::answered(const coordinator::CallCompleted& is) {
     auto found = waiting_.find(is.call);
     if (found == waiting_.end()) return;
-    Answer then = std::move(found->second);
+    ConfigResponse then = std::move(found->second);
     waiting_.erase(found);
     if (is.error != coordinator::Error::None) return;
-    if (auto answer = config_distribution::read_answer(is.result)) then(*answer);
+    if (auto answer = config_distribution::decode_response(is.result)) then(*answer);
 }
 
 }  // namespace ochrehub::lab
--- a/lab/config_distribution/simulated_processes.h
+++ b/lab/config_distribution/simulated_processes.h
@@ -37,7 +37,7 @@
     void crash() { replica_.reset(), raft_.reset(); }
     void woken(TimePoint own);
     void received(TimePoint own, std::size_t from, const std::string& message);
-    const config_distribution::Agreement* machine() const;
+    const config_distribution::ConfigStateMachine* machine() const;
     bool leads() const { return replica_ && replica_->role() == raft::Role::Leader; }
     const std::string& stopped() const { return stopped_; }
 
@@ -128,18 +128,18 @@
 
 class OperatorProcess : public SessionProcess {
 public:
-    using Answer = std::function<void(const config_distribution::Answer&)>;
+    using ConfigResponse = std::function<void(const config_distribution::ConfigResponse&)>;
     using SessionProcess::SessionProcess;
     void start() { begin(); }
     /// Neither is told of if it cannot be asked.
-    void look_up(const std::string& document, Answer then);
-    void ask(const std::string& command, Answer then);
+    void look_up(const std::string& document, ConfigResponse then);
+    void ask(const std::string& command, ConfigResponse then);
 
 protected:
     void answered(const coordinator::CallCompleted& answered) override;
 
 private:
-    std::map<std::uint64_t, Answer> waiting_;
+    std::map<std::uint64_t, ConfigResponse> waiting_;
     std::uint64_t calls_ = 0;
 };
 
--- a/lab/config_distribution/simulation.cpp
+++ b/lab/config_distribution/simulation.cpp
@@ -11,24 +11,26 @@
 namespace ochrehub::lab {
 namespace {
 
-using config_distribution::Choice;
+using config_distribution::ConfigMode;
+using config_distribution::ConsistencyMode;
 using config_distribution::Content;
-using config_distribution::How;
-using config_distribution::Mode;
+using config_distribution::ExpiryPolicy;
 
 constexpr Duration kEach{4000};       // between two changes
 constexpr Duration kSettles{40'000};  // behind the last fault
 
 struct Kind {
     std::string name;
-    Mode mode;
-    Choice choice;
+    ConsistencyMode mode;
+    ExpiryPolicy expiry_policy;
 };
 const std::vector<Kind>& kinds() {
-    static const std::vector<Kind> all = {
-        {"classes", Mode::Strict, Choice::Refuse}, {"hand", Mode::Quick, Choice::Caution},
-        {"headers", Mode::Quick, Choice::Refuse},  {"list", Mode::Quick, Choice::Keep},
-        {"partners", Mode::Strict, Choice::Keep},  {"rates", Mode::Strict, Choice::Caution}};
+    static const std::vector<Kind> all = {{"classes", ConsistencyMode::Strict, ExpiryPolicy::DenyAll},
+                                          {"hand", ConsistencyMode::Bounded, ExpiryPolicy::Conservative},
+                                          {"headers", ConsistencyMode::Bounded, ExpiryPolicy::DenyAll},
+                                          {"list", ConsistencyMode::Bounded, ExpiryPolicy::KeepCurrent},
+                                          {"partners", ConsistencyMode::Strict, ExpiryPolicy::KeepCurrent},
+                                          {"rates", ConsistencyMode::Strict, ExpiryPolicy::Conservative}};
     return all;
 }
 
@@ -61,39 +63,40 @@
         for (const char* who : {"order", "page", "price"})
             c.classes.push_back(
                 draws.chance(0.5)
-                    ? config_distribution::ClassRule{who, config_distribution::Repeat::May, 2}
-                    : config_distribution::ClassRule{who, config_distribution::Repeat::MayNot, 1});
-        if (!bad.empty()) c.classes.push_back({bad, config_distribution::Repeat::MayNot, 1});
+                    ? config_distribution::ClassRule{who, config_distribution::RetryRule::Allowed, 2}
+                    : config_distribution::ClassRule{who, config_distribution::RetryRule::Forbidden, 1});
+        if (!bad.empty()) c.classes.push_back({bad, config_distribution::RetryRule::Forbidden, 1});
         return c;
     }
     if (name == "headers") {
         config_distribution::Headers c;
         for (const char* who : {"x-cell", "x-trust"})
-            c.rules.push_back({config_distribution::Act::Set, who, std::to_string(draws.below(3))});
-        if (draws.chance(0.3)) c.rules.push_back({config_distribution::Act::Remove, "x-cell", ""});
-        if (!bad.empty()) c.rules.push_back({config_distribution::Act::Set, bad, "1"});
+            c.rules.push_back({config_distribution::HeaderAction::Set, who, std::to_string(draws.below(3))});
+        if (draws.chance(0.3)) c.rules.push_back({config_distribution::HeaderAction::Remove, "x-cell", ""});
+        if (!bad.empty()) c.rules.push_back({config_distribution::HeaderAction::Set, bad, "1"});
         return c;
     }
     if (name == "partners") {
         config_distribution::Partners c;
         for (const char* who : {"dealer", "market", "shop"})
             c.partners.push_back({who,
-                                  draws.chance(0.6) ? config_distribution::Standing::Open
-                                                    : config_distribution::Standing::Shut,
+                                  draws.chance(0.6) ? config_distribution::PartnerStatus::Open
+                                                    : config_distribution::PartnerStatus::Closed,
                                   {std::string("key-") + who}});
-        if (!bad.empty()) c.partners.push_back({bad, config_distribution::Standing::Open, {}});
+        if (!bad.empty()) c.partners.push_back({bad, config_distribution::PartnerStatus::Open, {}});
         return c;
     }
     config_distribution::Servers c;
-    c.source = name == "hand" ? config_distribution::Source::Hand : config_distribution::Source::Discovery;
+    c.source = name == "hand" ? config_distribution::ListSource::Operator
+                              : config_distribution::ListSource::Discovery;
     if (name == "list") c.revision = 1 + draws.below(1'000'000);
     for (std::size_t i = 0; i < 8; ++i)
         if (draws.chance(0.7))
             c.servers.push_back(
                 {numbered("s", i),
-                 draws.chance(0.7) ? config_distribution::Use::In : config_distribution::Use::Out,
+                 draws.chance(0.7) ? config_distribution::ServerUse::In : config_distribution::ServerUse::Out,
                  {}});
-    if (!bad.empty()) c.servers.push_back({bad, config_distribution::Use::In, {}});
+    if (!bad.empty()) c.servers.push_back({bad, config_distribution::ServerUse::In, {}});
     return c;
 }
 
@@ -297,7 +300,8 @@
     /// One operator looks at a document, and proposes something of it.
     void change(OperatorProcess& by, const Kind& kind, const std::string& who) {
         std::uint64_t token = ++tokens;
-        by.look_up(kind.name, [this, &by, &kind, who, token](const config_distribution::Answer& seen) {
+        by.look_up(kind.name, [this, &by, &kind, who,
+                               token](const config_distribution::ConfigResponse& seen) {
             const config_distribution::DocumentStatus* status =
                 seen.documents.empty() ? nullptr : &seen.documents.front();
             bool first = !status || !status->in_force;
@@ -306,7 +310,7 @@
                                             0,
                                             drawn(draws, kind.name, first ? "" : spoilt),
                                             kind.mode,
-                                            kind.choice,
+                                            kind.expiry_policy,
                                             who,
                                             1'700'000'000 + draws.below(1000),
                                             {},
@@ -315,24 +319,24 @@
                                             Duration{2000 + 20'000 * draws.uniform()}};
             bool spoils = !first && !spoilt.empty();
             std::string command;
-            if (!first && !spoils && !status->before.empty() && draws.chance(0.15)) {
-                command = config_distribution::back(kind.name, status->before.back().version, p);
+            if (!first && !spoils && !status->history.empty() && draws.chance(0.15)) {
+                command = config_distribution::rollback_command(kind.name, status->history.back().version, p);
             } else {
-                if (!first && !spoils && kind.mode == Mode::Quick && draws.chance(0.15))
-                    p.document.scope = config_distribution::Scope{draws.chance(0.5) ? "a" : "", "",
-                                                                  Duration{1000 + 8000 * draws.uniform()}};
+                if (!first && !spoils && kind.mode == ConsistencyMode::Bounded && draws.chance(0.15))
+                    p.document.scope = config_distribution::CanaryScope{
+                        draws.chance(0.5) ? "a" : "", "", Duration{1000 + 8000 * draws.uniform()}};
                 if (p.document.scope && p.document.scope->zone.empty())
                     p.document.scope->node = numbered("n", draws.below(set.nodes));
                 command = config_distribution::propose(p);
             }
             ++day.proposed;
-            by.ask(command, [this](const config_distribution::Answer& answer) {
+            by.ask(command, [this](const config_distribution::ConfigResponse& answer) {
                 if (answer.failure)
                     ++day.stopped[std::string(config_distribution::row(answer.failure->error).code)];
             });
         });
     }
-    const config_distribution::Agreement* machine() const {
+    const config_distribution::ConfigStateMachine* machine() const {
         for (const auto& k : keepers)
             if (k->leads()) return k->machine();
         return nullptr;
@@ -343,18 +347,18 @@
     }
     /// Behind the faults everybody acts on the newest version of each document.
     void settled() {
-        const config_distribution::Agreement* m = machine();
+        const config_distribution::ConfigStateMachine* m = machine();
         if (!m) return day.broken.push_back("nobody leads the keepers"), void();
-        auto seen = config_distribution::read_answer(m->query(config_distribution::question("")));
+        auto seen = config_distribution::decode_response(m->query(config_distribution::status_query("")));
         for (const auto& d : seen->documents) {
             if (d.phase == config_distribution::Phase::Staging ||
                 d.phase == config_distribution::Phase::Draining)
                 day.broken.push_back(d.name + ": hangs");
-            for (const auto& ended : d.ended)
-                ++day.stopped[std::string(config_distribution::row(ended.why.error).code)];
+            for (const auto& ended : d.aborted)
+                ++day.stopped[std::string(config_distribution::row(ended.failure.error).code)];
             if (!d.in_force) continue;
             Content content =
-                config_distribution::read_answer(m->query(config_distribution::question(d.name)))
+                config_distribution::decode_response(m->query(config_distribution::status_query(d.name)))
                     ->documents.at(0)
                     .in_force->content;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -362,30 +366,32 @@
                 // it.
                 if (!local_check(content, std::string(1, char('a' + i % 3))).empty()) continue;
                 for (const auto& s : nodes[i]->status())
-                    if (s.document == d.name && (s.how != How::Version || s.acted != d.in_force->version) &&
+                    if (s.document == d.name &&
+                        (s.mode != ConfigMode::Full || s.acted != d.in_force->version) &&
                         d.phase == config_distribution::Phase::None)
                         day.broken.push_back(d.name + ": a node acts on " + std::to_string(s.acted) + " (" +
-                                             std::string(config_distribution::name(s.how)) +
+                                             std::string(config_distribution::name(s.mode)) +
                                              "), in force is " + std::to_string(d.in_force->version));
             }
         }
     }
     void judged(bool promises_quick = true) {
-        day.events = net.happened(), day.decisions = judge.decisions(), day.by_how = judge.by_how();
+        day.events = net.happened(), day.decisions = judge.decisions(), day.by_mode = judge.by_mode();
         day.in_force = int(judge.versions().size());
-        day.stated = config_distribution::stated_time(config_distribution::timing(set.lease), Mode::Quick);
+        day.stated = config_distribution::max_inconsistency(config_distribution::lease_timing(set.lease),
+                                                            ConsistencyMode::Bounded);
         for (const Judge::Clash& c : judge.clashes()) {
             auto kind = std::find_if(kinds().begin(), kinds().end(),
                                      [&](const Kind& k) { return k.name == c.document; });
             Duration longest = c.length - c.allowed_more;
-            bool strict = kind->mode == Mode::Strict;
+            bool strict = kind->mode == ConsistencyMode::Strict;
             if (!strict) day.longest_quick = std::max(day.longest_quick, longest);
             if (promises_quick ? !strict && longest <= day.stated : !strict) continue;
             std::ostringstream line;
             line << c.document << (strict ? " (strict)" : " (quick)") << ": for " << c.length.count()
                  << " ms from " << c.from.time_since_epoch().count() << " on node " << c.a << " acted on "
-                 << c.version_a << " (" << config_distribution::name(c.how_a) << "), node " << c.b << " on "
-                 << c.version_b << " (" << config_distribution::name(c.how_b) << ")";
+                 << c.version_a << " (" << config_distribution::name(c.mode_a) << "), node " << c.b << " on "
+                 << c.version_b << " (" << config_distribution::name(c.mode_b) << ")";
             if (day.broken.size() < 20) day.broken.push_back(line.str());
         }
         for (const auto& version : judge.versions())
@@ -535,7 +541,7 @@
             std::size_t p = settings.keepers + i;
             if (!w.net.up(p) || w.net.stopped(p)) continue;
             for (const auto& [name, file] : files[i])
-                w.judge.acts(p, name, {How::Version, file.version, file.content}, now);
+                w.judge.acts(p, name, {ConfigMode::Full, file.version, file.content}, now);
         }
         if (now >= decide) decide = now + Duration{50};
         if (now >= TimePoint{length}) break;
@@ -554,9 +560,9 @@
     w.net.run_to(TimePoint{Duration{5000}});
     auto propose = [&](std::uint64_t base) {
         config_distribution::Document d{
-            kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.choice, "ann", 0, {}, 0};
+            kind.name, 0, drawn(other, kind.name, ""), kind.mode, kind.expiry_policy, "ann", 0, {}, 0};
         w.operators[0]->ask(config_distribution::propose({d, base, ++w.tokens, true, Duration{20'000}}),
-                            [](const config_distribution::Answer&) {});
+                            [](const config_distribution::ConfigResponse&) {});
     };
     propose(0);
     w.net.run_to(TimePoint{Duration{10'000}});
--- a/lab/config_distribution/simulation.h
+++ b/lab/config_distribution/simulation.h
@@ -44,14 +44,14 @@
     Fault fault = Fault::All;
     Saboteur saboteur = Saboteur::None;
     Duration lease{3000};
-    Judge::Contradict contradict = config_distribution::contradict;
+    Judge::Contradict contradict = config_distribution::conflicts;
 };
 
 struct Day {
     std::uint64_t events = 0, decisions = 0;
     int proposed = 0, in_force = 0;
     std::map<std::string, int> stopped;  ///< by the error's code
-    std::map<config_distribution::How, std::uint64_t> by_how;
+    std::map<config_distribution::ConfigMode, std::uint64_t> by_mode;
     Duration stated{}, longest_quick{};  ///< without what a canary's length allows
     std::vector<std::string> broken;     ///< which promise, and how
 };
--- a/lab/tests/config_distribution_test.cpp
+++ b/lab/tests/config_distribution_test.cpp
@@ -27,7 +27,7 @@
     return out;
 }
 
-TEST(Agreement, KeepsItsPromisesUnderEachFault) {
+TEST(ConfigStateMachine, KeepsItsPromisesUnderEachFault) {
     if (kSmallDays) {
         WorldSettings set;
         set.nodes = 4, set.changes = 4, set.fault = Fault::All;
@@ -46,14 +46,14 @@
     }
 }
 
-TEST(Agreement, ACanaryEndsThoughLeadersFall) {
+TEST(ConfigStateMachine, ACanaryEndsThoughLeadersFall) {
     WorldSettings set;  // 15.8 s of two lists, while the keepers alone counted
     set.seed = 80, set.fault = Fault::Keepers;
     Day day = play(set);
     EXPECT_TRUE(day.broken.empty()) << lines(day);
 }
 
-TEST(Agreement, FindsEachSaboteur) {
+TEST(ConfigStateMachine, FindsEachSaboteur) {
     if (kSmallDays) GTEST_SKIP() << "played without sanitizers";
     struct Row {
         Saboteur saboteur;
@@ -73,7 +73,7 @@
     EXPECT_EQ(std::size(rows), kSaboteurs - 1);
 }
 
-TEST(Agreement, TheJudgeNeedsToKnowWhatContradicts) {
+TEST(ConfigStateMachine, TheJudgeNeedsToKnowWhatContradicts) {
     WorldSettings set = sabotaged(Saboteur::NoDraining, Fault::None, 1);
     set.contradict = [](const config_distribution::Content&, const config_distribution::Content&) {
         return false;
@@ -81,7 +81,7 @@
     EXPECT_TRUE(play(set).broken.empty());
 }
 
-TEST(Agreement, CopiedSettingsContradictThemselves) {
+TEST(ConfigStateMachine, CopiedSettingsContradictThemselves) {
     WorldSettings set;
     set.nodes = 10, set.changes = 20, set.fault = Fault::None;
     Day day = play_copied(set);
@@ -89,7 +89,7 @@
     EXPECT_GT(day.longest_quick, day.stated);
 }
 
-TEST(Agreement, ACrashOrAStopAtAnEventOfAChange) {
+TEST(ConfigStateMachine, ACrashOrAStopAtAnEventOfAChange) {
     std::uint64_t events = play_change(1, 0, 0, false).events;
     ASSERT_GT(events, 200u);
     for (std::uint64_t event = 1; event <= events; event += 61)
--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -36,8 +36,8 @@
         std::printf(
             "stated time: strict 0 ms, quick %.0f ms; a canary of a quick document may contradict the others "
             "for its own length more\n",
-            config_distribution::stated_time(config_distribution::timing(keepers.lease),
-                                             config_distribution::Mode::Quick)
+            config_distribution::max_inconsistency(config_distribution::lease_timing(keepers.lease),
+                                                   config_distribution::ConsistencyMode::Bounded)
                 .count());
     return faults.empty() ? 0 : 1;
 }
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -16,7 +16,7 @@
     all.push_back(std::make_unique<shards::Views>(shards::Views::Settings{}));
     all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
     all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
-    all.push_back(std::make_unique<config_distribution::Agreement>());
+    all.push_back(std::make_unique<config_distribution::ConfigStateMachine>());
     all.push_back(std::make_unique<quota::Quotas>());
     return all;
 }
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -231,9 +231,10 @@
     auto rev = [&] { return "file rev " + std::to_string(revision); };
     BufferPool pool(config.memory_mb);  // before the loop: pending handlers still hold buffers when it goes
     asio::io_context io{1};
-    const std::size_t reserved = (config.control ? admin::AdminServer::kDescriptors : 0) +
-                                 (plan.fleet.on ? membership::MembershipService::kDescriptors : 0) +
-                                 (plan.keepers.on ? config_distribution::Side::kDescriptors : 0);
+    const std::size_t reserved =
+        (config.control ? admin::AdminServer::kDescriptors : 0) +
+        (plan.fleet.on ? membership::MembershipService::kDescriptors : 0) +
+        (plan.keepers.on ? config_distribution::ConfigSubscriberThread::kDescriptors : 0);
     DescriptorBudget budget = DescriptorBudget::of(config.sockets, reserved);
     Clock clock;
     AsioScheduler scheduler(io, clock);
--- a/src/app/plan.cpp
+++ b/src/app/plan.cpp
@@ -102,7 +102,7 @@
                 file_.wrong(name == &told_.node.name ? "name" : "zone", quoted(*name) + " " + fault);
         std::optional<Duration> stated;
         if (told.stated > 0) stated = Duration{told.stated};
-        if (auto bad = config_distribution::checked(config_distribution::timing(told.lease, stated)))
+        if (auto bad = config_distribution::validate(config_distribution::lease_timing(told.lease, stated)))
             file_.wrong(file_.has("keepers.stated_ms") ? "keepers.stated_ms" : "keepers.lease_ms",
                         fleet::sentence(*bad));
         if (told.key_file.empty()) return;
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -16,9 +16,9 @@
 std::vector<rewrite::Rule> read_rules(const config_distribution::Headers& headers, std::string& why) {
     std::vector<rewrite::Rule> out;
     for (const config_distribution::HeaderRule& r : headers.rules) {
-        if (r.act != config_distribution::Act::Add)
+        if (r.action != config_distribution::HeaderAction::Add)
             out.push_back({true, rewrite::Rule::Verb::Drop, r.name, {}, "*", "*"});
-        if (r.act != config_distribution::Act::Remove)
+        if (r.action != config_distribution::HeaderAction::Remove)
             out.push_back({true, rewrite::Rule::Verb::Add, r.name, r.value, "*", "*"});
         rewrite::Rule read;
         std::string bad = rewrite::read_rule("in drop " + r.name, nullptr, read);
@@ -34,7 +34,7 @@
         return why;
     }
     const auto* servers = std::get_if<config_distribution::Servers>(&document.content);
-    if (servers && servers->source == config_distribution::Source::Hand) return {};
+    if (servers && servers->source == config_distribution::ListSource::Operator) return {};
     return "nothing in this release of the node acts on it";
 }
 
@@ -80,7 +80,7 @@
     : io_(io),
       clock_(clock),
       node_(std::move(node)),
-      acting_([this](const std::string& document, const config_distribution::Acted& acted) {
+      acting_([this](const std::string& document, const config_distribution::EffectiveConfig& acted) {
           changed(document, acted);
       }),
       ends_(io) {
@@ -91,12 +91,13 @@
     set.cluster = told.cluster, set.keys = told.keys;
     session_.emplace(std::move(set), clock);
     side_.emplace(*session_, clock, told.folder, acting_,
-                  config_distribution::Side::Calls{check, [this](std::function<void()> what) {
-                                                       asio::post(io_, [this, what = std::move(what)] {
-                                                           what();
-                                                           arm();
-                                                       });
-                                                   }});
+                  config_distribution::ConfigSubscriberThread::Calls{
+                      check, [this](std::function<void()> what) {
+                          asio::post(io_, [this, what = std::move(what)] {
+                              what();
+                              arm();
+                          });
+                      }});
 }
 
 Rules::~Rules() {
@@ -122,13 +123,13 @@
     });
 }
 
-void Rules::changed(const std::string& document, const config_distribution::Acted& acted) {
+void Rules::changed(const std::string& document, const config_distribution::EffectiveConfig& acted) {
     std::string detail = document + " " + std::to_string(acted.version) + " " +
-                         std::string(config_distribution::name(acted.how));
+                         std::string(config_distribution::name(acted.mode));
     log(LogLevel::Info, "rules:",
         {{"document", document},
          {"version", std::to_string(acted.version)},
-         {"acts", std::string(config_distribution::name(acted.how))}});
+         {"acts", std::string(config_distribution::name(acted.mode))}});
     node_.record(detail);
     if (!acted.content) return;
     std::string why;
@@ -137,7 +138,7 @@
         join_rewrites();
     }
     if (const auto* hand = std::get_if<config_distribution::Servers>(acted.content.get());
-        hand && hand->source == config_distribution::Source::Hand) {
+        hand && hand->source == config_distribution::ListSource::Operator) {
         hands_[document] = *hand;
         servers();
     }
@@ -150,9 +151,10 @@
     for (const auto& [document, hand] : hands_) {
         all_last |= hand.partial;
         for (const config_distribution::Server& s : hand.servers) {
-            if (s.use == config_distribution::Use::Out || s.use == config_distribution::Use::Rest)
+            if (s.use == config_distribution::ServerUse::Out ||
+                s.use == config_distribution::ServerUse::Unspecified)
                 out.insert(s.name);
-            if (s.use == config_distribution::Use::Last) last.insert(s.name);
+            if (s.use == config_distribution::ServerUse::LastResort) last.insert(s.name);
         }
     }
     bool others = !all_last && std::any_of(listed_.begin(), listed_.end(), [&](const std::string& id) {
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -60,7 +60,7 @@
     std::string figures() const { return side_->figures(); }
 
 private:
-    void changed(const std::string& document, const config_distribution::Acted& acted);
+    void changed(const std::string& document, const config_distribution::EffectiveConfig& acted);
     void servers();
     void join_rewrites();
     void arm();
@@ -68,7 +68,7 @@
     boost::asio::io_context& io_;
     Clock clock_;
     Node node_;
-    config_distribution::Acting acting_;
+    config_distribution::EffectiveConfigs acting_;
     boost::asio::steady_timer ends_;
     TimePoint armed_ = TimePoint::max();
     std::set<std::string> listed_;
@@ -77,7 +77,7 @@
     std::map<std::string, std::vector<rewrite::Rule>> header_rules_;  // by document
     rewrite::Rewrites own_;
     std::shared_ptr<const rewrite::Rewrites> joined_;
-    std::optional<config_distribution::Side> side_;
+    std::optional<config_distribution::ConfigSubscriberThread> side_;
     std::optional<coordinator::SessionThread> session_;
 };
 
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -28,22 +28,22 @@
     std::string about;
 };
 
-config_distribution::Answer asked(const KeepersAt& at, const coordinator::wire::Request& ask) {
+config_distribution::ConfigResponse asked(const KeepersAt& at, const coordinator::wire::Request& ask) {
     auto answer = ask_leader(at, ask);
     if (!answer) throw Refused{coordinator::row(coordinator::Error::Unreachable), "keepers"};
     if (answer->error() != 0) throw Refused{coordinator::row(coordinator::Error(answer->error())), "rules"};
-    auto read = read_answer(answer->result());
+    auto read = decode_response(answer->result());
     if (!read)
         throw Refused{config_distribution::row(config_distribution::Error::Malformed), "the keepers' answer"};
     if (read->failure) throw Refused{config_distribution::row(read->failure->error), read->failure->about};
     return *read;
 }
-config_distribution::Answer look(const KeepersAt& at, const std::string& name) {
+config_distribution::ConfigResponse look(const KeepersAt& at, const std::string& name) {
     coordinator::wire::Request ask;
-    ask.mutable_query()->set_kind("rules"), ask.mutable_query()->set_body(question(name));
+    ask.mutable_query()->set_kind("rules"), ask.mutable_query()->set_body(status_query(name));
     return asked(at, ask);
 }
-config_distribution::Answer command(const KeepersAt& at, std::string body) {
+config_distribution::ConfigResponse command(const KeepersAt& at, std::string body) {
     coordinator::wire::Request ask;
     ask.mutable_command()->set_kind("rules"), ask.mutable_command()->set_body(std::move(body));
     return asked(at, ask);
@@ -66,31 +66,31 @@
     json::object out{{"version", d.version},
                      {"kind", std::string(config_distribution::name(kind(d.content)))},
                      {"mode", std::string(config_distribution::name(d.mode))},
-                     {"without_permit", std::string(config_distribution::name(d.choice))},
+                     {"without_permit", std::string(config_distribution::name(d.expiry_policy))},
                      {"proposer", d.proposer},
-                     {"when", when(d.when)}};
+                     {"when", when(d.proposed_at_s)}};
     if (!content) out.erase("kind");
-    if (content) out["text"] = text(d.content);
-    if (d.of != 0) out["back_to"] = d.of;
+    if (content) out["text"] = to_text(d.content);
+    if (d.rollback_of != 0) out["back_to"] = d.rollback_of;
     return out;
 }
 json::object as_json(const DocumentStatus& d, bool content) {
     json::array before, ended, nodes;
-    for (const Document& b : d.before) before.push_back(as_json(b, content));
-    for (const Ended& e : d.ended)
+    for (const Document& b : d.history) before.push_back(as_json(b, content));
+    for (const AbortedVersion& e : d.aborted)
         ended.push_back(json::object{{"version", e.version},
-                                     {"code", std::string(config_distribution::row(e.why.error).code)},
-                                     {"about", e.why.about},
+                                     {"code", std::string(config_distribution::row(e.failure.error).code)},
+                                     {"about", e.failure.about},
                                      {"proposer", e.proposer}});
     for (const NodeStatus& n : d.nodes)
         nodes.push_back(json::object{{"name", n.name},
                                      {"zone", n.zone},
                                      {"version", n.version},
-                                     {"said", n.word == Word::Yes  ? "yes"
-                                              : n.word == Word::No ? "no"
-                                                                   : ""},
+                                     {"said", n.ack == AckStatus::Ack    ? "yes"
+                                              : n.ack == AckStatus::Nack ? "no"
+                                                                         : ""},
                                      {"reason", n.reason},
-                                     {"holds_up", n.holds_up}});
+                                     {"holds_up", n.blocks_drain}});
     json::object out{{"name", d.name},
                      {"phase", name_of(d.phase)},
                      {"before", std::move(before)},
@@ -104,11 +104,12 @@
 void line(const char* what, const Document& d) {
     std::printf("%-9s %6llu  %-6s  %-7s  %s by %s%s\n", what, static_cast<unsigned long long>(d.version),
                 std::string(config_distribution::name(d.mode)).c_str(),
-                std::string(config_distribution::name(d.choice)).c_str(), when(d.when).c_str(),
-                d.proposer.c_str(), d.of != 0 ? (", back to " + std::to_string(d.of)).c_str() : "");
+                std::string(config_distribution::name(d.expiry_policy)).c_str(),
+                when(d.proposed_at_s).c_str(), d.proposer.c_str(),
+                d.rollback_of != 0 ? (", back to " + std::to_string(d.rollback_of)).c_str() : "");
 }
 
-const DocumentStatus& one(const config_distribution::Answer& answer, const std::string& name) {
+const DocumentStatus& one(const config_distribution::ConfigResponse& answer, const std::string& name) {
     if (answer.documents.empty())
         throw Refused{config_distribution::row(config_distribution::Error::Unknown), name};
     return answer.documents.front();
@@ -117,7 +118,7 @@
 /// Until it is in force, tried out or stopped.
 int follow(const RulesAsk& ask, std::uint64_t version) {
     for (;;) {
-        config_distribution::Answer answer = look(ask.at, ask.document);
+        config_distribution::ConfigResponse answer = look(ask.at, ask.document);
         const DocumentStatus& d = one(answer, ask.document);
         auto tell = [&](const char* how) {
             if (ask.json)
@@ -133,8 +134,9 @@
         if (d.in_force && d.in_force->version >= version) return tell("in force");
         if (d.next && d.next->version == version && d.phase == config_distribution::Phase::Canary)
             return tell("tried out");
-        for (const Ended& e : d.ended)
-            if (e.version == version) throw Refused{config_distribution::row(e.why.error), e.why.about};
+        for (const AbortedVersion& e : d.aborted)
+            if (e.version == version)
+                throw Refused{config_distribution::row(e.failure.error), e.failure.about};
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
 }
@@ -143,17 +145,17 @@
     Proposal p;
     p.document.name = ask.document;
     p.document.proposer = audit::user();
-    p.document.when = std::uint64_t(std::time(nullptr));
-    p.document.mode = ask.mode == "quick" ? Mode::Quick : Mode::Strict;
-    p.document.choice = ask.choice == "keep"     ? Choice::Keep
-                        : ask.choice == "refuse" ? Choice::Refuse
-                                                 : Choice::Caution;
-    p.any_no_stops = !ask.some_may_refuse;
-    p.stage = Duration{ask.within_s * 1000};
+    p.document.proposed_at_s = std::uint64_t(std::time(nullptr));
+    p.document.mode = ask.mode == "quick" ? ConsistencyMode::Bounded : ConsistencyMode::Strict;
+    p.document.expiry_policy = ask.choice == "keep"     ? ExpiryPolicy::KeepCurrent
+                               : ask.choice == "refuse" ? ExpiryPolicy::DenyAll
+                                                        : ExpiryPolicy::Conservative;
+    p.any_nack_aborts = !ask.some_may_refuse;
+    p.staging_timeout = Duration{ask.within_s * 1000};
     std::random_device device;
     p.token = std::uint64_t(device()) << 32 | device();
     if (!ask.zone.empty() || !ask.node.empty())
-        p.document.scope = config_distribution::Scope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
+        p.document.scope = config_distribution::CanaryScope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
     return p;
 }
 
@@ -161,7 +163,7 @@
     std::ifstream in(path, std::ios::binary);
     if (!in) throw ConfigError(path + ": cannot be read");
     std::string octets{std::istreambuf_iterator<char>(in), {}};
-    auto read = read_text(octets);
+    auto read = parse_text(octets);
     if (const auto* bad = std::get_if<Failure>(&read))
         throw Refused{config_distribution::row(bad->error), path + ": " + bad->about};
     return std::get<Content>(std::move(read));
@@ -169,7 +171,7 @@
 
 int carried_out(const RulesAsk& ask, const std::string& what) {
     if (what == "show") {
-        config_distribution::Answer answer = look(ask.at, ask.document);
+        config_distribution::ConfigResponse answer = look(ask.at, ask.document);
         if (ask.json) {
             json::array all;
             for (const DocumentStatus& d : answer.documents) all.push_back(as_json(d, !ask.document.empty()));
@@ -183,43 +185,44 @@
             for (const NodeStatus& n : d.nodes)
                 std::printf("  node %s%s%s: has %llu%s%s%s\n", n.name.c_str(), n.zone.empty() ? "" : " in ",
                             n.zone.c_str(), static_cast<unsigned long long>(n.version),
-                            n.word == Word::Yes  ? ", says yes"
-                            : n.word == Word::No ? ", says no: "
-                                                 : "",
-                            n.word == Word::No ? n.reason.c_str() : "", n.holds_up ? ", has older ones" : "");
-            if (!ask.document.empty() && d.in_force) std::printf("%s", text(d.in_force->content).c_str());
+                            n.ack == AckStatus::Ack    ? ", says yes"
+                            : n.ack == AckStatus::Nack ? ", says no: "
+                                                       : "",
+                            n.ack == AckStatus::Nack ? n.reason.c_str() : "",
+                            n.blocks_drain ? ", has older ones" : "");
+            if (!ask.document.empty() && d.in_force) std::printf("%s", to_text(d.in_force->content).c_str());
         }
         return 0;
     }
     if (what == "propose") {
         Proposal p = begun(ask);
         p.document.content = read_content(ask.file);
-        config_distribution::Answer seen = look(ask.at, "");
+        config_distribution::ConfigResponse seen = look(ask.at, "");
         for (const DocumentStatus& d : seen.documents)
             if (d.name == ask.document && d.in_force) {
-                p.base = ask.base != 0 ? ask.base : d.in_force->version;
+                p.base_version = ask.base != 0 ? ask.base : d.in_force->version;
                 if (ask.mode.empty()) p.document.mode = d.in_force->mode;
-                if (ask.choice.empty()) p.document.choice = d.in_force->choice;
+                if (ask.choice.empty()) p.document.expiry_policy = d.in_force->expiry_policy;
             }
         return follow(ask, command(ask.at, propose(p)).version);
     }
-    config_distribution::Answer answer = look(ask.at, ask.document);
+    config_distribution::ConfigResponse answer = look(ask.at, ask.document);
     const DocumentStatus& d = one(answer, ask.document);
     if (what == "history") {
         if (ask.json) return std::printf("%s\n", json::serialize(as_json(d, true)).c_str()), 0;
         if (d.next) line(name_of(d.phase), *d.next);
         if (d.in_force) line("in force", *d.in_force);
-        for (const Document& b : d.before) line("before", b);
-        for (const Ended& e : d.ended)
+        for (const Document& b : d.history) line("before", b);
+        for (const AbortedVersion& e : d.aborted)
             std::printf("%-9s %6llu  by %s: %s\n", "stopped", static_cast<unsigned long long>(e.version),
-                        e.proposer.c_str(), fleet::sentence(e.why).c_str());
+                        e.proposer.c_str(), fleet::sentence(e.failure).c_str());
         return 0;
     }
     if (what == "diff") {
         auto version = [&](std::uint64_t number) -> const Document& {
             if (d.in_force && d.in_force->version == number) return *d.in_force;
             if (d.next && d.next->version == number) return *d.next;
-            for (const Document& b : d.before)
+            for (const Document& b : d.history)
                 if (b.version == number) return b;
             throw Refused{config_distribution::row(config_distribution::Error::NoVersion),
                           ask.document + " " + std::to_string(number)};
@@ -232,21 +235,21 @@
                                             : d.in_force->content;
         Content a = ask.to != 0                   ? version(ask.to).content
                     : !ask.file.empty() || d.next ? d.in_force->content
-                    : d.before.empty()            ? b
-                                                  : d.before.front().content;
+                    : d.history.empty()           ? b
+                                                  : d.history.front().content;
         std::string lines = diff(a, b);
         if (ask.json)
             std::printf(
                 "%s\n",
-                json::serialize(json::object{{"diff", lines}, {"contradict", contradict(a, b)}}).c_str());
+                json::serialize(json::object{{"diff", lines}, {"contradict", conflicts(a, b)}}).c_str());
         else
-            std::printf("%s%s", lines.c_str(), contradict(a, b) ? "they contradict each other\n" : "");
+            std::printf("%s%s", lines.c_str(), conflicts(a, b) ? "they contradict each other\n" : "");
         return 0;
     }
     Proposal p = begun(ask);  // back
-    p.base = d.in_force ? d.in_force->version : 0;
-    std::uint64_t to = ask.to != 0 ? ask.to : d.before.empty() ? 0 : d.before.front().version;
-    return follow(ask, command(ask.at, back(ask.document, to, p)).version);
+    p.base_version = d.in_force ? d.in_force->version : 0;
+    std::uint64_t to = ask.to != 0 ? ask.to : d.history.empty() ? 0 : d.history.front().version;
+    return follow(ask, command(ask.at, rollback_command(ask.document, to, p)).version);
 }
 
 }  // namespace
--- a/src/fleet/config_distribution/config_state_machine.cpp
+++ b/src/fleet/config_distribution/config_state_machine.cpp
@@ -8,14 +8,14 @@
 namespace ochrehub::config_distribution {
 namespace {
 
-Answer failed(Error error, std::string about) {
+ConfigResponse failed(Error error, std::string about) {
     return {Failure{error, std::move(about)}, 0, {}};
 }
 std::string numbered(std::string_view name, std::uint64_t version) {
     return std::string(name) + " " + std::to_string(version);
 }
 
-wire::Answer written(const Answer& answer, bool contents) {
+wire::Answer written(const ConfigResponse& answer, bool contents) {
     wire::Answer out;
     out.set_version(answer.version);
     if (answer.failure) {
@@ -27,17 +27,17 @@
         to.set_name(d.name), to.set_phase(std::uint32_t(d.phase));
         if (d.in_force) write(*d.in_force, contents, *to.mutable_in_force());
         if (d.next) write(*d.next, contents, *to.mutable_next());
-        for (const Document& b : d.before) write(b, contents, *to.add_before());
-        for (const Ended& e : d.ended) {
+        for (const Document& b : d.history) write(b, contents, *to.add_before());
+        for (const AbortedVersion& e : d.aborted) {
             auto& ended = *to.add_ended();
-            ended.set_version(e.version), ended.set_error(std::uint32_t(e.why.error)),
-                ended.set_about(e.why.about), ended.set_proposer(e.proposer);
+            ended.set_version(e.version), ended.set_error(std::uint32_t(e.failure.error)),
+                ended.set_about(e.failure.about), ended.set_proposer(e.proposer);
         }
         for (const NodeStatus& n : d.nodes) {
             auto& node = *to.add_nodes();
             node.set_name(n.name), node.set_zone(n.zone), node.set_version(n.version),
-                node.set_word(std::uint32_t(n.word));
-            node.set_reason(n.reason), node.set_holds_up(n.holds_up);
+                node.set_word(std::uint32_t(n.ack));
+            node.set_reason(n.reason), node.set_holds_up(n.blocks_drain);
         }
     }
     return out;
@@ -45,9 +45,9 @@
 
 }  // namespace
 
-std::string Agreement::apply(const coordinator::Command& command) {
+std::string ConfigStateMachine::apply(const coordinator::Command& command) {
     wire::Command in;
-    Answer answer;
+    ConfigResponse answer;
     if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
         answer = failed(Error::Malformed, "a command");
     else
@@ -55,7 +55,7 @@
     return written(answer, false).SerializeAsString();
 }
 
-std::string Agreement::query(std::string_view question) const {
+std::string ConfigStateMachine::query(std::string_view question) const {
     wire::Question in;
     if (!in.ParseFromArray(question.data(), int(question.size())))
         return written(failed(Error::Malformed, "a question"), false).SerializeAsString();
@@ -64,7 +64,7 @@
     return out.SerializeAsString();
 }
 
-Answer Agreement::take(const wire::Command& command, coordinator::SessionId session) {
+ConfigResponse ConfigStateMachine::take(const wire::Command& command, coordinator::SessionId session) {
     using What = wire::Command::WhatCase;
     // Of a session that is over nothing counts: what it says of itself now is about a time in which others
     // hold its permits.
@@ -84,10 +84,11 @@
             State* state = of(c.name());
             if (!live || !state || state->phase != Phase::Staging || state->next.version != c.version())
                 return failed(Error::Unknown, numbered(c.name(), c.version()));
-            if (!asked(*state, sessions_[session]) || state->said[session].word != Word::None)
+            if (!asked(*state, sessions_[session]) || state->said[session].ack != AckStatus::Pending)
                 return {{}, c.version(), {}};
             ++revision_;
-            state->said[session] = {c.yes() ? Word::Yes : Word::No, c.reason().substr(0, kReasonMost)};
+            state->said[session] = {c.yes() ? AckStatus::Ack : AckStatus::Nack,
+                                    c.reason().substr(0, kReasonMost)};
             state->has[session].insert(c.version());
             go_on(*state);
             return {{}, c.version(), {}};
@@ -126,7 +127,7 @@
                 for (const auto& [id, s] : sessions_) {
                     bool waits = state.phase == Phase::Draining
                                      ? state.to_give.contains(id)
-                                     : asked(state, s) && state.said[id].word == Word::None;
+                                     : asked(state, s) && state.said[id].ack == AckStatus::Pending;
                     if (waits && who.size() < kReasonMost) who += (who.empty() ? "" : ", ") + s.name;
                 }
                 stop(state, {Error::TimeOver,
@@ -159,7 +160,7 @@
 
 // ---- Proposals
 
-Answer Agreement::take(const wire::Propose& c) {
+ConfigResponse ConfigStateMachine::take(const wire::Propose& c) {
     auto document = config_distribution::read(c.document());
     if (c.document().content().size() > kContentMost)
         return failed(Error::TooLong, c.document().name().substr(0, kNameMost));
@@ -170,10 +171,10 @@
         {std::move(*document), c.base(), c.token(), !c.no_stops_none(), Duration{double(c.stage_ms())}});
 }
 
-Answer Agreement::take(const wire::Back& c) {
+ConfigResponse ConfigStateMachine::take(const wire::Back& c) {
     auto found = documents_.find(c.name());
     if (found == documents_.end()) return failed(Error::Unknown, c.name().substr(0, kNameMost));
-    const auto& before = found->second.before;
+    const auto& before = found->second.history;
     auto old =
         std::find_if(before.begin(), before.end(), [&](const Document& d) { return d.version == c.to(); });
     if (old == before.end()) return failed(Error::NoVersion, numbered(c.name(), c.to()));
@@ -181,41 +182,41 @@
         c.stage_ms() < std::uint64_t(kStageLeast.count()) || c.proposer().size() > kNameMost)
         return failed(Error::Malformed, c.name());
     Document next = *old;
-    next.proposer = c.proposer(), next.when = c.when(), next.of = old->version;
+    next.proposer = c.proposer(), next.proposed_at_s = c.when(), next.rollback_of = old->version;
     return stage({std::move(next), c.base(), c.token(), true, Duration{double(c.stage_ms())}});
 }
 
-std::optional<Failure> Agreement::refused(const Proposal& p, const State* state) const {
+std::optional<Failure> ConfigStateMachine::refused(const Proposal& p, const State* state) const {
     const Document& d = p.document;
-    if (auto bad = checked(d.content)) return Failure{bad->error, d.name + ": " + bad->about};
+    if (auto bad = validate(d.content)) return Failure{bad->error, d.name + ": " + bad->about};
     if (!allowed(d.content, d.mode))
         return Failure{
             Error::Mode,
             d.name + ": " + std::string(config_distribution::name(config_distribution::kind(d.content)))};
     if (!state && documents_.size() >= kDocumentsMost) return Failure{Error::Full, d.name};
-    if (octets() + encode(d.content).size() > kOctetsMost) return Failure{Error::Full, d.name};
+    if (octets() + encode(d.content).size() > kMaxTotalContentBytes) return Failure{Error::Full, d.name};
     const Document* stands = state && state->in_force ? &*state->in_force : nullptr;
     if (state && state->phase != Phase::None)
         return Failure{Error::Busy, numbered(d.name, state->next.version) + " by " + state->next.proposer};
-    if (p.base != (stands ? stands->version : 0))
+    if (p.base_version != (stands ? stands->version : 0))
         return Failure{
             Error::BaseMoved,
-            d.name + ": made on " + std::to_string(p.base) + ", in force is " +
+            d.name + ": made on " + std::to_string(p.base_version) + ", in force is " +
                 (stands ? std::to_string(stands->version) + " by " + stands->proposer : std::string("none"))};
-    if (d.scope && (!stands || (d.mode == Mode::Strict && contradict(stands->content, d.content))))
+    if (d.scope && (!stands || (d.mode == ConsistencyMode::Strict && conflicts(stands->content, d.content))))
         return Failure{Error::Canary, d.name};
     if (!stands) return {};
     if (stands->mode != d.mode)
         return Failure{Error::ModeChanged,
                        d.name + ": " + std::string(config_distribution::name(stands->mode))};
-    if (auto bad = follows(stands->content, d.content))
+    if (auto bad = check_successor(stands->content, d.content))
         return Failure{bad->error, d.name + ": " + bad->about};
-    if (stands->content == d.content && stands->choice == d.choice)
+    if (stands->content == d.content && stands->expiry_policy == d.expiry_policy)
         return Failure{Error::Same, numbered(d.name, stands->version)};
     return {};
 }
 
-Answer Agreement::stage(Proposal&& p) {
+ConfigResponse ConfigStateMachine::stage(Proposal&& p) {
     p.document.content = canonical(std::move(p.document.content));
     auto found = documents_.find(p.document.name);
     if (found != documents_.end() && p.token != 0)
@@ -229,8 +230,8 @@
     state.next = std::move(p.document);
     state.next.version = ++state.last_version;
     state.phase = Phase::Staging;
-    state.any_no_stops = p.any_no_stops;
-    state.stage = p.stage;
+    state.any_nack_aborts = p.any_nack_aborts;
+    state.staging_timeout = p.staging_timeout;
     state.armed_revision = revision_;
     state.said.clear();
     state.to_give.clear();
@@ -241,24 +242,24 @@
     return {{}, version, {}};
 }
 
-bool Agreement::asked(const State& state, const Session& session) const {
+bool ConfigStateMachine::asked(const State& state, const Session& session) const {
     const auto& scope = state.next.scope;
     if (!session.attends) return false;
     return !scope || (scope->zone.empty() ? scope->node == session.name : scope->zone == session.zone);
 }
 
-void Agreement::go_on(State& state) {
+void ConfigStateMachine::go_on(State& state) {
     if (state.phase == Phase::Staging) {
         std::size_t yes = 0, no = 0, open = 0;
         std::string why;
         for (const auto& [id, session] : sessions_) {
             if (!asked(state, session)) continue;
             auto said = state.said.find(id);
-            Word word = said == state.said.end() ? Word::None : said->second.word;
-            if (word == Word::No && no == 0) why = session.name + ": " + said->second.reason;
-            ++(word == Word::Yes ? yes : word == Word::No ? no : open);
+            AckStatus ack = said == state.said.end() ? AckStatus::Pending : said->second.ack;
+            if (ack == AckStatus::Nack && no == 0) why = session.name + ": " + said->second.reason;
+            ++(ack == AckStatus::Ack ? yes : ack == AckStatus::Nack ? no : open);
         }
-        if (no != 0 && (state.any_no_stops || (yes == 0 && open == 0)))
+        if (no != 0 && (state.any_nack_aborts || (yes == 0 && open == 0)))
             return stop(state,
                         {Error::NodeRefused, numbered(state.next.name, state.next.version) + ": " + why});
         if (open != 0) return;
@@ -267,7 +268,7 @@
             state.armed_revision = ++revision_;
             return;
         }
-        if (state.next.mode == Mode::Quick || !state.in_force) return enter(state);
+        if (state.next.mode == ConsistencyMode::Bounded || !state.in_force) return enter(state);
         state.phase = Phase::Draining;
         for (const auto& [id, session] : sessions_)
             if (session.attends) state.to_give.insert(id);
@@ -275,10 +276,10 @@
     if (state.phase == Phase::Draining && state.to_give.empty()) enter(state);
 }
 
-void Agreement::enter(State& state) {
+void ConfigStateMachine::enter(State& state) {
     ++revision_;
-    if (state.in_force) state.before.push_front(std::move(*state.in_force));
-    if (state.before.size() > kBeforeMost) state.before.pop_back();
+    if (state.in_force) state.history.push_front(std::move(*state.in_force));
+    if (state.history.size() > kBeforeMost) state.history.pop_back();
     state.in_force = std::move(state.next);
     state.next = {};
     state.phase = Phase::None;
@@ -286,10 +287,10 @@
     forget_octets(state);
 }
 
-void Agreement::stop(State& state, Failure why) {
+void ConfigStateMachine::stop(State& state, Failure why) {
     ++revision_;
-    state.ended.push_back({state.next.version, std::move(why), state.next.proposer});
-    if (state.ended.size() > kEndedMost) state.ended.pop_front();
+    state.aborted.push_back({state.next.version, std::move(why), state.next.proposer});
+    if (state.aborted.size() > kEndedMost) state.aborted.pop_front();
     state.next = {};
     state.phase = Phase::None;
     state.said.clear();
@@ -298,7 +299,7 @@
 }
 
 /// Who has octets of versions that nobody speaks of any more.
-void Agreement::forget_octets(State& state) {
+void ConfigStateMachine::forget_octets(State& state) {
     std::uint64_t stands = state.in_force ? state.in_force->version : 0;
     for (auto it = state.has.begin(); it != state.has.end();) {
         std::erase_if(it->second, [&](std::uint64_t version) { return version != stands; });
@@ -306,30 +307,31 @@
     }
 }
 
-std::size_t Agreement::octets() const {
+std::size_t ConfigStateMachine::octets() const {
     std::size_t sum = 0;
     for (const auto& [name, state] : documents_) {
         if (state.in_force) sum += encode(state.in_force->content).size();
         if (state.phase != Phase::None) sum += encode(state.next.content).size();
-        for (const Document& d : state.before) sum += encode(d.content).size();
+        for (const Document& d : state.history) sum += encode(d.content).size();
     }
     return sum;
 }
 
-std::uint64_t Agreement::in_force(std::string_view name) const {
+std::uint64_t ConfigStateMachine::in_force(std::string_view name) const {
     auto found = documents_.find(name);
     return found == documents_.end() || !found->second.in_force ? 0 : found->second.in_force->version;
 }
 
 // ---- Sessions and times
 
-void Agreement::session_opened(coordinator::SessionId session, std::string_view name, std::string_view zone) {
+void ConfigStateMachine::session_opened(coordinator::SessionId session, std::string_view name,
+                                        std::string_view zone) {
     ++revision_;
     sessions_[session] = {std::string(name.substr(0, kNameMost)), std::string(zone.substr(0, kNameMost)),
                           false};
 }
 
-void Agreement::session_ended(coordinator::SessionId session) {
+void ConfigStateMachine::session_ended(coordinator::SessionId session) {
     if (sessions_.erase(session) == 0) return;
     ++revision_;
     for (auto& [name, state] : documents_) {
@@ -340,21 +342,22 @@
     }
 }
 
-void Agreement::timeouts(std::vector<coordinator::Timeout>& armed) const {
+void ConfigStateMachine::timeouts(std::vector<coordinator::Timeout>& armed) const {
     for (const auto& [name, state] : documents_)
         if (state.phase != Phase::None)
-            armed.push_back({state.key, state.armed_revision,
-                             state.phase == Phase::Canary ? state.next.scope->length : state.stage});
+            armed.push_back(
+                {state.key, state.armed_revision,
+                 state.phase == Phase::Canary ? state.next.scope->length : state.staging_timeout});
 }
 
-std::string Agreement::on_timeout(std::uint64_t key, std::uint64_t revision) const {
+std::string ConfigStateMachine::on_timeout(std::uint64_t key, std::uint64_t revision) const {
     wire::Command out;
     out.mutable_time_over()->set_key(key);
     out.mutable_time_over()->set_revision(revision);
     return out.SerializeAsString();
 }
 
-std::string Agreement::session_update(coordinator::SessionId id) const {
+std::string ConfigStateMachine::session_update(coordinator::SessionId id) const {
     auto session = sessions_.find(id);
     if (session == sessions_.end() || !session->second.attends) return {};
     wire::News out;
@@ -377,31 +380,31 @@
         auto said = state.said.find(id);
         to.set_canary(state.phase == Phase::Canary);
         to.set_draining(state.phase == Phase::Draining);
-        to.set_said(said != state.said.end() && said->second.word != Word::None);
+        to.set_said(said != state.said.end() && said->second.ack != AckStatus::Pending);
         to.set_gave_back(state.phase == Phase::Draining && !state.to_give.contains(id));
     }
     return out.SerializeAsString();
 }
 
-Answer Agreement::status(std::string_view one) const {
-    Answer out;
+ConfigResponse ConfigStateMachine::status(std::string_view one) const {
+    ConfigResponse out;
     for (const auto& [name, state] : documents_) {
         if (!one.empty() && name != one) continue;
         DocumentStatus d{name,
                          state.in_force,
                          {},
                          state.phase,
-                         {state.before.begin(), state.before.end()},
-                         {state.ended.begin(), state.ended.end()},
+                         {state.history.begin(), state.history.end()},
+                         {state.aborted.begin(), state.aborted.end()},
                          {}};
         if (state.phase != Phase::None) d.next = state.next;
         for (const auto& [id, session] : sessions_) {
             if (!session.attends) continue;
-            NodeStatus n{session.name, session.zone, 0, Word::None, {}, state.to_give.contains(id)};
+            NodeStatus n{session.name, session.zone, 0, AckStatus::Pending, {}, state.to_give.contains(id)};
             if (auto has = state.has.find(id); has != state.has.end() && !has->second.empty())
                 n.version = *has->second.rbegin();
             if (auto said = state.said.find(id); said != state.said.end())
-                n.word = said->second.word, n.reason = said->second.reason;
+                n.ack = said->second.ack, n.reason = said->second.reason;
             d.nodes.push_back(std::move(n));
         }
         out.documents.push_back(std::move(d));
--- a/src/fleet/config_distribution/config_state_machine.h
+++ b/src/fleet/config_distribution/config_state_machine.h
@@ -36,63 +36,63 @@
 }  // namespace wire
 
 inline constexpr std::size_t kDocumentsMost = 64, kBeforeMost = 8, kEndedMost = 8;
-inline constexpr std::size_t kOctetsMost = 16 << 20;  ///< of all contents that are kept
+inline constexpr std::size_t kMaxTotalContentBytes = 16 << 20;  ///< of all contents that are kept
 inline constexpr std::size_t kReasonMost = 200;
 inline constexpr std::size_t kNewsMost =
     512 << 10;  ///< octets of contents in one renewal's answer; others follow
 inline constexpr Duration kStageLeast{1000}, kStageMost{600'000};
 
 struct Proposal {
-    Document document;         ///< its version is given by the machine
-    std::uint64_t base = 0;    ///< the version in force that it was made on; zero: the first
-    std::uint64_t token = 0;   ///< drawn by whoever asks: the same one again is the same proposal
-    bool any_no_stops = true;  ///< else only the no of all
-    Duration stage{30'000};    ///< in which every live node must have taken it
+    Document document;                 ///< its version is given by the machine
+    std::uint64_t base_version = 0;    ///< the version in force that it was made on; zero: the first
+    std::uint64_t token = 0;           ///< drawn by whoever asks: the same one again is the same proposal
+    bool any_nack_aborts = true;       ///< else only the no of all
+    Duration staging_timeout{30'000};  ///< in which every live node must have taken it
 };
 
 // Commands, as octets.
 std::string propose(const Proposal& proposal);
-std::string back(std::string_view name, std::uint64_t to,
-                 const Proposal& as);  ///< of `as` all but its content counts
+std::string rollback_command(std::string_view name, std::uint64_t to,
+                             const Proposal& as);  ///< of `as` all but its content counts
 std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason);
-std::string gave_back(std::string_view name, std::uint64_t next);
+std::string release_command(std::string_view name, std::uint64_t next);
 std::string has(std::string_view name, std::uint64_t version, const Content& content);
-std::string withdraw(std::string_view name, std::uint64_t version, std::string_view by);
-std::string attend();
+std::string withdraw_command(std::string_view name, std::uint64_t version, std::string_view by);
+std::string subscribe_command();
 /// For `read`. Empty: all documents, without their contents.
-std::string question(std::string_view name);
+std::string status_query(std::string_view name);
 
 enum class Phase : std::uint8_t { None, Staging, Draining, Canary };
-enum class Word : std::uint8_t { None, Yes, No };
+enum class AckStatus : std::uint8_t { Pending, Ack, Nack };
 
-struct Ended {  ///< a version that never came in force
+struct AbortedVersion {  ///< a version that never came in force
     std::uint64_t version = 0;
-    Failure why;
+    Failure failure;
     std::string proposer;
 };
 struct NodeStatus {
     std::string name, zone;
-    std::uint64_t version = 0;  ///< the newest whose content it has
-    Word word = Word::None;     ///< on what is staged
+    std::uint64_t version = 0;           ///< the newest whose content it has
+    AckStatus ack = AckStatus::Pending;  ///< on what is staged
     std::string reason;
-    bool holds_up = false;  ///< older versions are not given back yet
+    bool blocks_drain = false;  ///< older versions are not given back yet
 };
 struct DocumentStatus {
     std::string name;
     std::optional<Document> in_force, next;
     Phase phase = Phase::None;
-    std::vector<Document> before;  ///< newest first
-    std::vector<Ended> ended;      ///< newest last
+    std::vector<Document> history;        ///< newest first
+    std::vector<AbortedVersion> aborted;  ///< newest last
     std::vector<NodeStatus> nodes;
 };
-struct Answer {
+struct ConfigResponse {
     std::optional<Failure> failure;
     std::uint64_t version = 0;              ///< what was proposed is now called
     std::vector<DocumentStatus> documents;  ///< to a question; of all documents without contents
 };
-std::optional<Answer> read_answer(std::string_view octets);
+std::optional<ConfigResponse> decode_response(std::string_view octets);
 
-class Agreement : public coordinator::StateMachine {
+class ConfigStateMachine : public coordinator::StateMachine {
 public:
     std::string_view kind() const override { return "rules"; }
     std::uint32_t schema() const override { return 1; }
@@ -117,32 +117,32 @@
         bool attends = false;  ///< others hold no permits and are not asked
     };
     struct Said {
-        Word word = Word::None;
+        AckStatus ack = AckStatus::Pending;
         std::string reason;
     };
     struct State {
         std::uint64_t key = 0, last_version = 0;
         std::optional<Document> in_force;
-        std::deque<Document> before;  ///< newest first
+        std::deque<Document> history;  ///< newest first
         Phase phase = Phase::None;
         Document next;
-        bool any_no_stops = true;
-        Duration stage{};
+        bool any_nack_aborts = true;
+        Duration staging_timeout{};
         std::uint64_t armed_revision = 0;
         std::map<coordinator::SessionId, Said> said;
         std::set<coordinator::SessionId> to_give;
         std::map<coordinator::SessionId, std::set<std::uint64_t>> has;
-        std::deque<Ended> ended;
+        std::deque<AbortedVersion> aborted;
         std::deque<std::pair<std::uint64_t, std::uint64_t>> tokens;  ///< and their versions
     };
     using States = std::map<std::string, State, std::less<>>;
 
-    Answer take(const wire::Command& command, coordinator::SessionId session);
-    Answer take(const wire::Propose& propose);
-    Answer take(const wire::Back& back);
-    Answer stage(Proposal&& proposal);
+    ConfigResponse take(const wire::Command& command, coordinator::SessionId session);
+    ConfigResponse take(const wire::Propose& propose);
+    ConfigResponse take(const wire::Back& back);
+    ConfigResponse stage(Proposal&& proposal);
     std::optional<Failure> refused(const Proposal& proposal, const State* state) const;
-    Answer status(std::string_view name) const;
+    ConfigResponse status(std::string_view name) const;
     /// Whoever must take `next` of this document: all, or who is in its scope.
     bool asked(const State& state, const Session& session) const;
     void go_on(State& state);
--- a/src/fleet/config_distribution/config_state_machine_codec.cpp
+++ b/src/fleet/config_distribution/config_state_machine_codec.cpp
@@ -13,16 +13,16 @@
     wire::Command out;
     auto& c = *out.mutable_propose();
     write(p.document, true, *c.mutable_document());
-    c.set_base(p.base), c.set_token(p.token), c.set_no_stops_none(!p.any_no_stops),
-        c.set_stage_ms(std::uint64_t(p.stage.count()));
+    c.set_base(p.base_version), c.set_token(p.token), c.set_no_stops_none(!p.any_nack_aborts),
+        c.set_stage_ms(std::uint64_t(p.staging_timeout.count()));
     return out.SerializeAsString();
 }
-std::string back(std::string_view name, std::uint64_t to, const Proposal& as) {
+std::string rollback_command(std::string_view name, std::uint64_t to, const Proposal& as) {
     wire::Command out;
     auto& c = *out.mutable_back();
-    c.set_name(std::string(name)), c.set_to(to), c.set_base(as.base), c.set_token(as.token),
+    c.set_name(std::string(name)), c.set_to(to), c.set_base(as.base_version), c.set_token(as.token),
         c.set_proposer(as.document.proposer);
-    c.set_when(as.document.when), c.set_stage_ms(std::uint64_t(as.stage.count()));
+    c.set_when(as.document.proposed_at_s), c.set_stage_ms(std::uint64_t(as.staging_timeout.count()));
     return out.SerializeAsString();
 }
 std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason) {
@@ -32,7 +32,7 @@
         c.set_reason(std::string(reason.substr(0, kReasonMost)));
     return out.SerializeAsString();
 }
-std::string gave_back(std::string_view name, std::uint64_t next) {
+std::string release_command(std::string_view name, std::uint64_t next) {
     wire::Command out;
     out.mutable_gave_back()->set_name(std::string(name));
     out.mutable_gave_back()->set_version(next);
@@ -44,27 +44,27 @@
     c.set_name(std::string(name)), c.set_version(version), c.set_digest(digest_octets(content));
     return out.SerializeAsString();
 }
-std::string withdraw(std::string_view name, std::uint64_t version, std::string_view by) {
+std::string withdraw_command(std::string_view name, std::uint64_t version, std::string_view by) {
     wire::Command out;
     auto& c = *out.mutable_withdraw();
     c.set_name(std::string(name)), c.set_version(version), c.set_proposer(std::string(by));
     return out.SerializeAsString();
 }
-std::string attend() {
+std::string subscribe_command() {
     wire::Command out;
     out.mutable_attend();
     return out.SerializeAsString();
 }
-std::string question(std::string_view name) {
+std::string status_query(std::string_view name) {
     wire::Question out;
     out.set_name(std::string(name));
     return out.SerializeAsString();
 }
 
-std::optional<Answer> read_answer(std::string_view octets) {
+std::optional<ConfigResponse> decode_response(std::string_view octets) {
     wire::Answer in;
     if (!in.ParseFromArray(octets.data(), int(octets.size())) || in.error() > kErrors) return {};
-    Answer out;
+    ConfigResponse out;
     out.version = in.version();
     if (in.error() != 0) out.failure = Failure{Error(in.error() - 1), in.about()};
     for (const auto& d : in.status().documents()) {
@@ -75,15 +75,16 @@
         for (const auto& b : d.before()) {
             auto document = read(b, true);
             if (!document) return {};
-            to.before.push_back(std::move(*document));
+            to.history.push_back(std::move(*document));
         }
         for (const auto& e : d.ended()) {
             if (e.error() >= kErrors) return {};
-            to.ended.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
+            to.aborted.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
         }
         for (const auto& n : d.nodes()) {
-            if (n.word() > std::uint32_t(Word::No)) return {};
-            to.nodes.push_back({n.name(), n.zone(), n.version(), Word(n.word()), n.reason(), n.holds_up()});
+            if (n.word() > std::uint32_t(AckStatus::Nack)) return {};
+            to.nodes.push_back(
+                {n.name(), n.zone(), n.version(), AckStatus(n.word()), n.reason(), n.holds_up()});
         }
         out.documents.push_back(std::move(to));
     }
@@ -92,17 +93,17 @@
 
 // ---- Snapshots
 
-void Agreement::write(const std::string& name, const State& s, wire::DocumentState& to) const {
+void ConfigStateMachine::write(const std::string& name, const State& s, wire::DocumentState& to) const {
     to.set_name(name), to.set_key(s.key), to.set_last_version(s.last_version),
         to.set_phase(std::uint32_t(s.phase));
     if (s.in_force) config_distribution::write(*s.in_force, true, *to.mutable_in_force());
-    for (const Document& d : s.before) config_distribution::write(d, true, *to.add_before());
+    for (const Document& d : s.history) config_distribution::write(d, true, *to.add_before());
     if (s.phase != Phase::None) config_distribution::write(s.next, true, *to.mutable_next());
-    to.set_no_stops_none(!s.any_no_stops), to.set_stage_ms(std::uint64_t(s.stage.count())),
+    to.set_no_stops_none(!s.any_nack_aborts), to.set_stage_ms(std::uint64_t(s.staging_timeout.count())),
         to.set_armed_revision(s.armed_revision);
     for (const auto& [id, said] : s.said) {
         auto& one = *to.add_said();
-        one.set_session(id), one.set_word(std::uint32_t(said.word)), one.set_reason(said.reason);
+        one.set_session(id), one.set_word(std::uint32_t(said.ack)), one.set_reason(said.reason);
     }
     for (coordinator::SessionId id : s.to_give) to.add_to_give(id);
     for (const auto& [id, versions] : s.has) {
@@ -110,10 +111,10 @@
         one.set_session(id);
         for (std::uint64_t version : versions) one.add_versions(version);
     }
-    for (const Ended& e : s.ended) {
+    for (const AbortedVersion& e : s.aborted) {
         auto& one = *to.add_ended();
-        one.set_version(e.version), one.set_error(std::uint32_t(e.why.error)), one.set_about(e.why.about),
-            one.set_proposer(e.proposer);
+        one.set_version(e.version), one.set_error(std::uint32_t(e.failure.error)),
+            one.set_about(e.failure.about), one.set_proposer(e.proposer);
     }
     for (const auto& [token, version] : s.tokens) {
         auto& one = *to.add_tokens();
@@ -121,7 +122,7 @@
     }
 }
 
-bool Agreement::read(const wire::DocumentState& from, State& s) {
+bool ConfigStateMachine::read(const wire::DocumentState& from, State& s) {
     s.key = from.key(), s.last_version = from.last_version(), s.phase = Phase(from.phase());
     if (from.phase() > std::uint32_t(Phase::Canary) || from.has_next() != (s.phase != Phase::None))
         return false;
@@ -129,30 +130,30 @@
     for (const auto& b : from.before()) {
         auto document = config_distribution::read(b);
         if (!document) return false;
-        s.before.push_back(std::move(*document));
+        s.history.push_back(std::move(*document));
     }
     if (from.has_next()) {
         auto next = config_distribution::read(from.next());
         if (!next || (s.phase == Phase::Canary) > next->scope.has_value()) return false;
         s.next = std::move(*next);
     }
-    s.any_no_stops = !from.no_stops_none(), s.stage = Duration{double(from.stage_ms())},
+    s.any_nack_aborts = !from.no_stops_none(), s.staging_timeout = Duration{double(from.stage_ms())},
     s.armed_revision = from.armed_revision();
     for (const auto& one : from.said()) {
-        if (one.word() > std::uint32_t(Word::No)) return false;
-        s.said[one.session()] = {Word(one.word()), one.reason()};
+        if (one.word() > std::uint32_t(AckStatus::Nack)) return false;
+        s.said[one.session()] = {AckStatus(one.word()), one.reason()};
     }
     s.to_give = {from.to_give().begin(), from.to_give().end()};
     for (const auto& one : from.has()) s.has[one.session()] = {one.versions().begin(), one.versions().end()};
     for (const auto& e : from.ended()) {
         if (e.error() >= kErrors) return false;
-        s.ended.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
+        s.aborted.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
     }
     for (const auto& t : from.tokens()) s.tokens.emplace_back(t.token(), t.version());
     return true;
 }
 
-std::string Agreement::snapshot() const {
+std::string ConfigStateMachine::snapshot() const {
     wire::State out;
     out.set_revision(revision_), out.set_last_key(last_key_);
     for (const auto& [name, state] : documents_) write(name, state, *out.add_documents());
@@ -164,7 +165,7 @@
     return out.SerializeAsString();
 }
 
-bool Agreement::restore(std::uint32_t schema, std::string_view bytes) {
+bool ConfigStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::State in;
     if (schema != 1 || !in.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
     States documents;
--- a/src/fleet/config_distribution/config_subscriber.cpp
+++ b/src/fleet/config_distribution/config_subscriber.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-std::string_view name(How how) {
+std::string_view name(ConfigMode mode) {
     constexpr std::string_view kNames[] = {"nothing", "version", "between", "keep", "caution", "refuse"};
-    return kNames[std::size_t(how)];
+    return kNames[std::size_t(mode)];
 }
 
 Holder::Holder(const HolderSettings& settings, std::vector<Document> kept, TimePoint now, Actions& actions)
@@ -84,7 +84,7 @@
 void Holder::take(TimePoint now, const Renewed& renewed, Actions& actions) {
     if (renewed.news.empty() && renewed.session >= least_) {
         // The keepers don't know yet that this session acts on documents.
-        actions.push_back(Say{attend()});
+        actions.push_back(Say{subscribe_command()});
         return;
     }
     wire::News in;
@@ -108,7 +108,7 @@
         held.next_version = 0;
     }
     for (const auto& news : in.documents()) {
-        if (!named_well(news.name()) ||
+        if (!is_valid_name(news.name()) ||
             (documents_.size() >= kDocumentsMost && !documents_.contains(news.name())))
             continue;
         take(news.name(), news, actions, changed);
@@ -186,22 +186,24 @@
     const std::optional<Document>& document = canary ? held.next : held.in_force;
     // What a version is never changes: where the same is acted on in the same way, nothing is to be handed
     // out anew.
-    How how = !permitted ? without(held) : held.draining ? How::Between : How::Version;
+    ConfigMode mode = !permitted      ? without(held)
+                      : held.draining ? ConfigMode::Transitional
+                                      : ConfigMode::Full;
     std::uint64_t version = document ? document->version : 0,
-                  beside = how == How::Between ? held.next_version : 0;
+                  beside = mode == ConfigMode::Transitional ? held.next_version : 0;
     if (held.serial == 0
-            ? how == How::Nothing
-            : held.permit.now.how == how && held.permit.now.version == version && held.beside == beside) {
+            ? mode == ConfigMode::None
+            : held.permit.now.mode == mode && held.permit.now.version == version && held.beside == beside) {
         if (permitted) held.permit.until = until_;
     } else {
-        Acted acted{how, version, {}};
-        bool part = held.permit.now.how == How::Between && how == How::Keep;
-        if (how == How::Between && held.next)
-            acted.content = shared(between(held.in_force->content, held.next->content));
+        EffectiveConfig acted{mode, version, {}};
+        bool part = held.permit.now.mode == ConfigMode::Transitional && mode == ConfigMode::KeepCurrent;
+        if (mode == ConfigMode::Transitional && held.next)
+            acted.content = shared(intersection(held.in_force->content, held.next->content));
         else if (part)
             acted.content = held.permit.now.content;
-        else if (how != How::Nothing)
-            acted.content = whole(*document, how);
+        else if (mode != ConfigMode::None)
+            acted.content = whole(*document, mode);
         held.beside = beside;
         apply(name, held, std::move(acted), canary ? held.canary_ends : TimePoint::max(), actions);
     }
@@ -210,43 +212,46 @@
 
 /// How to act without a permit. Whoever has a session and no word on a document must not go on with what
 /// others may have left.
-How Holder::without(const Held& held) const {
-    if (!held.in_force) return How::Nothing;
-    switch (held.in_force->choice) {
-        case Choice::Keep:
-            return session_ == 0 && !patient_ ? How::Keep : How::Caution;
-        case Choice::Caution:
-            return How::Caution;
-        case Choice::Refuse:
+ConfigMode Holder::without(const Held& held) const {
+    if (!held.in_force) return ConfigMode::None;
+    switch (held.in_force->expiry_policy) {
+        case ExpiryPolicy::KeepCurrent:
+            return session_ == 0 && !patient_ ? ConfigMode::KeepCurrent : ConfigMode::Conservative;
+        case ExpiryPolicy::Conservative:
+            return ConfigMode::Conservative;
+        case ExpiryPolicy::DenyAll:
             break;
     }
-    return How::Refuse;
+    return ConfigMode::DenyAll;
 }
 
-std::shared_ptr<const Content> Holder::whole(const Document& document, How how) {
-    switch (how) {
-        case How::Version:
-        case How::Keep:
+std::shared_ptr<const Content> Holder::whole(const Document& document, ConfigMode mode) {
+    switch (mode) {
+        case ConfigMode::Full:
+        case ConfigMode::KeepCurrent:
             return shared(document.content);
-        case How::Refuse:
-            return shared(refuse(document.content));
+        case ConfigMode::DenyAll:
+            return shared(deny_all(document.content));
         default:
-            return shared(caution(document.content));
+            return shared(conservative_subset(document.content));
     }
 }
 
-void Holder::apply(const std::string& name, Held& held, Acted acted, TimePoint most, Actions& actions) {
+void Holder::apply(const std::string& name, Held& held, EffectiveConfig acted, TimePoint most,
+                   Actions& actions) {
     Permit permit;
     permit.now = permit.then = acted;
     permit.until = until_, permit.most = most;
-    if (acted.how == How::Version || acted.how == How::Between) {
+    if (acted.mode == ConfigMode::Full || acted.mode == ConfigMode::Transitional) {
         const Document& d = *held.in_force;
-        How then = d.choice == Choice::Refuse              ? How::Refuse
-                   : d.choice == Choice::Keep && !patient_ ? How::Keep
-                                                           : How::Caution;
+        ConfigMode then = d.expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll
+                          : d.expiry_policy == ExpiryPolicy::KeepCurrent && !patient_
+                              ? ConfigMode::KeepCurrent
+                              : ConfigMode::Conservative;
         // A canary is kept by nobody beyond its end.
-        permit.then = {then, d.version,
-                       then == How::Keep && acted.version == d.version ? acted.content : whole(d, then)};
+        permit.then = {
+            then, d.version,
+            then == ConfigMode::KeepCurrent && acted.version == d.version ? acted.content : whole(d, then)};
     }
     held.permit = permit;
     held.serial = ++serial_;
@@ -260,9 +265,9 @@
             actions.push_back(
                 Say{said(name, held.next->version, *verdict->second, held.reasons[held.next->version])});
     }
-    bool old = held.permit.now.how == How::Version || held.permit.now.how == How::Keep;
+    bool old = held.permit.now.mode == ConfigMode::Full || held.permit.now.mode == ConfigMode::KeepCurrent;
     if (held.draining && !held.gave_back && !old && held.switched == held.serial)
-        actions.push_back(Say{gave_back(name, held.next_version)});
+        actions.push_back(Say{release_command(name, held.next_version)});
 }
 
 void Holder::write(Actions& actions) const {
@@ -283,8 +288,8 @@
 std::vector<Holder::Status> Holder::status(TimePoint now) const {
     std::vector<Status> out;
     for (const auto& [name, held] : documents_) {
-        const Acted& acted = held.permit.at(now);
-        out.push_back({name, held.in_force ? held.in_force->version : 0, acted.how, acted.version});
+        const EffectiveConfig& acted = held.permit.at(now);
+        out.push_back({name, held.in_force ? held.in_force->version : 0, acted.mode, acted.version});
     }
     return out;
 }
--- a/src/fleet/config_distribution/config_subscriber.h
+++ b/src/fleet/config_distribution/config_subscriber.h
@@ -28,28 +28,28 @@
 class DocumentNews;
 }
 
-enum class How : std::uint8_t {
-    Nothing,  ///< no version was ever known: the node's own settings
-    Version,
-    Between,  ///< what contradicts neither the older version nor the next one
-    Keep,     ///< its permit is over, and the operators' choice is to go on
-    Caution,
-    Refuse,
+enum class ConfigMode : std::uint8_t {
+    None,  ///< no version was ever known: the node's own settings
+    Full,
+    Transitional,  ///< what contradicts neither the older version nor the next one
+    KeepCurrent,   ///< its permit is over, and the operators' choice is to go on
+    Conservative,
+    DenyAll,
 };
-std::string_view name(How how);
+std::string_view name(ConfigMode mode);
 
-struct Acted {
-    How how = How::Nothing;
+struct EffectiveConfig {
+    ConfigMode mode = ConfigMode::None;
     std::uint64_t version = 0;               ///< that it is, or is a part of
     std::shared_ptr<const Content> content;  ///< never null but with Nothing
 };
 /// What to act on, by the process's own clock. Copied freely; whoever decides asks it with the time of the
 /// decision.
 struct Permit {
-    Acted now, then;  ///< then: once `until` or `most` is there
+    EffectiveConfig now, then;  ///< then: once `until` or `most` is there
     TimePoint until{};
     TimePoint most = TimePoint::max();  ///< a canary's own end, which no renewal puts off
-    const Acted& at(TimePoint time) const { return time < until && time < most ? now : then; }
+    const EffectiveConfig& at(TimePoint time) const { return time < until && time < most ? now : then; }
 };
 
 struct HolderSettings {
@@ -124,7 +124,7 @@
     struct Status {
         std::string document;
         std::uint64_t in_force = 0;
-        How how = How::Nothing;
+        ConfigMode mode = ConfigMode::None;
         std::uint64_t acted = 0;
     };
     std::vector<Status> status(TimePoint now) const;
@@ -150,9 +150,9 @@
     void take(const std::string& name, const wire::DocumentNews& news, Actions& actions, bool& changed);
     void settle(TimePoint now, const std::string& name, Held& held, Actions& actions);
     void say(const std::string& name, Held& held, Actions& actions);
-    How without(const Held& held) const;
-    static std::shared_ptr<const Content> whole(const Document& document, How how);
-    void apply(const std::string& name, Held& held, Acted acted, TimePoint most, Actions& actions);
+    ConfigMode without(const Held& held) const;
+    static std::shared_ptr<const Content> whole(const Document& document, ConfigMode mode);
+    void apply(const std::string& name, Held& held, EffectiveConfig acted, TimePoint most, Actions& actions);
     void write(Actions& actions) const;
     void wake(TimePoint now, Actions& actions) const;
     bool held(TimePoint now) const { return session_ != 0 && now < until_; }
--- a/src/fleet/config_distribution/config_subscriber_thread.cpp
+++ b/src/fleet/config_distribution/config_subscriber_thread.cpp
@@ -24,19 +24,19 @@
 
 }  // namespace
 
-void Acting::take(const Apply& apply, TimePoint now) {
+void EffectiveConfigs::take(const Apply& apply, TimePoint now) {
     One& one = documents_[apply.document];
     one.permit = apply.permit;
     one.ended = now >= std::min(one.permit.until, one.permit.most);
     changed_(apply.document, one.permit.at(now));
     find_next();
 }
-void Acting::take(const Extend& extend) {
+void EffectiveConfigs::take(const Extend& extend) {
     for (auto& [name, one] : documents_)
         if (!one.ended) one.permit.until = extend.until;
     find_next();
 }
-void Acting::over(TimePoint now) {
+void EffectiveConfigs::over(TimePoint now) {
     for (auto& [name, one] : documents_)
         if (!one.ended && now >= std::min(one.permit.until, one.permit.most)) {
             one.ended = true;
@@ -44,13 +44,14 @@
         }
     find_next();
 }
-void Acting::find_next() {
+void EffectiveConfigs::find_next() {
     next_ = TimePoint::max();
     for (const auto& [name, one] : documents_)
         if (!one.ended) next_ = std::min({next_, one.permit.until, one.permit.most});
 }
 
-Side::Side(coordinator::SessionThread& session, Clock clock, std::string folder, Acting& acting, Calls calls)
+ConfigSubscriberThread::ConfigSubscriberThread(coordinator::SessionThread& session, Clock clock,
+                                               std::string folder, EffectiveConfigs& acting, Calls calls)
     : session_(session),
       clock_(clock),
       acting_(acting),
@@ -80,14 +81,14 @@
     });
 }
 
-void Side::stop() {
+void ConfigSubscriberThread::stop() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
 }
 
 /// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
 /// next one.
-void Side::told(const coordinator::SessionThread::Notification& what) {
+void ConfigSubscriberThread::told(const coordinator::SessionThread::Notification& what) {
     if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
         if (!held_ || held_->session != held->session || !had_news_) renewed(*held, {});
         held_ = *held;
@@ -102,19 +103,19 @@
     }
 }
 
-void Side::renewed(const coordinator::SessionRenewed& held, std::string news) {
+void ConfigSubscriberThread::renewed(const coordinator::SessionRenewed& held, std::string news) {
     asio::post(io_, [this, held, news = std::move(news)] {
         handle(Renewed{held.session, held.until, news});
     });
 }
 
-void Side::handle(const Event& event) {
+void ConfigSubscriberThread::handle(const Event& event) {
     Actions actions;
     holder_->handle(clock_.now(), event, actions);
     carry_out(std::move(actions));
 }
 
-void Side::carry_out(Actions actions) {
+void ConfigSubscriberThread::carry_out(Actions actions) {
     std::vector<std::variant<Apply, Extend>> to_act;
     for (Action& action : actions) {
         if (auto* apply = std::get_if<Apply>(&action)) {
@@ -159,7 +160,7 @@
     for (const auto& s : holder_->status(clock_.now())) {
         text +=
             "ochrehub_rules_in_force{document=\"" + s.document + "\"} " + std::to_string(s.in_force) + "\n";
-        acted += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" + std::string(name(s.how)) +
+        acted += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" + std::string(name(s.mode)) +
                  "\"} " + std::to_string(s.acted) + "\n";
     }
     acted +=
@@ -170,7 +171,7 @@
     shown_ = text + acted;
 }
 
-std::string Side::figures() const {
+std::string ConfigSubscriberThread::figures() const {
     std::lock_guard lock(showing_);
     return shown_;
 }
--- a/src/fleet/config_distribution/config_subscriber_thread.h
+++ b/src/fleet/config_distribution/config_subscriber_thread.h
@@ -23,12 +23,12 @@
 namespace ochrehub::config_distribution {
 
 /// What the acting loop knows: asked before each decision, on that loop alone.
-class Acting {
+class EffectiveConfigs {
 public:
     /// Called where what is to be acted on has become another: by word of the holder, or since a permit is
     /// over.
-    using Changed = std::function<void(const std::string& document, const Acted&)>;
-    explicit Acting(Changed changed) : changed_(std::move(changed)) {}
+    using Changed = std::function<void(const std::string& document, const EffectiveConfig&)>;
+    explicit EffectiveConfigs(Changed changed) : changed_(std::move(changed)) {}
 
     void take(const Apply& apply, TimePoint now);
     void take(const Extend& extend);
@@ -51,7 +51,7 @@
     TimePoint next_ = TimePoint::max();
 };
 
-class Side {
+class ConfigSubscriberThread {
 public:
     static constexpr std::size_t kDescriptors = 8;  ///< its loop's, the session's, the folder's
 
@@ -63,8 +63,9 @@
     };
     /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not
     /// have been started.
-    Side(coordinator::SessionThread& session, Clock clock, std::string folder, Acting& acting, Calls calls);
-    ~Side() { stop(); }
+    ConfigSubscriberThread(coordinator::SessionThread& session, Clock clock, std::string folder,
+                           EffectiveConfigs& acting, Calls calls);
+    ~ConfigSubscriberThread() { stop(); }
     /// Waits for its thread's end; nothing is said on the session any more. To be called before the session
     /// goes, which goes before this.
     void stop();
@@ -81,7 +82,7 @@
 
     coordinator::SessionThread& session_;
     Clock clock_;
-    Acting& acting_;
+    EffectiveConfigs& acting_;
     Calls calls_;
     std::unique_ptr<store::Files> files_;
     // On the session's thread.
--- a/src/fleet/config_distribution/document.cpp
+++ b/src/fleet/config_distribution/document.cpp
@@ -45,7 +45,7 @@
     for (const auto& e : entries) {
         std::string about(what);
         about.append(" `").append(e.name.substr(0, kNameMost)).append("`");
-        if (!named_well(e.name)) return wrong(Error::WrongValue, about + ": its name");
+        if (!is_valid_name(e.name)) return wrong(Error::WrongValue, about + ": its name");
         if (!seen.insert(e.name).second) return wrong(Error::Duplicate, about);
     }
     return {};
@@ -70,9 +70,10 @@
 std::optional<Failure> sound(const Classes& c) {
     if (auto bad = names(c.classes, "class")) return bad;
     for (const ClassRule& r : c.classes) {
-        if (r.repeat == Repeat::Unsaid)
+        if (r.retry == RetryRule::Unspecified)
             return wrong(Error::WrongValue, "class `" + r.name + "`: must say whether it may be repeated");
-        if (r.attempts == 0 || r.attempts > 10 || (r.repeat == Repeat::MayNot && r.attempts != 1))
+        if (r.max_attempts == 0 || r.max_attempts > 10 ||
+            (r.retry == RetryRule::Forbidden && r.max_attempts != 1))
             return wrong(Error::WrongValue, "class `" + r.name + "`: attempts");
     }
     return {};
@@ -92,7 +93,8 @@
         const HeaderRule& r = c.rules[i];
         std::string about = "rule " + std::to_string(i + 1);
         if (!token(r.name)) return wrong(Error::WrongValue, about + ": its header's name, in small letters");
-        if (r.value.size() > kValueMost || !printable(r.value) || (r.act == Act::Remove) != r.value.empty() ||
+        if (r.value.size() > kValueMost || !printable(r.value) ||
+            (r.action == HeaderAction::Remove) != r.value.empty() ||
             (!r.value.empty() && (r.value.front() == ' ' || r.value.back() == ' ')))
             return wrong(Error::WrongValue, about + ": its value");
         if (i != 0 && r == c.rules[i - 1]) return wrong(Error::Duplicate, about);
@@ -103,11 +105,11 @@
     if (auto bad = names(c.partners, "partner")) return bad;
     std::set<std::string_view> keys;
     for (const Partner& p : c.partners) {
-        if (p.standing == Standing::Held)
+        if (p.status == PartnerStatus::OnHold)
             return wrong(Error::WrongValue, "partner `" + p.name + "`: must be open or shut");
         if (p.keys.size() > kKeysMost) return wrong(Error::TooLong, "partner `" + p.name + "`: its keys");
         for (const std::string& key : p.keys) {
-            if (!named_well(key)) return wrong(Error::WrongValue, "partner `" + p.name + "`: a key");
+            if (!is_valid_name(key)) return wrong(Error::WrongValue, "partner `" + p.name + "`: a key");
             if (!keys.insert(key).second)
                 return wrong(Error::Duplicate, "partner `" + p.name + "`: key `" + key + "`");
         }
@@ -117,12 +119,12 @@
 std::optional<Failure> sound(const Servers& c) {
     if (auto bad = names(c.servers, "server")) return bad;
     if (c.partial) return wrong(Error::WrongValue, "a part of a list");
-    if (c.revision != 0 && c.source != Source::Discovery)
+    if (c.revision != 0 && c.source != ListSource::Discovery)
         return wrong(Error::WrongValue, "revision: of discovery's list alone");
     for (const Server& s : c.servers) {
-        if (s.use != Use::In && s.use != Use::Out)
+        if (s.use != ServerUse::In && s.use != ServerUse::Out)
             return wrong(Error::WrongValue, "server `" + s.name + "`: must be in or out");
-        if (!s.zone.empty() && !named_well(s.zone))
+        if (!s.zone.empty() && !is_valid_name(s.zone))
             return wrong(Error::WrongValue, "server `" + s.name + "`: zone");
     }
     return {};
@@ -138,16 +140,19 @@
     std::map<std::string_view, Outcome> out;
     for (const HeaderRule& r : c.rules) {
         Outcome& o = out[r.name];
-        if (r.act != Act::Add) o = {false, {}};
-        if (r.act != Act::Remove) o.values.push_back(r.value);
+        if (r.action != HeaderAction::Add) o = {false, {}};
+        if (r.action != HeaderAction::Remove) o.values.push_back(r.value);
     }
     return out;
 }
 
-Use use_of(const Servers& c, const std::map<std::string_view, const Server*>& by, std::string_view name) {
+ServerUse use_of(const Servers& c, const std::map<std::string_view, const Server*>& by,
+                 std::string_view name) {
     auto found = by.find(name);
     if (found != by.end()) return found->second->use;
-    return c.partial ? Use::Last : c.source == Source::Hand ? Use::In : Use::Out;
+    return c.partial                          ? ServerUse::LastResort
+           : c.source == ListSource::Operator ? ServerUse::In
+                                              : ServerUse::Out;
 }
 
 bool clash(const Limits& a, const Limits& b) {
@@ -166,8 +171,8 @@
     auto in_b = index(b.classes);
     return std::any_of(a.classes.begin(), a.classes.end(), [&](const ClassRule& r) {
         auto other = in_b.find(r.name);
-        return other != in_b.end() && r.repeat != Repeat::Unsaid && other->second->repeat != Repeat::Unsaid &&
-               r.repeat != other->second->repeat;
+        return other != in_b.end() && r.retry != RetryRule::Unspecified &&
+               other->second->retry != RetryRule::Unspecified && r.retry != other->second->retry;
     });
 }
 bool clash(const Headers& a, const Headers& b) {
@@ -184,8 +189,8 @@
         for (const std::string& key : p.keys) owners.emplace(key, p.name);
     for (const Partner& p : a.partners) {
         auto other = in_b.find(p.name);
-        if (other != in_b.end() && p.standing != Standing::Held &&
-            other->second->standing != Standing::Held && p.standing != other->second->standing)
+        if (other != in_b.end() && p.status != PartnerStatus::OnHold &&
+            other->second->status != PartnerStatus::OnHold && p.status != other->second->status)
             return true;
         for (const std::string& key : p.keys) {
             auto owner = owners.find(key);
@@ -198,8 +203,8 @@
     if (a.source != b.source) return false;
     auto in_a = index(a.servers), in_b = index(b.servers);
     auto one = [&](const Server& s) {
-        Use x = use_of(a, in_a, s.name), y = use_of(b, in_b, s.name);
-        return (x == Use::In && y == Use::Out) || (x == Use::Out && y == Use::In);
+        ServerUse x = use_of(a, in_a, s.name), y = use_of(b, in_b, s.name);
+        return (x == ServerUse::In && y == ServerUse::Out) || (x == ServerUse::Out && y == ServerUse::In);
     };
     return std::any_of(a.servers.begin(), a.servers.end(), one) ||
            std::any_of(b.servers.begin(), b.servers.end(), one);
@@ -222,12 +227,12 @@
     auto in_a = index(a.classes), in_b = index(b.classes);
     for (const ClassRule& r : a.classes) {
         auto other = in_b.find(r.name);
-        bool same = other != in_b.end() && other->second->repeat == r.repeat;
-        out.classes.push_back({r.name, same ? r.repeat : Repeat::Unsaid,
-                               same ? std::min(r.attempts, other->second->attempts) : 1});
+        bool same = other != in_b.end() && other->second->retry == r.retry;
+        out.classes.push_back({r.name, same ? r.retry : RetryRule::Unspecified,
+                               same ? std::min(r.max_attempts, other->second->max_attempts) : 1});
     }
     for (const ClassRule& r : b.classes)
-        if (!in_a.contains(r.name)) out.classes.push_back({r.name, Repeat::Unsaid, 1});
+        if (!in_a.contains(r.name)) out.classes.push_back({r.name, RetryRule::Unspecified, 1});
     return out;
 }
 Headers part(const Headers& a, const Headers& b) {
@@ -244,9 +249,9 @@
     auto in_a = index(a.partners), in_b = index(b.partners);
     for (const Partner& p : a.partners) {
         auto other = in_b.find(p.name);
-        Partner both{p.name, Standing::Held, {}};
+        Partner both{p.name, PartnerStatus::OnHold, {}};
         if (other != in_b.end()) {
-            if (other->second->standing == p.standing) both.standing = p.standing;
+            if (other->second->status == p.status) both.status = p.status;
             const auto& keys = other->second->keys;
             std::copy_if(p.keys.begin(), p.keys.end(), std::back_inserter(both.keys),
                          [&](const std::string& key) {
@@ -256,15 +261,15 @@
         out.partners.push_back(std::move(both));
     }
     for (const Partner& p : b.partners)
-        if (!in_a.contains(p.name)) out.partners.push_back({p.name, Standing::Held, {}});
+        if (!in_a.contains(p.name)) out.partners.push_back({p.name, PartnerStatus::OnHold, {}});
     return out;
 }
 Servers part(const Servers& a, const Servers& b) {
     Servers out{a.source, 0, {}, a.partial || b.partial};
     auto in_a = index(a.servers), in_b = index(b.servers);
     auto add = [&](const Server& s) {
-        Use x = use_of(a, in_a, s.name), y = use_of(b, in_b, s.name);
-        out.servers.push_back({s.name, x == y ? x : Use::Last, s.zone});
+        ServerUse x = use_of(a, in_a, s.name), y = use_of(b, in_b, s.name);
+        out.servers.push_back({s.name, x == y ? x : ServerUse::LastResort, s.zone});
     };
     for (const Server& s : a.servers) add(s);
     for (const Server& s : b.servers)
@@ -286,34 +291,34 @@
         if (name(kind) == text) return kind;
     return {};
 }
-std::string_view name(Mode mode) {
-    return mode == Mode::Strict ? "strict" : "quick";
+std::string_view name(ConsistencyMode mode) {
+    return mode == ConsistencyMode::Strict ? "strict" : "quick";
 }
-std::string_view name(Choice choice) {
+std::string_view name(ExpiryPolicy expiry_policy) {
     constexpr std::string_view kNames[] = {"keep", "caution", "refuse"};
-    return kNames[std::size_t(choice)];
+    return kNames[std::size_t(expiry_policy)];
 }
 
-bool allowed(const Content& content, Mode mode) {
-    if (std::holds_alternative<Classes>(content)) return mode == Mode::Strict;
+bool allowed(const Content& content, ConsistencyMode mode) {
+    if (std::holds_alternative<Classes>(content)) return mode == ConsistencyMode::Strict;
     const auto* servers = std::get_if<Servers>(&content);
-    return !servers || servers->source != Source::Discovery || mode == Mode::Quick;
+    return !servers || servers->source != ListSource::Discovery || mode == ConsistencyMode::Bounded;
 }
 
-bool named_well(std::string_view name) {
+bool is_valid_name(std::string_view name) {
     return !name.empty() && name.size() <= kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
         return c > ' ' && c < 127 && c != '"' && c != '`' && c != '#';
     });
 }
 
-std::optional<Failure> checked(const Content& content) {
+std::optional<Failure> validate(const Content& content) {
     if (auto bad = std::visit([](const auto& c) { return sound(c); }, content)) return bad;
     if (std::size_t size = encode(content).size(); size > kContentMost)
         return wrong(Error::TooLong, std::to_string(size) + " octets of " + std::to_string(kContentMost));
     return {};
 }
 
-std::optional<Failure> follows(const Content& old, const Content& next) {
+std::optional<Failure> check_successor(const Content& old, const Content& next) {
     if (old.index() != next.index()) return wrong(Error::KindChanged, std::string(name(kind(old))));
     if (const auto* a = std::get_if<Limits>(&old)) {
         auto in_b = index(std::get<Limits>(next).limits);
@@ -328,18 +333,18 @@
     return {};
 }
 
-bool contradict(const Content& a, const Content& b) {
+bool conflicts(const Content& a, const Content& b) {
     if (a.index() != b.index()) return false;
     return std::visit([&](const auto& x) { return clash(x, std::get<std::decay_t<decltype(x)>>(b)); }, a);
 }
 
-Content between(const Content& a, const Content& b) {
-    if (a.index() != b.index()) return caution(a);
+Content intersection(const Content& a, const Content& b) {
+    if (a.index() != b.index()) return conservative_subset(a);
     return std::visit([&](const auto& x) { return Content(part(x, std::get<std::decay_t<decltype(x)>>(b))); },
                       a);
 }
 
-Content caution(const Content& content) {
+Content conservative_subset(const Content& content) {
     return std::visit(
         Overloaded{[](const Limits& c) -> Content {
                        Limits out;
@@ -352,41 +357,44 @@
                    [](const Classes& c) -> Content {
                        Classes out;
                        for (const ClassRule& r : c.classes)
-                           out.classes.push_back({r.name, Repeat::Unsaid, 1});
+                           out.classes.push_back({r.name, RetryRule::Unspecified, 1});
                        return out;
                    },
                    [](const Headers&) -> Content { return Headers{}; },
                    [](const Partners& c) -> Content {
                        Partners out;
                        for (const Partner& p : c.partners)
-                           out.partners.push_back({p.name, Standing::Held, {}});
+                           out.partners.push_back({p.name, PartnerStatus::OnHold, {}});
                        return out;
                    },
                    [](const Servers& c) -> Content {
                        Servers out{c.source, 0, {}, true};
                        for (const Server& s : c.servers)
-                           out.servers.push_back({s.name, s.use == Use::In ? Use::Last : Use::Rest, s.zone});
+                           out.servers.push_back(
+                               {s.name,
+                                s.use == ServerUse::In ? ServerUse::LastResort : ServerUse::Unspecified,
+                                s.zone});
                        return out;
                    }},
         content);
 }
 
-Content refuse(const Content& content) {
-    Content out = caution(content);
+Content deny_all(const Content& content) {
+    Content out = conservative_subset(content);
     if (auto* limits = std::get_if<Limits>(&out)) limits->limits.clear();
     if (auto* servers = std::get_if<Servers>(&out))
-        for (Server& s : servers->servers) s.use = Use::Rest;
+        for (Server& s : servers->servers) s.use = ServerUse::Unspecified;
     return out;
 }
 
-Servers joined(const Servers& list, const Servers& hand) {
+Servers merge_lists(const Servers& list, const Servers& hand) {
     Servers out = list;
     auto said = index(hand.servers);
     for (Server& s : out.servers) {
-        if (s.use == Use::Out || s.use == Use::Rest) continue;
-        Use word = use_of(hand, said, s.name);
-        if (word == Use::Out || word == Use::Rest) s.use = Use::Out;
-        if (word == Use::Last) s.use = Use::Last;
+        if (s.use == ServerUse::Out || s.use == ServerUse::Unspecified) continue;
+        ServerUse word = use_of(hand, said, s.name);
+        if (word == ServerUse::Out || word == ServerUse::Unspecified) s.use = ServerUse::Out;
+        if (word == ServerUse::LastResort) s.use = ServerUse::LastResort;
     }
     return out;
 }
--- a/src/fleet/config_distribution/document.h
+++ b/src/fleet/config_distribution/document.h
@@ -23,15 +23,16 @@
 inline constexpr std::uint64_t kRateMost = 1'000'000'000'000;  ///< thousandths of a request a second
 
 enum class Kind : std::uint8_t { Limits = 1, Classes, Headers, Partners, Servers };
-enum class Mode : std::uint8_t {
-    Strict,  ///< no two processes ever act on versions that contradict each other
-    Quick,   ///< at most for the stated time
+enum class ConsistencyMode : std::uint8_t {
+    Strict,   ///< no two processes ever act on versions that contradict each other
+    Bounded,  ///< at most for the stated time
 };
 /// What a process does whose permit is over.
-enum class Choice : std::uint8_t {
-    Keep,  ///< goes on: what the mode promises then holds only for those whom a majority of keepers reaches
-    Caution,  ///< acts on the part that contradicts no possible successor
-    Refuse,   ///< acts on nothing that the document allows
+enum class ExpiryPolicy : std::uint8_t {
+    KeepCurrent,   ///< goes on: what the mode promises then holds only for those whom a majority of keepers
+                   ///< reaches
+    Conservative,  ///< acts on the part that contradicts no possible successor
+    DenyAll,       ///< acts on nothing that the document allows
 };
 
 /// The most that whoever it names may use over the whole fleet. `floor` is what a process out of reach goes
@@ -48,15 +49,15 @@
     friend bool operator==(const Limits&, const Limits&) = default;
 };
 
-enum class Repeat : std::uint8_t {
-    Unsaid,  ///< is not repeated, and no other is forbidden to
-    May,
-    MayNot,
+enum class RetryRule : std::uint8_t {
+    Unspecified,  ///< is not repeated, and no other is forbidden to
+    Allowed,
+    Forbidden,
 };
 struct ClassRule {
     std::string name;
-    Repeat repeat = Repeat::MayNot;
-    std::uint32_t attempts = 1;  ///< at most; of May alone more than one
+    RetryRule retry = RetryRule::Forbidden;
+    std::uint32_t max_attempts = 1;  ///< at most; of May alone more than one
     friend bool operator==(const ClassRule&, const ClassRule&) = default;
 };
 struct Classes {
@@ -64,9 +65,9 @@
     friend bool operator==(const Classes&, const Classes&) = default;
 };
 
-enum class Act : std::uint8_t { Set, Add, Remove };
+enum class HeaderAction : std::uint8_t { Set, Add, Remove };
 struct HeaderRule {
-    Act act = Act::Set;
+    HeaderAction action = HeaderAction::Set;
     std::string name, value;
     friend bool operator==(const HeaderRule&, const HeaderRule&) = default;
 };
@@ -75,14 +76,14 @@
     friend bool operator==(const Headers&, const Headers&) = default;
 };
 
-enum class Standing : std::uint8_t {
-    Held,  ///< told to come back later, which contradicts nothing
+enum class PartnerStatus : std::uint8_t {
+    OnHold,  ///< told to come back later, which contradicts nothing
     Open,
-    Shut,
+    Closed,
 };
 struct Partner {
     std::string name;
-    Standing standing = Standing::Open;
+    PartnerStatus status = PartnerStatus::Open;
     std::vector<std::string> keys;  ///< a key is one partner's
     friend bool operator==(const Partner&, const Partner&) = default;
 };
@@ -91,25 +92,25 @@
     friend bool operator==(const Partners&, const Partners&) = default;
 };
 
-enum class Use : std::uint8_t {
-    Rest,  ///< not used, and no other is forbidden to
+enum class ServerUse : std::uint8_t {
+    Unspecified,  ///< not used, and no other is forbidden to
     In,
     Out,
-    Last,  ///< used where nothing else is there
+    LastResort,  ///< used where nothing else is there
 };
-enum class Source : std::uint8_t {
+enum class ListSource : std::uint8_t {
     Static,     ///< a whole list: who is not in it is out
-    Hand,       ///< what operators have said: who is not in it is in, as far as this list goes
+    Operator,   ///< what operators have said: who is not in it is in, as far as this list goes
     Discovery,  ///< a whole list, proposed by the one that watches discovery
 };
 struct Server {
     std::string name;
-    Use use = Use::In;
+    ServerUse use = ServerUse::In;
     std::string zone;
     friend bool operator==(const Server&, const Server&) = default;
 };
 struct Servers {
-    Source source = Source::Static;
+    ListSource source = ListSource::Static;
     std::uint64_t revision = 0;  ///< discovery's own
     std::vector<Server> servers;
     bool partial =
@@ -121,10 +122,10 @@
 using Digest = std::array<std::uint8_t, 16>;
 
 /// Where a canary is acted on, and for how long: it ends by itself.
-struct Scope {
+struct CanaryScope {
     std::string zone, node;  ///< one of the two
     Duration length{};
-    friend bool operator==(const Scope&, const Scope&) = default;
+    friend bool operator==(const CanaryScope&, const CanaryScope&) = default;
 };
 inline constexpr Duration kCanaryMost{24 * 3600 * 1000.0};
 
@@ -132,43 +133,43 @@
     std::string name;
     std::uint64_t version = 0;
     Content content;
-    Mode mode = Mode::Strict;
-    Choice choice = Choice::Caution;
+    ConsistencyMode mode = ConsistencyMode::Strict;
+    ExpiryPolicy expiry_policy = ExpiryPolicy::Conservative;
     std::string proposer;
-    std::uint64_t when = 0;  ///< seconds since 1970 by the proposer's clock: for people
-    std::optional<Scope> scope;
-    std::uint64_t of = 0;  ///< a step back: the version whose content this is
+    std::uint64_t proposed_at_s = 0;  ///< seconds since 1970 by the proposer's clock: for people
+    std::optional<CanaryScope> scope;
+    std::uint64_t rollback_of = 0;  ///< a step back: the version whose content this is
     friend bool operator==(const Document&, const Document&) = default;
 };
 
 Kind kind(const Content& content);
 std::string_view name(Kind kind);
 std::optional<Kind> kind_named(std::string_view name);
-std::string_view name(Mode mode);
-std::string_view name(Choice choice);
+std::string_view name(ConsistencyMode mode);
+std::string_view name(ExpiryPolicy expiry_policy);
 
 /// Lists are quick, as drains must not wait; whether something runs twice is strict.
-bool allowed(const Content& content, Mode mode);
-bool named_well(std::string_view name);
+bool allowed(const Content& content, ConsistencyMode mode);
+bool is_valid_name(std::string_view name);
 
 /// Nothing where it is sound: sizes, doubles, values, sums; else what is wrong, and where in it.
-std::optional<Failure> checked(const Content& content);
+std::optional<Failure> validate(const Content& content);
 /// Whether `next` may come behind `old` under one name: the same kind, and nothing below a floor.
-std::optional<Failure> follows(const Content& old, const Content& next);
+std::optional<Failure> check_successor(const Content& old, const Content& next);
 
 /// Two processes that act on one each do harm: see docs/design/agreement.md for each kind. Symmetric; of two
 /// kinds, never.
-bool contradict(const Content& a, const Content& b);
+bool conflicts(const Content& a, const Content& b);
 /// The part that contradicts neither, nor what `caution` leaves of either.
-Content between(const Content& a, const Content& b);
+Content intersection(const Content& a, const Content& b);
 /// The part that contradicts no content that `follows` it, whenever.
-Content caution(const Content& content);
+Content conservative_subset(const Content& content);
 /// What acts on nothing that the document allows.
-Content refuse(const Content& content);
+Content deny_all(const Content& content);
 
 /// How the lists of one fleet join: who is out by hand is out, whatever discovery says; else discovery's
 /// word, else the static list's.
-Servers joined(const Servers& list, const Servers& hand);
+Servers merge_lists(const Servers& list, const Servers& hand);
 
 /// Entries by name (header rules by their order), so that equal contents are equal octets.
 Content canonical(Content content);
@@ -179,10 +180,10 @@
 Digest digest(std::string_view octets);
 
 /// One entry a line, `kind limits` first.
-std::string text(const Content& content);
+std::string to_text(const Content& content);
 /// Reads what `text` writes, and files by hand: blank lines and `#` are skipped. `Failure::about` names the
 /// line.
-std::variant<Content, Failure> read_text(std::string_view text);
+std::variant<Content, Failure> parse_text(std::string_view text);
 /// Lines of `b` that are not in `a` behind `+ `, the reverse behind `- `. Empty: the same.
 std::string diff(const Content& a, const Content& b);
 
--- a/src/fleet/config_distribution/document_file.cpp
+++ b/src/fleet/config_distribution/document_file.cpp
@@ -37,7 +37,7 @@
     std::vector<Document> out;
     for (const auto& d : kept.documents()) {
         auto document = read(d);
-        if (!document || checked(document->content))
+        if (!document || validate(document->content))
             return bad("document `" + d.name().substr(0, kNameMost) + "`");
         out.push_back(std::move(*document));
     }
--- a/src/fleet/config_distribution/document_text.cpp
+++ b/src/fleet/config_distribution/document_text.cpp
@@ -32,19 +32,19 @@
 void lines(const Classes& c, std::string& out) {
     for (const ClassRule& r : c.classes)
         out.append("class " + r.name + " repeat ")
-            .append(kRepeats[std::size_t(r.repeat)])
-            .append(" attempts " + std::to_string(r.attempts) + "\n");
+            .append(kRepeats[std::size_t(r.retry)])
+            .append(" attempts " + std::to_string(r.max_attempts) + "\n");
 }
 void lines(const Headers& c, std::string& out) {
     for (const HeaderRule& r : c.rules) {
-        out.append(kActs[std::size_t(r.act)]).append(" " + r.name);
-        if (r.act != Act::Remove) out += " " + r.value;
+        out.append(kActs[std::size_t(r.action)]).append(" " + r.name);
+        if (r.action != HeaderAction::Remove) out += " " + r.value;
         out += "\n";
     }
 }
 void lines(const Partners& c, std::string& out) {
     for (const Partner& p : c.partners) {
-        out.append("partner " + p.name + " ").append(kStandings[std::size_t(p.standing)]);
+        out.append("partner " + p.name + " ").append(kStandings[std::size_t(p.status)]);
         for (const std::string& key : p.keys) out += " key " + key;
         out += "\n";
     }
@@ -124,17 +124,17 @@
     while (!words.end()) {
         std::string_view key = words.next(), value = words.next();
         std::uint64_t attempts = 0;
-        if (key == "repeat" ? !named(value, kRepeats, r.repeat)
+        if (key == "repeat" ? !named(value, kRepeats, r.retry)
                             : key != "attempts" || !number(value, attempts) || attempts > 1000)
             return false;
-        if (key == "attempts") r.attempts = std::uint32_t(attempts);
+        if (key == "attempts") r.max_attempts = std::uint32_t(attempts);
     }
     c.classes.push_back(std::move(r));
     return true;
 }
 bool take(Headers& c, std::string_view first, Words& words) {
     HeaderRule r;
-    if (!named(first, kActs, r.act)) return false;
+    if (!named(first, kActs, r.action)) return false;
     r.name = words.next();
     r.value = words.all();
     c.rules.push_back(std::move(r));
@@ -144,7 +144,7 @@
     if (first != "partner") return false;
     Partner p;
     p.name = words.next();
-    if (!named(words.next(), kStandings, p.standing)) return false;
+    if (!named(words.next(), kStandings, p.status)) return false;
     while (!words.end()) {
         if (words.next() != "key") return false;
         p.keys.emplace_back(words.next());
@@ -169,14 +169,14 @@
 
 }  // namespace
 
-std::string text(const Content& content) {
+std::string to_text(const Content& content) {
     std::string out("kind ");
     out.append(name(kind(content))).append("\n");
     std::visit([&](const auto& c) { lines(c, out); }, canonical(content));
     return out;
 }
 
-std::variant<Content, Failure> read_text(std::string_view text) {
+std::variant<Content, Failure> parse_text(std::string_view text) {
     if (text.size() > 2 * kContentMost)
         return Failure{Error::TooLong, std::to_string(text.size()) + " octets of text"};
     std::optional<Content> content;
@@ -217,7 +217,7 @@
         }
     }
     if (!content) return Failure{Error::Malformed, "nothing in it"};
-    if (auto bad = checked(*content)) return *bad;
+    if (auto bad = validate(*content)) return *bad;
     return canonical(std::move(*content));
 }
 
@@ -231,7 +231,7 @@
         }
         return out;
     };
-    std::vector<std::string> was = split(text(a)), is = split(text(b));
+    std::vector<std::string> was = split(to_text(a)), is = split(to_text(b));
     std::map<std::string, int> count;
     for (const std::string& line : was) ++count[line];
     for (const std::string& line : is) --count[line];
--- a/src/fleet/config_distribution/max_inconsistency.cpp
+++ b/src/fleet/config_distribution/max_inconsistency.cpp
@@ -4,16 +4,16 @@
 
 namespace ochrehub::config_distribution {
 
-Timing timing(Duration lease, std::optional<Duration> stated) {
+LeaseTiming lease_timing(Duration lease, std::optional<Duration> stated) {
     return {lease, lease / 100 + Duration{50}, 0.01, stated};
 }
 
-Duration stated_time(const Timing& t, Mode mode) {
-    if (mode == Mode::Strict) return Duration{0};
+Duration max_inconsistency(const LeaseTiming& t, ConsistencyMode mode) {
+    if (mode == ConsistencyMode::Strict) return Duration{0};
     return (t.lease - t.margin) * (1 + t.drift);
 }
 
-std::optional<Failure> checked(const Timing& t) {
+std::optional<Failure> validate(const LeaseTiming& t) {
     auto ms = [](Duration d) { return std::to_string(std::llround(std::ceil(d.count()))) + " ms"; };
     Duration held = (t.lease - t.margin) * (1 + t.drift);
     if (held > t.lease || t.margin >= t.lease)
--- a/src/fleet/config_distribution/max_inconsistency.h
+++ b/src/fleet/config_distribution/max_inconsistency.h
@@ -8,7 +8,7 @@
 
 namespace ochrehub::config_distribution {
 
-struct Timing {
+struct LeaseTiming {
     Duration lease{3000};
     Duration margin{
         80};  ///< how much earlier a process takes its session for over: a hundredth of the lease and 50 ms
@@ -16,13 +16,13 @@
     std::optional<Duration> stated;  ///< what operators ask for, of quick documents
 };
 /// With the margin that a session of this lease has.
-Timing timing(Duration lease, std::optional<Duration> stated = {});
+LeaseTiming lease_timing(Duration lease, std::optional<Duration> stated = {});
 
 /// Strict: zero. Quick: what the lease of a process is that was renewed just before the next version was in
 /// force, and hears nothing any more; where all is well, a renewal and its round trip. A canary of a quick
 /// document adds its own length.
-Duration stated_time(const Timing& timing, Mode mode);
+Duration max_inconsistency(const LeaseTiming& timing, ConsistencyMode mode);
 /// A stated time that these cannot hold, or a margin that does not cover the clocks.
-std::optional<Failure> checked(const Timing& timing);
+std::optional<Failure> validate(const LeaseTiming& timing);
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/wire_codec.cpp
+++ b/src/fleet/config_distribution/wire_codec.cpp
@@ -16,19 +16,19 @@
 void put(const Classes& c, wire::Content& out) {
     for (const ClassRule& r : c.classes) {
         auto& o = *out.add_classes();
-        o.set_name(r.name), o.set_repeat(std::uint32_t(r.repeat)), o.set_attempts(r.attempts);
+        o.set_name(r.name), o.set_repeat(std::uint32_t(r.retry)), o.set_attempts(r.max_attempts);
     }
 }
 void put(const Headers& c, wire::Content& out) {
     for (const HeaderRule& r : c.rules) {
         auto& o = *out.add_headers();
-        o.set_act(std::uint32_t(r.act)), o.set_name(r.name), o.set_value(r.value);
+        o.set_act(std::uint32_t(r.action)), o.set_name(r.name), o.set_value(r.value);
     }
 }
 void put(const Partners& c, wire::Content& out) {
     for (const Partner& p : c.partners) {
         auto& o = *out.add_partners();
-        o.set_name(p.name), o.set_standing(std::uint32_t(p.standing));
+        o.set_name(p.name), o.set_standing(std::uint32_t(p.status));
         for (const std::string& key : p.keys) o.add_keys(key);
     }
 }
@@ -58,7 +58,7 @@
             Classes c;
             for (const auto& r : in.classes()) {
                 c.classes.push_back({r.name(), {}, r.attempts()});
-                if (!take(r.repeat(), Repeat::MayNot, c.classes.back().repeat)) return {};
+                if (!take(r.repeat(), RetryRule::Forbidden, c.classes.back().retry)) return {};
             }
             return c;
         }
@@ -66,7 +66,7 @@
             Headers c;
             for (const auto& r : in.headers()) {
                 c.rules.push_back({{}, r.name(), r.value()});
-                if (!take(r.act(), Act::Remove, c.rules.back().act)) return {};
+                if (!take(r.act(), HeaderAction::Remove, c.rules.back().action)) return {};
             }
             return c;
         }
@@ -74,17 +74,17 @@
             Partners c;
             for (const auto& p : in.partners()) {
                 c.partners.push_back({p.name(), {}, {p.keys().begin(), p.keys().end()}});
-                if (!take(p.standing(), Standing::Shut, c.partners.back().standing)) return {};
+                if (!take(p.standing(), PartnerStatus::Closed, c.partners.back().status)) return {};
             }
             return c;
         }
         case Kind::Servers: {
             Servers c;
             c.revision = in.revision();
-            if (!take(in.source(), Source::Discovery, c.source)) return {};
+            if (!take(in.source(), ListSource::Discovery, c.source)) return {};
             for (const auto& s : in.servers()) {
                 c.servers.push_back({s.name(), {}, s.zone()});
-                if (!take(s.use(), Use::Last, c.servers.back().use)) return {};
+                if (!take(s.use(), ServerUse::LastResort, c.servers.back().use)) return {};
             }
             return c;
         }
@@ -129,8 +129,8 @@
     into.set_name(d.name), into.set_version(d.version);
     into.set_digest(std::string(sum.begin(), sum.end()));
     if (content) into.set_content(std::move(octets));
-    into.set_mode(std::uint32_t(d.mode)), into.set_choice(std::uint32_t(d.choice));
-    into.set_proposer(d.proposer), into.set_when(d.when), into.set_of(d.of);
+    into.set_mode(std::uint32_t(d.mode)), into.set_choice(std::uint32_t(d.expiry_policy));
+    into.set_proposer(d.proposer), into.set_when(d.proposed_at_s), into.set_of(d.rollback_of);
     if (d.scope)
         into.set_zone(d.scope->zone), into.set_node(d.scope->node),
             into.set_canary_ms(std::uint64_t(d.scope->length.count()));
@@ -138,13 +138,14 @@
 
 std::optional<Document> read(const wire::Document& from, bool empty_content) {
     Document out{from.name(), from.version(), {}, {}, {}, from.proposer(), from.when(), {}, from.of()};
-    if (!named_well(out.name) || out.proposer.size() > kNameMost ||
-        !take(from.mode(), Mode::Quick, out.mode) || !take(from.choice(), Choice::Refuse, out.choice))
+    if (!is_valid_name(out.name) || out.proposer.size() > kNameMost ||
+        !take(from.mode(), ConsistencyMode::Bounded, out.mode) ||
+        !take(from.choice(), ExpiryPolicy::DenyAll, out.expiry_policy))
         return {};
     if (from.canary_ms() != 0 || !from.zone().empty() || !from.node().empty()) {
-        out.scope = Scope{from.zone(), from.node(), Duration{double(from.canary_ms())}};
+        out.scope = CanaryScope{from.zone(), from.node(), Duration{double(from.canary_ms())}};
         const std::string& where = from.zone().empty() ? from.node() : from.zone();
-        if (from.zone().empty() == from.node().empty() || !named_well(where) ||
+        if (from.zone().empty() == from.node().empty() || !is_valid_name(where) ||
             out.scope->length > kCanaryMost || from.canary_ms() == 0)
             return {};
     }
--- a/tests/fleet/config_distribution_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -61,15 +61,15 @@
         case Kind::Classes: {
             Classes c;
             for (const auto& n : names())
-                c.classes.push_back(below(2) ? ClassRule{n, Repeat::May, std::uint32_t(1 + below(3))}
-                                             : ClassRule{n, Repeat::MayNot, 1});
+                c.classes.push_back(below(2) ? ClassRule{n, RetryRule::Allowed, std::uint32_t(1 + below(3))}
+                                             : ClassRule{n, RetryRule::Forbidden, 1});
             return c;
         }
         case Kind::Headers: {
             Headers c;
             for (std::uint64_t i = below(6); i != 0; --i) {
-                HeaderRule r{Act(below(3)), std::string(1, char('u' + below(3))), {}};
-                if (r.act != Act::Remove) r.value = std::to_string(below(2));
+                HeaderRule r{HeaderAction(below(3)), std::string(1, char('u' + below(3))), {}};
+                if (r.action != HeaderAction::Remove) r.value = std::to_string(below(2));
                 if (c.rules.empty() || !(r == c.rules.back())) c.rules.push_back(r);
             }
             return c;
@@ -77,16 +77,16 @@
         case Kind::Partners: {
             Partners c;
             for (const auto& n : names())
-                c.partners.push_back({n, below(3) ? Standing::Open : Standing::Shut, {}});
+                c.partners.push_back({n, below(3) ? PartnerStatus::Open : PartnerStatus::Closed, {}});
             for (const char* key : {"k1", "k2", "k3"})
                 if (!c.partners.empty() && below(3))
                     c.partners[below(c.partners.size())].keys.emplace_back(key);
             return c;
         }
         case Kind::Servers: {
-            Servers c{Source(below(3)), 0, {}};
+            Servers c{ListSource(below(3)), 0, {}};
             for (const auto& n : names())
-                c.servers.push_back({n, below(3) ? Use::In : Use::Out, below(2) ? "z" : ""});
+                c.servers.push_back({n, below(3) ? ServerUse::In : ServerUse::Out, below(2) ? "z" : ""});
             return c;
         }
     }
@@ -97,7 +97,7 @@
 // ---- Documents
 
 TEST(Document, WhatContradicts) {
-    auto servers = [](Source source, std::vector<Server> all) {
+    auto servers = [](ListSource source, std::vector<Server> all) {
         return Content(Servers{source, 0, std::move(all)});
     };
     struct Row {
@@ -108,25 +108,28 @@
         {limits(400, 500), limits(500, 400), false},
         {limits(400, 500), limits(400, 100, 500), true},  // the budget was cut
         {limits(400, 500, 0), limits(900, 900, 0), false},
-        {Classes{{{"order", Repeat::May, 2}}}, Classes{{{"order", Repeat::MayNot, 1}}}, true},
-        {Classes{{{"order", Repeat::May, 2}}}, Classes{{{"page", Repeat::MayNot, 1}}}, false},
-        {Headers{{{Act::Set, "x", "1"}, {Act::Remove, "x", ""}}},
-         Headers{{{Act::Remove, "x", ""}, {Act::Set, "x", "1"}}}, true},
-        {Headers{{{Act::Set, "x", "1"}, {Act::Set, "y", "1"}}},
-         Headers{{{Act::Set, "y", "1"}, {Act::Set, "x", "1"}}}, false},
-        {Headers{{{Act::Add, "x", "1"}}}, Headers{{{Act::Set, "x", "1"}}}, true},
-        {Partners{{{"p", Standing::Open, {"k"}}}}, Partners{{{"q", Standing::Open, {"k"}}}}, true},
-        {Partners{{{"p", Standing::Open, {"k"}}}}, Partners{{{"p", Standing::Shut, {"k"}}}}, true},
-        {Partners{{{"p", Standing::Open, {"k"}}}}, Partners{{{"q", Standing::Shut, {"l"}}}}, false},
-        {servers(Source::Static, {{"s", Use::In, ""}}), servers(Source::Static, {{"s", Use::Out, ""}}), true},
-        {servers(Source::Static, {{"s", Use::In, ""}}), servers(Source::Static, {}), true},
-        {servers(Source::Hand, {{"s", Use::In, ""}}), servers(Source::Hand, {}), false},
-        {servers(Source::Hand, {{"s", Use::Out, ""}}), servers(Source::Hand, {}), true},
-        {servers(Source::Hand, {{"s", Use::Out, ""}}), limits(1, 1), false},
+        {Classes{{{"order", RetryRule::Allowed, 2}}}, Classes{{{"order", RetryRule::Forbidden, 1}}}, true},
+        {Classes{{{"order", RetryRule::Allowed, 2}}}, Classes{{{"page", RetryRule::Forbidden, 1}}}, false},
+        {Headers{{{HeaderAction::Set, "x", "1"}, {HeaderAction::Remove, "x", ""}}},
+         Headers{{{HeaderAction::Remove, "x", ""}, {HeaderAction::Set, "x", "1"}}}, true},
+        {Headers{{{HeaderAction::Set, "x", "1"}, {HeaderAction::Set, "y", "1"}}},
+         Headers{{{HeaderAction::Set, "y", "1"}, {HeaderAction::Set, "x", "1"}}}, false},
+        {Headers{{{HeaderAction::Add, "x", "1"}}}, Headers{{{HeaderAction::Set, "x", "1"}}}, true},
+        {Partners{{{"p", PartnerStatus::Open, {"k"}}}}, Partners{{{"q", PartnerStatus::Open, {"k"}}}}, true},
+        {Partners{{{"p", PartnerStatus::Open, {"k"}}}}, Partners{{{"p", PartnerStatus::Closed, {"k"}}}},
+         true},
+        {Partners{{{"p", PartnerStatus::Open, {"k"}}}}, Partners{{{"q", PartnerStatus::Closed, {"l"}}}},
+         false},
+        {servers(ListSource::Static, {{"s", ServerUse::In, ""}}),
+         servers(ListSource::Static, {{"s", ServerUse::Out, ""}}), true},
+        {servers(ListSource::Static, {{"s", ServerUse::In, ""}}), servers(ListSource::Static, {}), true},
+        {servers(ListSource::Operator, {{"s", ServerUse::In, ""}}), servers(ListSource::Operator, {}), false},
+        {servers(ListSource::Operator, {{"s", ServerUse::Out, ""}}), servers(ListSource::Operator, {}), true},
+        {servers(ListSource::Operator, {{"s", ServerUse::Out, ""}}), limits(1, 1), false},
     };
     for (const Row& row : rows) {
-        EXPECT_EQ(contradict(row.a, row.b), row.clash) << text(row.a) << text(row.b);
-        EXPECT_EQ(contradict(row.b, row.a), row.clash);
+        EXPECT_EQ(conflicts(row.a, row.b), row.clash) << to_text(row.a) << to_text(row.b);
+        EXPECT_EQ(conflicts(row.b, row.a), row.clash);
     }
 }
 
@@ -136,24 +139,24 @@
         std::mt19937_64 random(seed);
         for (Kind kind : kKinds) {
             Content a = drawn(random, kind), b = drawn(random, kind), c = drawn(random, kind);
-            RC_ASSERT(!checked(a));
-            RC_ASSERT(contradict(a, b) == contradict(b, a));
-            RC_ASSERT(!contradict(a, a));
-            clashes += contradict(a, b);
+            RC_ASSERT(!validate(a));
+            RC_ASSERT(conflicts(a, b) == conflicts(b, a));
+            RC_ASSERT(!conflicts(a, a));
+            clashes += conflicts(a, b);
             if (const auto* s = std::get_if<Servers>(&a))
                 std::get<Servers>(b).source = std::get<Servers>(c).source = s->source;
             for (const Content* x : {&a, &b}) {
-                Content part = between(a, b);
-                RC_ASSERT(!contradict(part, *x));
-                RC_ASSERT(!contradict(part, caution(*x)));
-                RC_ASSERT(!contradict(refuse(*x), part));
+                Content part = intersection(a, b);
+                RC_ASSERT(!conflicts(part, *x));
+                RC_ASSERT(!conflicts(part, conservative_subset(*x)));
+                RC_ASSERT(!conflicts(deny_all(*x), part));
             }
-            for (const Content& part : {caution(a), refuse(a)}) {
-                RC_ASSERT(!contradict(part, a));
-                if (follows(a, b)) continue;
+            for (const Content& part : {conservative_subset(a), deny_all(a)}) {
+                RC_ASSERT(!conflicts(part, a));
+                if (check_successor(a, b)) continue;
                 ++followed;
-                RC_ASSERT(!contradict(part, b));
-                if (!follows(b, c)) RC_ASSERT(!contradict(part, c));
+                RC_ASSERT(!conflicts(part, b));
+                if (!check_successor(b, c)) RC_ASSERT(!conflicts(part, c));
             }
         }
     }));
@@ -167,7 +170,7 @@
         for (Kind kind : kKinds) {
             Content a = drawn(random, kind), b = drawn(random, kind);
             RC_ASSERT(decode(encode(a)) == canonical(a));
-            auto read = read_text(text(a));
+            auto read = parse_text(to_text(a));
             RC_ASSERT(std::get<Content>(read) == canonical(a));
             RC_ASSERT((digest(encode(a)) == digest(encode(b))) == (canonical(a) == canonical(b)));
             RC_ASSERT(diff(a, b).empty() == (canonical(a) == canonical(b)));
@@ -186,7 +189,7 @@
 }
 
 TEST(Document, WrongContentsNameThePlace) {
-    auto bad = [](std::string text) { return failure(read_text(text)); };
+    auto bad = [](std::string text) { return failure(parse_text(text)); };
     EXPECT_TRUE(is(bad("kind weather\n"), Error::UnknownKind));
     EXPECT_TRUE(is(bad(""), Error::Malformed));
     EXPECT_TRUE(is(bad("# by hand\nkind limits\n\nlimit a rate x\n"), Error::Malformed));
@@ -209,57 +212,69 @@
 }
 
 TEST(Document, ListsJoin) {
-    Servers list{Source::Discovery, 7, {{"a", Use::In, ""}, {"b", Use::In, ""}, {"c", Use::Out, ""}}};
-    Servers hand{Source::Hand, 0, {{"a", Use::Out, ""}, {"c", Use::In, ""}}};
-    Servers both = joined(list, hand);
-    EXPECT_EQ(both.servers[0].use, Use::Out);  // by hand, whatever discovery says
-    EXPECT_EQ(both.servers[1].use, Use::In);
-    EXPECT_EQ(both.servers[2].use, Use::Out);  // by hand nothing is put in that discovery has let go
-    both = joined(list, std::get<Servers>(caution(hand)));
-    EXPECT_EQ(both.servers[0].use, Use::Out);
-    EXPECT_EQ(both.servers[1].use, Use::Last);
+    Servers list{ListSource::Discovery,
+                 7,
+                 {{"a", ServerUse::In, ""}, {"b", ServerUse::In, ""}, {"c", ServerUse::Out, ""}}};
+    Servers hand{ListSource::Operator, 0, {{"a", ServerUse::Out, ""}, {"c", ServerUse::In, ""}}};
+    Servers both = merge_lists(list, hand);
+    EXPECT_EQ(both.servers[0].use, ServerUse::Out);  // by hand, whatever discovery says
+    EXPECT_EQ(both.servers[1].use, ServerUse::In);
+    EXPECT_EQ(both.servers[2].use, ServerUse::Out);  // by hand nothing is put in that discovery has let go
+    both = merge_lists(list, std::get<Servers>(conservative_subset(hand)));
+    EXPECT_EQ(both.servers[0].use, ServerUse::Out);
+    EXPECT_EQ(both.servers[1].use, ServerUse::LastResort);
 }
 
 TEST(StatedTime, IsWhatTheSettingsHold) {
-    EXPECT_EQ(stated_time(timing(3000ms), Mode::Strict), 0ms);
-    EXPECT_NEAR(stated_time(timing(3000ms), Mode::Quick).count(), 2949.2, 0.1);
-    EXPECT_FALSE(checked(timing(3000ms, 3000ms)));
-    EXPECT_TRUE(is(checked(timing(3000ms, 2900ms)), Error::StatedTime));
-    EXPECT_TRUE(is(checked(Timing{3000ms, 10ms, 0.01, {}}), Error::Margin));
+    EXPECT_EQ(max_inconsistency(lease_timing(3000ms), ConsistencyMode::Strict), 0ms);
+    EXPECT_NEAR(max_inconsistency(lease_timing(3000ms), ConsistencyMode::Bounded).count(), 2949.2, 0.1);
+    EXPECT_FALSE(validate(lease_timing(3000ms, 3000ms)));
+    EXPECT_TRUE(is(validate(lease_timing(3000ms, 2900ms)), Error::StatedTime));
+    EXPECT_TRUE(is(validate(LeaseTiming{3000ms, 10ms, 0.01, {}}), Error::Margin));
 }
 
 // ---- The machine
 
 struct Keepers {
-    Agreement machine;
-    Answer ask(const std::string& command, coordinator::SessionId session = 0) {
+    ConfigStateMachine machine;
+    ConfigResponse ask(const std::string& command, coordinator::SessionId session = 0) {
         // Every state passes through a snapshot: what is not in it would show.
-        Agreement other;
+        ConfigStateMachine other;
         EXPECT_TRUE(other.restore(1, machine.snapshot()));
         EXPECT_EQ(other.snapshot(), machine.snapshot());
         std::string answer = machine.apply({session, command});
         EXPECT_EQ(other.apply({session, command}), answer);
         EXPECT_EQ(other.snapshot(), machine.snapshot());
-        auto read = read_answer(answer);
+        auto read = decode_response(answer);
         EXPECT_TRUE(read);
-        return read.value_or(Answer{});
+        return read.value_or(ConfigResponse{});
     }
-    Answer propose(Content content, std::uint64_t base, Mode mode = Mode::Strict, std::string name = "rates",
-                   std::uint64_t token = 0) {
+    ConfigResponse propose(Content content, std::uint64_t base,
+                           ConsistencyMode mode = ConsistencyMode::Strict, std::string name = "rates",
+                           std::uint64_t token = 0) {
         return ask(config_distribution::propose(
             {as(std::move(content), mode, std::move(name)), base, token, true, 30s}));
     }
-    static Document as(Content content, Mode mode = Mode::Strict, std::string name = "rates") {
-        return {std::move(name), 0, std::move(content), mode, Choice::Caution, "ann", 1'700'000'000, {}, 0};
+    static Document as(Content content, ConsistencyMode mode = ConsistencyMode::Strict,
+                       std::string name = "rates") {
+        return {std::move(name),
+                0,
+                std::move(content),
+                mode,
+                ExpiryPolicy::Conservative,
+                "ann",
+                1'700'000'000,
+                {},
+                0};
     }
     void join(coordinator::SessionId id, const std::string& name, const std::string& zone) {
         machine.session_opened(id, name, zone);
         EXPECT_TRUE(is(ask(said("rates", 1, true, ""), id).failure, Error::Unknown));  // not one that attends
         EXPECT_EQ(machine.session_update(id), "");
-        ask(attend(), id);
+        ask(subscribe_command(), id);
     }
-    Answer look(const std::string& name) {
-        return read_answer(machine.query(question(name))).value_or(Answer{});
+    ConfigResponse look(const std::string& name) {
+        return decode_response(machine.query(status_query(name))).value_or(ConfigResponse{});
     }
     DocumentStatus status(const std::string& name = "rates") {
         auto answer = look(name);
@@ -271,7 +286,7 @@
         ASSERT_EQ(armed.size(), 1u);
         ask(machine.on_timeout(armed[0].key, armed[0].revision));
     }
-    Failure ended(const std::string& name = "rates") { return status(name).ended.back().why; }
+    Failure ended(const std::string& name = "rates") { return status(name).aborted.back().failure; }
 };
 
 TEST(Machine, StrictIsInForceOnceOlderOnesAreGivenBack) {
@@ -286,17 +301,17 @@
     k.ask(said("rates", 2, true, ""), 2);
     EXPECT_EQ(k.status().phase, Phase::Draining);
     k.join(3, "n3", "a");  // never had the older one
-    k.ask(gave_back("rates", 2), 1);
-    EXPECT_TRUE(is(k.ask(gave_back("rates", 1), 2).failure, Error::Unknown));  // of another version
+    k.ask(release_command("rates", 2), 1);
+    EXPECT_TRUE(is(k.ask(release_command("rates", 1), 2).failure, Error::Unknown));  // of another version
     EXPECT_EQ(k.machine.in_force("rates"), 1u);
-    EXPECT_TRUE(k.status().nodes[1].holds_up);
+    EXPECT_TRUE(k.status().nodes[1].blocks_drain);
     k.machine.session_ended(2);
     EXPECT_EQ(k.machine.in_force("rates"), 2u);
     // Back: a new version with the old content, known by where it is from.
     Proposal as{Keepers::as(limits(0, 0)), 2, 0, true, 30s};
-    EXPECT_TRUE(is(k.ask(back("rates", 9, as)).failure, Error::NoVersion));
-    EXPECT_EQ(k.ask(back("rates", 1, as)).version, 3u);
-    EXPECT_EQ(k.status().next->of, 1u);
+    EXPECT_TRUE(is(k.ask(rollback_command("rates", 9, as)).failure, Error::NoVersion));
+    EXPECT_EQ(k.ask(rollback_command("rates", 1, as)).version, 3u);
+    EXPECT_EQ(k.status().next->rollback_of, 1u);
     EXPECT_EQ(k.status().next->content, Content(limits(400, 600)));
 }
 
@@ -312,33 +327,36 @@
     bad(Keepers::as(limits(400, 5, 1000, 5)), 1, Error::Floor);
     bad(Keepers::as(limits(400, 700)), 1, Error::OverBudget);
     bad(Keepers::as(limits(500, 500)), 0, Error::BaseMoved);
-    bad(Keepers::as(limits(500, 500), Mode::Quick), 1, Error::ModeChanged);
-    bad(Keepers::as(Headers{}, Mode::Strict), 1, Error::KindChanged);
-    bad(Keepers::as(Classes{}, Mode::Quick, "classes"), 0, Error::Mode);
-    bad(Keepers::as(Servers{Source::Discovery, 1, {}}, Mode::Strict, "list"), 0, Error::Mode);
+    bad(Keepers::as(limits(500, 500), ConsistencyMode::Bounded), 1, Error::ModeChanged);
+    bad(Keepers::as(Headers{}, ConsistencyMode::Strict), 1, Error::KindChanged);
+    bad(Keepers::as(Classes{}, ConsistencyMode::Bounded, "classes"), 0, Error::Mode);
+    bad(Keepers::as(Servers{ListSource::Discovery, 1, {}}, ConsistencyMode::Strict, "list"), 0, Error::Mode);
     Document canary = Keepers::as(limits(500, 500));
-    canary.scope = Scope{"", "n1", 60s};
+    canary.scope = CanaryScope{"", "n1", 60s};
     bad(canary, 1, Error::Canary);  // strict, and at odds with what is in force
     EXPECT_TRUE(is(k.ask("\xff\xff").failure, Error::Malformed));
     EXPECT_TRUE(is(k.look("other").failure, Error::Unknown));
     EXPECT_TRUE(is(k.ask(said("rates", 1, true, ""), 1).failure, Error::Unknown));
     for (int i = 0; i < 63; ++i)
-        EXPECT_FALSE(k.propose(Headers{}, 0, Mode::Strict, "d" + std::to_string(i)).version == 0);
+        EXPECT_FALSE(k.propose(Headers{}, 0, ConsistencyMode::Strict, "d" + std::to_string(i)).version == 0);
     k.machine.session_ended(1);
-    EXPECT_TRUE(is(k.propose(Headers{}, 0, Mode::Strict, "one more").failure, Error::Malformed));
-    EXPECT_TRUE(is(k.propose(Headers{}, 0, Mode::Strict, "one-more").failure, Error::Full));
+    EXPECT_TRUE(is(k.propose(Headers{}, 0, ConsistencyMode::Strict, "one more").failure, Error::Malformed));
+    EXPECT_TRUE(is(k.propose(Headers{}, 0, ConsistencyMode::Strict, "one-more").failure, Error::Full));
 }
 
 TEST(Machine, TwoAtOnceAndOneTwice) {
     Keepers k;
     k.propose(limits(400, 600), 0);
     k.join(1, "n1", "a");
-    EXPECT_EQ(k.propose(limits(500, 500), 1, Mode::Strict, "rates", 77).version, 2u);
-    EXPECT_TRUE(is(k.propose(limits(300, 600), 1, Mode::Strict, "rates", 78).failure, Error::Busy));
-    EXPECT_EQ(k.propose(limits(500, 500), 1, Mode::Strict, "rates", 77).version, 2u);  // its answer was lost
-    k.ask(said("rates", 2, true, ""), 1), k.ask(gave_back("rates", 2), 1);
-    EXPECT_TRUE(is(k.propose(limits(300, 600), 1, Mode::Strict, "rates", 78).failure, Error::BaseMoved));
-    EXPECT_EQ(k.propose(limits(500, 500), 1, Mode::Strict, "rates", 77).version, 2u);
+    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
+    EXPECT_TRUE(
+        is(k.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::Busy));
+    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version,
+              2u);  // its answer was lost
+    k.ask(said("rates", 2, true, ""), 1), k.ask(release_command("rates", 2), 1);
+    EXPECT_TRUE(
+        is(k.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::BaseMoved));
+    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
 }
 
 TEST(Machine, StopsAtANoItsTimeOrAWord) {
@@ -356,8 +374,8 @@
     EXPECT_TRUE(is(k.ended(), Error::TimeOver));
     EXPECT_EQ(k.ended().about, "rates 3: waits for n2");
     k.propose(limits(500, 500), 1);
-    EXPECT_TRUE(is(k.ask(withdraw("rates", 9, "bob")).failure, Error::Unknown));
-    k.ask(withdraw("rates", 4, "bob"));
+    EXPECT_TRUE(is(k.ask(withdraw_command("rates", 9, "bob")).failure, Error::Unknown));
+    k.ask(withdraw_command("rates", 4, "bob"));
     EXPECT_TRUE(is(k.ended(), Error::Withdrawn));
     // Where one no does not stop it, the no of all does.
     for (bool yes : {true, false}) {
@@ -374,11 +392,11 @@
 
 TEST(Machine, CanaryIsOfItsScopeAndEnds) {
     Keepers k;
-    k.propose(limits(400, 600), 0, Mode::Quick);
+    k.propose(limits(400, 600), 0, ConsistencyMode::Bounded);
     k.join(1, "n1", "a");
     k.join(2, "n2", "b");
-    Document canary = Keepers::as(limits(500, 500), Mode::Quick);
-    canary.scope = Scope{"a", "", 60s};
+    Document canary = Keepers::as(limits(500, 500), ConsistencyMode::Bounded);
+    canary.scope = CanaryScope{"a", "", 60s};
     k.ask(propose({canary, 1, 0, true, 30s}));
     k.ask(said("rates", 2, true, ""), 2);  // was not asked
     EXPECT_EQ(k.status().phase, Phase::Staging);
@@ -397,7 +415,7 @@
     Keepers k;
     k.propose(limits(400, 600), 0);
     std::string whole = k.machine.snapshot();
-    Agreement other;
+    ConfigStateMachine other;
     EXPECT_FALSE(other.restore(2, whole));
     for (std::size_t i = 1; i < whole.size(); ++i) other.restore(1, std::string_view(whole).substr(0, i));
     EXPECT_TRUE(other.restore(1, whole));
@@ -448,7 +466,7 @@
             }
         }
     }
-    const Acted& at(const std::string& name = "rates") { return acted[name].permit.at(now); }
+    const EffectiveConfig& at(const std::string& name = "rates") { return acted[name].permit.at(now); }
 };
 
 TEST(Holder, ActsUnderItsPermitAlone) {
@@ -457,22 +475,22 @@
     n.keepers.propose(limits(400, 600), 0);
     n.renew(1);
     n.renew(1);
-    EXPECT_EQ(n.at().how, How::Version);
+    EXPECT_EQ(n.at().mode, ConfigMode::Full);
     EXPECT_EQ(n.at().version, 1u);
     EXPECT_EQ(*n.at().content, Content(limits(400, 600)));
     n.now += 2919ms;
-    EXPECT_EQ(n.at().how, How::Version);
+    EXPECT_EQ(n.at().mode, ConfigMode::Full);
     n.now += 2ms;  // nobody told the holder: the permit itself ends
-    EXPECT_EQ(n.at().how, How::Caution);
-    EXPECT_EQ(*n.at().content, caution(limits(400, 600)));
+    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
+    EXPECT_EQ(*n.at().content, conservative_subset(limits(400, 600)));
     n.handle(Woken{});
     EXPECT_EQ(n.holder->lapses(), 1u);
     n.renew(1);
-    EXPECT_EQ(n.at().how, How::Version);
+    EXPECT_EQ(n.at().mode, ConfigMode::Full);
     n.handle(Lost{});
-    EXPECT_EQ(n.at().how, How::Caution);
+    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
     n.renew(1);  // a late answer of a session that is over
-    EXPECT_EQ(n.at().how, How::Caution);
+    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
     EXPECT_EQ(n.holder->refused_news(), 1u);
 }
 
@@ -485,10 +503,10 @@
     std::string old = n.keepers.machine.session_update(1);
     n.keepers.propose(limits(500, 500), 1);
     n.renew(1);
-    EXPECT_EQ(n.at().how, How::Version);
+    EXPECT_EQ(n.at().mode, ConfigMode::Full);
     n.renew(1);
-    EXPECT_EQ(n.at().how, How::Between);
-    EXPECT_EQ(*n.at().content, between(limits(400, 600), limits(500, 500)));
+    EXPECT_EQ(n.at().mode, ConfigMode::Transitional);
+    EXPECT_EQ(*n.at().content, intersection(limits(400, 600), limits(500, 500)));
     n.renew(1);
     EXPECT_EQ(n.keepers.machine.in_force("rates"), 1u);  // nothing was confirmed
     n.handle(Switched{n.acted["rates"].serial - 1});     // of an older one
@@ -496,7 +514,7 @@
     n.handle(Switched{n.acted["rates"].serial});
     EXPECT_EQ(n.keepers.machine.in_force("rates"), 2u);
     n.handle(Renewed{1, n.now + 2920ms, old});  // came late
-    EXPECT_EQ(n.at().how, How::Between);
+    EXPECT_EQ(n.at().mode, ConfigMode::Transitional);
     n.renew(1);
     EXPECT_EQ(n.at().version, 2u);
     auto kept = read_file(n.written);
@@ -505,23 +523,26 @@
 }
 
 TEST(Holder, StartsFromItsFileByItsChoice) {
-    for (Choice choice : {Choice::Keep, Choice::Caution, Choice::Refuse}) {
+    for (ExpiryPolicy expiry_policy :
+         {ExpiryPolicy::KeepCurrent, ExpiryPolicy::Conservative, ExpiryPolicy::DenyAll}) {
         Document d = Keepers::as(limits(400, 600));
-        d.version = 3, d.choice = choice;
+        d.version = 3, d.expiry_policy = expiry_policy;
         Node n({d});
-        EXPECT_EQ(n.at().how, choice == Choice::Refuse ? How::Refuse : How::Caution);
+        EXPECT_EQ(n.at().mode,
+                  expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll : ConfigMode::Conservative);
         n.now += 5s;
         n.handle(Woken{});
-        EXPECT_EQ(n.at().how, choice == Choice::Keep      ? How::Keep
-                              : choice == Choice::Caution ? How::Caution
-                                                          : How::Refuse);
+        EXPECT_EQ(n.at().mode, expiry_policy == ExpiryPolicy::KeepCurrent    ? ConfigMode::KeepCurrent
+                               : expiry_policy == ExpiryPolicy::Conservative ? ConfigMode::Conservative
+                                                                             : ConfigMode::DenyAll);
         // The keepers know of another version, and this node's check does not take it.
         n.takes = false;
         n.keepers.join(1, "n1", "a");
         n.keepers.propose(limits(500, 500), 0);
         n.renew(1);
         EXPECT_TRUE(is(n.keepers.ended(), Error::NodeRefused));
-        EXPECT_EQ(n.at().how, choice == Choice::Refuse ? How::Refuse : How::Caution);
+        EXPECT_EQ(n.at().mode,
+                  expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll : ConfigMode::Conservative);
     }
 }
 
