--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -1,6 +1,6 @@
 #include "app/machines.h"
 
-#include "fleet/config_distribution/machine.h"
+#include "fleet/config_distribution/config_state_machine.h"
 #include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/lease_state_machine.h"
 #include "fleet/quota/quota_state_machine.h"
@@ -16,7 +16,7 @@
     all.push_back(std::make_unique<shards::ShardMapPlanner>(shards::ShardMapPlanner::Settings{}));
     all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
     all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
-    all.push_back(std::make_unique<config_distribution::Agreement>());
+    all.push_back(std::make_unique<config_distribution::ConfigStateMachine>());
     all.push_back(std::make_unique<quota::QuotaStateMachine>());
     return all;
 }
--- a/src/fleet/config_distribution/holder_file.cpp
+++ b/src/fleet/config_distribution/document_file.cpp
@@ -1,10 +1,10 @@
-#include "fleet/config_distribution/holder_file.h"
+#include "fleet/config_distribution/document_file.h"
 
 #include <algorithm>
 #include <cerrno>
 
-#include "fleet/config_distribution/machine.h"
-#include "fleet/config_distribution/wire.h"
+#include "fleet/config_distribution/config_state_machine.h"
+#include "fleet/config_distribution/wire_codec.h"
 
 namespace ochrehub::config_distribution {
 namespace {
@@ -37,7 +37,7 @@
     std::vector<Document> out;
     for (const auto& d : kept.documents()) {
         auto document = read(d);
-        if (!document || checked(document->content))
+        if (!document || validate(document->content))
             return bad("document `" + d.name().substr(0, kNameMost) + "`");
         out.push_back(std::move(*document));
     }
