--- a/lab/bench/channel_bench.cpp
+++ b/lab/bench/channel_bench.cpp
@@ -16,16 +16,16 @@
 #include <vector>
 
 #include "base/asio_scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 
 namespace ochrehub::channel {
 namespace {
 
 constexpr std::size_t kBody = 200;
-const Mesh::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
+const PeerConnections::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
-MeshSettings named(std::uint64_t instance, bool keys) {
-    MeshSettings set;
+PeerConnectionsSettings named(std::uint64_t instance, bool keys) {
+    PeerConnectionsSettings set;
     set.channel.self = {"p", "zone", instance};
     set.channel.self.name += std::to_string(instance);
     if (keys) set.channel.keys = {"a key of thirty-two octets or so"};
@@ -48,7 +48,7 @@
 
 void over_loopback(bool keys, double length) {
     World world;
-    Mesh keeper(world.io, world.clock, kAny, named(1, keys), 1);
+    PeerConnections keeper(world.io, world.clock, kAny, named(1, keys), 1);
     std::uint64_t got = 0;
     double began = 0, ended = 0;
     keeper.deliver = [&](const Peer&, Kind, std::string) { ++got, ended = seconds(); };
@@ -56,7 +56,7 @@
     int child = fork();
     if (child == 0) {  // another process sends what its queue takes
         World other;
-        Mesh node(other.io, other.clock, std::nullopt, named(2, keys), 2);
+        PeerConnections node(other.io, other.clock, std::nullopt, named(2, keys), 2);
         bool up = false;
         node.up = [&](const Peer&) { up = true; };
         node.dial(address);
@@ -116,15 +116,15 @@
 
 void memory(std::size_t connections) {
     World world;
-    Mesh keeper(world.io, world.clock, kAny, named(1, true), 1);
+    PeerConnections keeper(world.io, world.clock, kAny, named(1, true), 1);
     std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
     int child = fork();
     if (child == 0) {
         World other;
-        std::vector<std::unique_ptr<Mesh>> nodes;
+        std::vector<std::unique_ptr<PeerConnections>> nodes;
         for (std::size_t i = 0; i < connections; ++i) {
-            nodes.push_back(
-                std::make_unique<Mesh>(other.io, other.clock, std::nullopt, named(i + 2, true), i));
+            nodes.push_back(std::make_unique<PeerConnections>(other.io, other.clock, std::nullopt,
+                                                              named(i + 2, true), i));
             nodes.back()->dial(address);
         }
         while (getppid() > 1) other.io.run_one_for(std::chrono::milliseconds(100));
@@ -142,12 +142,12 @@
 /// One that stands still while it is sent to, for as long as its queue takes any.
 void slow_reader() {
     World world;
-    Mesh keeper(world.io, world.clock, kAny, named(1, true), 1);
+    PeerConnections keeper(world.io, world.clock, kAny, named(1, true), 1);
     std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
     int child = fork();
     if (child == 0) {
         World other;
-        Mesh node(other.io, other.clock, std::nullopt, named(2, true), 2);
+        PeerConnections node(other.io, other.clock, std::nullopt, named(2, true), 2);
         node.deliver = [](const Peer&, Kind, std::string) { raise(SIGSTOP); };
         node.dial(address);
         for (;;) other.io.run_one();
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -16,7 +16,7 @@
 #include <sstream>
 
 #include "base/asio_scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session_thread.h"
 #include "fleet/schema_migration/machine.h"
 #include "fleet/schema_migration/owner.h"
@@ -50,17 +50,17 @@
           random_(unsigned(getpid())) {
         fill();
         std::uint64_t instance = std::uint64_t(getpid()) << 20 | index;
-        channel::MeshSettings set;
+        channel::PeerConnectionsSettings set;
         set.channel.self.name = "member-" + std::to_string(index), set.channel.self.instance = instance;
         set.channel.cluster = fleet::fingerprint("migration");
-        mesh_ = std::make_unique<channel::Mesh>(
-            io_, scheduler_, channel::Mesh::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set,
-            instance);
-        mesh_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) {
+        peer_connections_ = std::make_unique<channel::PeerConnections>(
+            io_, scheduler_,
+            channel::PeerConnections::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set, instance);
+        peer_connections_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) {
             deliver(peer.instance, std::move(body));
         };
         std::ostringstream at;
-        at << mesh_->at();
+        at << peer_connections_->at();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
         coordinator::SessionThreadSettings side;
@@ -113,8 +113,8 @@
             std::ifstream in(path("address", i));
             std::string address;
             if (i == index_ || !(in >> address) || address == addresses_[i]) continue;
-            if (!addresses_[i].empty()) mesh_->drop(addresses_[i]);
-            mesh_->dial(addresses_[i] = address);
+            if (!addresses_[i].empty()) peer_connections_->drop(addresses_[i]);
+            peer_connections_->dial(addresses_[i] = address);
         }
         scheduler_.call_at(scheduler_.now() + Duration{100}, [this] { look_around(); });
     }
@@ -122,12 +122,12 @@
         std::size_t holder = shard % holders_;
         if (holder == index_)
             return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        if (std::uint64_t instance = mesh_->instance_at(addresses_[holder]))
-            mesh_->send(instance, channel::Kind::Migration, what + body);
+        if (std::uint64_t instance = peer_connections_->instance_at(addresses_[holder]))
+            peer_connections_->send(instance, channel::Kind::Migration, what + body);
     }
     void answer(std::uint64_t to, char what, const std::string& body) {
         if (to == 0) return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        mesh_->send(to, channel::Kind::Migration, what + body);
+        peer_connections_->send(to, channel::Kind::Migration, what + body);
     }
     void deliver(std::uint64_t from, std::string body) {
         if (body.empty()) return;
@@ -276,7 +276,7 @@
     m::Receiver receiver_;
     m::Owner owner_;
     boost::random::taus88 random_;
-    std::unique_ptr<channel::Mesh> mesh_;
+    std::unique_ptr<channel::PeerConnections> peer_connections_;
     std::unique_ptr<coordinator::SessionThread> session_;
     std::map<std::size_t, std::string> addresses_;
     coordinator::SessionId session_id_ = 0;
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -79,12 +79,12 @@
     set.threads = threads;
     set.holder.address = advertise;
     set.holder.page = 8;
-    set.mesh.channel.self.name = name, set.mesh.channel.self.zone = zone,
-    set.mesh.channel.self.instance = instance;
-    set.mesh.channel.cluster = fleet::fingerprint("rig");
-    set.mesh.channel.idle = Duration(300), set.mesh.channel.dead = Duration(900);
-    set.mesh.dial.first = Duration(30), set.mesh.dial.most = Duration(300);
-    set.listen = *channel::Mesh::endpoint(listen);
+    set.peer_connections.channel.self.name = name, set.peer_connections.channel.self.zone = zone,
+    set.peer_connections.channel.self.instance = instance;
+    set.peer_connections.channel.cluster = fleet::fingerprint("rig");
+    set.peer_connections.channel.idle = Duration(300), set.peer_connections.channel.dead = Duration(900);
+    set.peer_connections.dial.first = Duration(30), set.peer_connections.dial.most = Duration(300);
+    set.listen = *channel::PeerConnections::endpoint(listen);
     auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
     fleet_shards::Side side(set, clock, *keeping);
     side.start();
--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -7,28 +7,28 @@
 #include <functional>
 
 #include "base/asio_scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 
 namespace ochrehub::lab {
 namespace {
 
 using namespace channel;
-const Mesh::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
+const PeerConnections::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
 struct World {
     explicit World(Duration dead = Duration{3000})
         : near(io, clock, std::nullopt, named(1, dead), 1), far(io, clock, kAny, named(2, dead), 2) {
-        for (Mesh* mesh : {&near, &far}) {
-            int me = mesh == &far;
-            mesh->up = [this, me](const Peer&) { ++ups[me]; };
-            mesh->down = [this, me](const Peer&, Error error) { ++downs[me], why[me] = error; };
-            mesh->deliver = [this, me](const Peer&, Kind, std::string) { ++got[me]; };
+        for (PeerConnections* peer_connections : {&near, &far}) {
+            int me = peer_connections == &far;
+            peer_connections->up = [this, me](const Peer&) { ++ups[me]; };
+            peer_connections->down = [this, me](const Peer&, Error error) { ++downs[me], why[me] = error; };
+            peer_connections->deliver = [this, me](const Peer&, Kind, std::string) { ++got[me]; };
         }
         near.dial(relay.address());
     }
     ~World() { near.close(), far.close(); }
-    static MeshSettings named(std::uint64_t instance, Duration dead = Duration{3000}) {
-        MeshSettings set;
+    static PeerConnectionsSettings named(std::uint64_t instance, Duration dead = Duration{3000}) {
+        PeerConnectionsSettings set;
         set.channel.self = {"p" + std::to_string(instance), "z", instance};
         set.channel.keys = {"a key"};
         set.channel.idle = Duration{100};
@@ -54,7 +54,7 @@
     AsioScheduler clock{io};
     int ups[2]{}, downs[2]{}, got[2]{};
     Error why[2]{};
-    Mesh near, far;
+    PeerConnections near, far;
     Relay relay{kAny, far.at()};
 };
 
@@ -119,7 +119,7 @@
     world.relay.reset();
     ASSERT_TRUE(world.until([&] { return world.near.ended(Error::Unreachable) >= 2; }));
     EXPECT_EQ(world.near.peers(), 0u);
-    Mesh other(world.io, world.clock, kAny, World::named(3), 3);
+    PeerConnections other(world.io, world.clock, kAny, World::named(3), 3);
     world.relay.target(other.at());
     world.relay.refuse(false);
     EXPECT_TRUE(world.until([&] { return other.peers() == 1 && world.near.send(3, Kind::Raft, "x"); }));
--- a/src/fleet/channel/mesh.cpp
+++ b/src/fleet/channel/peer_connections.cpp
@@ -1,4 +1,4 @@
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 
 #include <algorithm>
 #include <array>
@@ -22,10 +22,11 @@
 constexpr std::size_t kChunks = 8;  // are written before other connections have their turn
 }  // namespace
 
-class Mesh::Link : public std::enable_shared_from_this<Link> {
+class PeerConnections::Link : public std::enable_shared_from_this<Link> {
 public:
-    Link(Mesh& mesh, tcp::socket socket, std::string address, std::uint64_t order, const Settings& settings)
-        : mesh_(&mesh),
+    Link(PeerConnections& peer_connections, tcp::socket socket, std::string address, std::uint64_t order,
+         const Settings& settings)
+        : peer_connections_(&peer_connections),
           socket_(std::move(socket)),
           address_(std::move(address)),
           order_(order),
@@ -33,8 +34,8 @@
 
     void connect(const Endpoint& to) {
         socket_.async_connect(to, [self = shared_from_this()](error_code error) {
-            if (!self->mesh_) return;
-            if (error) return self->mesh_->end(self, Error::Unreachable);
+            if (!self->peer_connections_) return;
+            if (error) return self->peer_connections_->end(self, Error::Unreachable);
             self->open();
         });
     }
@@ -42,14 +43,14 @@
         error_code error;
         socket_.set_option(tcp::no_delay(true), error);
         socket_.non_blocking(true, error);
-        if (error) return mesh_->end(shared_from_this(), Error::Closed);
+        if (error) return peer_connections_->end(shared_from_this(), Error::Closed);
         hand(Opened{});
         wait_to_read();
     }
     /// Nothing of it is heard any more.
     void close() {
-        mesh_->scheduler_.cancel(std::exchange(timer_, 0));
-        mesh_ = nullptr;
+        peer_connections_->scheduler_.cancel(std::exchange(timer_, 0));
+        peer_connections_ = nullptr;
         error_code ignored;
         socket_.close(ignored);
         out_.clear();
@@ -57,7 +58,7 @@
     /// Why it was not taken.
     std::optional<Error> say(Kind kind, std::string body) {
         Actions actions;
-        channel_.handle(mesh_->scheduler_.now(), Say{kind, std::move(body)}, actions);
+        channel_.handle(peer_connections_->scheduler_.now(), Say{kind, std::move(body)}, actions);
         for (const Action& action : actions)
             if (const auto* refused = std::get_if<Refused>(&action)) return refused->error;
         carry_out(actions);
@@ -75,39 +76,39 @@
 private:
     void hand(const Event& event) {
         Actions actions;
-        channel_.handle(mesh_->scheduler_.now(), event, actions);
+        channel_.handle(peer_connections_->scheduler_.now(), event, actions);
         carry_out(actions);
     }
     void carry_out(Actions& actions) {
         for (Action& action : actions) {
-            if (!mesh_) return;
+            if (!peer_connections_) return;
             if (auto* put = std::get_if<Put>(&action)) {
                 write(std::move(put->octets));
             } else if (auto* message = std::get_if<Deliver>(&action)) {
-                if (used && mesh_->deliver)
-                    mesh_->deliver(channel_.peer(), message->kind, std::move(message->body));
+                if (used && peer_connections_->deliver)
+                    peer_connections_->deliver(channel_.peer(), message->kind, std::move(message->body));
             } else if (const auto* wake = std::get_if<WakeAt>(&action)) {
                 wake_at(wake->at);
             } else if (std::holds_alternative<Up>(action)) {
-                mesh_->came_up(shared_from_this());
+                peer_connections_->came_up(shared_from_this());
             } else if (const auto* over = std::get_if<End>(&action)) {
-                mesh_->end(shared_from_this(), over->error);
+                peer_connections_->end(shared_from_this(), over->error);
             }
         }
     }
 
     void wait_to_read() {
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-            if (self->mesh_ && !error) self->read();
+            if (self->peer_connections_ && !error) self->read();
         });
     }
     void read() {
         error_code error;
-        std::size_t got = socket_.read_some(asio::buffer(mesh_->octets_), error);
+        std::size_t got = socket_.read_some(asio::buffer(peer_connections_->octets_), error);
         if (error == asio::error::would_block) return wait_to_read();
         if (error) return hand(Closed{});
-        hand(Octets{{mesh_->octets_.data(), got}});
-        if (mesh_) wait_to_read();
+        hand(Octets{{peer_connections_->octets_.data(), got}});
+        if (peer_connections_) wait_to_read();
     }
 
     /// What is put within one turn of the loop leaves in one piece.
@@ -123,10 +124,10 @@
             out_.push_back(std::move(octets));
         }
         if (!std::exchange(writing_, true))
-            asio::post(mesh_->io_, [self = shared_from_this()] { self->flush(); });
+            asio::post(peer_connections_->io_, [self = shared_from_this()] { self->flush(); });
     }
     void flush() {
-        if (!mesh_) return;
+        if (!peer_connections_) return;
         std::array<asio::const_buffer, kChunks> some;
         std::size_t chunks = 0;
         for (; chunks < std::min(kChunks, out_.size()); ++chunks) some[chunks] = asio::buffer(out_[chunks]);
@@ -146,15 +147,15 @@
         if (left > 0) hand(Flushed{left});
     }
     void wake_at(TimePoint at) {
-        mesh_->scheduler_.cancel(std::exchange(timer_, 0));
-        timer_ = mesh_->scheduler_.call_at(at, [self = shared_from_this()] {
-            if (!self->mesh_) return;
+        peer_connections_->scheduler_.cancel(std::exchange(timer_, 0));
+        timer_ = peer_connections_->scheduler_.call_at(at, [self = shared_from_this()] {
+            if (!self->peer_connections_) return;
             self->timer_ = 0;
             self->hand(Woken{});
         });
     }
 
-    Mesh* mesh_;  // none once it is closed
+    PeerConnections* peer_connections_;  // none once it is closed
     tcp::socket socket_;
     std::string address_;  // where it was dialled; empty: it was accepted
     std::uint64_t order_;
@@ -165,8 +166,9 @@
     TimerId timer_ = 0;
 };
 
-Mesh::Mesh(asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen,
-           MeshSettings settings, std::uint64_t seed)
+PeerConnections::PeerConnections(asio::io_context& io, Scheduler& scheduler,
+                                 const std::optional<Endpoint>& listen, PeerConnectionsSettings settings,
+                                 std::uint64_t seed)
     : io_(io),
       scheduler_(scheduler),
       settings_(std::move(settings)),
@@ -182,11 +184,11 @@
     accept();
 }
 
-Mesh::~Mesh() {
+PeerConnections::~PeerConnections() {
     close();
 }
 
-std::optional<Mesh::Endpoint> Mesh::endpoint(std::string_view address) {
+std::optional<PeerConnections::Endpoint> PeerConnections::endpoint(std::string_view address) {
     std::size_t colon = address.rfind(':');
     if (colon == std::string_view::npos) return std::nullopt;
     std::string_view host = address.substr(0, colon), port = address.substr(colon + 1);
@@ -201,7 +203,7 @@
     return Endpoint(parsed, number);
 }
 
-void Mesh::accept() {
+void PeerConnections::accept() {
     acceptor_.async_accept([this, here = std::weak_ptr<bool>(here_)](error_code error, tcp::socket socket) {
         if (here.expired() || closed_) return;
         if (error) {  // no descriptor, say; those who wait stay in the kernel's queue
@@ -224,7 +226,7 @@
     });
 }
 
-std::shared_ptr<Mesh::Link> Mesh::link(tcp::socket socket, const std::string& address) {
+std::shared_ptr<PeerConnections::Link> PeerConnections::link(tcp::socket socket, const std::string& address) {
     Settings settings = settings_.channel;
     settings.nonce = nonce();
     auto fresh = std::make_shared<Link>(*this, std::move(socket), address, ++order_, settings);
@@ -232,7 +234,7 @@
     return fresh;
 }
 
-std::string Mesh::nonce() {
+std::string PeerConnections::nonce() {
     std::random_device device;
     std::string octets;
     while (octets.size() < kNonce) {
@@ -242,19 +244,19 @@
     return octets;
 }
 
-bool Mesh::dial(const std::string& address) {
+bool PeerConnections::dial(const std::string& address) {
     if (!endpoint(address)) return false;
     tell_dialer(Dialer::Wanted{address});
     return true;
 }
 
-void Mesh::drop(const std::string& address) {
+void PeerConnections::drop(const std::string& address) {
     tell_dialer(Dialer::Unwanted{address});
 }
 
 // One event after the other, also where carrying out one leads to the next: of two WakeAt the later one must
 // count.
-void Mesh::tell_dialer(const Dialer::Event& event) {
+void PeerConnections::tell_dialer(const Dialer::Event& event) {
     if (closed_) return;
     told_.push_back(event);
     if (told_.size() > 1) return;
@@ -267,7 +269,7 @@
     }
 }
 
-void Mesh::carry_out(const Dialer::Action& action) {
+void PeerConnections::carry_out(const Dialer::Action& action) {
     if (const auto* dial = std::get_if<Dialer::Dial>(&action)) {
         connect(dial->address);
     } else if (const auto* abandon = std::get_if<Dialer::Abandon>(&action)) {
@@ -285,13 +287,13 @@
     }
 }
 
-void Mesh::connect(const std::string& address) {
+void PeerConnections::connect(const std::string& address) {
     auto fresh = link(tcp::socket(io_), address);
     dialled_[address] = fresh;
     fresh->connect(*endpoint(address));
 }
 
-void Mesh::came_up(const std::shared_ptr<Link>& link) {
+void PeerConnections::came_up(const std::shared_ptr<Link>& link) {
     std::uint64_t instance = link->channel().peer().instance;
     if (std::exchange(link->stranger, false)) {
         --strangers_;
@@ -319,7 +321,7 @@
     if (up) up(link->channel().peer());
 }
 
-void Mesh::end(const std::shared_ptr<Link>& link, Error error) {
+void PeerConnections::end(const std::shared_ptr<Link>& link, Error error) {
     if (links_.erase(link->order()) == 0) return;
     ++ended_[std::size_t(error)];
     const Peer peer = link->channel().peer();
@@ -348,7 +350,7 @@
     if (!closed_ && used && down) down(peer, error);
 }
 
-bool Mesh::send(std::uint64_t instance, Kind kind, std::string body) {
+bool PeerConnections::send(std::uint64_t instance, Kind kind, std::string body) {
     auto found = peers_.find(instance);
     std::optional<Error> why = Error::Closed;
     if (found != peers_.end()) why = found->second->say(kind, std::move(body));
@@ -356,12 +358,12 @@
     return !why;
 }
 
-std::size_t Mesh::queued(std::uint64_t instance) const {
+std::size_t PeerConnections::queued(std::uint64_t instance) const {
     auto found = peers_.find(instance);
     return found == peers_.end() ? 0 : found->second->channel().queued();
 }
 
-void Mesh::close() {
+void PeerConnections::close() {
     if (std::exchange(closed_, true)) return;
     scheduler_.cancel(std::exchange(dial_timer_, 0));
     scheduler_.cancel(std::exchange(accept_timer_, 0));
--- a/src/fleet/channel/mesh.h
+++ b/src/fleet/channel/peer_connections.h
@@ -27,7 +27,7 @@
 
 namespace ochrehub::channel {
 
-struct MeshSettings {
+struct PeerConnectionsSettings {
     Settings channel;  ///< its nonce is drawn for each connection
     DialSettings dial;
     std::size_t accepted = 256;  ///< connections of others' that are up, at most; more are closed (Full)
@@ -35,7 +35,7 @@
         64;  ///< accepted ones that have not shown who they are; behind that the oldest goes (Full)
 };
 
-class Mesh {
+class PeerConnections {
 public:
     using Endpoint = boost::asio::ip::tcp::endpoint;
     /// Octets that are read of one connection before others have their turn.
@@ -44,16 +44,16 @@
     /// io_context and scheduler must outlive it; what they still run for it when it goes finds nothing to do.
     /// Listens from here on (port 0: any that is free); without an address it only dials. Throws
     /// boost::system::system_error where it cannot listen. `seed`: for the waits before it dials again.
-    Mesh(boost::asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen,
-         MeshSettings settings, std::uint64_t seed);
-    ~Mesh();
-    Mesh(const Mesh&) = delete;
-    Mesh& operator=(const Mesh&) = delete;
+    PeerConnections(boost::asio::io_context& io, Scheduler& scheduler, const std::optional<Endpoint>& listen,
+                    PeerConnectionsSettings settings, std::uint64_t seed);
+    ~PeerConnections();
+    PeerConnections(const PeerConnections&) = delete;
+    PeerConnections& operator=(const PeerConnections&) = delete;
 
     /// "192.0.2.7:4000" or "[2001:db8::7]:4000", no names; nothing where it is neither.
     static std::optional<Endpoint> endpoint(std::string_view address);
     /// How many descriptors it uses, at most, with so many addresses to dial.
-    static constexpr std::size_t descriptors(const MeshSettings& settings, std::size_t addresses) {
+    static constexpr std::size_t descriptors(const PeerConnectionsSettings& settings, std::size_t addresses) {
         return 2 + settings.accepted + settings.strangers +
                addresses;  // the listener, and one that is just accepted
     }
@@ -105,7 +105,7 @@
 
     boost::asio::io_context& io_;
     Scheduler& scheduler_;
-    MeshSettings settings_;
+    PeerConnectionsSettings settings_;
     boost::asio::ip::tcp::acceptor acceptor_;
     Endpoint at_;
     Dialer dialer_;
--- a/src/fleet/coordinator/admin_client.cpp
+++ b/src/fleet/coordinator/admin_client.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/asio_scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/random_id.h"
 
 namespace ochrehub::coordinator {
@@ -14,13 +14,13 @@
 /// Connection attempts that fail before a coordinator counts as unreachable.
 constexpr int kMaxFailedAttempts = 2;
 
-channel::MeshSettings mesh_settings(const AdminClientSettings& settings) {
-    channel::MeshSettings mesh;
-    mesh.channel.self.name = "command";
-    mesh.channel.self.instance = random_id();
-    mesh.channel.cluster = fleet::fingerprint(settings.cluster);
-    mesh.channel.keys = settings.keys;
-    return mesh;
+channel::PeerConnectionsSettings peer_connections_settings(const AdminClientSettings& settings) {
+    channel::PeerConnectionsSettings peer_connections;
+    peer_connections.channel.self.name = "command";
+    peer_connections.channel.self.instance = random_id();
+    peer_connections.channel.cluster = fleet::fingerprint(settings.cluster);
+    peer_connections.channel.keys = settings.keys;
+    return peer_connections;
 }
 
 /// The request, until each address has responded or is unreachable.
@@ -31,14 +31,14 @@
         : addresses_(addresses),
           request_(request),
           scheduler_(io_),
-          mesh_(io_, scheduler_, std::nullopt, mesh_settings(settings), random_id()) {
-        mesh_.up = [this](const channel::Peer& peer) {
-            mesh_.send(peer.instance, channel::Kind::Ask, request_);
+          peer_connections_(io_, scheduler_, std::nullopt, peer_connections_settings(settings), random_id()) {
+        peer_connections_.up = [this](const channel::Peer& peer) {
+            peer_connections_.send(peer.instance, channel::Kind::Ask, request_);
         };
-        mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
+        peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
             if (kind == channel::Kind::Answer) receive(peer.instance, std::move(body));
         };
-        mesh_.unreached = [this](const std::string& address, channel::Error) {
+        peer_connections_.unreached = [this](const std::string& address, channel::Error) {
             ++failed_attempts_[address];
             stop_if_complete();
         };
@@ -46,9 +46,9 @@
     }
 
     std::map<std::string, std::string> run() {
-        for (const std::string& address : addresses_) mesh_.dial(address);
+        for (const std::string& address : addresses_) peer_connections_.dial(address);
         io_.run();
-        mesh_.close();
+        peer_connections_.close();
         io_.restart();
         io_.poll();
         return std::move(responses_);
@@ -57,7 +57,7 @@
 private:
     void receive(std::uint64_t instance, std::string body) {
         auto from = std::find_if(addresses_.begin(), addresses_.end(), [&](const std::string& address) {
-            return mesh_.instance_at(address) == instance;
+            return peer_connections_.instance_at(address) == instance;
         });
         if (from == addresses_.end()) return;
         responses_[*from] = std::move(body);
@@ -75,7 +75,7 @@
     const std::string& request_;
     boost::asio::io_context io_{1};
     AsioScheduler scheduler_;
-    channel::Mesh mesh_;
+    channel::PeerConnections peer_connections_;
     std::map<std::string, std::string> responses_;  // by address
     std::map<std::string, int> failed_attempts_;    // by address
 };
--- a/src/fleet/coordinator/server.cpp
+++ b/src/fleet/coordinator/server.cpp
@@ -11,20 +11,21 @@
 
 namespace ochrehub::coordinator {
 
-channel::MeshSettings CoordinatorServer::mesh_settings(const ServerSettings& settings,
-                                                       std::uint64_t instance) {
+channel::PeerConnectionsSettings CoordinatorServer::peer_connections_settings(const ServerSettings& settings,
+                                                                              std::uint64_t instance) {
     const Duration election_timeout = settings.raft.election_timeout;
-    channel::MeshSettings mesh;
-    mesh.channel.self = {settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
-    mesh.channel.cluster = fleet::fingerprint(settings.cluster);
-    mesh.channel.keys = settings.keys;
-    mesh.channel.idle = election_timeout;
-    mesh.channel.dead = election_timeout * 3;
-    mesh.dial.first = settings.raft.heartbeat_interval;
-    mesh.dial.most = election_timeout;
-    mesh.dial.limit = election_timeout * 2;
-    mesh.accepted = settings.max_client_connections;
-    return mesh;
+    channel::PeerConnectionsSettings peer_connections;
+    peer_connections.channel.self = {
+        settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
+    peer_connections.channel.cluster = fleet::fingerprint(settings.cluster);
+    peer_connections.channel.keys = settings.keys;
+    peer_connections.channel.idle = election_timeout;
+    peer_connections.channel.dead = election_timeout * 3;
+    peer_connections.dial.first = settings.raft.heartbeat_interval;
+    peer_connections.dial.most = election_timeout;
+    peer_connections.dial.limit = election_timeout * 2;
+    peer_connections.accepted = settings.max_client_connections;
+    return peer_connections;
 }
 
 CoordinatorServer::CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler,
@@ -44,7 +45,8 @@
               raft_.handle(now, event, actions);
           },
           disk_),
-      mesh_(io, scheduler, settings.listen, mesh_settings(settings, random_id()), random_id()) {
+      peer_connections_(io, scheduler, settings.listen, peer_connections_settings(settings, random_id()),
+                        random_id()) {
     if (!disk_.trusted)
         log(LogLevel::Warn,
             "coordinator: acknowledged entries or votes are missing from the data directory; it does not "
@@ -59,18 +61,18 @@
     *alive_ = false;
     scheduler_.cancel(timer_);
     storage_.reset();
-    mesh_.close();
+    peer_connections_.close();
 }
 
 void CoordinatorServer::connect_mesh() {
-    mesh_.up = [this](const channel::Peer& peer) {
+    peer_connections_.up = [this](const channel::Peer& peer) {
         if (peer.keeper != 0) connections_[peer.keeper] = peer.instance;
     };
-    mesh_.down = [this](const channel::Peer& peer, channel::Error) {
+    peer_connections_.down = [this](const channel::Peer& peer, channel::Error) {
         auto found = connections_.find(peer.keeper);
         if (found != connections_.end() && found->second == peer.instance) connections_.erase(found);
     };
-    mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
+    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind == channel::Kind::Ask) return handle(RequestReceived{peer.instance, std::move(body)});
         if (kind != channel::Kind::Raft || peer.keeper == 0 || peer.keeper == settings_.raft.self) return;
         if (auto message = raft::decode(body)) handle(RaftMessageReceived{peer.keeper, std::move(*message)});
@@ -110,7 +112,7 @@
     // A message without a connection is lost; Raft sends again.
     auto found = connections_.find(action.to);
     if (found == connections_.end()) return;
-    mesh_.send(found->second, channel::Kind::Raft, raft::encode(action.message));
+    peer_connections_.send(found->second, channel::Kind::Raft, raft::encode(action.message));
 }
 
 void CoordinatorServer::perform(raft::Write& action) {
@@ -136,7 +138,7 @@
 }
 
 void CoordinatorServer::perform(SendResponse& action) {
-    mesh_.send(action.connection, channel::Kind::Answer, std::move(action.body));
+    peer_connections_.send(action.connection, channel::Kind::Answer, std::move(action.body));
 }
 
 void CoordinatorServer::perform(Stop& action) {
@@ -150,12 +152,12 @@
     std::map<raft::NodeId, std::string> wanted = addresses_of_others(members);
     for (const auto& [id, address] : dialed_) {
         auto found = wanted.find(id);
-        if (found == wanted.end() || found->second != address) mesh_.drop(address);
+        if (found == wanted.end() || found->second != address) peer_connections_.drop(address);
     }
     for (const auto& [id, address] : wanted) {
         auto found = dialed_.find(id);
         if (found != dialed_.end() && found->second == address) continue;
-        if (!mesh_.dial(address))
+        if (!peer_connections_.dial(address))
             log(LogLevel::Error, "coordinator: invalid member address",
                 {{"number", id}, {"address", address}});
     }
--- a/src/fleet/coordinator/server.h
+++ b/src/fleet/coordinator/server.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/durable_storage.h"
 #include "fleet/coordinator/replica.h"
 #include "fleet/raft/raft.h"
@@ -22,7 +22,7 @@
 struct ServerSettings {
     raft::Settings raft;  ///< `self`: this coordinator's id
     ReplicaSettings replica;
-    channel::Mesh::Endpoint listen;
+    channel::PeerConnections::Endpoint listen;
     std::string name;
     std::string zone;
     std::string cluster;  ///< the cluster's name
@@ -38,7 +38,7 @@
 
 class CoordinatorServer {
 public:
-    /// Opens the data directory and listens. Throws what DurableStorage and Mesh throw.
+    /// Opens the data directory and listens. Throws what DurableStorage and PeerConnections throw.
     CoordinatorServer(boost::asio::io_context& io, Scheduler& scheduler, const ServerSettings& settings,
                       StateMachineFactory make_state_machines);
     ~CoordinatorServer();
@@ -50,11 +50,12 @@
     /// read. The process should end then.
     std::function<void(Error, const std::string& about)> on_stopped;
 
-    channel::Mesh::Endpoint listen_address() const { return mesh_.at(); }
+    channel::PeerConnections::Endpoint listen_address() const { return peer_connections_.at(); }
     const Replica& replica() const { return replica_; }
 
 private:
-    static channel::MeshSettings mesh_settings(const ServerSettings& settings, std::uint64_t instance);
+    static channel::PeerConnectionsSettings peer_connections_settings(const ServerSettings& settings,
+                                                                      std::uint64_t instance);
     void connect_mesh();
     void post(std::function<void()> task);
     void handle(const ReplicaEvent& event);
@@ -76,7 +77,7 @@
     raft::PersistentState disk_;  // for Raft's start; empty afterwards
     raft::Raft raft_;
     Replica replica_;
-    channel::Mesh mesh_;
+    channel::PeerConnections peer_connections_;
     std::map<raft::NodeId, std::uint64_t> connections_;  // instances of the connected coordinators
     std::map<raft::NodeId, std::string> dialed_;
     TimerId timer_ = 0;
--- a/src/fleet/coordinator/session_thread.cpp
+++ b/src/fleet/coordinator/session_thread.cpp
@@ -24,25 +24,26 @@
     return settings;
 }
 
-channel::MeshSettings SessionThread::mesh_settings(const SessionThreadSettings& settings) {
+channel::PeerConnectionsSettings SessionThread::peer_connections_settings(
+    const SessionThreadSettings& settings) {
     const SessionSettings& session = settings.session;
-    channel::MeshSettings mesh;
-    mesh.channel.self.name = session.name;
-    mesh.channel.self.zone = session.zone;
-    mesh.channel.self.instance = session.instance;
-    mesh.channel.self.release = session.release;
-    mesh.channel.self.schema_least = session.min_schema;
-    mesh.channel.self.schema_most = session.max_schema;
-    mesh.channel.cluster = fleet::fingerprint(settings.cluster);
-    mesh.channel.keys = settings.keys;
+    channel::PeerConnectionsSettings peer_connections;
+    peer_connections.channel.self.name = session.name;
+    peer_connections.channel.self.zone = session.zone;
+    peer_connections.channel.self.instance = session.instance;
+    peer_connections.channel.self.release = session.release;
+    peer_connections.channel.self.schema_least = session.min_schema;
+    peer_connections.channel.self.schema_most = session.max_schema;
+    peer_connections.channel.cluster = fleet::fingerprint(settings.cluster);
+    peer_connections.channel.keys = settings.keys;
     // A dead connection is noticed, and dialed again, several times within a lease.
-    mesh.channel.idle = session.lease / 6;
-    mesh.channel.dead = session.lease / 2;
-    mesh.dial = settings.dial;
-    mesh.dial.first = std::min(mesh.dial.first, session.lease / 30);
-    mesh.dial.most = std::min(mesh.dial.most, session.lease / 6);
-    mesh.dial.limit = std::min(mesh.dial.limit, session.lease / 3);
-    return mesh;
+    peer_connections.channel.idle = session.lease / 6;
+    peer_connections.channel.dead = session.lease / 2;
+    peer_connections.dial = settings.dial;
+    peer_connections.dial.first = std::min(peer_connections.dial.first, session.lease / 30);
+    peer_connections.dial.most = std::min(peer_connections.dial.most, session.lease / 6);
+    peer_connections.dial.limit = std::min(peer_connections.dial.limit, session.lease / 3);
+    return peer_connections;
 }
 
 SessionThread::SessionThread(SessionThreadSettings settings, Clock clock)
@@ -50,7 +51,7 @@
       clock_(clock),
       work_(io_.get_executor()),
       scheduler_(io_, clock_),
-      mesh_(io_, scheduler_, std::nullopt, mesh_settings(settings_), random_id()),
+      peer_connections_(io_, scheduler_, std::nullopt, peer_connections_settings(settings_), random_id()),
       core_(settings_.session) {
     connect_mesh();
 }
@@ -59,23 +60,26 @@
 SessionThread::~SessionThread() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
-    // Calls that are posted and not handled yet complete too, and the mesh finishes what it has started.
+    // Calls that are posted and not handled yet complete too, and the connections finishes what it has
+    // started.
     io_.restart();
     io_.poll();
-    mesh_.close();
+    peer_connections_.close();
     io_.poll();
     for (auto& [call, callback] : std::exchange(callbacks_, {})) callback(Error::PossiblyExecuted, {});
 }
 
 void SessionThread::connect_mesh() {
-    mesh_.up = [this](const channel::Peer& peer) { on_connected(peer.instance); };
-    mesh_.down = [this](const channel::Peer& peer, channel::Error) { on_disconnected(peer.instance); };
-    mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
+    peer_connections_.up = [this](const channel::Peer& peer) { on_connected(peer.instance); };
+    peer_connections_.down = [this](const channel::Peer& peer, channel::Error) {
+        on_disconnected(peer.instance);
+    };
+    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind != channel::Kind::Answer) return;
         for (const auto& [address, instance] : connections_)
             if (instance == peer.instance) return handle(ResponseReceived{address, std::move(body)});
     };
-    mesh_.unreached = [this](const std::string& address, channel::Error) {
+    peer_connections_.unreached = [this](const std::string& address, channel::Error) {
         unsent_.erase(address);
         handle(Disconnected{address});
     };
@@ -87,7 +91,7 @@
     });
     boost::asio::post(io_, [this] {
         for (const std::string& address : settings_.session.coordinators)
-            if (!mesh_.dial(address))
+            if (!peer_connections_.dial(address))
                 log(LogLevel::Error, "coordinator session: invalid coordinator address",
                     {{"address", address}});
         handle(SessionTimerFired{});
@@ -117,7 +121,8 @@
 }
 
 void SessionThread::set_keys(std::vector<std::string> keys) {
-    boost::asio::post(io_, [this, keys = std::move(keys)]() mutable { mesh_.use(std::move(keys)); });
+    boost::asio::post(io_,
+                      [this, keys = std::move(keys)]() mutable { peer_connections_.use(std::move(keys)); });
 }
 
 void SessionThread::handle(const SessionEvent& event) {
@@ -146,16 +151,16 @@
     });
 }
 
-/// What exceeds the capacity of the mesh is dropped; the session sends it again.
+/// What exceeds the capacity of the connections is dropped; the session sends it again.
 void SessionThread::perform(SendRequest& action) {
     if (auto found = connections_.find(action.to); found != connections_.end()) {
-        mesh_.send(found->second, channel::Kind::Ask, std::move(action.body));
+        peer_connections_.send(found->second, channel::Kind::Ask, std::move(action.body));
         return;
     }
-    mesh_.dial(action.to);
-    if (const std::uint64_t instance = mesh_.instance_at(action.to); instance != 0) {
+    peer_connections_.dial(action.to);
+    if (const std::uint64_t instance = peer_connections_.instance_at(action.to); instance != 0) {
         connections_[action.to] = instance;
-        mesh_.send(instance, channel::Kind::Ask, std::move(action.body));
+        peer_connections_.send(instance, channel::Kind::Ask, std::move(action.body));
         return;
     }
     auto& unsent = unsent_[action.to];
@@ -174,14 +179,15 @@
 
 void SessionThread::on_connected(std::uint64_t instance) {
     for (const auto& [address, requests] : unsent_)
-        if (mesh_.instance_at(address) == instance) connections_[address] = instance;
+        if (peer_connections_.instance_at(address) == instance) connections_[address] = instance;
     for (const std::string& address : settings_.session.coordinators)
-        if (mesh_.instance_at(address) == instance) connections_[address] = instance;
+        if (peer_connections_.instance_at(address) == instance) connections_[address] = instance;
     for (const auto& [address, connected] : connections_) {
         if (connected != instance) continue;
         auto unsent = unsent_.extract(address);
         if (unsent.empty()) continue;
-        for (std::string& body : unsent.mapped()) mesh_.send(instance, channel::Kind::Ask, std::move(body));
+        for (std::string& body : unsent.mapped())
+            peer_connections_.send(instance, channel::Kind::Ask, std::move(body));
     }
 }
 
--- a/src/fleet/coordinator/session_thread.h
+++ b/src/fleet/coordinator/session_thread.h
@@ -16,7 +16,7 @@
 
 #include "base/asio_scheduler.h"
 #include "base/clock.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session.h"
 
 namespace ochrehub::coordinator {
@@ -60,7 +60,7 @@
 
 private:
     static SessionThreadSettings with_random_ids(SessionThreadSettings settings);
-    static channel::MeshSettings mesh_settings(const SessionThreadSettings& settings);
+    static channel::PeerConnectionsSettings peer_connections_settings(const SessionThreadSettings& settings);
     void connect_mesh();
     void handle(const SessionEvent& event);
     void perform(SendRequest& action);
@@ -80,7 +80,7 @@
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     AsioScheduler scheduler_;
-    channel::Mesh mesh_;
+    channel::PeerConnections peer_connections_;
     Session core_;
     std::vector<Listener> listeners_;
     std::map<std::string, std::uint64_t> connections_;        // instance by address, while connected
--- a/src/fleet/shards/side.cpp
+++ b/src/fleet/shards/side.cpp
@@ -12,14 +12,14 @@
 namespace ochrehub::shards {
 namespace {
 
-std::string text(const channel::Mesh::Endpoint& at) {
+std::string text(const channel::PeerConnections::Endpoint& at) {
     std::ostringstream out;
     out << at;
     return out.str();
 }
 SideSettings agreed(SideSettings set) {
     set.client.shards = set.table.shards;
-    set.client.instance = set.mesh.channel.self.instance;
+    set.client.instance = set.peer_connections.channel.self.instance;
     set.threads = std::max<std::size_t>(1, set.threads);
     return set;
 }
@@ -75,10 +75,11 @@
       table_(set_.table),
       work_(io_.get_executor()),
       scheduler_(io_, clock_),
-      mesh_(io_, scheduler_, set_.listen, set_.mesh, set_.mesh.channel.self.instance),
+      peer_connections_(io_, scheduler_, set_.listen, set_.peer_connections,
+                        set_.peer_connections.channel.self.instance),
       client_(set_.client) {
-    if (set_.holder.address.empty()) set_.holder.address = text(mesh_.at());
-    mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
+    if (set_.holder.address.empty()) set_.holder.address = text(peer_connections_.at());
+    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind == channel::Kind::Shard) deliver(peer.instance, body);
     };
     for (std::size_t i = 0; set_.holds && i < set_.threads; ++i) {
@@ -99,7 +100,7 @@
     if (thread_.joinable()) thread_.join();
     io_.restart();
     io_.poll();
-    mesh_.close();
+    peer_connections_.close();
     io_.poll();
 }
 
@@ -155,9 +156,9 @@
     for (const auto& [session, place] : client_.map().holders)
         if (session != session_ && place.address != set_.holder.address) addresses.insert(place.address);
     for (const std::string& address : addresses)
-        if (!dialled_.contains(address)) mesh_.dial(address);
+        if (!dialled_.contains(address)) peer_connections_.dial(address);
     for (const std::string& address : dialled_)
-        if (!addresses.contains(address)) mesh_.drop(address);
+        if (!addresses.contains(address)) peer_connections_.drop(address);
     dialled_ = std::move(addresses);
     free_ = std::all_of(workers_.begin(), workers_.end(),
                         [](const auto& w) { return w->free.load(std::memory_order_relaxed); });
@@ -184,13 +185,13 @@
     auto holder = client_.map().holders.find(to);
     if (holder == client_.map().holders.end()) return;
     // Without a connection it is lost, as it may be with one: streams and asks go again by themselves.
-    if (std::uint64_t instance = mesh_.instance_at(holder->second.address); instance != 0)
-        mesh_.send(instance, channel::Kind::Shard, std::move(body));
+    if (std::uint64_t instance = peer_connections_.instance_at(holder->second.address); instance != 0)
+        peer_connections_.send(instance, channel::Kind::Shard, std::move(body));
 }
 
 void Side::answer(std::uint64_t to, std::string body) {
     if (to == 0) return deliver(0, body);
-    mesh_.send(to, channel::Kind::Shard, std::move(body));
+    peer_connections_.send(to, channel::Kind::Shard, std::move(body));
 }
 
 void Side::deliver(std::uint64_t from, const std::string& body) {
--- a/src/fleet/shards/side.h
+++ b/src/fleet/shards/side.h
@@ -18,7 +18,7 @@
 
 #include "base/asio_scheduler.h"
 #include "base/clock.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session_thread.h"
 #include "fleet/shards/client.h"
 #include "fleet/shards/holder.h"
@@ -31,15 +31,15 @@
     Settings table;
     Holder::Settings holder;  ///< its address is where this process listens, if it is empty
     Client::Settings client;  ///< its shards and instance are those of the two others
-    channel::MeshSettings mesh;
-    channel::Mesh::Endpoint listen;
+    channel::PeerConnectionsSettings peer_connections;
+    channel::PeerConnections::Endpoint listen;
 };
 
 class Side {
 public:
     using Done = std::function<void(const Client::Done&)>;
 
-    /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
+    /// Before `keepers` is started, which must end before this does. Throws what PeerConnections throws.
     Side(SideSettings settings, Clock clock, coordinator::SessionThread& keepers);
     ~Side();
     Side(const Side&) = delete;
@@ -56,7 +56,7 @@
     /// What this process holds; a record of it may be another's by now.
     const Table& table() const { return table_; }
 
-    channel::Mesh::Endpoint at() const { return mesh_.at(); }
+    channel::PeerConnections::Endpoint at() const { return peer_connections_.at(); }
 
 private:
     struct Worker;
@@ -76,7 +76,7 @@
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     AsioScheduler scheduler_;
-    channel::Mesh mesh_;
+    channel::PeerConnections peer_connections_;
     Client client_;
     SessionId session_ = 0;
     TimePoint until_{};
--- a/tests/fleet/mesh_test.cpp
+++ b/tests/fleet/peer_connections_test.cpp
@@ -1,5 +1,5 @@
 // Meshes on loopback, all on one loop.
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 namespace ochrehub::channel {
 namespace {
 
-const Mesh::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
+const PeerConnections::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
 struct World {
     /// Turns the loop till it holds; false where that takes far too long.
@@ -36,51 +36,53 @@
 };
 
 struct Process {
-    Process(World& world, std::uint64_t instance, MeshSettings settings = {},
-            const std::optional<Mesh::Endpoint>& listen = kAny)
-        : mesh(world.io, world.clock, listen, named(settings, instance), instance) {
-        mesh.up = [this](const Peer& peer) { ++ups[peer.instance]; };
-        mesh.down = [this](const Peer& peer, Error error) { ++downs[peer.instance], last_down = error; };
-        mesh.deliver = [this](const Peer& peer, Kind kind, std::string body) {
+    Process(World& world, std::uint64_t instance, PeerConnectionsSettings settings = {},
+            const std::optional<PeerConnections::Endpoint>& listen = kAny)
+        : peer_connections(world.io, world.clock, listen, named(settings, instance), instance) {
+        peer_connections.up = [this](const Peer& peer) { ++ups[peer.instance]; };
+        peer_connections.down = [this](const Peer& peer, Error error) {
+            ++downs[peer.instance], last_down = error;
+        };
+        peer_connections.deliver = [this](const Peer& peer, Kind kind, std::string body) {
             got.emplace_back(peer.instance, kind, std::move(body));
             if (answers && kind == Kind::Ask)
-                mesh.send(peer.instance, Kind::Answer, "re " + std::get<2>(got.back()));
+                peer_connections.send(peer.instance, Kind::Answer, "re " + std::get<2>(got.back()));
         };
-        mesh.unreached = [this](const std::string&, Error error) { unreached.push_back(error); };
+        peer_connections.unreached = [this](const std::string&, Error error) { unreached.push_back(error); };
     }
-    ~Process() { mesh.close(); }
-    static MeshSettings named(MeshSettings set, std::uint64_t instance) {
+    ~Process() { peer_connections.close(); }
+    static PeerConnectionsSettings named(PeerConnectionsSettings set, std::uint64_t instance) {
         set.channel.self.name = "p" + std::to_string(instance);
         set.channel.self.instance = instance;
         return set;
     }
-    std::string address() const { return "127.0.0.1:" + std::to_string(mesh.at().port()); }
+    std::string address() const { return "127.0.0.1:" + std::to_string(peer_connections.at().port()); }
 
     std::map<std::uint64_t, int> ups, downs;
     std::vector<std::tuple<std::uint64_t, Kind, std::string>> got;
     std::vector<Error> unreached;
     std::optional<Error> last_down;
     bool answers = false;
-    Mesh mesh;
+    PeerConnections peer_connections;
 };
 
-TEST(Mesh, DialsAndIsAnsweredOnTheSameConnection) {
+TEST(PeerConnections, DialsAndIsAnsweredOnTheSameConnection) {
     World world;
-    MeshSettings set;
+    PeerConnectionsSettings set;
     set.channel.keys = {"k1"};
     Process keeper(world, 1, set), node(world, 2, set, std::nullopt);
     keeper.answers = true;
-    ASSERT_TRUE(node.mesh.dial(keeper.address()));
+    ASSERT_TRUE(node.peer_connections.dial(keeper.address()));
     ASSERT_TRUE(world.until([&] { return node.ups[1] == 1 && keeper.ups[2] == 1; }));
-    for (int i = 0; i < 1000; ++i) ASSERT_TRUE(node.mesh.send(1, Kind::Ask, std::to_string(i)));
+    for (int i = 0; i < 1000; ++i) ASSERT_TRUE(node.peer_connections.send(1, Kind::Ask, std::to_string(i)));
     ASSERT_TRUE(world.until([&] { return node.got.size() == 1000; }));
     for (std::size_t i = 0; i < 1000; ++i)
         EXPECT_EQ(node.got[i], std::make_tuple(std::uint64_t{1}, Kind::Answer, "re " + std::to_string(i)));
-    EXPECT_FALSE(node.mesh.send(3, Kind::Ask, "nobody"));
+    EXPECT_FALSE(node.peer_connections.send(3, Kind::Ask, "nobody"));
 }
 
-MeshSettings quick() {
-    MeshSettings set;
+PeerConnectionsSettings quick() {
+    PeerConnectionsSettings set;
     set.channel.keys = {"k1"};
     set.channel.idle = Duration{100};
     set.channel.dead = Duration{300};
@@ -91,7 +93,7 @@
 
 /// A connection that only does what it is told.
 struct Raw {
-    Raw(World& world, const Mesh& to) : socket(world.io) { socket.connect(to.at()); }
+    Raw(World& world, const PeerConnections& to) : socket(world.io) { socket.connect(to.at()); }
     /// The other end has closed it.
     bool closed() {
         socket.non_blocking(true);
@@ -103,161 +105,173 @@
     boost::asio::ip::tcp::socket socket;
 };
 
-TEST(Mesh, KeepsOneConnectionWhereBothDialAtOnce) {
+TEST(PeerConnections, KeepsOneConnectionWhereBothDialAtOnce) {
     for (int round = 0; round < 20; ++round) {
         World world;
-        MeshSettings set = quick();
+        PeerConnectionsSettings set = quick();
         set.channel.dead = Duration{3000};
         Process a(world, 1, set), b(world, 2, set);
-        a.mesh.dial(b.address());
-        b.mesh.dial(a.address());
+        a.peer_connections.dial(b.address());
+        b.peer_connections.dial(a.address());
         // Until neither has more than one, and both have the same.
         ASSERT_TRUE(world.until([&] {
-            return a.mesh.peers() == 1 && b.mesh.peers() == 1 && a.mesh.connections() == 1 &&
-                   b.mesh.connections() == 1;
+            return a.peer_connections.peers() == 1 && b.peer_connections.peers() == 1 &&
+                   a.peer_connections.connections() == 1 && b.peer_connections.connections() == 1;
         }));
         a.got.clear(), b.got.clear();
-        ASSERT_TRUE(a.mesh.send(2, Kind::Raft, "to b") && b.mesh.send(1, Kind::Raft, "to a"));
+        ASSERT_TRUE(a.peer_connections.send(2, Kind::Raft, "to b") &&
+                    b.peer_connections.send(1, Kind::Raft, "to a"));
         ASSERT_TRUE(world.until([&] { return a.got.size() == 1 && b.got.size() == 1; }));
         EXPECT_EQ(a.ups[2] - a.downs[2], 1);
         EXPECT_EQ(b.ups[1] - b.downs[1], 1);
     }
 }
 
-TEST(Mesh, TheConnectionThatTheLowerInstanceDialledStaysWhicheverCameFirst) {
+TEST(PeerConnections, TheConnectionThatTheLowerInstanceDialledStaysWhicheverCameFirst) {
     for (bool lower_first : {false, true}) {
         World world;
-        MeshSettings set = quick();
+        PeerConnectionsSettings set = quick();
         set.channel.dead = Duration{3000};
         Process low(world, 1, set), high(world, 2, set);
         Process &first = lower_first ? low : high, &second = lower_first ? high : low;
-        first.mesh.dial(second.address());
+        first.peer_connections.dial(second.address());
         ASSERT_TRUE(world.until([&] { return low.ups[2] == 1 && high.ups[1] == 1; }));
-        second.mesh.dial(first.address());
-        ASSERT_TRUE(world.until(
-            [&] { return low.mesh.ended(Error::Replaced) + high.mesh.ended(Error::Replaced) > 0; }));
-        ASSERT_TRUE(world.until([&] { return low.mesh.connections() == 1 && high.mesh.connections() == 1; }));
+        second.peer_connections.dial(first.address());
+        ASSERT_TRUE(world.until([&] {
+            return low.peer_connections.ended(Error::Replaced) +
+                       high.peer_connections.ended(Error::Replaced) >
+                   0;
+        }));
+        ASSERT_TRUE(world.until([&] {
+            return low.peer_connections.connections() == 1 && high.peer_connections.connections() == 1;
+        }));
         EXPECT_EQ(low.ups[2], lower_first ? 1 : 2);
         EXPECT_EQ(low.downs[2], lower_first ? 0 : 1);
-        low.mesh.drop(high.address());  // and it is the one that the lower one dialled
+        low.peer_connections.drop(high.address());  // and it is the one that the lower one dialled
         ASSERT_TRUE(world.until([&] { return low.downs[2] > 0 && high.downs[1] > 0; }));
     }
 }
 
-TEST(Mesh, ManyThatAllDialEachOtherEndWithOneConnectionAPair) {
+TEST(PeerConnections, ManyThatAllDialEachOtherEndWithOneConnectionAPair) {
     World world;
-    MeshSettings set = quick();
+    PeerConnectionsSettings set = quick();
     set.channel.dead = Duration{3000};
     std::vector<std::unique_ptr<Process>> all;
     for (std::uint64_t i = 1; i <= 7; ++i) all.push_back(std::make_unique<Process>(world, i, set));
     for (auto& one : all)
-        for (auto& other : all) one->mesh.dial(other->address());  // itself among them
+        for (auto& other : all) one->peer_connections.dial(other->address());  // itself among them
     ASSERT_TRUE(world.until([&] {
-        return std::all_of(all.begin(), all.end(),
-                           [](auto& p) { return p->mesh.peers() == 6 && p->mesh.connections() == 6; });
+        return std::all_of(all.begin(), all.end(), [](auto& p) {
+            return p->peer_connections.peers() == 6 && p->peer_connections.connections() == 6;
+        });
     }));
     for (std::uint64_t i = 1; i <= 7; ++i) EXPECT_FALSE(all[i - 1]->ups.contains(i));
     // One of them starts anew, elsewhere: the others find it there once they are told.
     std::string was = all[3]->address();
     all[3] = std::make_unique<Process>(world, 104, set);
     for (auto& other : all)
-        if (other != all[3]) other->mesh.drop(was), other->mesh.dial(all[3]->address());
+        if (other != all[3])
+            other->peer_connections.drop(was), other->peer_connections.dial(all[3]->address());
     ASSERT_TRUE(world.until([&] {
-        return std::all_of(all.begin(), all.end(),
-                           [](auto& p) { return p->mesh.peers() == 6 && p->mesh.connections() == 6; });
+        return std::all_of(all.begin(), all.end(), [](auto& p) {
+            return p->peer_connections.peers() == 6 && p->peer_connections.connections() == 6;
+        });
     }));
     EXPECT_EQ(all[0]->ups[104] - all[0]->downs[104], 1);
     EXPECT_EQ(all[0]->ups[4] - all[0]->downs[4], 0);
 }
 
-TEST(Mesh, ComesBackToWhoeverWasAway) {
+TEST(PeerConnections, ComesBackToWhoeverWasAway) {
     World world;
     auto keeper = std::make_unique<Process>(world, 1, quick());
     Process node(world, 2, quick(), std::nullopt);
     std::string address = keeper->address();
-    Mesh::Endpoint at = keeper->mesh.at();
-    node.mesh.dial(address);
+    PeerConnections::Endpoint at = keeper->peer_connections.at();
+    node.peer_connections.dial(address);
     ASSERT_TRUE(world.until([&] { return node.ups[1] == 1; }));
     keeper.reset();
     ASSERT_TRUE(world.until([&] { return node.downs[1] == 1 && node.unreached.size() >= 3; }));
     EXPECT_EQ(node.last_down, Error::Closed);
     EXPECT_EQ(node.unreached.front(), Error::Unreachable);
-    EXPECT_FALSE(node.mesh.send(1, Kind::Ask, "nobody"));
-    EXPECT_EQ(node.mesh.refused(Error::Closed), 1u);
+    EXPECT_FALSE(node.peer_connections.send(1, Kind::Ask, "nobody"));
+    EXPECT_EQ(node.peer_connections.refused(Error::Closed), 1u);
     Process again(world, 3, quick(), at);
     ASSERT_TRUE(world.until([&] { return node.ups[3] == 1; }));
-    node.mesh.drop(address);
+    node.peer_connections.drop(address);
     ASSERT_TRUE(world.until([&] { return node.downs[3] == 1 && again.downs[2] == 1; }));
-    EXPECT_EQ(node.mesh.connections(), 0u);
+    EXPECT_EQ(node.peer_connections.connections(), 0u);
 }
 
-TEST(Mesh, SaysWhyADialDidNotComeUp) {
+TEST(PeerConnections, SaysWhyADialDidNotComeUp) {
     World world;
     Process keeper(world, 1, quick());
-    MeshSettings other = quick();
+    PeerConnectionsSettings other = quick();
     other.channel.cluster = 9;
     Process stranger(world, 2, other, std::nullopt);
-    stranger.mesh.dial(keeper.address());
+    stranger.peer_connections.dial(keeper.address());
     ASSERT_TRUE(world.until([&] { return !stranger.unreached.empty(); }));
     // Whoever reads first sees it, and closes.
     EXPECT_TRUE(stranger.unreached[0] == Error::Cluster || stranger.unreached[0] == Error::Closed);
-    ASSERT_TRUE(world.until(
-        [&] { return keeper.mesh.ended(Error::Cluster) + stranger.mesh.ended(Error::Cluster) > 0; }));
+    ASSERT_TRUE(world.until([&] {
+        return keeper.peer_connections.ended(Error::Cluster) +
+                   stranger.peer_connections.ended(Error::Cluster) >
+               0;
+    }));
     EXPECT_TRUE(keeper.ups.empty());
     for (const char* wrong : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:1x",
                               "name:1", "::1:1", "[127.0.0.1]:1"})
-        EXPECT_FALSE(stranger.mesh.dial(wrong)) << wrong;
-    EXPECT_TRUE(Mesh::endpoint("[::1]:1") && Mesh::endpoint("127.0.0.1:65535"));
+        EXPECT_FALSE(stranger.peer_connections.dial(wrong)) << wrong;
+    EXPECT_TRUE(PeerConnections::endpoint("[::1]:1") && PeerConnections::endpoint("127.0.0.1:65535"));
 }
 
-TEST(Mesh, StrangersThatSayNothingGoAndAFloodOfThemDoesNotKeepPeersOut) {
+TEST(PeerConnections, StrangersThatSayNothingGoAndAFloodOfThemDoesNotKeepPeersOut) {
     World world;
-    MeshSettings set = quick();
+    PeerConnectionsSettings set = quick();
     set.strangers = 5;
     set.channel.dead = Duration{2000};
     Process keeper(world, 1, set);
     std::vector<std::unique_ptr<Raw>> flood;
-    for (int i = 0; i < 50; ++i) flood.push_back(std::make_unique<Raw>(world, keeper.mesh));
+    for (int i = 0; i < 50; ++i) flood.push_back(std::make_unique<Raw>(world, keeper.peer_connections));
     Process node(world, 2, quick(), std::nullopt);
-    node.mesh.dial(keeper.address());
+    node.peer_connections.dial(keeper.address());
     ASSERT_TRUE(world.until([&] {
-        EXPECT_LE(keeper.mesh.strangers(), 5u);
-        EXPECT_LE(keeper.mesh.connections(), 6u);
+        EXPECT_LE(keeper.peer_connections.strangers(), 5u);
+        EXPECT_LE(keeper.peer_connections.connections(), 6u);
         return keeper.ups[2] == 1;
     }));
     // Those that remain go by the time that they have, and the peer stays.
-    ASSERT_TRUE(world.until([&] { return keeper.mesh.strangers() == 0; }));
+    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.strangers() == 0; }));
     EXPECT_EQ(std::count_if(flood.begin(), flood.end(), [](auto& one) { return one->closed(); }), 50);
-    EXPECT_GE(keeper.mesh.ended(Error::Full), 45u);
-    EXPECT_GE(keeper.mesh.ended(Error::Silent), 1u);
-    EXPECT_TRUE(keeper.downs.empty() && keeper.mesh.peers() == 1);
+    EXPECT_GE(keeper.peer_connections.ended(Error::Full), 45u);
+    EXPECT_GE(keeper.peer_connections.ended(Error::Silent), 1u);
+    EXPECT_TRUE(keeper.downs.empty() && keeper.peer_connections.peers() == 1);
 }
 
-TEST(Mesh, TakesInNoMorePeersThanItMay) {
+TEST(PeerConnections, TakesInNoMorePeersThanItMay) {
     World world;
-    MeshSettings set = quick();
+    PeerConnectionsSettings set = quick();
     set.accepted = 3;
     Process keeper(world, 1, set);
     std::vector<std::unique_ptr<Process>> nodes;
     for (std::uint64_t i = 2; i < 8; ++i) {
         nodes.push_back(std::make_unique<Process>(world, i, quick(), std::nullopt));
-        nodes.back()->mesh.dial(keeper.address());
+        nodes.back()->peer_connections.dial(keeper.address());
     }
-    ASSERT_TRUE(world.until([&] { return keeper.mesh.ended(Error::Full) >= 6; }));
-    EXPECT_EQ(keeper.mesh.peers(), 3u);
+    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.ended(Error::Full) >= 6; }));
+    EXPECT_EQ(keeper.peer_connections.peers(), 3u);
     // Where one leaves, another comes in.
     std::uint64_t in = keeper.ups.begin()->first;
     nodes[in - 2].reset();
-    ASSERT_TRUE(world.until([&] { return keeper.downs[in] == 1 && keeper.mesh.peers() == 3; }));
+    ASSERT_TRUE(world.until([&] { return keeper.downs[in] == 1 && keeper.peer_connections.peers() == 3; }));
 }
 
-TEST(Mesh, AReaderThatStandsStillIsBoundedAndThenGivenUp) {
+TEST(PeerConnections, AReaderThatStandsStillIsBoundedAndThenGivenUp) {
     World world;
-    MeshSettings set = quick();
+    PeerConnectionsSettings set = quick();
     set.channel.queue = 300000;
     set.channel.keys.clear();
     Process keeper(world, 1, set);
-    Raw slow(world, keeper.mesh);
+    Raw slow(world, keeper.peer_connections);
     // A Hello and a Ready without keys, by a channel that nobody reads for.
     Settings own;
     own.self = {"slow", "z", 9};
@@ -284,32 +298,32 @@
     bool full = false;
     ASSERT_TRUE(world.until([&] {
         for (int i = 0; i < 10; ++i) {
-            bool taken = keeper.mesh.send(9, Kind::Rules, std::string(10000, 'x'));
+            bool taken = keeper.peer_connections.send(9, Kind::Rules, std::string(10000, 'x'));
             sent += taken;
             full = full || !taken;
         }
-        EXPECT_LE(keeper.mesh.queued(9), 300000u);
+        EXPECT_LE(keeper.peer_connections.queued(9), 300000u);
         return !keeper.downs.empty();
     }));
     EXPECT_TRUE(full && sent > 20);
-    EXPECT_GT(keeper.mesh.refused(Error::Full), 0u);
+    EXPECT_GT(keeper.peer_connections.refused(Error::Full), 0u);
     EXPECT_EQ(keeper.last_down, Error::Silent);
 }
 
-TEST(Mesh, MayBeClosedAndDialFromInsideOfCallbacks) {
+TEST(PeerConnections, MayBeClosedAndDialFromInsideOfCallbacks) {
     World world;
     Process keeper(world, 1, quick()), node(world, 2, quick());
     int ups = 0;
-    node.mesh.up = [&](const Peer& peer) {
-        node.mesh.send(peer.instance, Kind::Ask, "first");
-        if (++ups == 2) return node.mesh.close();
-        node.mesh.drop(keeper.address());
-        node.mesh.dial(keeper.address());
+    node.peer_connections.up = [&](const Peer& peer) {
+        node.peer_connections.send(peer.instance, Kind::Ask, "first");
+        if (++ups == 2) return node.peer_connections.close();
+        node.peer_connections.drop(keeper.address());
+        node.peer_connections.dial(keeper.address());
     };
-    node.mesh.dial(keeper.address());
+    node.peer_connections.dial(keeper.address());
     ASSERT_TRUE(world.until([&] { return ups == 2; }));
-    world.until([&] { return keeper.mesh.peers() == 0; });
-    EXPECT_EQ(node.mesh.connections(), 0u);
+    world.until([&] { return keeper.peer_connections.peers() == 0; });
+    EXPECT_EQ(node.peer_connections.connections(), 0u);
 }
 
 // ---- The dialer by itself
