--- a/lab/bench/channel_bench.cpp
+++ b/lab/bench/channel_bench.cpp
@@ -29,8 +29,8 @@
     set.channel.self = {"p", "zone", instance};
     set.channel.self.name += std::to_string(instance);
     if (keys) set.channel.keys = {"a key of thirty-two octets or so"};
-    set.accepted = 2000;
-    set.strangers = 2000;
+    set.max_accepted_peers = 2000;
+    set.max_unauthenticated = 2000;
     return set;
 }
 
@@ -51,7 +51,7 @@
     PeerConnections keeper(world.io, world.clock, kAny, named(1, keys), 1);
     std::uint64_t got = 0;
     double began = 0, ended = 0;
-    keeper.deliver = [&](const Peer&, Kind, std::string) { ++got, ended = seconds(); };
+    keeper.deliver = [&](const Peer&, MessageKind, std::string) { ++got, ended = seconds(); };
     std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
     int child = fork();
     if (child == 0) {  // another process sends what its queue takes
@@ -63,7 +63,7 @@
         other.until([&] { return up; });
         std::string body(kBody, 'x');
         for (double end = seconds() + length; seconds() < end; other.io.poll())
-            while (node.queued(1) < 100000 && node.send(1, Kind::Shard, body)) {
+            while (node.queued(1) < 100000 && node.send(1, MessageKind::Shard, body)) {
             }
         other.until([&] { return node.queued(1) == 0; });
         _exit(0);
@@ -80,8 +80,8 @@
 
 void core_alone(bool keys, double length) {
     Settings one = named(1, keys).channel, other = named(2, keys).channel;
-    one.nonce = std::string(kNonce, 'a');
-    other.nonce = std::string(kNonce, 'b');
+    one.nonce = std::string(kNonceBytes, 'a');
+    other.nonce = std::string(kNonceBytes, 'b');
     Channel a(one), b(other);
     std::uint64_t got = 0;
     TimePoint now{};
@@ -90,24 +90,24 @@
         Actions actions;
         to.handle(now, event, actions);
         for (const Action& action : actions) {
-            got += std::holds_alternative<Deliver>(action);
-            if (const auto* put = std::get_if<Put>(&action)) {
+            got += std::holds_alternative<DeliverMessage>(action);
+            if (const auto* put = std::get_if<WriteBytes>(&action)) {
                 Actions none;
-                to.handle(now, Flushed{put->octets.size()}, none);
-                hand(back, to, Octets{put->octets});
+                to.handle(now, BytesWritten{put->bytes.size()}, none);
+                hand(back, to, BytesReceived{put->bytes});
             }
         }
     };
     auto put = [&](Channel& to, const Event& event) {
         Actions actions;
         to.handle(now, event, actions);
-        return std::get<Put>(actions.front()).octets;
+        return std::get<WriteBytes>(actions.front()).octets;
     };
-    std::string hello = put(a, Opened{}), answer = put(b, Opened{}), ready = put(b, Octets{hello});
-    hand(a, b, Octets{answer});
-    hand(a, b, Octets{ready});
+    std::string hello = put(a, Opened{}), answer = put(b, Opened{}), ready = put(b, BytesReceived{hello});
+    hand(a, b, BytesReceived{answer});
+    hand(a, b, BytesReceived{ready});
     double began = seconds();
-    Event say = Say{Kind::Shard, std::string(kBody, 'x')};
+    Event say = SendMessage{MessageKind::Shard, std::string(kBody, 'x')};
     while (seconds() < began + length)
         for (int i = 0; i < 1000; ++i) hand(a, b, say);
     std::printf("core alone, both ends, %s keys: %.0f ns a message\n", keys ? "with" : "without",
@@ -148,16 +148,16 @@
     if (child == 0) {
         World other;
         PeerConnections node(other.io, other.clock, std::nullopt, named(2, true), 2);
-        node.deliver = [](const Peer&, Kind, std::string) { raise(SIGSTOP); };
+        node.deliver = [](const Peer&, MessageKind, std::string) { raise(SIGSTOP); };
         node.dial(address);
         for (;;) other.io.run_one();
     }
     world.until([&] { return keeper.peers() == 1; });
-    keeper.send(2, Kind::Shard, "stand still");
+    keeper.send(2, MessageKind::Shard, "stand still");
     while (waitpid(child, nullptr, WUNTRACED | WNOHANG) == 0) world.io.poll();
     std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd, most = 0;
     for (int quiet = 0; quiet < 100; ++quiet) {
-        while (keeper.send(2, Kind::Shard, std::string(kBody, 'x'))) quiet = 0;
+        while (keeper.send(2, MessageKind::Shard, std::string(kBody, 'x'))) quiet = 0;
         world.io.poll();
         most = std::max(most, mallinfo2().uordblks + mallinfo2().hblkhd - before);
     }
--- a/lab/coordinator/testbed.cpp
+++ b/lab/coordinator/testbed.cpp
@@ -85,7 +85,7 @@
         if (other != index && settings_.has_relays) {
             const Relay::Endpoint any_port(boost::asio::ip::make_address("127.0.0.1"), 0);
             relays_[index][other] =
-                std::make_unique<Relay>(any_port, *channel::PeerConnections::endpoint(listen_[other]));
+                std::make_unique<Relay>(any_port, *channel::PeerConnections::parse_endpoint(listen_[other]));
             address = relays_[index][other]->address();
         }
         text << "[[member]]\nnumber = " << other + 1 << "\naddress = \"" << address << "\"\n";
--- a/lab/equivalence/channel.cpp
+++ b/lab/equivalence/channel.cpp
@@ -31,9 +31,9 @@
         channel.handle(now, event, actions);
         lab::record_decision("channel", now, event, actions);
         for (const channel::Action& action : actions) {
-            if (const auto* write = std::get_if<channel::Put>(&action)) outgoing += write->octets;
-            if (const auto* timer_set = std::get_if<channel::WakeAt>(&action)) timer = timer_set->at;
-            if (std::holds_alternative<channel::End>(action)) ended = true;
+            if (const auto* write = std::get_if<channel::WriteBytes>(&action)) outgoing += write->bytes;
+            if (const auto* timer_set = std::get_if<channel::SetTimer>(&action)) timer = timer_set->at;
+            if (std::holds_alternative<channel::CloseConnection>(action)) ended = true;
         }
     }
 };
@@ -45,9 +45,9 @@
     settings.self.instance = std::uint64_t(name);
     settings.cluster = 7;
     if (has_keys) settings.keys = {std::string(32, 'k')};
-    settings.nonce = std::string(channel::kNonce, name);
-    settings.queue = 1 << 14;
-    settings.message = 1 << 12;
+    settings.nonce = std::string(channel::kNonceBytes, name);
+    settings.max_queued_bytes = 1 << 14;
+    settings.max_message_bytes = 1 << 12;
     return settings;
 }
 
@@ -63,11 +63,12 @@
             End& peer = ends[1 - i];
             if (end.timer <= now) {
                 end.timer = TimePoint::max();
-                end.handle(now, channel::Woken{});
+                end.handle(now, channel::TimerFired{});
             }
             if (random() % 3 == 0) {
-                const auto kind = channel::Kind(1 + random() % 7);
-                end.handle(now, channel::Say{kind, std::string(random() % 6000, char('a' + step % 26))});
+                const auto kind = channel::MessageKind(1 + random() % 7);
+                end.handle(now,
+                           channel::SendMessage{kind, std::string(random() % 6000, char('a' + step % 26))});
             }
             // A link that stands still now and then: what is written stays there.
             if (end.outgoing.empty() || random() % 8 == 0) continue;
@@ -75,8 +76,8 @@
             std::string bytes = end.outgoing.substr(0, size);
             end.outgoing.erase(0, size);
             if (corrupts && random() % 100 == 0) bytes[random() % size] ^= 1;
-            end.handle(now, channel::Flushed{size});
-            peer.handle(now, channel::Octets{bytes});
+            end.handle(now, channel::BytesWritten{size});
+            peer.handle(now, channel::BytesReceived{bytes});
         }
         if (ends[0].ended && ends[1].ended) break;
     }
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -56,11 +56,10 @@
         peer_connections_ = std::make_unique<channel::PeerConnections>(
             io_, scheduler_,
             channel::PeerConnections::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set, instance);
-        peer_connections_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) {
-            deliver(peer.instance, std::move(body));
-        };
+        peer_connections_->on_message = [this](const channel::Peer& peer, channel::MessageKind,
+                                               std::string body) { deliver(peer.instance, std::move(body)); };
         std::ostringstream at;
-        at << peer_connections_->at();
+        at << peer_connections_->listen_address();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
         coordinator::SessionThreadSettings side;
@@ -123,11 +122,11 @@
         if (holder == index_)
             return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
         if (std::uint64_t instance = peer_connections_->instance_at(addresses_[holder]))
-            peer_connections_->send(instance, channel::Kind::Migration, what + body);
+            peer_connections_->send(instance, channel::MessageKind::Migration, what + body);
     }
     void answer(std::uint64_t to, char what, const std::string& body) {
         if (to == 0) return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        peer_connections_->send(to, channel::Kind::Migration, what + body);
+        peer_connections_->send(to, channel::MessageKind::Migration, what + body);
     }
     void deliver(std::uint64_t from, std::string body) {
         if (body.empty()) return;
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -82,9 +82,11 @@
     set.peer_connections.channel.self.name = name, set.peer_connections.channel.self.zone = zone,
     set.peer_connections.channel.self.instance = instance;
     set.peer_connections.channel.cluster = fleet::fingerprint("rig");
-    set.peer_connections.channel.idle = Duration(300), set.peer_connections.channel.dead = Duration(900);
-    set.peer_connections.dial.first = Duration(30), set.peer_connections.dial.most = Duration(300);
-    set.listen = *channel::PeerConnections::endpoint(listen);
+    set.peer_connections.channel.idle_timeout = Duration(300),
+    set.peer_connections.channel.dead_timeout = Duration(900);
+    set.peer_connections.dial.initial_backoff = Duration(30),
+    set.peer_connections.dial.max_backoff = Duration(300);
+    set.listen = *channel::PeerConnections::parse_endpoint(listen);
     auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
     fleet_shards::Side side(set, clock, *keeping);
     side.start();
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -128,7 +128,7 @@
             listens.push_back(free_address());
             relays.push_back(std::make_unique<lab::Relay>(
                 lab::Relay::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0),
-                *channel::PeerConnections::endpoint(listens[n])));
+                *channel::PeerConnections::parse_endpoint(listens[n])));
             nodes.push_back(nullptr);
             start_node(n);
         }
--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -20,9 +20,11 @@
         : near(io, clock, std::nullopt, named(1, dead), 1), far(io, clock, kAny, named(2, dead), 2) {
         for (PeerConnections* peer_connections : {&near, &far}) {
             int me = peer_connections == &far;
-            peer_connections->up = [this, me](const Peer&) { ++ups[me]; };
-            peer_connections->down = [this, me](const Peer&, Error error) { ++downs[me], why[me] = error; };
-            peer_connections->deliver = [this, me](const Peer&, Kind, std::string) { ++got[me]; };
+            peer_connections->on_connected = [this, me](const Peer&) { ++ups[me]; };
+            peer_connections->on_disconnected = [this, me](const Peer&, Error error) {
+                ++downs[me], why[me] = error;
+            };
+            peer_connections->on_message = [this, me](const Peer&, MessageKind, std::string) { ++got[me]; };
         }
         near.dial(relay.address());
     }
@@ -31,10 +33,10 @@
         PeerConnectionsSettings set;
         set.channel.self = {"p" + std::to_string(instance), "z", instance};
         set.channel.keys = {"a key"};
-        set.channel.idle = Duration{100};
-        set.channel.dead = dead;
-        set.dial.first = Duration{20};
-        set.dial.most = Duration{100};
+        set.channel.idle_timeout = Duration{100};
+        set.channel.dead_timeout = dead;
+        set.dial.initial_backoff = Duration{20};
+        set.dial.max_backoff = Duration{100};
         return set;
     }
     bool until(const std::function<bool()>& holds) {
@@ -55,15 +57,15 @@
     int ups[2]{}, downs[2]{}, got[2]{};
     Error why[2]{};
     PeerConnections near, far;
-    Relay relay{kAny, far.at()};
+    Relay relay{kAny, far.listen_address()};
 };
 
 TEST(Relay, CutsOneWayWhileTheOtherGoesOn) {
     World world(Duration{400});
     ASSERT_TRUE(world.both_up(1));
     world.relay.cut(Direction::Forth, true);
-    ASSERT_TRUE(world.far.send(1, Kind::Raft, "back"));
-    ASSERT_TRUE(world.near.send(2, Kind::Raft, "forth"));
+    ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "back"));
+    ASSERT_TRUE(world.near.send(2, MessageKind::Raft, "forth"));
     ASSERT_TRUE(world.until([&] { return world.got[0] == 1; }));
     // Whoever hears nothing gives it up, and nothing of it has come through.
     ASSERT_TRUE(world.until([&] { return world.downs[1] == 1; }));
@@ -77,7 +79,7 @@
     World world;
     ASSERT_TRUE(world.both_up(1));
     world.relay.stall(true);
-    for (int i = 0; i < 10; ++i) ASSERT_TRUE(world.near.send(2, Kind::Raft, "late"));
+    for (int i = 0; i < 10; ++i) ASSERT_TRUE(world.near.send(2, MessageKind::Raft, "late"));
     world.io.run_for(std::chrono::milliseconds(50));
     EXPECT_EQ(world.got[1], 0);
     world.relay.stall(false);
@@ -88,12 +90,12 @@
     World world;
     ASSERT_TRUE(world.both_up(1));
     world.relay.cut(Direction::Back, true, Lost::Dropped);
-    ASSERT_TRUE(world.far.send(1, Kind::Raft, "gone"));
-    ASSERT_TRUE(world.until([&] { return world.far.queued(1) == 0; }));
+    ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "gone"));
+    ASSERT_TRUE(world.until([&] { return world.far.queued_bytes(1) == 0; }));
     world.io.run_for(std::chrono::milliseconds(30));
     world.relay.cut(Direction::Back, false);
     if (world.downs[0] == 0) {
-        ASSERT_TRUE(world.far.send(1, Kind::Raft, "behind it"));
+        ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "behind it"));
         ASSERT_TRUE(world.until([&] { return world.downs[0] == 1; }));
         EXPECT_EQ(world.why[0], Error::Forged);
     }
@@ -110,19 +112,20 @@
 
     world.relay.delay(Direction::Forth, Duration{60});
     TimePoint sent = world.clock.now();
-    ASSERT_TRUE(world.near.send(2, Kind::Raft, "late"));
+    ASSERT_TRUE(world.near.send(2, MessageKind::Raft, "late"));
     ASSERT_TRUE(world.until([&] { return world.got[1] == 1; }));
     EXPECT_GE((world.clock.now() - sent).count(), 60);
     world.relay.delay(Direction::Forth, Duration{0});
 
     world.relay.refuse(true);
     world.relay.reset();
-    ASSERT_TRUE(world.until([&] { return world.near.ended(Error::Unreachable) >= 2; }));
-    EXPECT_EQ(world.near.peers(), 0u);
+    ASSERT_TRUE(world.until([&] { return world.near.ended_count(Error::Unreachable) >= 2; }));
+    EXPECT_EQ(world.near.peer_count(), 0u);
     PeerConnections other(world.io, world.clock, kAny, World::named(3), 3);
-    world.relay.target(other.at());
+    world.relay.target(other.listen_address());
     world.relay.refuse(false);
-    EXPECT_TRUE(world.until([&] { return other.peers() == 1 && world.near.send(3, Kind::Raft, "x"); }));
+    EXPECT_TRUE(
+        world.until([&] { return other.peer_count() == 1 && world.near.send(3, MessageKind::Raft, "x"); }));
     other.close();
 }
 
--- a/src/fleet/channel/channel.cpp
+++ b/src/fleet/channel/channel.cpp
@@ -25,7 +25,7 @@
 
 /// Names reach logs and terminals.
 bool sound(std::string_view name) {
-    return name.size() <= Channel::kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
+    return name.size() <= Channel::kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char c) {
                return c > ' ' && c < 127 && c != '"' && c != '\\';
            });
 }
@@ -96,10 +96,10 @@
         hello.set_name(set.self.name);
         hello.set_zone(set.self.zone);
         hello.set_instance(set.self.instance);
-        hello.set_keeper(set.self.keeper);
+        hello.set_keeper(set.self.coordinator_id);
         hello.set_release(set.self.release);
-        hello.set_schema_least(set.self.schema_least);
-        hello.set_schema_most(set.self.schema_most);
+        hello.set_schema_least(set.self.min_schema);
+        hello.set_schema_most(set.self.max_schema);
         hello.set_nonce(set.nonce);
         if (set.keys.empty()) return seal(frame, nullptr, 0);
         fleet::Mac mac = hello_mac(set.keys.front());
@@ -137,26 +137,27 @@
         ++channel.taken_;
         if (channel.stage_ == Stage::Ready) {
             if (!frame.has_ready()) return channel.end(Error::Malformed, actions);
-            channel.stage_ = Stage::Up;
-            actions.emplace_back(Up{channel.peer_});
+            channel.stage_ = Stage::Connected;
+            actions.emplace_back(Connected{channel.peer_});
             return;
         }
         if (frame.has_message()) {
             wire::Message& message = *frame.mutable_message();
             // Which kinds a peer knows goes by its release: one that sends others is faulty.
-            bool known = message.kind() >= std::uint32_t(Kind::Raft) &&
-                         message.kind() <= std::uint32_t(Kind::Migration);
+            bool known = message.kind() >= std::uint32_t(MessageKind::Raft) &&
+                         message.kind() <= std::uint32_t(MessageKind::Migration);
             if (!known) return channel.end(Error::Malformed, actions);
-            if (message.body().size() > channel.settings_.message)
+            if (message.body().size() > channel.settings_.max_message_bytes)
                 return channel.end(Error::TooLong, actions);
-            actions.emplace_back(Deliver{Kind(message.kind()), std::move(*message.mutable_body())});
+            actions.emplace_back(
+                DeliverMessage{MessageKind(message.kind()), std::move(*message.mutable_body())});
         } else if (frame.has_ping()) {
             wire::Frame answer;
             answer.mutable_pong()->set_number(frame.ping().number());
             // Where much waits to be written, that will show this one's life; and whoever asks and never
             // reads gets no more room.
             if (channel.queued_ + answer.ByteSizeLong() + kLength + channel.tag_size() <=
-                channel.settings_.queue)
+                channel.settings_.max_queued_bytes)
                 send(answer);
         } else if (!frame.has_pong()) {
             channel.end(Error::Malformed, actions);
@@ -166,7 +167,7 @@
     void take_hello(const wire::Frame& frame, const std::string* key) const {
         const Settings& set = channel.settings_;
         const wire::Hello& hello = frame.hello();
-        bool has_nonce = hello.nonce().size() == kNonce || (!key && hello.nonce().empty());
+        bool has_nonce = hello.nonce().size() == kNonceBytes || (!key && hello.nonce().empty());
         if (!frame.has_hello() || !has_nonce || !sound(hello.name()) || !sound(hello.zone()) ||
             hello.instance() == 0)
             return channel.end(Error::Malformed, actions);
@@ -196,43 +197,43 @@
 
 std::string Channel::own_preamble() const {
     std::string octets = "och";
-    octets += char(kVersion);
+    octets += char(kProtocolVersion);
     put_number(settings_.cluster, octets);
     octets += char(settings_.keys.empty() ? 0 : 1);
     return octets;
 }
 
 void Channel::handle(TimePoint now, const Event& event, Actions& actions) {
-    if (const auto* what = std::get_if<Say>(&event); what && !up()) {
-        actions.emplace_back(Refused{what->kind, Error::Closed});
+    if (const auto* what = std::get_if<SendMessage>(&event); what && !connected()) {
+        actions.emplace_back(SendRejected{what->kind, Error::Closed});
         return;
     }
     if (stage_ == Stage::Over || (stage_ == Stage::New) != std::holds_alternative<Opened>(event)) return;
     std::size_t first = actions.size(), before = queued_;
     if (std::holds_alternative<Opened>(event)) {
         open(now);
-        actions.emplace_back(WakeAt{wake_});
-    } else if (const auto* octets = std::get_if<Octets>(&event)) {
-        take(now, octets->octets, actions);
-    } else if (const auto* flushed = std::get_if<Flushed>(&event)) {
-        queued_ -= std::min(queued_, flushed->octets);
-        if (flushed->octets > 0) left_ = now;
+        actions.emplace_back(SetTimer{wake_});
+    } else if (const auto* octets = std::get_if<BytesReceived>(&event)) {
+        take(now, octets->bytes, actions);
+    } else if (const auto* flushed = std::get_if<BytesWritten>(&event)) {
+        queued_ -= std::min(queued_, flushed->bytes);
+        if (flushed->bytes > 0) left_ = now;
     } else if (std::holds_alternative<Closed>(event)) {
         end(Error::Closed, actions);
-    } else if (std::holds_alternative<Woken>(event)) {
+    } else if (std::holds_alternative<TimerFired>(event)) {
         woken(now, actions);
     } else {
-        say(std::get<Say>(event), actions);
+        say(std::get<SendMessage>(event), actions);
     }
     if (put_.empty()) return;
     if (before == 0) left_ = now;
-    actions.insert(actions.begin() + std::ptrdiff_t(first), Put{std::exchange(put_, {})});
+    actions.insert(actions.begin() + std::ptrdiff_t(first), WriteBytes{std::exchange(put_, {})});
 }
 
 void Channel::open(TimePoint now) {
     stage_ = Stage::Preamble;
     heard_ = left_ = now;
-    wake_ = now + settings_.dead;
+    wake_ = now + settings_.dead_timeout;
     put_ = own_preamble();
     queued_ = put_.size();
     Actions none;
@@ -241,7 +242,7 @@
 
 void Channel::take(TimePoint now, std::string_view octets, Actions& actions) {
     if (octets.empty()) return;
-    bool was_up = up();
+    bool was_up = connected();
     if (in_.empty()) {
         std::size_t done = consume(octets, actions);
         if (stage_ != Stage::Over) in_ = octets.substr(done);
@@ -249,14 +250,14 @@
         in_ += octets;
         std::size_t done = consume(in_, actions);
         in_.erase(0, done);
-        if (in_.empty() && in_.capacity() > kHelloMost)
+        if (in_.empty() && in_.capacity() > kMaxHelloBytes)
             in_ = {};  // a long message now and then is not held for ever
     }
     if (stage_ == Stage::Over) in_ = {};
-    // Before Up nobody has shown who they are: what they send gives them no more time.
-    if (!up()) return;
+    // Before Connected nobody has shown who they are: what they send gives them no more time.
+    if (!connected()) return;
     heard_ = now, asked_ = false;
-    if (!was_up) actions.emplace_back(WakeAt{wake_ = now + settings_.idle});
+    if (!was_up) actions.emplace_back(SetTimer{wake_ = now + settings_.idle_timeout});
 }
 
 std::size_t Channel::consume(std::string_view octets, Actions& actions) {
@@ -264,9 +265,9 @@
     while (stage_ != Stage::Over) {
         std::string_view rest = octets.substr(at);
         if (stage_ == Stage::Preamble) {
-            if (rest.size() < kPreamble) break;
-            preamble(rest.substr(0, kPreamble), actions);
-            at += kPreamble;
+            if (rest.size() < kPreambleBytes) break;
+            preamble(rest.substr(0, kPreambleBytes), actions);
+            at += kPreambleBytes;
             continue;
         }
         if (rest.size() < kLength) break;
@@ -291,13 +292,13 @@
     stage_ = Stage::Hello;
 }
 
-void Channel::say(const Say& say, Actions& actions) {
-    if (say.body.size() > settings_.message) {
-        actions.emplace_back(Refused{say.kind, Error::TooLong});
+void Channel::say(const SendMessage& say, Actions& actions) {
+    if (say.body.size() > settings_.max_message_bytes) {
+        actions.emplace_back(SendRejected{say.kind, Error::TooLong});
         return;
     }
-    if (queued_ + say.body.size() + kOverhead > settings_.queue) {
-        actions.emplace_back(Refused{say.kind, Error::Full});
+    if (queued_ + say.body.size() + kFrameOverheadBytes > settings_.max_queued_bytes) {
+        actions.emplace_back(SendRejected{say.kind, Error::Full});
         return;
     }
     wire::Frame frame;
@@ -308,39 +309,40 @@
 
 void Channel::woken(TimePoint now, Actions& actions) {
     if (now < wake_) {
-        actions.emplace_back(WakeAt{wake_});
+        actions.emplace_back(SetTimer{wake_});
         return;
     }
     // This process stood still itself: what came meanwhile has not been read yet, and says nothing against
     // the peer.
-    bool stood = now - wake_ > settings_.idle;
-    if (stage_ != Stage::Up) {
+    bool stood = now - wake_ > settings_.idle_timeout;
+    if (stage_ != Stage::Connected) {
         if (!stood) return end(Error::Silent, actions);
-        wake_ = now + settings_.dead;
-        actions.emplace_back(WakeAt{wake_});
+        wake_ = now + settings_.dead_timeout;
+        actions.emplace_back(SetTimer{wake_});
         return;
     }
     if (stood) {
-        heard_ = std::max(heard_, now - settings_.idle);
+        heard_ = std::max(heard_, now - settings_.idle_timeout);
         left_ = now, asked_ = false;
     }
-    if (now - heard_ >= settings_.dead || (queued_ > 0 && now - left_ >= settings_.dead))
+    if (now - heard_ >= settings_.dead_timeout || (queued_ > 0 && now - left_ >= settings_.dead_timeout))
         return end(Error::Silent, actions);
-    if (!asked_ && now - heard_ >= settings_.idle) {
+    if (!asked_ && now - heard_ >= settings_.idle_timeout) {
         asked_ = true;
         wire::Frame ping;
         ping.mutable_ping()->set_number(++pings_);
-        if (queued_ + kOverhead <= settings_.queue) Wire{*this, actions}.send(ping);
+        if (queued_ + kFrameOverheadBytes <= settings_.max_queued_bytes) Wire{*this, actions}.send(ping);
     }
-    wake_ = asked_ ? heard_ + settings_.dead : heard_ + settings_.idle;
-    if (queued_ > 0) wake_ = std::min(wake_, std::max(left_ + settings_.dead, now + settings_.idle));
-    actions.emplace_back(WakeAt{wake_});
+    wake_ = asked_ ? heard_ + settings_.dead_timeout : heard_ + settings_.idle_timeout;
+    if (queued_ > 0)
+        wake_ = std::min(wake_, std::max(left_ + settings_.dead_timeout, now + settings_.idle_timeout));
+    actions.emplace_back(SetTimer{wake_});
 }
 
 void Channel::end(Error error, Actions& actions) {
     if (stage_ == Stage::Over) return;
     stage_ = Stage::Over;
-    actions.emplace_back(End{error});
+    actions.emplace_back(CloseConnection{error});
 }
 
 }  // namespace ochrehub::channel
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -6,8 +6,8 @@
 //
 // A tag is made with a key of this connection and direction alone (of both sides' nonces, the sender's
 // first), over the frame's running number and octets: what was recorded elsewhere or before, turned around,
-// left out or sent in another order is Forged. Up comes behind the first frame that the peer has signed over
-// both nonces, so a Hello that was recorded gets nobody anywhere.
+// left out or sent in another order is Forged. Connected comes behind the first frame that the peer has
+// signed over both nonces, so a Hello that was recorded gets nobody anywhere.
 #pragma once
 
 #include <cstddef>
@@ -25,13 +25,13 @@
 namespace ochrehub::channel {
 
 /// Whose message it is; each belongs to one module above.
-enum class Kind : std::uint16_t { Raft = 1, Ask, Answer, Shard, Quota, Rules, Migration };
+enum class MessageKind : std::uint16_t { Raft = 1, Request, Response, Shard, Quota, Rules, Migration };
 
 struct Peer {  ///< as its Hello says
     std::string name, zone;
-    std::uint64_t instance = 0;  ///< drawn at each start of a process; never zero
-    std::uint32_t keeper = 0;    ///< its number, where it is one
-    std::uint32_t release = 0, schema_least = 0, schema_most = 0;
+    std::uint64_t instance = 0;        ///< drawn at each start of a process; never zero
+    std::uint32_t coordinator_id = 0;  ///< its number, where it is one
+    std::uint32_t release = 0, min_schema = 0, max_schema = 0;
     friend bool operator==(const Peer&, const Peer&) = default;
 };
 
@@ -41,13 +41,14 @@
     std::vector<std::string>
         keys;  ///< the first signs, any is taken; none: whoever reaches the port is believed
     std::string
-        nonce;  ///< of this connection: kNonce octets that never come again. Without keys: may be empty
-    std::size_t message = 1 << 20;  ///< octets of one's body, at most
-    std::size_t queue = 4 << 20;    ///< octets that wait to be written, at most
-    Duration idle{1000};            ///< silence after which one asks; below `dead`
-    Duration dead{3000};            ///< ... and after which the connection is given up; also for all up to Up
+        nonce;  ///< of this connection: kNonceBytes octets that never come again. Without keys: may be empty
+    std::size_t max_message_bytes = 1 << 20;  ///< octets of one's body, at most
+    std::size_t max_queued_bytes = 4 << 20;   ///< octets that wait to be written, at most
+    Duration idle_timeout{1000};              ///< silence after which one asks; below `dead_timeout`
+    Duration dead_timeout{
+        3000};  ///< ... and after which the connection is given up; also for all up to Connected
 };
-inline constexpr std::size_t kNonce = 16;
+inline constexpr std::size_t kNonceBytes = 16;
 
 enum class Error {
     Closed,
@@ -65,75 +66,76 @@
 
 // ---- What happens
 struct Opened {};
-struct Octets {
-    std::string_view octets;
+struct BytesReceived {
+    std::string_view bytes;
 };
-struct Flushed {  ///< so many octets have left
-    std::size_t octets = 0;
+struct BytesWritten {  ///< so many octets have left
+    std::size_t bytes = 0;
 };
 struct Closed {};
-struct Woken {};
-struct Say {
-    Kind kind{};
+struct TimerFired {};
+struct SendMessage {
+    MessageKind kind{};
     std::string body;
 };
-using Event = std::variant<Opened, Octets, Flushed, Closed, Woken, Say>;
+using Event = std::variant<Opened, BytesReceived, BytesWritten, Closed, TimerFired, SendMessage>;
 
 // ---- What is to be done about it
-struct Put {
-    std::string octets;
+struct WriteBytes {
+    std::string bytes;
 };
-struct Up {  ///< its Hello was taken: messages may go both ways
+struct Connected {  ///< its Hello was taken: messages may go both ways
     Peer peer;
 };
-struct Deliver {
-    Kind kind{};
+struct DeliverMessage {
+    MessageKind kind{};
     std::string body;
 };
-struct Refused {  ///< a Say that did not fit, or came before Up: it was not sent
-    Kind kind{};
+struct SendRejected {  ///< a SendMessage that did not fit, or came before Connected: it was not sent
+    MessageKind kind{};
     Error error{};
 };
-struct End {  ///< close it; nothing follows
+struct CloseConnection {  ///< close it; nothing follows
     Error error{};
 };
-struct WakeAt {
+struct SetTimer {
     TimePoint at;
 };
-using Action = std::variant<Put, Up, Deliver, Refused, End, WakeAt>;
+using Action = std::variant<WriteBytes, Connected, DeliverMessage, SendRejected, CloseConnection, SetTimer>;
 using Actions = std::vector<Action>;
 
 /// One connection, from its opening to its end, on either side. Not for use by several threads.
 ///
-/// Of one call's actions at most one is a Put, and it is the first: whoever has carried that out may call
-/// again from inside of what the others lead to. End is the last of all; whatever happens behind it is
-/// answered by nothing, a Say by Refused. Memory: what waits to be written lives with whoever carries out
-/// Put; in here one frame at most that is not whole yet, as many octets of it as have come (up to Up
-/// kHelloMost, then `message` and kOverhead, and what was read with them), and twice that while a string
-/// grows.
+/// Of one call's actions at most one is a WriteBytes, and it is the first: whoever has carried that out may
+/// call again from inside of what the others lead to. CloseConnection is the last of all; whatever happens
+/// behind it is answered by nothing, a SendMessage by SendRejected. Memory: what waits to be written lives
+/// with whoever carries out WriteBytes; in here one frame at most that is not whole yet, as many octets of it
+/// as have come (up to Connected kMaxHelloBytes, then `message` and kFrameOverheadBytes, and what was read
+/// with them), and twice that while a string grows.
 ///
 /// Whose own process stood still for longer than `idle` behind a time that it asked for takes no silence for
 /// the peer's; it asks and waits anew.
 class Channel {
 public:
-    static constexpr std::size_t kPreamble = 9;      ///< "och", version 1, cluster 4, signs 1
-    static constexpr std::size_t kHelloMost = 1024;  ///< octets of a frame before Up
-    static constexpr std::size_t kOverhead = 64;     ///< of a frame, beyond its message's body
-    static constexpr std::size_t kNameMost = 64;     ///< octets of a name or zone: printable ASCII, no quotes
-    static constexpr std::uint8_t kVersion = 1;
+    static constexpr std::size_t kPreambleBytes = 9;        ///< "och", version 1, cluster 4, signs 1
+    static constexpr std::size_t kMaxHelloBytes = 1024;     ///< octets of a frame before Connected
+    static constexpr std::size_t kFrameOverheadBytes = 64;  ///< of a frame, beyond its message's body
+    static constexpr std::size_t kMaxNameBytes =
+        64;  ///< octets of a name or zone: printable ASCII, no quotes
+    static constexpr std::uint8_t kProtocolVersion = 1;
 
     explicit Channel(const Settings& settings);
 
     void handle(TimePoint now, const Event& event, Actions& actions);
 
-    bool up() const { return stage_ == Stage::Up; }
-    bool over() const { return stage_ == Stage::Over; }
-    const Peer& peer() const { return peer_; }       ///< once Up
-    std::size_t queued() const { return queued_; }   ///< octets put that have not left
-    std::size_t held() const { return in_.size(); }  ///< octets of a frame that is not whole yet
+    bool connected() const { return stage_ == Stage::Connected; }
+    bool closed() const { return stage_ == Stage::Over; }
+    const Peer& peer() const { return peer_; }                 ///< once Connected
+    std::size_t queued_bytes() const { return queued_; }       ///< octets put that have not left
+    std::size_t buffered_bytes() const { return in_.size(); }  ///< octets of a frame that is not whole yet
 
 private:
-    enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Up, Over };
+    enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Connected, Over };
     struct Wire;  // what needs protobuf
 
     void open(TimePoint now);
@@ -142,12 +144,15 @@
     /// wrong.
     std::size_t consume(std::string_view octets, Actions& actions);
     void preamble(std::string_view octets, Actions& actions);
-    void say(const Say& say, Actions& actions);
+    void say(const SendMessage& say, Actions& actions);
     void woken(TimePoint now, Actions& actions);
     void end(Error error, Actions& actions);
     std::string own_preamble() const;
     std::size_t tag_size() const { return settings_.keys.empty() ? 0 : fleet::kTag; }
-    std::size_t most() const { return stage_ == Stage::Up ? settings_.message + kOverhead : kHelloMost; }
+    std::size_t most() const {
+        return stage_ == Stage::Connected ? settings_.max_message_bytes + kFrameOverheadBytes
+                                          : kMaxHelloBytes;
+    }
 
     Settings settings_;
     Stage stage_ = Stage::New;
--- a/src/fleet/channel/dialer.h
+++ b/src/fleet/channel/dialer.h
@@ -17,10 +17,11 @@
 namespace ochrehub::channel {
 
 struct DialSettings {
-    Duration first{100};    ///< the first wait, at most
-    Duration most{5000};    ///< the longest
-    Duration limit{3000};   ///< until Reached; one that takes longer is given up
-    Duration steady{1000};  ///< a connection that lived for this begins with `first` again
+    Duration initial_backoff{100};   ///< the first wait, at most
+    Duration max_backoff{5000};      ///< the longest
+    Duration connect_timeout{3000};  ///< until DialSucceeded; one that takes longer is given up
+    Duration backoff_reset_after{
+        1000};  ///< a connection that lived for this begins with `initial_backoff` again
 };
 
 /// Of two connections between the same processes, told by who dialled them: is the newer one the one that
@@ -37,39 +38,40 @@
 class Dialer {
 public:
     // ---- What happens
-    struct Wanted {  ///< from now on; no fault where it is already
+    struct AddressAdded {  ///< from now on; no fault where it is already
         std::string address;
     };
-    struct Unwanted {  ///< not any more; its connection is abandoned
+    struct AddressRemoved {  ///< not any more; its connection is abandoned
         std::string address;
     };
-    struct Reached {  ///< the connection dialled there is up
+    struct DialSucceeded {  ///< the connection dialled there is up
         std::string address;
         std::uint64_t instance = 0;
     };
-    struct Ended {  ///< the connection dialled there has failed, ended, or made way for another
+    struct ConnectionEnded {  ///< the connection dialled there has failed, ended, or made way for another
         std::string address;
     };
-    struct Itself {  ///< this very process answers there
+    struct SelfReached {  ///< this very process answers there
         std::string address;
     };
-    struct Present {  ///< there is a connection to this process, whoever dialled it
+    struct PeerConnected {  ///< there is a connection to this process, whoever dialled it
         std::uint64_t instance = 0;
     };
-    struct Absent {
+    struct PeerDisconnected {
         std::uint64_t instance = 0;
     };
-    using Event = std::variant<Wanted, Unwanted, Reached, Ended, Itself, Present, Absent, Woken>;
+    using Event = std::variant<AddressAdded, AddressRemoved, DialSucceeded, ConnectionEnded, SelfReached,
+                               PeerConnected, PeerDisconnected, TimerFired>;
 
     // ---- What is to be done about it
     struct Dial {
         std::string address;
     };
-    struct Abandon {  ///< close what was dialled there, if anything is; nothing of it needs to be told
+    struct CloseDialed {  ///< close what was dialled there, if anything is; nothing of it needs to be told
         std::string address;
-        bool late = false;  ///< not reached in time
+        bool timed_out = false;  ///< not reached in time
     };
-    using Action = std::variant<Dial, Abandon, WakeAt>;
+    using Action = std::variant<Dial, CloseDialed, SetTimer>;
     using Actions = std::vector<Action>;
 
     Dialer(const DialSettings& settings, std::uint64_t seed);
@@ -80,17 +82,17 @@
     std::uint64_t instance_at(const std::string& address) const {
         auto found = entries_.find(address);
         bool there = found != entries_.end() &&
-                     (found->second.state == State::Up || found->second.state == State::Held);
+                     (found->second.state == State::Connected || found->second.state == State::Held);
         return there ? found->second.instance : 0;
     }
 
 private:
     /// Held: the process that answered there last is connected by another way.
-    enum class State : std::uint8_t { Waiting, Dialing, Up, Held, Itself };
+    enum class State : std::uint8_t { Waiting, Dialing, Connected, Held, Self };
     struct Entry {
         State state = State::Waiting;
         TimePoint due{};    // Waiting, Dialing
-        TimePoint since{};  // Up, Held
+        TimePoint since{};  // Connected, Held
         Duration wait{};    // the last one
         std::uint64_t instance = 0;
     };
--- a/src/fleet/channel/peer_connections.cpp
+++ b/src/fleet/channel/peer_connections.cpp
@@ -56,11 +56,11 @@
         out_.clear();
     }
     /// Why it was not taken.
-    std::optional<Error> say(Kind kind, std::string body) {
+    std::optional<Error> say(MessageKind kind, std::string body) {
         Actions actions;
-        channel_.handle(peer_connections_->scheduler_.now(), Say{kind, std::move(body)}, actions);
+        channel_.handle(peer_connections_->scheduler_.now(), SendMessage{kind, std::move(body)}, actions);
         for (const Action& action : actions)
-            if (const auto* refused = std::get_if<Refused>(&action)) return refused->error;
+            if (const auto* refused = std::get_if<SendRejected>(&action)) return refused->error;
         carry_out(actions);
         return std::nullopt;
     }
@@ -82,16 +82,16 @@
     void carry_out(Actions& actions) {
         for (Action& action : actions) {
             if (!peer_connections_) return;
-            if (auto* put = std::get_if<Put>(&action)) {
-                write(std::move(put->octets));
-            } else if (auto* message = std::get_if<Deliver>(&action)) {
-                if (used && peer_connections_->deliver)
-                    peer_connections_->deliver(channel_.peer(), message->kind, std::move(message->body));
-            } else if (const auto* wake = std::get_if<WakeAt>(&action)) {
+            if (auto* put = std::get_if<WriteBytes>(&action)) {
+                write(std::move(put->bytes));
+            } else if (auto* message = std::get_if<DeliverMessage>(&action)) {
+                if (used && peer_connections_->on_message)
+                    peer_connections_->on_message(channel_.peer(), message->kind, std::move(message->body));
+            } else if (const auto* wake = std::get_if<SetTimer>(&action)) {
                 wake_at(wake->at);
-            } else if (std::holds_alternative<Up>(action)) {
+            } else if (std::holds_alternative<Connected>(action)) {
                 peer_connections_->came_up(shared_from_this());
-            } else if (const auto* over = std::get_if<End>(&action)) {
+            } else if (const auto* over = std::get_if<CloseConnection>(&action)) {
                 peer_connections_->end(shared_from_this(), over->error);
             }
         }
@@ -107,7 +107,7 @@
         std::size_t got = socket_.read_some(asio::buffer(peer_connections_->octets_), error);
         if (error == asio::error::would_block) return wait_to_read();
         if (error) return hand(Closed{});
-        hand(Octets{{peer_connections_->octets_.data(), got}});
+        hand(BytesReceived{{peer_connections_->octets_.data(), got}});
         if (peer_connections_) wait_to_read();
     }
 
@@ -144,14 +144,14 @@
             socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
                 if (!failed) self->flush();
             });
-        if (left > 0) hand(Flushed{left});
+        if (left > 0) hand(BytesWritten{left});
     }
     void wake_at(TimePoint at) {
         peer_connections_->scheduler_.cancel(std::exchange(timer_, 0));
         timer_ = peer_connections_->scheduler_.call_at(at, [self = shared_from_this()] {
             if (!self->peer_connections_) return;
             self->timer_ = 0;
-            self->hand(Woken{});
+            self->hand(TimerFired{});
         });
     }
 
@@ -174,7 +174,7 @@
       settings_(std::move(settings)),
       acceptor_(io),
       dialer_(settings_.dial, seed),
-      octets_(kTurn) {
+      octets_(kMaxReadBytes) {
     if (!listen) return;
     acceptor_.open(listen->protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
@@ -188,7 +188,7 @@
     close();
 }
 
-std::optional<PeerConnections::Endpoint> PeerConnections::endpoint(std::string_view address) {
+std::optional<PeerConnections::Endpoint> PeerConnections::parse_endpoint(std::string_view address) {
     std::size_t colon = address.rfind(':');
     if (colon == std::string_view::npos) return std::nullopt;
     std::string_view host = address.substr(0, colon), port = address.substr(colon + 1);
@@ -211,7 +211,7 @@
                 scheduler_.call_at(scheduler_.now() + kAcceptAgain, [this] { accept_timer_ = 0, accept(); });
             return;
         }
-        if (strangers_ >= settings_.strangers)
+        if (strangers_ >= settings_.max_unauthenticated)
             for (const auto& [order, one] : links_)
                 if (one->stranger) {
                     end(std::shared_ptr<Link>(one), Error::Full);
@@ -237,7 +237,7 @@
 std::string PeerConnections::nonce() {
     std::random_device device;
     std::string octets;
-    while (octets.size() < kNonce) {
+    while (octets.size() < kNonceBytes) {
         auto drawn = device();
         for (int shift = 24; shift >= 0; shift -= 8) octets += char(drawn >> shift & 0xff);
     }
@@ -245,17 +245,17 @@
 }
 
 bool PeerConnections::dial(const std::string& address) {
-    if (!endpoint(address)) return false;
-    tell_dialer(Dialer::Wanted{address});
+    if (!parse_endpoint(address)) return false;
+    tell_dialer(Dialer::AddressAdded{address});
     return true;
 }
 
 void PeerConnections::drop(const std::string& address) {
-    tell_dialer(Dialer::Unwanted{address});
+    tell_dialer(Dialer::AddressRemoved{address});
 }
 
-// One event after the other, also where carrying out one leads to the next: of two WakeAt the later one must
-// count.
+// One event after the other, also where carrying out one leads to the next: of two SetTimer the later one
+// must count.
 void PeerConnections::tell_dialer(const Dialer::Event& event) {
     if (closed_) return;
     told_.push_back(event);
@@ -272,17 +272,17 @@
 void PeerConnections::carry_out(const Dialer::Action& action) {
     if (const auto* dial = std::get_if<Dialer::Dial>(&action)) {
         connect(dial->address);
-    } else if (const auto* abandon = std::get_if<Dialer::Abandon>(&action)) {
+    } else if (const auto* abandon = std::get_if<Dialer::CloseDialed>(&action)) {
         auto found = dialled_.find(abandon->address);
         if (found == dialled_.end()) return;
         auto one = found->second.lock();
         dialled_.erase(found);  // so that its end is not told
-        if (one) end(one, abandon->late ? Error::Unreachable : Error::Closed);
+        if (one) end(one, abandon->timed_out ? Error::Unreachable : Error::Closed);
     } else {
         scheduler_.cancel(std::exchange(dial_timer_, 0));
-        dial_timer_ = scheduler_.call_at(std::get<WakeAt>(action).at, [this] {
+        dial_timer_ = scheduler_.call_at(std::get<SetTimer>(action).at, [this] {
             dial_timer_ = 0;
-            tell_dialer(Woken{});
+            tell_dialer(TimerFired{});
         });
     }
 }
@@ -290,18 +290,18 @@
 void PeerConnections::connect(const std::string& address) {
     auto fresh = link(tcp::socket(io_), address);
     dialled_[address] = fresh;
-    fresh->connect(*endpoint(address));
+    fresh->connect(*parse_endpoint(address));
 }
 
 void PeerConnections::came_up(const std::shared_ptr<Link>& link) {
     std::uint64_t instance = link->channel().peer().instance;
     if (std::exchange(link->stranger, false)) {
         --strangers_;
-        if (accepted_ >= settings_.accepted) return end(link, Error::Full);
+        if (accepted_ >= settings_.max_accepted_peers) return end(link, Error::Full);
         ++accepted_;
         link->counted = true;
     }
-    if (link->dialled()) tell_dialer(Dialer::Reached{link->address(), instance});
+    if (link->dialled()) tell_dialer(Dialer::DialSucceeded{link->address(), instance});
     if (closed_) return;
     auto found = peers_.find(instance);
     if (found != peers_.end()) {
@@ -316,9 +316,9 @@
     } else {
         peers_.emplace(instance, link);
         link->used = true;
-        tell_dialer(Dialer::Present{instance});
+        tell_dialer(Dialer::PeerConnected{instance});
     }
-    if (up) up(link->channel().peer());
+    if (on_connected) on_connected(link->channel().peer());
 }
 
 void PeerConnections::end(const std::shared_ptr<Link>& link, Error error) {
@@ -333,7 +333,7 @@
     bool absent = used && found != peers_.end() && found->second == link;
     if (absent) {
         peers_.erase(found);
-        tell_dialer(Dialer::Absent{peer.instance});
+        tell_dialer(Dialer::PeerDisconnected{peer.instance});
     }
     if (link->dialled()) {
         auto at = dialled_.find(link->address());
@@ -341,16 +341,17 @@
             dialled_.erase(at);
             // Its channel ends by Replaced, knowing nobody, only where it leads back here.
             if (error == Error::Replaced && peer.instance == 0)
-                tell_dialer(Dialer::Itself{link->address()});
+                tell_dialer(Dialer::SelfReached{link->address()});
             else
-                tell_dialer(Dialer::Ended{link->address()});
+                tell_dialer(Dialer::ConnectionEnded{link->address()});
         }
-        if (!closed_ && !used && error != Error::Replaced && unreached) unreached(link->address(), error);
+        if (!closed_ && !used && error != Error::Replaced && on_dial_failed)
+            on_dial_failed(link->address(), error);
     }
-    if (!closed_ && used && down) down(peer, error);
+    if (!closed_ && used && on_disconnected) on_disconnected(peer, error);
 }
 
-bool PeerConnections::send(std::uint64_t instance, Kind kind, std::string body) {
+bool PeerConnections::send(std::uint64_t instance, MessageKind kind, std::string body) {
     auto found = peers_.find(instance);
     std::optional<Error> why = Error::Closed;
     if (found != peers_.end()) why = found->second->say(kind, std::move(body));
@@ -358,9 +359,9 @@
     return !why;
 }
 
-std::size_t PeerConnections::queued(std::uint64_t instance) const {
+std::size_t PeerConnections::queued_bytes(std::uint64_t instance) const {
     auto found = peers_.find(instance);
-    return found == peers_.end() ? 0 : found->second->channel().queued();
+    return found == peers_.end() ? 0 : found->second->channel().queued_bytes();
 }
 
 void PeerConnections::close() {
--- a/src/fleet/channel/peer_connections.h
+++ b/src/fleet/channel/peer_connections.h
@@ -5,8 +5,9 @@
 //
 // All of it on its io_context's one thread, the callbacks too. From inside of a callback all may be called
 // but the destructor. Memory of a connection: about 2 KB, one frame that is not whole, and what waits to be
-// written, in pieces of 64 KiB: a reader that stands still costs `queue` octets and little more. What was
-// sent before `down` may have arrived or not; what comes behind the next `up` is in order, each message once.
+// written, in pieces of 64 KiB: a reader that stands still costs `max_queued_bytes` and little more. What was
+// sent before `on_disconnected` may have arrived or not; what comes behind the next `on_connected` is in
+// order, each message once.
 #pragma once
 
 #include <array>
@@ -30,16 +31,17 @@
 struct PeerConnectionsSettings {
     Settings channel;  ///< its nonce is drawn for each connection
     DialSettings dial;
-    std::size_t accepted = 256;  ///< connections of others' that are up, at most; more are closed (Full)
-    std::size_t strangers =
+    std::size_t max_accepted_peers =
+        256;  ///< connections of others' that are up, at most; more are closed (Full)
+    std::size_t max_unauthenticated =
         64;  ///< accepted ones that have not shown who they are; behind that the oldest goes (Full)
 };
 
 class PeerConnections {
 public:
     using Endpoint = boost::asio::ip::tcp::endpoint;
-    /// Octets that are read of one connection before others have their turn.
-    static constexpr std::size_t kTurn = 64 * 1024;
+    /// Bytes that are read of one connection before others have their turn.
+    static constexpr std::size_t kMaxReadBytes = 64 * 1024;
 
     /// io_context and scheduler must outlive it; what they still run for it when it goes finds nothing to do.
     /// Listens from here on (port 0: any that is free); without an address it only dials. Throws
@@ -51,44 +53,46 @@
     PeerConnections& operator=(const PeerConnections&) = delete;
 
     /// "192.0.2.7:4000" or "[2001:db8::7]:4000", no names; nothing where it is neither.
-    static std::optional<Endpoint> endpoint(std::string_view address);
+    static std::optional<Endpoint> parse_endpoint(std::string_view address);
     /// How many descriptors it uses, at most, with so many addresses to dial.
-    static constexpr std::size_t descriptors(const PeerConnectionsSettings& settings, std::size_t addresses) {
-        return 2 + settings.accepted + settings.strangers +
+    static constexpr std::size_t max_descriptors(const PeerConnectionsSettings& settings,
+                                                 std::size_t addresses) {
+        return 2 + settings.max_accepted_peers + settings.max_unauthenticated +
                addresses;  // the listener, and one that is just accepted
     }
 
-    Endpoint at() const { return at_; }
+    Endpoint listen_address() const { return at_; }
 
     /// Keeps a connection to this address from now on. False: it is no address.
     bool dial(const std::string& address);
     /// Not any more; what was dialled there is closed.
     void drop(const std::string& address);
     /// To the process of this instance. False: there is no connection to it, the message is too long, or too
-    /// much waits already; nothing was sent. True: it will arrive, unless `down` is told.
-    bool send(std::uint64_t instance, Kind kind, std::string body);
+    /// much waits already; nothing was sent. True: it will arrive, unless `on_disconnected` is told.
+    bool send(std::uint64_t instance, MessageKind kind, std::string body);
     /// For connections that begin from now on.
-    void use(std::vector<std::string> keys) { settings_.channel.keys = std::move(keys); }
+    void set_keys(std::vector<std::string> keys) { settings_.channel.keys = std::move(keys); }
     /// Ends all at once; no callback comes any more.
     void close();
 
-    std::function<void(const Peer&)> up;
-    std::function<void(const Peer&, Error)> down;  ///< also before the `up` of the one that replaces it
-    std::function<void(const Peer&, Kind, std::string body)> deliver;
+    std::function<void(const Peer&)> on_connected;
+    std::function<void(const Peer&, Error)>
+        on_disconnected;  ///< also before the `on_connected` of the one that replaces it
+    std::function<void(const Peer&, MessageKind, std::string body)> on_message;
     std::function<void(const std::string& address, Error)>
-        unreached;  ///< a dial that did not come up, and why
+        on_dial_failed;  ///< a dial that did not come up, and why
 
     /// Of the process that is connected and answers at this address, which is dialled; zero: none.
     std::uint64_t instance_at(const std::string& address) const { return dialer_.instance_at(address); }
-    std::size_t peers() const { return peers_.size(); }
-    std::size_t connections() const { return links_.size(); }
-    std::size_t strangers() const { return strangers_; }
-    /// Octets that wait to be written to this process.
-    std::size_t queued(std::uint64_t instance) const;
+    std::size_t peer_count() const { return peers_.size(); }
+    std::size_t connection_count() const { return links_.size(); }
+    std::size_t unauthenticated_count() const { return strangers_; }
+    /// Bytes that wait to be written to this process.
+    std::size_t queued_bytes(std::uint64_t instance) const;
     /// Connections that ended by it.
-    std::uint64_t ended(Error error) const { return ended_[std::size_t(error)]; }
+    std::uint64_t ended_count(Error error) const { return ended_[std::size_t(error)]; }
     /// Messages that `send` did not take, by why: Closed, TooLong, Full.
-    std::uint64_t refused(Error error) const { return refused_[std::size_t(error)]; }
+    std::uint64_t rejected_count(Error error) const { return refused_[std::size_t(error)]; }
 
 private:
     class Link;
--- a/src/fleet/coordinator/admin_client.cpp
+++ b/src/fleet/coordinator/admin_client.cpp
@@ -32,13 +32,14 @@
           request_(request),
           scheduler_(io_),
           peer_connections_(io_, scheduler_, std::nullopt, peer_connections_settings(settings), random_id()) {
-        peer_connections_.up = [this](const channel::Peer& peer) {
-            peer_connections_.send(peer.instance, channel::Kind::Ask, request_);
+        peer_connections_.on_connected = [this](const channel::Peer& peer) {
+            peer_connections_.send(peer.instance, channel::MessageKind::Request, request_);
         };
-        peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
-            if (kind == channel::Kind::Answer) receive(peer.instance, std::move(body));
+        peer_connections_.on_message = [this](const channel::Peer& peer, channel::MessageKind kind,
+                                              std::string body) {
+            if (kind == channel::MessageKind::Response) receive(peer.instance, std::move(body));
         };
-        peer_connections_.unreached = [this](const std::string& address, channel::Error) {
+        peer_connections_.on_dial_failed = [this](const std::string& address, channel::Error) {
             ++failed_attempts_[address];
             stop_if_complete();
         };
--- a/src/fleet/coordinator/server.cpp
+++ b/src/fleet/coordinator/server.cpp
@@ -19,12 +19,12 @@
         settings.name, settings.zone, instance, settings.raft.self, settings.release, 0, 0};
     peer_connections.channel.cluster = fleet::fingerprint(settings.cluster);
     peer_connections.channel.keys = settings.keys;
-    peer_connections.channel.idle = election_timeout;
-    peer_connections.channel.dead = election_timeout * 3;
-    peer_connections.dial.first = settings.raft.heartbeat_interval;
-    peer_connections.dial.most = election_timeout;
-    peer_connections.dial.limit = election_timeout * 2;
-    peer_connections.accepted = settings.max_client_connections;
+    peer_connections.channel.idle_timeout = election_timeout;
+    peer_connections.channel.dead_timeout = election_timeout * 3;
+    peer_connections.dial.initial_backoff = settings.raft.heartbeat_interval;
+    peer_connections.dial.max_backoff = election_timeout;
+    peer_connections.dial.connect_timeout = election_timeout * 2;
+    peer_connections.max_accepted_peers = settings.max_client_connections;
     return peer_connections;
 }
 
@@ -65,17 +65,22 @@
 }
 
 void CoordinatorServer::connect_mesh() {
-    peer_connections_.up = [this](const channel::Peer& peer) {
-        if (peer.keeper != 0) connections_[peer.keeper] = peer.instance;
+    peer_connections_.on_connected = [this](const channel::Peer& peer) {
+        if (peer.coordinator_id != 0) connections_[peer.coordinator_id] = peer.instance;
     };
-    peer_connections_.down = [this](const channel::Peer& peer, channel::Error) {
-        auto found = connections_.find(peer.keeper);
+    peer_connections_.on_disconnected = [this](const channel::Peer& peer, channel::Error) {
+        auto found = connections_.find(peer.coordinator_id);
         if (found != connections_.end() && found->second == peer.instance) connections_.erase(found);
     };
-    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
-        if (kind == channel::Kind::Ask) return handle(RequestReceived{peer.instance, std::move(body)});
-        if (kind != channel::Kind::Raft || peer.keeper == 0 || peer.keeper == settings_.raft.self) return;
-        if (auto message = raft::decode(body)) handle(RaftMessageReceived{peer.keeper, std::move(*message)});
+    peer_connections_.on_message = [this](const channel::Peer& peer, channel::MessageKind kind,
+                                          std::string body) {
+        if (kind == channel::MessageKind::Request)
+            return handle(RequestReceived{peer.instance, std::move(body)});
+        if (kind != channel::MessageKind::Raft || peer.coordinator_id == 0 ||
+            peer.coordinator_id == settings_.raft.self)
+            return;
+        if (auto message = raft::decode(body))
+            handle(RaftMessageReceived{peer.coordinator_id, std::move(*message)});
     };
 }
 
@@ -112,7 +117,7 @@
     // A message without a connection is lost; Raft sends again.
     auto found = connections_.find(action.to);
     if (found == connections_.end()) return;
-    peer_connections_.send(found->second, channel::Kind::Raft, raft::encode(action.message));
+    peer_connections_.send(found->second, channel::MessageKind::Raft, raft::encode(action.message));
 }
 
 void CoordinatorServer::perform(raft::Write& action) {
@@ -138,7 +143,7 @@
 }
 
 void CoordinatorServer::perform(SendResponse& action) {
-    peer_connections_.send(action.connection, channel::Kind::Answer, std::move(action.body));
+    peer_connections_.send(action.connection, channel::MessageKind::Response, std::move(action.body));
 }
 
 void CoordinatorServer::perform(Stop& action) {
--- a/src/fleet/coordinator/server.h
+++ b/src/fleet/coordinator/server.h
@@ -50,7 +50,7 @@
     /// read. The process should end then.
     std::function<void(Error, const std::string& about)> on_stopped;
 
-    channel::PeerConnections::Endpoint listen_address() const { return peer_connections_.at(); }
+    channel::PeerConnections::Endpoint listen_address() const { return peer_connections_.listen_address(); }
     const Replica& replica() const { return replica_; }
 
 private:
--- a/src/fleet/coordinator/session_thread.cpp
+++ b/src/fleet/coordinator/session_thread.cpp
@@ -32,17 +32,19 @@
     peer_connections.channel.self.zone = session.zone;
     peer_connections.channel.self.instance = session.instance;
     peer_connections.channel.self.release = session.release;
-    peer_connections.channel.self.schema_least = session.min_schema;
-    peer_connections.channel.self.schema_most = session.max_schema;
+    peer_connections.channel.self.min_schema = session.min_schema;
+    peer_connections.channel.self.max_schema = session.max_schema;
     peer_connections.channel.cluster = fleet::fingerprint(settings.cluster);
     peer_connections.channel.keys = settings.keys;
     // A dead connection is noticed, and dialed again, several times within a lease.
-    peer_connections.channel.idle = session.lease / 6;
-    peer_connections.channel.dead = session.lease / 2;
+    peer_connections.channel.idle_timeout = session.lease / 6;
+    peer_connections.channel.dead_timeout = session.lease / 2;
     peer_connections.dial = settings.dial;
-    peer_connections.dial.first = std::min(peer_connections.dial.first, session.lease / 30);
-    peer_connections.dial.most = std::min(peer_connections.dial.most, session.lease / 6);
-    peer_connections.dial.limit = std::min(peer_connections.dial.limit, session.lease / 3);
+    peer_connections.dial.initial_backoff =
+        std::min(peer_connections.dial.initial_backoff, session.lease / 30);
+    peer_connections.dial.max_backoff = std::min(peer_connections.dial.max_backoff, session.lease / 6);
+    peer_connections.dial.connect_timeout =
+        std::min(peer_connections.dial.connect_timeout, session.lease / 3);
     return peer_connections;
 }
 
@@ -70,16 +72,17 @@
 }
 
 void SessionThread::connect_mesh() {
-    peer_connections_.up = [this](const channel::Peer& peer) { on_connected(peer.instance); };
-    peer_connections_.down = [this](const channel::Peer& peer, channel::Error) {
+    peer_connections_.on_connected = [this](const channel::Peer& peer) { on_connected(peer.instance); };
+    peer_connections_.on_disconnected = [this](const channel::Peer& peer, channel::Error) {
         on_disconnected(peer.instance);
     };
-    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
-        if (kind != channel::Kind::Answer) return;
+    peer_connections_.on_message = [this](const channel::Peer& peer, channel::MessageKind kind,
+                                          std::string body) {
+        if (kind != channel::MessageKind::Response) return;
         for (const auto& [address, instance] : connections_)
             if (instance == peer.instance) return handle(ResponseReceived{address, std::move(body)});
     };
-    peer_connections_.unreached = [this](const std::string& address, channel::Error) {
+    peer_connections_.on_dial_failed = [this](const std::string& address, channel::Error) {
         unsent_.erase(address);
         handle(Disconnected{address});
     };
@@ -121,8 +124,8 @@
 }
 
 void SessionThread::set_keys(std::vector<std::string> keys) {
-    boost::asio::post(io_,
-                      [this, keys = std::move(keys)]() mutable { peer_connections_.use(std::move(keys)); });
+    boost::asio::post(
+        io_, [this, keys = std::move(keys)]() mutable { peer_connections_.set_keys(std::move(keys)); });
 }
 
 void SessionThread::handle(const SessionEvent& event) {
@@ -154,13 +157,13 @@
 /// What exceeds the capacity of the connections is dropped; the session sends it again.
 void SessionThread::perform(SendRequest& action) {
     if (auto found = connections_.find(action.to); found != connections_.end()) {
-        peer_connections_.send(found->second, channel::Kind::Ask, std::move(action.body));
+        peer_connections_.send(found->second, channel::MessageKind::Request, std::move(action.body));
         return;
     }
     peer_connections_.dial(action.to);
     if (const std::uint64_t instance = peer_connections_.instance_at(action.to); instance != 0) {
         connections_[action.to] = instance;
-        peer_connections_.send(instance, channel::Kind::Ask, std::move(action.body));
+        peer_connections_.send(instance, channel::MessageKind::Request, std::move(action.body));
         return;
     }
     auto& unsent = unsent_[action.to];
@@ -187,7 +190,7 @@
         auto unsent = unsent_.extract(address);
         if (unsent.empty()) continue;
         for (std::string& body : unsent.mapped())
-            peer_connections_.send(instance, channel::Kind::Ask, std::move(body));
+            peer_connections_.send(instance, channel::MessageKind::Request, std::move(body));
     }
 }
 
--- a/src/fleet/shards/side.cpp
+++ b/src/fleet/shards/side.cpp
@@ -78,9 +78,10 @@
       peer_connections_(io_, scheduler_, set_.listen, set_.peer_connections,
                         set_.peer_connections.channel.self.instance),
       client_(set_.client) {
-    if (set_.holder.address.empty()) set_.holder.address = text(peer_connections_.at());
-    peer_connections_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
-        if (kind == channel::Kind::Shard) deliver(peer.instance, body);
+    if (set_.holder.address.empty()) set_.holder.address = text(peer_connections_.listen_address());
+    peer_connections_.on_message = [this](const channel::Peer& peer, channel::MessageKind kind,
+                                          std::string body) {
+        if (kind == channel::MessageKind::Shard) deliver(peer.instance, body);
     };
     for (std::size_t i = 0; set_.holds && i < set_.threads; ++i) {
         Holder::Settings holder = set_.holder;
@@ -186,12 +187,12 @@
     if (holder == client_.map().holders.end()) return;
     // Without a connection it is lost, as it may be with one: streams and asks go again by themselves.
     if (std::uint64_t instance = peer_connections_.instance_at(holder->second.address); instance != 0)
-        peer_connections_.send(instance, channel::Kind::Shard, std::move(body));
+        peer_connections_.send(instance, channel::MessageKind::Shard, std::move(body));
 }
 
 void Side::answer(std::uint64_t to, std::string body) {
     if (to == 0) return deliver(0, body);
-    peer_connections_.send(to, channel::Kind::Shard, std::move(body));
+    peer_connections_.send(to, channel::MessageKind::Shard, std::move(body));
 }
 
 void Side::deliver(std::uint64_t from, const std::string& body) {
--- a/src/fleet/shards/side.h
+++ b/src/fleet/shards/side.h
@@ -56,7 +56,7 @@
     /// What this process holds; a record of it may be another's by now.
     const Table& table() const { return table_; }
 
-    channel::PeerConnections::Endpoint at() const { return peer_connections_.at(); }
+    channel::PeerConnections::Endpoint at() const { return peer_connections_.listen_address(); }
 
 private:
     struct Worker;
--- a/tests/fleet/channel_fuzz.cpp
+++ b/tests/fleet/channel_fuzz.cpp
@@ -1,5 +1,5 @@
-// Octets by coverage into a channel (libFuzzer, Clang). Whatever comes: it holds no more than a frame, it
-// ends once and last, pieces make no difference, and with keys nobody comes up who has none.
+// BytesReceived by coverage into a channel (libFuzzer, Clang). Whatever comes: it holds no more than a frame,
+// it ends once and last, pieces make no difference, and with keys nobody comes up who has none.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -19,8 +19,8 @@
 }
 Settings set(const std::string& name, std::vector<std::string> keys) {
     Settings settings = settings_of(name, std::move(keys));
-    settings.message = kMessage;
-    settings.queue = 2000;
+    settings.max_message_bytes = kMessage;
+    settings.max_queued_bytes = 2000;
     return settings;
 }
 /// What a sends at the beginning, without keys, and a message.
@@ -29,17 +29,17 @@
     pair.a.hand(Opened{});
     pair.b.hand(Opened{});
     std::string all = pair.a.leave();
-    pair.b.hand(Octets{all});
-    pair.a.hand(Octets{pair.b.leave()});
+    pair.b.hand(BytesReceived{all});
+    pair.a.hand(BytesReceived{pair.b.leave()});
     all += pair.a.leave();
-    pair.a.hand(Say{Kind::Shard, "some"});
+    pair.a.hand(SendMessage{MessageKind::Shard, "some"});
     return all + pair.a.leave();
 }
 void bounded(const Side& side) {
-    must(side.channel.held() <= Channel::kHelloMost + kMessage + Channel::kOverhead);
+    must(side.channel.buffered_bytes() <= Channel::kMaxHelloBytes + kMessage + Channel::kFrameOverheadBytes);
     must(side.out.size() <= 2000 && side.ends <= 1 && side.end_last && side.put_first);
-    must(!side.end || (side.channel.held() == 0 && side.channel.over()));
-    for (const Deliver& one : side.got) must(one.body.size() <= kMessage);
+    must(!side.end || (side.channel.buffered_bytes() == 0 && side.channel.closed()));
+    for (const DeliverMessage& one : side.got) must(one.body.size() <= kMessage);
 }
 
 }  // namespace
@@ -59,16 +59,16 @@
     std::size_t piece = std::size_t(data[0]) + 1;
     Side whole(set("b", {})), torn(set("b", {})), keyed(set("b", {"a key that nobody guesses"}));
     for (Side* side : {&whole, &torn, &keyed}) side->hand(Opened{});
-    whole.hand(Octets{octets});
-    keyed.hand(Octets{octets});
+    whole.hand(BytesReceived{octets});
+    keyed.hand(BytesReceived{octets});
     for (std::size_t at = 0; at < octets.size(); at += piece) {
-        torn.hand(Octets{std::string_view(octets).substr(at, piece)});
+        torn.hand(BytesReceived{std::string_view(octets).substr(at, piece)});
         bounded(torn);
     }
     bounded(whole);
     must(keyed.ups == 0 && keyed.got.empty());
     must(whole.end == torn.end && whole.out == torn.out && whole.got.size() == torn.got.size() &&
          whole.ups == torn.ups);
-    must(whole.channel.held() == torn.channel.held());
+    must(whole.channel.buffered_bytes() == torn.channel.buffered_bytes());
     return 0;
 }
--- a/tests/fleet/channel_pair.h
+++ b/tests/fleet/channel_pair.h
@@ -23,17 +23,17 @@
         channel.handle(now, event, actions);
         for (std::size_t i = 0; i < actions.size(); ++i) {
             Action& action = actions[i];
-            if (auto* put = std::get_if<Put>(&action)) {
+            if (auto* put = std::get_if<WriteBytes>(&action)) {
                 put_first = put_first && i == 0;
-                out += put->octets;
-            } else if (auto* message = std::get_if<Deliver>(&action)) {
+                out += put->bytes;
+            } else if (auto* message = std::get_if<DeliverMessage>(&action)) {
                 got.push_back(std::move(*message));
-            } else if (const auto* refusal = std::get_if<Refused>(&action)) {
+            } else if (const auto* refusal = std::get_if<SendRejected>(&action)) {
                 refused.push_back(refusal->error);
-            } else if (const auto* over = std::get_if<End>(&action)) {
+            } else if (const auto* over = std::get_if<CloseConnection>(&action)) {
                 ends += 1, end = over->error;
                 end_last = end_last && i + 1 == actions.size();
-            } else if (const auto* later = std::get_if<WakeAt>(&action)) {
+            } else if (const auto* later = std::get_if<SetTimer>(&action)) {
                 wake = later->at;
             } else {
                 ++ups;
@@ -43,14 +43,14 @@
     /// All that waits to be written, as if it left now.
     std::string leave() {
         std::string octets = std::exchange(out, {});
-        if (!octets.empty()) hand(Flushed{octets.size()});
+        if (!octets.empty()) hand(BytesWritten{octets.size()});
         return octets;
     }
 
     Channel channel;
     TimePoint now = at_ms(0), wake{};
     std::string out;
-    std::vector<Deliver> got;
+    std::vector<DeliverMessage> got;
     std::vector<Error> refused;
     std::optional<Error> end;
     int ups = 0, ends = 0;
@@ -64,7 +64,7 @@
     set.self.instance = std::uint64_t(name[0]);
     set.cluster = 7;
     set.keys = std::move(keys);
-    set.nonce = name + std::string(kNonce - name.size(), 'n');
+    set.nonce = name + std::string(kNonceBytes - name.size(), 'n');
     return set;
 }
 
@@ -82,8 +82,8 @@
     void flow() {
         while (!a.out.empty() || !b.out.empty()) {
             std::string forth = a.leave(), back = b.leave();
-            if (!forth.empty()) b.hand(Octets{forth});
-            if (!back.empty()) a.hand(Octets{back});
+            if (!forth.empty()) b.hand(BytesReceived{forth});
+            if (!back.empty()) a.hand(BytesReceived{back});
         }
     }
     void go_to(TimePoint now) { a.now = b.now = now; }
--- a/tests/fleet/channel_test.cpp
+++ b/tests/fleet/channel_test.cpp
@@ -33,11 +33,11 @@
     Recorded out;
     pair.a.hand(Opened{});
     pair.b.hand(Opened{});
-    pair.b.hand(Octets{out.hello = pair.a.leave()});
-    pair.a.hand(Octets{pair.b.leave()});
-    pair.b.hand(Octets{out.ready = pair.a.leave()});
+    pair.b.hand(BytesReceived{out.hello = pair.a.leave()});
+    pair.a.hand(BytesReceived{pair.b.leave()});
+    pair.b.hand(BytesReceived{out.ready = pair.a.leave()});
     for (int i = 0; i < messages; ++i) {
-        pair.a.hand(Say{Kind(1 + i % 7), std::string(std::size_t(i) * 37, char('a' + i))});
+        pair.a.hand(SendMessage{MessageKind(1 + i % 7), std::string(std::size_t(i) * 37, char('a' + i))});
         out.frames.push_back(pair.a.leave());
     }
     return out;
@@ -47,7 +47,7 @@
 Side fed(const std::vector<std::string>& keys, std::string_view octets) {
     Side b(settings_of("b", keys));
     b.hand(Opened{});
-    b.hand(Octets{octets});
+    b.hand(BytesReceived{octets});
     return b;
 }
 
@@ -59,18 +59,18 @@
         EXPECT_EQ(pair.a.channel.peer(), settings_of("b", keys).self);
         EXPECT_EQ(pair.b.channel.peer(), settings_of("a", keys).self);
         for (int i = 0; i < 100; ++i) {
-            pair.a.hand(Say{Kind::Raft, "a" + std::to_string(i)});
-            pair.b.hand(Say{Kind::Ask, "b" + std::to_string(i)});
+            pair.a.hand(SendMessage{MessageKind::Raft, "a" + std::to_string(i)});
+            pair.b.hand(SendMessage{MessageKind::Request, "b" + std::to_string(i)});
         }
         pair.flow();
         ASSERT_TRUE(pair.a.got.size() == 100 && pair.b.got.size() == 100);
         for (std::size_t i = 0; i < 100; ++i) {
             EXPECT_EQ(pair.a.got[i].body, "b" + std::to_string(i));
             EXPECT_EQ(pair.b.got[i].body, "a" + std::to_string(i));
-            EXPECT_EQ(pair.a.got[i].kind, Kind::Ask);
+            EXPECT_EQ(pair.a.got[i].kind, MessageKind::Request);
         }
         EXPECT_TRUE(pair.a.put_first && pair.b.put_first);
-        EXPECT_EQ(pair.a.channel.queued(), 0u);
+        EXPECT_EQ(pair.a.channel.queued_bytes(), 0u);
     }
 }
 
@@ -90,35 +90,35 @@
         auto most = *rc::gen::element<std::size_t>(2, 5, 40, 300);
         for (std::size_t at = 0; at < octets.size();) {
             auto size = std::min(octets.size() - at, *rc::gen::inRange<std::size_t>(1, most));
-            torn.hand(Octets{std::string_view(octets).substr(at, size)});
+            torn.hand(BytesReceived{std::string_view(octets).substr(at, size)});
             at += size;
         }
         RC_ASSERT(torn.end == whole.end && torn.ups == whole.ups && torn.got.size() == whole.got.size());
         RC_ASSERT(torn.ends <= 1 && torn.end_last && whole.end_last);
         for (std::size_t i = 0; i < torn.got.size(); ++i)
             RC_ASSERT(torn.got[i].kind == whole.got[i].kind && torn.got[i].body == whole.got[i].body);
-        RC_ASSERT(torn.out == whole.out && torn.channel.held() == whole.channel.held());
+        RC_ASSERT(torn.out == whole.out && torn.channel.buffered_bytes() == whole.channel.buffered_bytes());
     });
     EXPECT_TRUE(holds);
 }
 
 TEST(Channel, SaysNothingBeforeItIsUpNorBehindItsEnd) {
     Pair pair;
-    pair.a.hand(Say{Kind::Raft, "x"});
+    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
     pair.a.hand(Opened{});
-    pair.a.hand(Say{Kind::Raft, "x"});
+    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
     pair.b.hand(Opened{});
-    pair.b.hand(Octets{pair.a.leave()});
-    pair.b.hand(Say{Kind::Raft, "x"});  // it has a Hello, and nobody has answered its own
+    pair.b.hand(BytesReceived{pair.a.leave()});
+    pair.b.hand(SendMessage{MessageKind::Raft, "x"});  // it has a Hello, and nobody has answered its own
     EXPECT_EQ(pair.a.refused, std::vector<Error>(2, Error::Closed));
     EXPECT_EQ(pair.b.refused, std::vector<Error>(1, Error::Closed));
     pair.flow();
-    ASSERT_TRUE(pair.a.channel.up());
+    ASSERT_TRUE(pair.a.channel.connected());
     pair.a.hand(Closed{});
     EXPECT_EQ(pair.a.end, Error::Closed);
-    pair.a.hand(Say{Kind::Raft, "x"});
-    pair.a.hand(Octets{"more"});
-    pair.a.hand(Woken{});
+    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
+    pair.a.hand(BytesReceived{"more"});
+    pair.a.hand(TimerFired{});
     pair.a.hand(Closed{});
     EXPECT_TRUE(pair.a.refused.size() == 3 && pair.a.ends == 1 && pair.a.out.empty());
 }
@@ -152,7 +152,7 @@
         Settings a = settings_of("a", kOneKey);
         if (what == 0) a.self.instance = 0;
         if (what == 1) a.self.name = "line\nbreak";
-        if (what == 2) a.self.zone = std::string(Channel::kNameMost + 1, 'z');
+        if (what == 2) a.self.zone = std::string(Channel::kMaxNameBytes + 1, 'z');
         if (what == 3) a.nonce = "short";
         Pair pair(a, settings_of("b", kOneKey));
         pair.open();
@@ -174,8 +174,8 @@
             if (b.end) continue;
             // A length that says more than comes: it waits, holds no more than has come, and gives up in
             // time.
-            ASSERT_LT(b.channel.held(), sound.size());
-            for (int i = 0; i < 10 && !b.end; ++i) b.now = b.wake, b.hand(Woken{});
+            ASSERT_LT(b.channel.buffered_bytes(), sound.size());
+            for (int i = 0; i < 10 && !b.end; ++i) b.now = b.wake, b.hand(TimerFired{});
             ASSERT_EQ(b.end, Error::Silent);
         }
 }
@@ -195,38 +195,39 @@
                                                           {one.hello + f[0], 0},
                                                           {begin + f[0].substr(0, 8) + f[1], 0}}) {
         Side b = fed(kOneKey, octets);
-        if (!b.end) b.hand(Octets{f[2] + f[3] + f[4]});  // a cut one is only whole with what comes behind it
+        if (!b.end)
+            b.hand(BytesReceived{f[2] + f[3] + f[4]});  // a cut one is only whole with what comes behind it
         EXPECT_EQ(b.end, Error::Forged);
         EXPECT_EQ(b.got.size(), got);
     }
     // Without keys nothing tells who sent what: only what is no frame is seen.
     std::string none = recorded(kNoKeys).hello;
-    EXPECT_EQ(fed(kNoKeys, none + none.substr(Channel::kPreamble)).end, Error::Malformed);
+    EXPECT_EQ(fed(kNoKeys, none + none.substr(Channel::kPreambleBytes)).end, Error::Malformed);
 }
 
 TEST(Channel, WhatWasRecordedElsewhereGetsNobodyUp) {
     Recorded one = recorded(kOneKey);
     Settings later = settings_of("b", kOneKey);
-    later.nonce = std::string(kNonce, 'x');  // the next connection of the same process
+    later.nonce = std::string(kNonceBytes, 'x');  // the next connection of the same process
     Side b(later);
     b.hand(Opened{});
-    b.hand(Octets{one.hello});
+    b.hand(BytesReceived{one.hello});
     EXPECT_TRUE(!b.end && b.ups == 0);  // a Hello may be any connection's
-    b.hand(Octets{one.ready});
+    b.hand(BytesReceived{one.ready});
     EXPECT_TRUE(b.end == Error::Forged && b.ups == 0);
 
     // Its own octets, turned around; as they are, and with a Hello that was recorded from the other side in
     // front.
     Side a(settings_of("a", kOneKey));
     a.hand(Opened{});
-    a.hand(Octets{a.leave()});
+    a.hand(BytesReceived{a.leave()});
     EXPECT_EQ(a.end, Error::Forged);
     Pair pair(kOneKey);
     pair.a.hand(Opened{});
     pair.b.hand(Opened{});
     pair.a.leave();
-    pair.a.hand(Octets{pair.b.leave()});
-    pair.a.hand(Octets{pair.a.leave()});  // its Ready
+    pair.a.hand(BytesReceived{pair.b.leave()});
+    pair.a.hand(BytesReceived{pair.a.leave()});  // its Ready
     EXPECT_TRUE(pair.a.end == Error::Forged && pair.a.ups == 0);
 }
 
@@ -236,8 +237,8 @@
         for (std::size_t j = 0; j < steps.size(); ++j) {
             Pair pair(settings_of("a", steps[i]), settings_of("b", steps[j]));
             pair.open();
-            pair.a.hand(Say{Kind::Raft, "x"});
-            pair.b.hand(Say{Kind::Raft, "y"});
+            pair.a.hand(SendMessage{MessageKind::Raft, "x"});
+            pair.b.hand(SendMessage{MessageKind::Raft, "y"});
             pair.flow();
             // Neighbours speak, and those whose first keys each know of the other.
             auto knows = [](const auto& keys, const std::string& one) {
@@ -253,53 +254,54 @@
     std::string huge =
         recorded(kNoKeys).hello + recorded(kNoKeys).ready + "\x7f\xff\xff\xff" + std::string(100, 'x');
     Side b = fed(kNoKeys, huge);
-    EXPECT_TRUE(b.ups == 1 && b.end == Error::TooLong && b.channel.held() == 0);
+    EXPECT_TRUE(b.ups == 1 && b.end == Error::TooLong && b.channel.buffered_bytes() == 0);
     // Who is not up is allowed less.
-    Side c = fed(kNoKeys, huge.substr(0, Channel::kPreamble) + std::string("\0\0\x04\x01", 4));
+    Side c = fed(kNoKeys, huge.substr(0, Channel::kPreambleBytes) + std::string("\0\0\x04\x01", 4));
     EXPECT_EQ(c.end, Error::TooLong);
 
     Settings a = settings_of("a", kOneKey), small = settings_of("b", kOneKey);
-    small.message = 1000;
+    small.max_message_bytes = 1000;
     Pair pair(a, small);
     pair.open();
-    pair.b.hand(Say{Kind::Raft, std::string(1001, 'x')});
+    pair.b.hand(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
     EXPECT_EQ(pair.b.refused, std::vector<Error>(1, Error::TooLong));
-    pair.a.hand(Say{Kind::Raft, std::string(1000, 'x')});
+    pair.a.hand(SendMessage{MessageKind::Raft, std::string(1000, 'x')});
     pair.flow();
     EXPECT_EQ(pair.b.got.size(), 1u);
-    pair.a.hand(Say{Kind::Raft, std::string(1001, 'x')});
+    pair.a.hand(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
     pair.flow();
     EXPECT_TRUE(pair.b.got.size() == 1 && pair.b.end == Error::TooLong);
 }
 
 TEST(Channel, ASlowReaderIsSentNoMoreThanTheQueueHolds) {
     Settings set = settings_of("a", kOneKey);
-    set.queue = 10000;
+    set.max_queued_bytes = 10000;
     Pair pair(set, settings_of("b", kOneKey));
     pair.open();
-    for (int i = 0; i < 1000; ++i) pair.a.hand(Say{Kind::Quota, std::string(100, char('a' + i % 26))});
-    EXPECT_LE(pair.a.out.size(), set.queue);
-    EXPECT_EQ(pair.a.channel.queued(), pair.a.out.size());
+    for (int i = 0; i < 1000; ++i)
+        pair.a.hand(SendMessage{MessageKind::Quota, std::string(100, char('a' + i % 26))});
+    EXPECT_LE(pair.a.out.size(), set.max_queued_bytes);
+    EXPECT_EQ(pair.a.channel.queued_bytes(), pair.a.out.size());
     std::size_t taken = 1000 - pair.a.refused.size();
     EXPECT_GT(taken, 60u);
     EXPECT_EQ(std::set<Error>(pair.a.refused.begin(), pair.a.refused.end()), std::set<Error>{Error::Full});
     // What was taken arrives, whole and in order; then there is room again.
     std::string octets = pair.a.leave();
-    pair.b.hand(Octets{octets});
+    pair.b.hand(BytesReceived{octets});
     EXPECT_EQ(pair.b.got.size(), taken);
-    pair.a.hand(Say{Kind::Quota, "again"});
+    pair.a.hand(SendMessage{MessageKind::Quota, "again"});
     EXPECT_EQ(pair.a.refused.size(), 1000 - taken);
 
     // Nor can one that asks and never reads make it grow.
     Pair other(settings_of("a", kNoKeys), set);
     other.b.channel = Channel([&] {
         auto b = settings_of("b", kNoKeys);
-        b.queue = 10000;
+        b.max_queued_bytes = 10000;
         return b;
     }());
     other.open();
     std::string ping("\0\0\0\x04\x1a\x02\x08\x01", 8);
-    for (int i = 0; i < 5000; ++i) other.b.hand(Octets{ping});
+    for (int i = 0; i < 5000; ++i) other.b.hand(BytesReceived{ping});
     EXPECT_FALSE(other.b.end);
     EXPECT_GT(other.b.out.size(), 1000u);
     EXPECT_LE(other.b.out.size(), 10000u);
@@ -311,7 +313,7 @@
     for (int i = 0; i < 100; ++i) {  // two that have nothing to say stay together
         pair.go_to(std::min(pair.a.wake, pair.b.wake));
         for (Side* side : {&pair.a, &pair.b})
-            if (side->wake <= side->now) side->hand(Woken{});
+            if (side->wake <= side->now) side->hand(TimerFired{});
         pair.flow();
     }
     EXPECT_TRUE(!pair.a.end && !pair.b.end);
@@ -321,9 +323,9 @@
     for (int i = 0; i < 100 && !pair.b.end; ++i) {
         pair.go_to(std::min(pair.a.wake, pair.b.wake));
         for (Side* side : {&pair.a, &pair.b})
-            if (side->wake <= side->now) side->hand(Woken{});
+            if (side->wake <= side->now) side->hand(TimerFired{});
         pair.a.leave();
-        if (std::string back = pair.b.leave(); !back.empty()) pair.a.hand(Octets{back});
+        if (std::string back = pair.b.leave(); !back.empty()) pair.a.hand(BytesReceived{back});
     }
     EXPECT_EQ(pair.b.end, Error::Silent);
     EXPECT_GE(pair.b.now - cut, Duration{2000});
@@ -337,21 +339,21 @@
     std::string hello = recorded(kOneKey).hello;
     for (int i = 0; i < 29; ++i) {  // octets alone give it no more time
         a.now += Duration{100};
-        a.hand(Octets{std::string_view(hello).substr(std::size_t(i), 1)});
+        a.hand(BytesReceived{std::string_view(hello).substr(std::size_t(i), 1)});
     }
     EXPECT_EQ(a.wake, at_ms(3000));
     a.now = a.wake;
-    a.hand(Woken{});
+    a.hand(TimerFired{});
     EXPECT_EQ(a.end, Error::Silent);
 
     Pair pair;
     pair.open();
-    pair.a.hand(Say{Kind::Raft, "x"});  // and none of it leaves, though the other speaks on
+    pair.a.hand(SendMessage{MessageKind::Raft, "x"});  // and none of it leaves, though the other speaks on
     for (int i = 0; i < 100 && !pair.a.end; ++i) {
         pair.go_to(std::min(pair.a.now + Duration{500}, pair.a.wake));
-        pair.b.hand(Say{Kind::Raft, "y"});
-        pair.a.hand(Octets{pair.b.leave()});
-        if (pair.a.now >= pair.a.wake) pair.a.hand(Woken{});
+        pair.b.hand(SendMessage{MessageKind::Raft, "y"});
+        pair.a.hand(BytesReceived{pair.b.leave()});
+        if (pair.a.now >= pair.a.wake) pair.a.hand(TimerFired{});
     }
     EXPECT_EQ(pair.a.end, Error::Silent);
     EXPECT_LE(pair.a.now, at_ms(4000));
@@ -361,14 +363,14 @@
     Pair pair(kOneKey);
     pair.open();
     pair.go_to(at_ms(30000));
-    pair.a.hand(Woken{});
+    pair.a.hand(TimerFired{});
     EXPECT_FALSE(pair.a.end);
     pair.flow();  // the other answers
     pair.go_to(pair.a.wake);
-    pair.a.hand(Woken{});
+    pair.a.hand(TimerFired{});
     EXPECT_FALSE(pair.a.end);
     for (int i = 0; i < 100 && !pair.a.end; ++i)
-        pair.a.now = pair.a.wake, pair.a.hand(Woken{}), pair.a.leave();
+        pair.a.now = pair.a.wake, pair.a.hand(TimerFired{}), pair.a.leave();
     EXPECT_EQ(pair.a.end, Error::Silent);  // and now it does not
 }
 
--- a/tests/fleet/peer_connections_test.cpp
+++ b/tests/fleet/peer_connections_test.cpp
@@ -39,16 +39,18 @@
     Process(World& world, std::uint64_t instance, PeerConnectionsSettings settings = {},
             const std::optional<PeerConnections::Endpoint>& listen = kAny)
         : peer_connections(world.io, world.clock, listen, named(settings, instance), instance) {
-        peer_connections.up = [this](const Peer& peer) { ++ups[peer.instance]; };
-        peer_connections.down = [this](const Peer& peer, Error error) {
+        peer_connections.on_connected = [this](const Peer& peer) { ++ups[peer.instance]; };
+        peer_connections.on_disconnected = [this](const Peer& peer, Error error) {
             ++downs[peer.instance], last_down = error;
         };
-        peer_connections.deliver = [this](const Peer& peer, Kind kind, std::string body) {
+        peer_connections.on_message = [this](const Peer& peer, MessageKind kind, std::string body) {
             got.emplace_back(peer.instance, kind, std::move(body));
-            if (answers && kind == Kind::Ask)
-                peer_connections.send(peer.instance, Kind::Answer, "re " + std::get<2>(got.back()));
+            if (answers && kind == MessageKind::Request)
+                peer_connections.send(peer.instance, MessageKind::Response, "re " + std::get<2>(got.back()));
+        };
+        peer_connections.on_dial_failed = [this](const std::string&, Error error) {
+            unreached.push_back(error);
         };
-        peer_connections.unreached = [this](const std::string&, Error error) { unreached.push_back(error); };
     }
     ~Process() { peer_connections.close(); }
     static PeerConnectionsSettings named(PeerConnectionsSettings set, std::uint64_t instance) {
@@ -56,10 +58,12 @@
         set.channel.self.instance = instance;
         return set;
     }
-    std::string address() const { return "127.0.0.1:" + std::to_string(peer_connections.at().port()); }
+    std::string address() const {
+        return "127.0.0.1:" + std::to_string(peer_connections.listen_address().port());
+    }
 
     std::map<std::uint64_t, int> ups, downs;
-    std::vector<std::tuple<std::uint64_t, Kind, std::string>> got;
+    std::vector<std::tuple<std::uint64_t, MessageKind, std::string>> got;
     std::vector<Error> unreached;
     std::optional<Error> last_down;
     bool answers = false;
@@ -74,26 +78,28 @@
     keeper.answers = true;
     ASSERT_TRUE(node.peer_connections.dial(keeper.address()));
     ASSERT_TRUE(world.until([&] { return node.ups[1] == 1 && keeper.ups[2] == 1; }));
-    for (int i = 0; i < 1000; ++i) ASSERT_TRUE(node.peer_connections.send(1, Kind::Ask, std::to_string(i)));
+    for (int i = 0; i < 1000; ++i)
+        ASSERT_TRUE(node.peer_connections.send(1, MessageKind::Request, std::to_string(i)));
     ASSERT_TRUE(world.until([&] { return node.got.size() == 1000; }));
     for (std::size_t i = 0; i < 1000; ++i)
-        EXPECT_EQ(node.got[i], std::make_tuple(std::uint64_t{1}, Kind::Answer, "re " + std::to_string(i)));
-    EXPECT_FALSE(node.peer_connections.send(3, Kind::Ask, "nobody"));
+        EXPECT_EQ(node.got[i],
+                  std::make_tuple(std::uint64_t{1}, MessageKind::Response, "re " + std::to_string(i)));
+    EXPECT_FALSE(node.peer_connections.send(3, MessageKind::Request, "nobody"));
 }
 
 PeerConnectionsSettings quick() {
     PeerConnectionsSettings set;
     set.channel.keys = {"k1"};
-    set.channel.idle = Duration{100};
-    set.channel.dead = Duration{300};
-    set.dial.first = Duration{20};
-    set.dial.most = Duration{100};
+    set.channel.idle_timeout = Duration{100};
+    set.channel.dead_timeout = Duration{300};
+    set.dial.initial_backoff = Duration{20};
+    set.dial.max_backoff = Duration{100};
     return set;
 }
 
 /// A connection that only does what it is told.
 struct Raw {
-    Raw(World& world, const PeerConnections& to) : socket(world.io) { socket.connect(to.at()); }
+    Raw(World& world, const PeerConnections& to) : socket(world.io) { socket.connect(to.listen_address()); }
     /// The other end has closed it.
     bool closed() {
         socket.non_blocking(true);
@@ -109,18 +115,18 @@
     for (int round = 0; round < 20; ++round) {
         World world;
         PeerConnectionsSettings set = quick();
-        set.channel.dead = Duration{3000};
+        set.channel.dead_timeout = Duration{3000};
         Process a(world, 1, set), b(world, 2, set);
         a.peer_connections.dial(b.address());
         b.peer_connections.dial(a.address());
         // Until neither has more than one, and both have the same.
         ASSERT_TRUE(world.until([&] {
-            return a.peer_connections.peers() == 1 && b.peer_connections.peers() == 1 &&
-                   a.peer_connections.connections() == 1 && b.peer_connections.connections() == 1;
+            return a.peer_connections.peer_count() == 1 && b.peer_connections.peer_count() == 1 &&
+                   a.peer_connections.connection_count() == 1 && b.peer_connections.connection_count() == 1;
         }));
         a.got.clear(), b.got.clear();
-        ASSERT_TRUE(a.peer_connections.send(2, Kind::Raft, "to b") &&
-                    b.peer_connections.send(1, Kind::Raft, "to a"));
+        ASSERT_TRUE(a.peer_connections.send(2, MessageKind::Raft, "to b") &&
+                    b.peer_connections.send(1, MessageKind::Raft, "to a"));
         ASSERT_TRUE(world.until([&] { return a.got.size() == 1 && b.got.size() == 1; }));
         EXPECT_EQ(a.ups[2] - a.downs[2], 1);
         EXPECT_EQ(b.ups[1] - b.downs[1], 1);
@@ -131,19 +137,20 @@
     for (bool lower_first : {false, true}) {
         World world;
         PeerConnectionsSettings set = quick();
-        set.channel.dead = Duration{3000};
+        set.channel.dead_timeout = Duration{3000};
         Process low(world, 1, set), high(world, 2, set);
         Process &first = lower_first ? low : high, &second = lower_first ? high : low;
         first.peer_connections.dial(second.address());
         ASSERT_TRUE(world.until([&] { return low.ups[2] == 1 && high.ups[1] == 1; }));
         second.peer_connections.dial(first.address());
         ASSERT_TRUE(world.until([&] {
-            return low.peer_connections.ended(Error::Replaced) +
-                       high.peer_connections.ended(Error::Replaced) >
+            return low.peer_connections.ended_count(Error::Replaced) +
+                       high.peer_connections.ended_count(Error::Replaced) >
                    0;
         }));
         ASSERT_TRUE(world.until([&] {
-            return low.peer_connections.connections() == 1 && high.peer_connections.connections() == 1;
+            return low.peer_connections.connection_count() == 1 &&
+                   high.peer_connections.connection_count() == 1;
         }));
         EXPECT_EQ(low.ups[2], lower_first ? 1 : 2);
         EXPECT_EQ(low.downs[2], lower_first ? 0 : 1);
@@ -155,14 +162,14 @@
 TEST(PeerConnections, ManyThatAllDialEachOtherEndWithOneConnectionAPair) {
     World world;
     PeerConnectionsSettings set = quick();
-    set.channel.dead = Duration{3000};
+    set.channel.dead_timeout = Duration{3000};
     std::vector<std::unique_ptr<Process>> all;
     for (std::uint64_t i = 1; i <= 7; ++i) all.push_back(std::make_unique<Process>(world, i, set));
     for (auto& one : all)
         for (auto& other : all) one->peer_connections.dial(other->address());  // itself among them
     ASSERT_TRUE(world.until([&] {
         return std::all_of(all.begin(), all.end(), [](auto& p) {
-            return p->peer_connections.peers() == 6 && p->peer_connections.connections() == 6;
+            return p->peer_connections.peer_count() == 6 && p->peer_connections.connection_count() == 6;
         });
     }));
     for (std::uint64_t i = 1; i <= 7; ++i) EXPECT_FALSE(all[i - 1]->ups.contains(i));
@@ -174,7 +181,7 @@
             other->peer_connections.drop(was), other->peer_connections.dial(all[3]->address());
     ASSERT_TRUE(world.until([&] {
         return std::all_of(all.begin(), all.end(), [](auto& p) {
-            return p->peer_connections.peers() == 6 && p->peer_connections.connections() == 6;
+            return p->peer_connections.peer_count() == 6 && p->peer_connections.connection_count() == 6;
         });
     }));
     EXPECT_EQ(all[0]->ups[104] - all[0]->downs[104], 1);
@@ -186,20 +193,20 @@
     auto keeper = std::make_unique<Process>(world, 1, quick());
     Process node(world, 2, quick(), std::nullopt);
     std::string address = keeper->address();
-    PeerConnections::Endpoint at = keeper->peer_connections.at();
+    PeerConnections::Endpoint at = keeper->peer_connections.listen_address();
     node.peer_connections.dial(address);
     ASSERT_TRUE(world.until([&] { return node.ups[1] == 1; }));
     keeper.reset();
     ASSERT_TRUE(world.until([&] { return node.downs[1] == 1 && node.unreached.size() >= 3; }));
     EXPECT_EQ(node.last_down, Error::Closed);
     EXPECT_EQ(node.unreached.front(), Error::Unreachable);
-    EXPECT_FALSE(node.peer_connections.send(1, Kind::Ask, "nobody"));
-    EXPECT_EQ(node.peer_connections.refused(Error::Closed), 1u);
+    EXPECT_FALSE(node.peer_connections.send(1, MessageKind::Request, "nobody"));
+    EXPECT_EQ(node.peer_connections.rejected_count(Error::Closed), 1u);
     Process again(world, 3, quick(), at);
     ASSERT_TRUE(world.until([&] { return node.ups[3] == 1; }));
     node.peer_connections.drop(address);
     ASSERT_TRUE(world.until([&] { return node.downs[3] == 1 && again.downs[2] == 1; }));
-    EXPECT_EQ(node.peer_connections.connections(), 0u);
+    EXPECT_EQ(node.peer_connections.connection_count(), 0u);
 }
 
 TEST(PeerConnections, SaysWhyADialDidNotComeUp) {
@@ -213,62 +220,64 @@
     // Whoever reads first sees it, and closes.
     EXPECT_TRUE(stranger.unreached[0] == Error::Cluster || stranger.unreached[0] == Error::Closed);
     ASSERT_TRUE(world.until([&] {
-        return keeper.peer_connections.ended(Error::Cluster) +
-                   stranger.peer_connections.ended(Error::Cluster) >
+        return keeper.peer_connections.ended_count(Error::Cluster) +
+                   stranger.peer_connections.ended_count(Error::Cluster) >
                0;
     }));
     EXPECT_TRUE(keeper.ups.empty());
     for (const char* wrong : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:1x",
                               "name:1", "::1:1", "[127.0.0.1]:1"})
         EXPECT_FALSE(stranger.peer_connections.dial(wrong)) << wrong;
-    EXPECT_TRUE(PeerConnections::endpoint("[::1]:1") && PeerConnections::endpoint("127.0.0.1:65535"));
+    EXPECT_TRUE(PeerConnections::parse_endpoint("[::1]:1") &&
+                PeerConnections::parse_endpoint("127.0.0.1:65535"));
 }
 
 TEST(PeerConnections, StrangersThatSayNothingGoAndAFloodOfThemDoesNotKeepPeersOut) {
     World world;
     PeerConnectionsSettings set = quick();
-    set.strangers = 5;
-    set.channel.dead = Duration{2000};
+    set.max_unauthenticated = 5;
+    set.channel.dead_timeout = Duration{2000};
     Process keeper(world, 1, set);
     std::vector<std::unique_ptr<Raw>> flood;
     for (int i = 0; i < 50; ++i) flood.push_back(std::make_unique<Raw>(world, keeper.peer_connections));
     Process node(world, 2, quick(), std::nullopt);
     node.peer_connections.dial(keeper.address());
     ASSERT_TRUE(world.until([&] {
-        EXPECT_LE(keeper.peer_connections.strangers(), 5u);
-        EXPECT_LE(keeper.peer_connections.connections(), 6u);
+        EXPECT_LE(keeper.peer_connections.unauthenticated_count(), 5u);
+        EXPECT_LE(keeper.peer_connections.connection_count(), 6u);
         return keeper.ups[2] == 1;
     }));
     // Those that remain go by the time that they have, and the peer stays.
-    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.strangers() == 0; }));
+    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.unauthenticated_count() == 0; }));
     EXPECT_EQ(std::count_if(flood.begin(), flood.end(), [](auto& one) { return one->closed(); }), 50);
-    EXPECT_GE(keeper.peer_connections.ended(Error::Full), 45u);
-    EXPECT_GE(keeper.peer_connections.ended(Error::Silent), 1u);
-    EXPECT_TRUE(keeper.downs.empty() && keeper.peer_connections.peers() == 1);
+    EXPECT_GE(keeper.peer_connections.ended_count(Error::Full), 45u);
+    EXPECT_GE(keeper.peer_connections.ended_count(Error::Silent), 1u);
+    EXPECT_TRUE(keeper.downs.empty() && keeper.peer_connections.peer_count() == 1);
 }
 
 TEST(PeerConnections, TakesInNoMorePeersThanItMay) {
     World world;
     PeerConnectionsSettings set = quick();
-    set.accepted = 3;
+    set.max_accepted_peers = 3;
     Process keeper(world, 1, set);
     std::vector<std::unique_ptr<Process>> nodes;
     for (std::uint64_t i = 2; i < 8; ++i) {
         nodes.push_back(std::make_unique<Process>(world, i, quick(), std::nullopt));
         nodes.back()->peer_connections.dial(keeper.address());
     }
-    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.ended(Error::Full) >= 6; }));
-    EXPECT_EQ(keeper.peer_connections.peers(), 3u);
+    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.ended_count(Error::Full) >= 6; }));
+    EXPECT_EQ(keeper.peer_connections.peer_count(), 3u);
     // Where one leaves, another comes in.
     std::uint64_t in = keeper.ups.begin()->first;
     nodes[in - 2].reset();
-    ASSERT_TRUE(world.until([&] { return keeper.downs[in] == 1 && keeper.peer_connections.peers() == 3; }));
+    ASSERT_TRUE(
+        world.until([&] { return keeper.downs[in] == 1 && keeper.peer_connections.peer_count() == 3; }));
 }
 
 TEST(PeerConnections, AReaderThatStandsStillIsBoundedAndThenGivenUp) {
     World world;
     PeerConnectionsSettings set = quick();
-    set.channel.queue = 300000;
+    set.channel.max_queued_bytes = 300000;
     set.channel.keys.clear();
     Process keeper(world, 1, set);
     Raw slow(world, keeper.peer_connections);
@@ -280,33 +289,33 @@
         Actions actions;
         channel.handle(world.clock.now(), event, actions);
         for (const Action& action : actions)
-            if (const auto* put = std::get_if<Put>(&action))
-                boost::asio::write(slow.socket, boost::asio::buffer(put->octets));
+            if (const auto* put = std::get_if<WriteBytes>(&action))
+                boost::asio::write(slow.socket, boost::asio::buffer(put->bytes));
     };
     say(Opened{});
     std::array<char, 4096> octets;
-    while (!channel.up()) {
+    while (!channel.connected()) {
         world.io.poll();
         slow.socket.non_blocking(true);
         boost::system::error_code error;
         std::size_t got = slow.socket.read_some(boost::asio::buffer(octets), error);
         slow.socket.non_blocking(false);
-        if (got > 0) say(Octets{{octets.data(), got}});
+        if (got > 0) say(BytesReceived{{octets.data(), got}});
     }
     ASSERT_TRUE(world.until([&] { return keeper.ups[9] == 1; }));
     std::size_t sent = 0;
     bool full = false;
     ASSERT_TRUE(world.until([&] {
         for (int i = 0; i < 10; ++i) {
-            bool taken = keeper.peer_connections.send(9, Kind::Rules, std::string(10000, 'x'));
+            bool taken = keeper.peer_connections.send(9, MessageKind::Rules, std::string(10000, 'x'));
             sent += taken;
             full = full || !taken;
         }
-        EXPECT_LE(keeper.peer_connections.queued(9), 300000u);
+        EXPECT_LE(keeper.peer_connections.queued_bytes(9), 300000u);
         return !keeper.downs.empty();
     }));
     EXPECT_TRUE(full && sent > 20);
-    EXPECT_GT(keeper.peer_connections.refused(Error::Full), 0u);
+    EXPECT_GT(keeper.peer_connections.rejected_count(Error::Full), 0u);
     EXPECT_EQ(keeper.last_down, Error::Silent);
 }
 
@@ -314,16 +323,16 @@
     World world;
     Process keeper(world, 1, quick()), node(world, 2, quick());
     int ups = 0;
-    node.peer_connections.up = [&](const Peer& peer) {
-        node.peer_connections.send(peer.instance, Kind::Ask, "first");
+    node.peer_connections.on_connected = [&](const Peer& peer) {
+        node.peer_connections.send(peer.instance, MessageKind::Request, "first");
         if (++ups == 2) return node.peer_connections.close();
         node.peer_connections.drop(keeper.address());
         node.peer_connections.dial(keeper.address());
     };
     node.peer_connections.dial(keeper.address());
     ASSERT_TRUE(world.until([&] { return ups == 2; }));
-    world.until([&] { return keeper.peer_connections.peers() == 0; });
-    EXPECT_EQ(node.peer_connections.connections(), 0u);
+    world.until([&] { return keeper.peer_connections.peer_count() == 0; });
+    EXPECT_EQ(node.peer_connections.connection_count(), 0u);
 }
 
 // ---- The dialer by itself
@@ -336,8 +345,8 @@
         int dials = 0;
         for (const auto& action : actions) {
             dials += std::holds_alternative<Dialer::Dial>(action);
-            abandoned += std::holds_alternative<Dialer::Abandon>(action);
-            if (const auto* at = std::get_if<WakeAt>(&action)) wake = at->at;
+            abandoned += std::holds_alternative<Dialer::CloseDialed>(action);
+            if (const auto* at = std::get_if<SetTimer>(&action)) wake = at->at;
         }
         return dials;
     }
@@ -350,27 +359,27 @@
     std::set<double> first;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Dialled one(seed);
-        ASSERT_EQ(one.tell(Dialer::Wanted{"x"}), 1);
-        EXPECT_EQ(one.tell(Dialer::Wanted{"x"}), 0);
+        ASSERT_EQ(one.tell(Dialer::AddressAdded{"x"}), 1);
+        EXPECT_EQ(one.tell(Dialer::AddressAdded{"x"}), 0);
         double most = 100;
         for (int i = 0; i < 12; ++i, most = std::min(5000.0, 2 * most)) {
-            EXPECT_EQ(one.tell(Dialer::Ended{"x"}), 0);
+            EXPECT_EQ(one.tell(Dialer::ConnectionEnded{"x"}), 0);
             double wait = (one.wake - one.now).count();
             if (i == 0) first.insert(wait);
             EXPECT_GE(wait, most / 2);
             EXPECT_LE(wait, most);
             one.now = one.wake;
-            ASSERT_EQ(one.tell(Woken{}), 1);
+            ASSERT_EQ(one.tell(TimerFired{}), 1);
         }
         // One that came up and went at once goes on waiting; one that lived begins anew.
-        one.tell(Dialer::Reached{"x", 5});
-        one.tell(Dialer::Ended{"x"});
+        one.tell(Dialer::DialSucceeded{"x", 5});
+        one.tell(Dialer::ConnectionEnded{"x"});
         EXPECT_GE((one.wake - one.now).count(), 2500);
         one.now = one.wake;
-        one.tell(Woken{});
-        one.tell(Dialer::Reached{"x", 5});
+        one.tell(TimerFired{});
+        one.tell(Dialer::DialSucceeded{"x", 5});
         one.now += Duration{1001};
-        one.tell(Dialer::Ended{"x"});
+        one.tell(Dialer::ConnectionEnded{"x"});
         EXPECT_LE((one.wake - one.now).count(), 100);
     }
     EXPECT_GT(first.size(), 95u);
@@ -378,26 +387,26 @@
 
 TEST(Dialer, GivesUpWhatIsLateAndLeavesWhoIsThere) {
     Dialled one(1);
-    one.tell(Dialer::Wanted{"x"});
+    one.tell(Dialer::AddressAdded{"x"});
     one.now = one.wake;
     EXPECT_EQ(one.now, TimePoint{Duration{3000}});
-    one.tell(Woken{});
+    one.tell(TimerFired{});
     EXPECT_EQ(one.abandoned, 1);
     one.now = one.wake;
-    EXPECT_EQ(one.tell(Woken{}), 1);
-    one.tell(Dialer::Reached{"x", 5});
-    one.tell(Dialer::Present{5});
-    one.tell(Dialer::Ended{"x"});  // it made way for one that the other side dialled
+    EXPECT_EQ(one.tell(TimerFired{}), 1);
+    one.tell(Dialer::DialSucceeded{"x", 5});
+    one.tell(Dialer::PeerConnected{5});
+    one.tell(Dialer::ConnectionEnded{"x"});  // it made way for one that the other side dialled
     one.now += Duration{60000};
-    EXPECT_EQ(one.tell(Woken{}), 0);
-    EXPECT_EQ(one.tell(Dialer::Absent{5}), 0);
+    EXPECT_EQ(one.tell(TimerFired{}), 0);
+    EXPECT_EQ(one.tell(Dialer::PeerDisconnected{5}), 0);
     EXPECT_LE(one.wake - one.now, Duration{100});
     one.now = one.wake;
-    EXPECT_EQ(one.tell(Woken{}), 1);
-    one.tell(Dialer::Itself{"x"});
+    EXPECT_EQ(one.tell(TimerFired{}), 1);
+    one.tell(Dialer::SelfReached{"x"});
     one.now += Duration{60000};
-    EXPECT_EQ(one.tell(Woken{}), 0);
-    one.tell(Dialer::Unwanted{"x"});
+    EXPECT_EQ(one.tell(TimerFired{}), 0);
+    one.tell(Dialer::AddressRemoved{"x"});
     EXPECT_TRUE(one.abandoned == 2 && one.dialer.size() == 0);
 }
 
