--- a/src/fleet/channel/channel.cpp
+++ b/src/fleet/channel/channel.cpp
@@ -72,7 +72,7 @@
     void seal(const wire::Frame& frame, fleet::Mac* mac, std::uint64_t number) const {
         std::string& out = channel.put_;
         std::size_t size = frame.ByteSizeLong(), before = out.size();
-        put_number(std::uint32_t(size + (mac ? fleet::kTag : 0)), out);
+        put_number(std::uint32_t(size + (mac ? fleet::kTagBytes : 0)), out);
         out.resize(out.size() + size);
         frame.SerializeWithCachedSizesToArray(reinterpret_cast<std::uint8_t*>(out.data() + before + kLength));
         if (mac) {
@@ -110,16 +110,16 @@
     std::optional<std::string_view> open(std::string_view octets, const std::string*& key) const {
         const std::vector<std::string>& keys = channel.settings_.keys;
         if (keys.empty()) return octets;
-        if (octets.size() < fleet::kTag) return std::nullopt;
-        std::string_view body = octets.substr(0, octets.size() - fleet::kTag),
+        if (octets.size() < fleet::kTagBytes) return std::nullopt;
+        std::string_view body = octets.substr(0, octets.size() - fleet::kTagBytes),
                          tag = octets.substr(body.size());
         if (channel.opens_) {
-            if (!fleet::same(channel.opens_->update(channel.taken_ + 1).update(body).tag(), tag))
+            if (!fleet::tags_equal(channel.opens_->update(channel.taken_ + 1).update(body).tag(), tag))
                 return std::nullopt;
             return body;
         }
         for (const std::string& one : keys)
-            if (fleet::same(hello_mac(one).update(std::uint64_t{0}).update(body).tag(), tag)) {
+            if (fleet::tags_equal(hello_mac(one).update(std::uint64_t{0}).update(body).tag(), tag)) {
                 key = &one;
                 return body;
             }
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -148,7 +148,7 @@
     void woken(TimePoint now, Actions& actions);
     void end(Error error, Actions& actions);
     std::string own_preamble() const;
-    std::size_t tag_size() const { return settings_.keys.empty() ? 0 : fleet::kTag; }
+    std::size_t tag_size() const { return settings_.keys.empty() ? 0 : fleet::kTagBytes; }
     std::size_t most() const {
         return stage_ == Stage::Connected ? settings_.max_message_bytes + kFrameOverheadBytes
                                           : kMaxHelloBytes;
--- a/src/fleet/keys/keys.cpp
+++ b/src/fleet/keys/keys.cpp
@@ -46,8 +46,8 @@
     return whole;
 }
 
-bool same(const Tag& tag, std::string_view octets) {
-    return octets.size() == kTag && memeql_sec(tag.data(), octets.data(), kTag);
+bool tags_equal(const Tag& tag, std::string_view octets) {
+    return octets.size() == kTagBytes && memeql_sec(tag.data(), octets.data(), kTagBytes);
 }
 
 void Keys::sign(std::string& octets) const {
@@ -56,12 +56,13 @@
     octets.append(reinterpret_cast<const char*>(tag.data()), tag.size());
 }
 
-std::optional<std::string_view> Keys::open(std::string_view octets) const {
+std::optional<std::string_view> Keys::verify(std::string_view octets) const {
     if (keys_.empty()) return octets;
-    if (octets.size() < kTag) return std::nullopt;
-    std::string_view signed_part = octets.substr(0, octets.size() - kTag);
+    if (octets.size() < kTagBytes) return std::nullopt;
+    std::string_view signed_part = octets.substr(0, octets.size() - kTagBytes);
     for (const std::string& key : keys_)
-        if (same(Mac(key).update(signed_part).tag(), octets.substr(signed_part.size()))) return signed_part;
+        if (tags_equal(Mac(key).update(signed_part).tag(), octets.substr(signed_part.size())))
+            return signed_part;
     return std::nullopt;
 }
 
--- a/src/fleet/keys/keys.h
+++ b/src/fleet/keys/keys.h
@@ -15,8 +15,8 @@
 
 namespace ochrehub::fleet {
 
-inline constexpr std::size_t kTag = 16;
-using Tag = std::array<std::uint8_t, kTag>;
+inline constexpr std::size_t kTagBytes = 16;
+using Tag = std::array<std::uint8_t, kTagBytes>;
 
 /// What tells two fleets on one network apart: made of the cluster's name.
 std::uint32_t fingerprint(std::string_view cluster);
@@ -37,8 +37,8 @@
     hmac_sha256_ctx context_;
 };
 
-/// In a time that does not depend on where they differ. False as well where `octets` are not kTag many.
-bool same(const Tag& tag, std::string_view octets);
+/// In a time that does not depend on where they differ. False as well where `octets` are not kTagBytes many.
+bool tags_equal(const Tag& tag, std::string_view octets);
 
 /// The first signs, any is taken, so that a key can be rolled one instance after the other. None: what is
 /// sent bears no tag, and whoever reaches the port is believed.
@@ -47,11 +47,11 @@
     Keys() = default;
     explicit Keys(std::vector<std::string> keys) : keys_(std::move(keys)) {}
 
-    bool none() const { return keys_.empty(); }
-    const std::vector<std::string>& all() const { return keys_; }
+    bool empty() const { return keys_.empty(); }
+    const std::vector<std::string>& keys() const { return keys_; }
     void sign(std::string& octets) const;
     /// What was signed, without its tag; nothing where no key fits.
-    std::optional<std::string_view> open(std::string_view octets) const;
+    std::optional<std::string_view> verify(std::string_view octets) const;
 
 private:
     std::vector<std::string> keys_;
--- a/src/fleet/membership/datagram.cpp
+++ b/src/fleet/membership/datagram.cpp
@@ -122,7 +122,7 @@
 
 DecodeError decode(std::string_view bytes, const Keys& keys, Datagram& out, std::uint32_t cluster) {
     if (bytes.size() > kMaxDatagramBytes) return DecodeError::TooLong;
-    auto opened = keys.open(bytes);
+    auto opened = keys.verify(bytes);
     if (!opened) return DecodeError::AuthenticationFailed;
     if (opened->empty()) return DecodeError::TooShort;
     Reader reader(*opened);
--- a/src/fleet/membership/datagram.h
+++ b/src/fleet/membership/datagram.h
@@ -34,7 +34,7 @@
 
 using fleet::fingerprint;
 using fleet::Keys;
-using fleet::kTag;
+using fleet::kTagBytes;
 
 inline constexpr std::size_t kMaxDatagramBytes = 256;
 inline constexpr std::size_t kHeaderBytes = 44;  ///< with empty names
@@ -42,7 +42,7 @@
 inline constexpr std::size_t kMaxNameBytes = 20;
 inline constexpr std::size_t kMaxZoneBytes = 11;
 inline constexpr std::size_t kMaxUpdates =
-    (kMaxDatagramBytes - kHeaderBytes - kMaxNameBytes - kMaxZoneBytes - kTag) / kUpdateBytes;  ///< 11
+    (kMaxDatagramBytes - kHeaderBytes - kMaxNameBytes - kMaxZoneBytes - kTagBytes) / kUpdateBytes;  ///< 11
 
 using Name = boost::container::static_vector<char, kMaxNameBytes>;
 using ZoneName = boost::container::static_vector<char, kMaxZoneBytes>;
--- a/tests/fleet/channel_mutants.cmake
+++ b/tests/fleet/channel_mutants.cmake
@@ -18,7 +18,7 @@
 channel_mutant(takes_any_cluster channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself "/Error::Cluster, actions/d")
 channel_mutant(takes_any_version channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself "/Error::Version, actions/d")
 channel_mutant(takes_unsigned channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself
-  "/octets.8. != own.8./d; s/if (octets.size() < fleet::kTag) return std::nullopt/if (octets.size() < 300) return octets/")
+  "/octets.8. != own.8./d; s/if (octets.size() < fleet::kTagBytes) return std::nullopt/if (octets.size() < 300) return octets/")
 channel_mutant(compares_no_tag channel Channel.ChangedOctetsNeverArriveWhereThereAreKeys 
   "/opens_->update(channel.taken_ + 1)/{n;s/return std::nullopt;/return body;/}")
 channel_mutant(knows_no_connection channel Channel.WhatWasRecordedElsewhereGetsNobodyUp "s/.update(sender).update(receiver)//")
