--- a/lab/equivalence/schema_migration.cpp
+++ b/lab/equivalence/schema_migration.cpp
@@ -6,13 +6,13 @@
 
 int main(int count, char** words) {
     auto faults = [](std::uint64_t seed) {
-        lab::migrating::Settings settings;
+        lab::migration::Settings settings;
         settings.seed = seed;
         settings.loss = 0.02;
         settings.doubled = 0.05;
         settings.faults = {
-            {1 + seed * 37 % 300, lab::migrating::Fault::What(seed % 3), settings.lease * 1.4}};
-        lab::migrating::run(settings);
+            {1 + seed * 37 % 300, lab::migration::Fault::What(seed % 3), settings.lease * 1.4}};
+        lab::migration::run(settings);
     };
     return lab::equivalence::run(count, words, {{"migration_faults", faults}});
 }
--- a/lab/schema_migration/disk.h
+++ b/lab/schema_migration/disk.h
@@ -14,7 +14,7 @@
 
 #include "fleet/schema_migration/records.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 
 /// Whole lines or records, each in one write(2): a SIGKILL does not tear them.
 class Appender {
@@ -85,4 +85,4 @@
     bool any_ = false;
 };
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -18,13 +18,13 @@
 #include "base/asio_scheduler.h"
 #include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session_thread.h"
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
 #include "lab/schema_migration/disk.h"
 #include "lab/schema_migration/nodes.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 namespace m = ochrehub::schema_migration;
@@ -43,8 +43,8 @@
           groups_(groups),
           records_(path("disk", index)),
           book_(path("book", index)),
-          receiver_({kKind, m::Migrations::kFirst[std::size_t(kKind)], 50, schema::convert,
-                     [this](std::uint32_t shard) { return shard % holders_ == index_; }},
+          receiver_({kKind, m::MigrationStateMachine::kInitialVersions[std::size_t(kKind)], 50,
+                     schema::convert, [this](std::uint32_t shard) { return shard % holders_ == index_; }},
                     records_),
           owner_(owner_settings()),
           random_(unsigned(getpid())) {
@@ -97,7 +97,7 @@
             if (shard_of(name) % holders_ != index_) continue;
             wire::Ask put;
             put.set_shard(shard_of(name)), put.set_group(name), put.set_writes(true);
-            put.set_schema(m::Migrations::kFirst[0]);
+            put.set_schema(m::MigrationStateMachine::kInitialVersions[0]);
             for (const auto& r : beginning(kKind, put.schema(), name, i)) {
                 auto& to = *put.add_records();
                 to.set_key(r.key), to.set_value(r.value);
@@ -151,9 +151,9 @@
             if (held->session == session_id_) return;
             session_id_ = held->session, said_ = false;
             wire::Command says;
-            for (const schema::Range& range : schema::built()) {
+            for (const schema::Range& range : schema::supported_ranges()) {
                 auto& to = *says.mutable_says()->add_ranges();
-                to.set_least(range.least), to.set_most(range.most);
+                to.set_least(range.min), to.set_most(range.max);
             }
             submit(says);
         } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&told)) {
@@ -175,7 +175,7 @@
                          });
     }
     void learn(const wire::News& news) {
-        if (news.levels_size() != int(schema::kKinds)) return;
+        if (news.levels_size() != int(schema::kKindCount)) return;
         if (news.refused() && news.refused() != refused_)
             std::printf("refused: %s\n",
                         fleet::sentence(m::row(m::from_wire(news.refused())), news.about()).c_str()),
@@ -217,7 +217,7 @@
         }
         scheduler_.call_at(now + kOp, [this] { next_op(); });
     }
-    bool said_once() { return said_ || (level_ && schema::built()[0].holds(level_)); }
+    bool said_once() { return said_ || (level_ && schema::supported_ranges()[0].contains(level_)); }
     void ask() {
         wire::Ask ask;
         ask.set_id(ask_ = ++asks_), ask.set_shard(shard_of(write_.group)), ask.set_group(write_.group),
@@ -231,7 +231,7 @@
             line << "r " << std::string(m::row(m::from_wire(given.error())).code) << '\n';
             book_.add(line.str());
             busy_ = false;
-            if (schema::built()[0].holds(given.schema()) && !refused_) level_ = given.schema();
+            if (schema::supported_ranges()[0].contains(given.schema()) && !refused_) level_ = given.schema();
             return;
         }
         if (writing_) {
@@ -243,7 +243,7 @@
         Group group;
         for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
         Seen seen;
-        if (!schema::built()[0].holds(asked_in_) || !see(kKind, asked_in_, group, seen)) {
+        if (!schema::supported_ranges()[0].contains(asked_in_) || !see(kKind, asked_in_, group, seen)) {
             book_.add("x " + std::to_string(asked_in_) + '\n');
             busy_ = false;
             return;
@@ -282,19 +282,19 @@
     TimePoint until_{}, op_ends_{};
     bool said_ = false, busy_ = false, writing_ = false;
     std::uint32_t refused_ = 0;
-    Number level_ = 0, asked_in_ = 0;
+    Version level_ = 0, asked_in_ = 0;
     std::uint64_t revision_ = 0, writes_ = 0, ask_ = 0, asks_ = 0;
     TimerId timer_ = 0;
     Write write_;
 };
 
 }  // namespace
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
 
 int main(int argc, char** argv) {
     if (argc < 7) return 2;
     std::vector<std::string> keepers(argv + 6, argv + argc);
-    ochrehub::lab::migrating::Member member(
+    ochrehub::lab::migration::Member member(
         argv[1], std::strtoul(argv[2], nullptr, 10), std::strtoul(argv[3], nullptr, 10),
         std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), keepers);
     member.run();
--- a/lab/schema_migration/million.cpp
+++ b/lab/schema_migration/million.cpp
@@ -11,7 +11,7 @@
 #include "fleet/schema_migration/receiver.h"
 #include "lab/schema_migration/nodes.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 namespace m = ochrehub::schema_migration;
@@ -35,16 +35,16 @@
 
 }  // namespace
 
-bool million(Kind kind, Number from, Number to, std::size_t records, std::uint32_t batch) {
+bool million(Kind kind, Version from, Version to, std::size_t records, std::uint32_t batch) {
     constexpr std::uint32_t kShards = 256;
     m::MemoryRecords disk;
     m::Receiver receiver({kind, from, batch, schema::convert, nullptr}, disk);
     const std::size_t clients = records / 2;  // of two tenants each
     for (std::size_t i = 0; i < clients; ++i) {
         std::string name = "client-" + std::to_string(i);
-        schema::Group group = beginning(kind, schema::last(kind), name, i % 1000);
+        schema::Group group = beginning(kind, schema::newest_version(kind), name, i % 1000);
         group.pop_back();
-        group = std::get<schema::Group>(schema::convert(kind, schema::last(kind), from, group));
+        group = std::get<schema::Group>(schema::convert(kind, schema::newest_version(kind), from, group));
         m::wire::Ask put;
         put.set_kind(std::uint32_t(kind)), put.set_shard(std::uint32_t(i % kShards)), put.set_group(name),
             put.set_schema(from), put.set_writes(true);
@@ -102,4 +102,4 @@
     return differ == 0 && spent_to >= spent_from;
 }
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/million.h
+++ b/lab/schema_migration/million.h
@@ -4,9 +4,9 @@
 
 #include "fleet/schema/schema.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 
-bool million(schema::Kind kind, schema::Number from, schema::Number to, std::size_t records,
+bool million(schema::Kind kind, schema::Version from, schema::Version to, std::size_t records,
              std::uint32_t batch);
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/nodes.cpp
+++ b/lab/schema_migration/nodes.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 namespace wire = records::wire;
@@ -53,13 +53,13 @@
 std::string server_of(const Write& write) {
     return std::string("s").append(std::to_string(write.id));
 }
-std::string cell_of(const Write& write, Number schema) {
+std::string cell_of(const Write& write, Version schema) {
     // Every third name is one that older schemas have no number for.
     return schema >= 4 && write.id % 3 == 0 ? std::string("rack ").append(std::to_string(write.id))
                                             : cell_name(cell_number(write));
 }
 
-Group applied(Kind kind, Number schema, Group group, const Write& write) {
+Group applied(Kind kind, Version schema, Group group, const Write& write) {
     const std::string each = key(write.tenant, write.group);
     if (kind == Kind::Sessions) {
         if (schema == 1) {
@@ -110,9 +110,9 @@
     return group;
 }
 
-Group beginning(Kind kind, Number schema, const std::string& name, std::uint64_t seed) {
+Group beginning(Kind kind, Version schema, const std::string& name, std::uint64_t seed) {
     // Made as the newest release would have, so that older forms have something to keep.
-    Number newest = schema::last(kind);
+    Version newest = schema::newest_version(kind);
     Group group;
     std::uint64_t i = 0;
     for (const char* tenant : kTenants) {
@@ -134,7 +134,7 @@
     return std::get<Group>(schema::convert(kind, newest, schema, group));
 }
 
-bool see(Kind kind, Number schema, const Group& group, Seen& seen) {
+bool see(Kind kind, Version schema, const Group& group, Seen& seen) {
     auto taken = schema::canonical(kind, schema, group);
     if (!std::holds_alternative<Group>(taken)) return false;
     auto session = [&](const std::string& tenant, const auto& m) {
@@ -201,7 +201,7 @@
     tried_by_group_[write.group].insert(write.id);
 }
 
-void Book::acked(const Write& write, std::uint64_t version, Number schema) {
+void Book::acked(const Write& write, std::uint64_t version, Version schema) {
     Done& done = writes_[write.id];
     done.acked = true, done.version = version, done.schema = schema;
     acked_by_group_[write.group].insert(write.id);
@@ -273,12 +273,12 @@
         if (!first_[group].tenants.contains(tenant)) say(tenant, "came from nowhere");
 }
 
-void Book::read(const std::string& group, Number, const Seen& seen,
+void Book::read(const std::string& group, Version, const Seen& seen,
                 const std::set<std::uint64_t>& acked_before) {
     compare(group, seen, acked_before, "read");
 }
 
-void Book::end(const std::map<std::string, Seen>& groups, Number, bool exact_cells) {
+void Book::end(const std::map<std::string, Seen>& groups, Version, bool exact_cells) {
     for (const auto& [group, was] : first_) {
         auto found = groups.find(group);
         if (found == groups.end()) {
@@ -315,4 +315,4 @@
         if (!first_.contains(group)) broken("end: " + group + " came from nowhere");
 }
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/nodes.h
+++ b/lab/schema_migration/nodes.h
@@ -11,11 +11,11 @@
 
 #include "fleet/schema/schema.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 
 using schema::Group;
 using schema::Kind;
-using schema::Number;
+using schema::Version;
 
 inline constexpr const char* kTenants[] = {"dealers", "market", "workshops"};
 
@@ -28,12 +28,12 @@
 };
 std::string server_of(const Write& write);
 /// The cell's name that a write sets, as far as its schema can say it.
-std::string cell_of(const Write& write, Number schema);
+std::string cell_of(const Write& write, Version schema);
 
-Group applied(Kind kind, Number schema, Group group, const Write& write);
+Group applied(Kind kind, Version schema, Group group, const Write& write);
 /// As a group is at the beginning: of every tenant something, with a part of a request spent where the schema
 /// has such.
-Group beginning(Kind kind, Number schema, const std::string& name, std::uint64_t seed);
+Group beginning(Kind kind, Version schema, const std::string& name, std::uint64_t seed);
 
 /// What a group says, whatever its schema. Nothing: it is no group of this schema.
 struct Seen {
@@ -45,7 +45,7 @@
     };
     std::map<std::string, Tenant> tenants;
 };
-bool see(Kind kind, Number schema, const Group& group, Seen& seen);
+bool see(Kind kind, Version schema, const Group& group, Seen& seen);
 
 /// The judge's book.
 class Book {
@@ -54,9 +54,9 @@
 
     void begins(const std::string& group, const Seen& seen) { first_[group] = seen; }
     void tried(const Write& write);
-    void acked(const Write& write, std::uint64_t version, Number schema);
+    void acked(const Write& write, std::uint64_t version, Version schema);
     /// A node was given this, having read it in `schema`. `since`: writes acknowledged before it asked.
-    void read(const std::string& group, Number schema, const Seen& seen,
+    void read(const std::string& group, Version schema, const Seen& seen,
               const std::set<std::uint64_t>& acked_before);
     void broken(std::string what) {
         if (broken_.size() < 20) broken_.push_back(std::move(what));
@@ -64,7 +64,7 @@
     const std::set<std::uint64_t>& acked_of(const std::string& group) const;
     /// What stands in the end, of all groups. `exact_cells`: the level has names for all cells that were
     /// written.
-    void end(const std::map<std::string, Seen>& groups, Number level, bool exact_cells);
+    void end(const std::map<std::string, Seen>& groups, Version level, bool exact_cells);
 
     const std::vector<std::string>& faults() const { return broken_; }
     std::uint64_t acks() const { return acks_; }
@@ -74,7 +74,7 @@
         Write write;
         bool acked = false;
         std::uint64_t version = 0;
-        Number schema = 0;
+        Version schema = 0;
     };
     void compare(const std::string& group, const Seen& seen, const std::set<std::uint64_t>& sure,
                  const char* when);
@@ -89,4 +89,4 @@
     std::uint64_t acks_ = 0;
 };
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/release_before.cpp
+++ b/lab/schema_migration/release_before.cpp
@@ -4,8 +4,8 @@
 
 namespace ochrehub::schema {
 
-const Ranges& built() {
-    static const Ranges ranges = of_newest({3, 2, 1, 1, 1});
+const Ranges& supported_ranges() {
+    static const Ranges ranges = ranges_of_newest({3, 2, 1, 1, 1});
     return ranges;
 }
 
--- a/lab/schema_migration/runs.cpp
+++ b/lab/schema_migration/runs.cpp
@@ -11,7 +11,7 @@
 #include "lab/schema_migration/million.h"
 #include "lab/schema_migration/world.h"
 
-using namespace ochrehub::lab::migrating;
+using namespace ochrehub::lab::migration;
 namespace m = ochrehub::schema_migration;
 
 namespace {
@@ -32,7 +32,7 @@
     std::string what = argc > 1 ? argv[1] : "";
     struct Pair {
         Kind kind;
-        Number from, to;
+        Version from, to;
     };
     const Pair pairs[] = {{Kind::Sessions, 1, 2}, {Kind::Sessions, 2, 3}, {Kind::Sessions, 3, 4},
                           {Kind::Sessions, 4, 3}, {Kind::Sessions, 2, 1}, {Kind::Rates, 1, 2},
--- a/lab/schema_migration/sweep.cpp
+++ b/lab/schema_migration/sweep.cpp
@@ -5,7 +5,7 @@
 
 #include "lab/schema_migration/world.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 
 Swept sweep(const Sweep& all) {
     Swept swept;
@@ -58,4 +58,4 @@
     return swept;
 }
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/world.cpp
+++ b/lab/schema_migration/world.cpp
@@ -9,7 +9,7 @@
 #include "lab/schema_migration/nodes.h"
 #include "lab/swarm/net.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 using m::Error;
@@ -34,7 +34,7 @@
     explicit World(const Settings& settings);
     Outcome run();
 
-    m::Migrations& machine() { return *machine_; }
+    m::MigrationStateMachine& machine() { return *machine_; }
     void steer(wire::Steer way) {
         wire::Command command;
         command.set_steer(way);
@@ -78,7 +78,7 @@
         TimePoint op{}, op_ends{};
         std::uint64_t ask = 0;
         Write write;
-        Number level = 0, asked_in = 0;  // the fleet's, as far as it knows; that of what is out
+        Version level = 0, asked_in = 0;  // the fleet's, as far as it knows; that of what is out
         std::set<std::uint64_t> acked_before;
         bool retries = false;
         std::vector<std::pair<Write, bool>> open;  // orders that it has begun
@@ -118,7 +118,7 @@
 
     Settings set_;
     Net<Message> net_;
-    std::unique_ptr<m::Migrations> machine_;
+    std::unique_ptr<m::MigrationStateMachine> machine_;
     std::map<std::uint64_t, Session> sessions_;
     std::uint64_t next_session_ = 1, next_write_ = 1, next_ask_ = 1;
     std::vector<Process> processes_;
@@ -146,10 +146,10 @@
       holders_(settings.holders),
       old_(net_.size() - 1),
       book_(settings.kind) {
-    m::Migrations::Levels levels;
-    for (std::size_t i = 0; i < schema::kKinds; ++i) levels[i] = schema::last(Kind(i));
+    m::MigrationStateMachine::WrittenVersions levels;
+    for (std::size_t i = 0; i < schema::kKindCount; ++i) levels[i] = schema::newest_version(Kind(i));
     levels[std::size_t(set_.kind)] = set_.from;
-    machine_ = std::make_unique<m::Migrations>(levels);
+    machine_ = std::make_unique<m::MigrationStateMachine>(levels);
     for (std::size_t i = 1; i < net_.size(); ++i) {
         Process& p = processes_[i];
         p.is_old = i == old_;
@@ -171,7 +171,7 @@
     for (std::size_t i = 0; i < set_.holders; ++i) holders_[i].disk.bound(set_.octets);
     for (std::size_t i = 0; i < set_.groups; ++i) {
         std::string name = "c" + std::to_string(i);
-        Number newest = schema::last(set_.kind);
+        Version newest = schema::newest_version(set_.kind);
         Group group = beginning(set_.kind, set_.from, name, i);
         Seen seen;
         see(set_.kind, newest, beginning(set_.kind, newest, name, i), seen);
@@ -196,9 +196,10 @@
     fresh.name = p.name, fresh.is_old = p.is_old, fresh.is_node = p.is_node, fresh.tried = p.tried,
     fresh.open = p.open;
     p = std::move(fresh);
-    for (std::size_t k = 0; k < schema::kKinds; ++k)
-        p.ranges[k] = {std::max<Number>(schema::last(Kind(k)), 2) - 1, schema::last(Kind(k))};
-    Number low = std::min(set_.from, set_.to), high = std::max(set_.from, set_.to);
+    for (std::size_t k = 0; k < schema::kKindCount; ++k)
+        p.ranges[k] = {std::max<Version>(schema::newest_version(Kind(k)), 2) - 1,
+                       schema::newest_version(Kind(k))};
+    Version low = std::min(set_.from, set_.to), high = std::max(set_.from, set_.to);
     p.ranges[std::size_t(set_.kind)] = {low, high};
     if (p.is_old)
         p.ranges[std::size_t(set_.kind)] =
@@ -293,7 +294,7 @@
 void World::move_leader() {
     net_.crash(kKeepers), net_.start(kKeepers);
     std::string state = machine_->snapshot();
-    auto next = std::make_unique<m::Migrations>(m::Migrations::Levels{});
+    auto next = std::make_unique<m::MigrationStateMachine>(m::MigrationStateMachine::WrittenVersions{});
     if (!next->restore(1, state) || next->snapshot() != state)
         book_.broken("the machine's snapshot is not what it was");
     machine_ = std::move(next);
@@ -426,7 +427,7 @@
 void World::told(std::size_t i, TimePoint own, const std::string& bytes) {
     Process& p = processes_[i];
     wire::News news;
-    if (!news.ParseFromString(bytes) || news.levels_size() != int(schema::kKinds)) return;
+    if (!news.ParseFromString(bytes) || news.levels_size() != int(schema::kKindCount)) return;
     const auto &was = p.news.migration(), &is = news.migration();
     bool older = is.id() < was.id() || (is.id() == was.id() && is.revision() < was.revision());
     if (!older) p.news = news;
@@ -448,7 +449,7 @@
             wire::Command says;
             for (const schema::Range& range : p.ranges) {
                 auto& to = *says.mutable_says()->add_ranges();
-                to.set_least(range.least), to.set_most(range.most);
+                to.set_least(range.min), to.set_most(range.max);
             }
             command(i, says);
             told(i, own, message.body);
@@ -552,7 +553,7 @@
         p.writing = false;
         const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
         bool level = error == Error::OldLevel || error == Error::NewLevel;
-        if (level && !p.is_old && reads.holds(given.schema())) p.level = given.schema();
+        if (level && !p.is_old && reads.contains(given.schema())) p.level = given.schema();
         if (certain && own < p.op_ends && (error == Error::Changed || (level && !p.is_old))) return ask(i);
         p.busy = false;
         return;
@@ -567,7 +568,7 @@
     for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
     const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
     Seen seen;
-    if (!reads.holds(p.asked_in))
+    if (!reads.contains(p.asked_in))
         book_.broken(p.name + " was given schema " + std::to_string(p.asked_in) + ", which it does not know");
     if (!see(set_.kind, p.asked_in, group, seen)) {
         book_.broken(p.name + " was given a record of " + p.write.group + " that is none of schema " +
@@ -649,7 +650,7 @@
 void World::judge(Outcome& outcome) {
     const wire::Status& status = machine_->migration();
     outcome.stage = machine_->stage(), outcome.stopped = status.stopped(), outcome.about = status.about();
-    outcome.level = machine_->levels()[std::size_t(set_.kind)];
+    outcome.level = machine_->written_versions()[std::size_t(set_.kind)];
     outcome.messages = messages_, outcome.events = net_.happened(), outcome.epochs = status.epoch();
     outcome.took_ms = (net_.now() - started_).count();
     outcome.refused = refused_, outcome.old_refused = old_refused_,
@@ -668,7 +669,7 @@
                              " forms");
             if (groups.contains(name)) book_.broken("end: " + name + " is there twice");
             // While it is under way: by the form that counts.
-            Number counts = over ? outcome.level : holder.receiver->writes(shard);
+            Version counts = over ? outcome.level : holder.receiver->writes(shard);
             bool found = false;
             for (const wire::Form& form : stored.forms()) {
                 if (form.schema() != counts) continue;
@@ -679,7 +680,7 @@
             if (!found) book_.broken("end: " + name + " is not there in schema " + std::to_string(counts));
         }
     }
-    book_.end(groups, outcome.level, outcome.level == schema::last(Kind::Sessions) && over);
+    book_.end(groups, outcome.level, outcome.level == schema::newest_version(Kind::Sessions) && over);
     outcome.broken = book_.faults();
     outcome.acked = book_.acks();
 }
@@ -687,7 +688,7 @@
 Outcome run(const Settings& settings) {
     return World(settings).run();
 }
-m::Migrations& machine(World& world) {
+m::MigrationStateMachine& machine(World& world) {
     return world.machine();
 }
 void steer(World& world, m::wire::Steer way) {
@@ -703,4 +704,4 @@
     return world.since_start();
 }
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/world.h
+++ b/lab/schema_migration/world.h
@@ -12,15 +12,15 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 
 namespace m = ochrehub::schema_migration;
 using schema::Kind;
-using schema::Number;
+using schema::Version;
 
 /// What happens to whoever takes the migration's Nth message (orders, replies, commands and their answers).
 struct Fault {
@@ -36,7 +36,7 @@
 
 struct Settings {
     Kind kind = Kind::Sessions;
-    Number from = 3, to = 4;
+    Version from = 3, to = 4;
     std::uint32_t shards = 16;
     std::size_t groups = 32, holders = 3, owners = 2, nodes = 2;
     std::uint64_t seed = 1;
@@ -77,7 +77,7 @@
     std::uint64_t events = 0, messages = 0, acked = 0, refused = 0, old_refused = 0, epochs = 0;
     std::uint32_t old_told = 0;  ///< what the old node was last told by the keepers, as on the wire
     double took_ms = 0;
-    Number level = 0;
+    Version level = 0;
 };
 
 Outcome run(const Settings& settings);
@@ -97,10 +97,10 @@
 
 class World;
 /// For `watches`.
-m::Migrations& machine(World& world);
+m::MigrationStateMachine& machine(World& world);
 void steer(World& world, m::wire::Steer way);
 void let_old_go(World& world);
 void bound(World& world, std::size_t octets);
 Duration since_start(const World& world);
 
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/tests/schema_migration_processes_test.cpp
+++ b/lab/tests/schema_migration_processes_test.cpp
@@ -27,7 +27,7 @@
 
 extern char** environ;
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 constexpr std::size_t kHolders = 3, kGroups = 60;
@@ -166,7 +166,7 @@
     }
 
     /// What stands in the end against what was acknowledged.
-    std::vector<std::string> judge(Number level, std::size_t& acks) {
+    std::vector<std::string> judge(Version level, std::size_t& acks) {
         Book all(Kind::Sessions);
         std::map<std::string, Seen> groups;
         for (std::size_t i = 0; i < kGroups; ++i) {
@@ -183,7 +183,7 @@
                 char what = 0;
                 Write write;
                 std::uint64_t version = 0;
-                Number schema = 0;
+                Version schema = 0;
                 words >> what;
                 if (what == 'x')
                     all.broken("member " + std::to_string(i) + " was given what it does not read: " + line);
@@ -276,4 +276,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/lab/tests/schema_migration_test.cpp
+++ b/lab/tests/schema_migration_test.cpp
@@ -11,13 +11,13 @@
 #include "lab/schema_migration/nodes.h"
 #include "lab/schema_migration/world.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 using m::Error;
 using m::Stage;
 
-Settings of(Kind kind, Number from, Number to, std::uint64_t seed = 1) {
+Settings of(Kind kind, Version from, Version to, std::uint64_t seed = 1) {
     Settings settings;
     settings.kind = kind, settings.from = from, settings.to = to, settings.seed = seed;
     return settings;
@@ -36,7 +36,7 @@
 
 TEST(Migrations, EveryPairOfNeighboursUpAndDown) {
     for (Kind kind : {Kind::Sessions, Kind::Rates})
-        for (Number from = 1; from < schema::last(kind); ++from) {
+        for (Version from = 1; from < schema::newest_version(kind); ++from) {
             sound(run(of(kind, from, from + 1)), Stage::Done);
             sound(run(of(kind, from + 1, from)), Stage::Done);
         }
@@ -108,7 +108,7 @@
 }
 TEST(Migrations, AConversionThatThrowsOnOneRecordStopsItAndTheWayBackLosesNothing) {
     Settings settings = of(Kind::Sessions, 2, 3);
-    settings.convert = [](Kind kind, Number from, Number to, schema::Group group) -> schema::Result {
+    settings.convert = [](Kind kind, Version from, Version to, schema::Group group) -> schema::Result {
         for (const auto& r : group)
             if (from < to && r.key.ends_with("c17")) throw std::runtime_error("one of a million");
         return schema::convert(kind, from, to, std::move(group));
@@ -190,7 +190,7 @@
     }
     /// As it would be written, with the form of this schema as it stood before, or without it.
     std::string half(std::uint32_t shard, std::string_view group, const std::string& octets,
-                     Number schema) const {
+                     Version schema) const {
         m::wire::Stored is, was;
         is.ParseFromString(octets), was.ParseFromString(disk.read(shard, group).octets);
         if (is.forms_size() < 2 || was.forms_size() < 2) return octets;
@@ -214,7 +214,7 @@
 struct Found {
     std::string judge, itself;
 };
-Found found(const std::function<void(Settings&)>& errs, Kind kind, Number from, Number to,
+Found found(const std::function<void(Settings&)>& errs, Kind kind, Version from, Version to,
             bool compares = true) {
     Found result;
     for (std::uint64_t seed = 1; seed <= 6 && result.judge.empty() && result.itself.empty(); ++seed) {
@@ -241,7 +241,7 @@
 void stopped(const Found& result, const char* code) {
     EXPECT_EQ(result.itself, code) << result.judge;
 }
-bool rises(Number from, Number to) {
+bool rises(Version from, Version to) {
     return from < to;
 }
 
@@ -257,7 +257,7 @@
     record.value = message.SerializeAsString();
 }
 void rounds_down(Settings& settings) {
-    settings.convert = [](Kind kind, Number from, Number to, schema::Group group) {
+    settings.convert = [](Kind kind, Version from, Version to, schema::Group group) {
         return altered(schema::convert(kind, from, to, std::move(group)), [&](schema::Group& made) {
             if (rises(from, to))
                 for (auto& record : made)
@@ -268,14 +268,14 @@
     };
 }
 void drops_the_last(Settings& settings) {
-    settings.convert = [](Kind kind, Number from, Number to, schema::Group group) {
+    settings.convert = [](Kind kind, Version from, Version to, schema::Group group) {
         return altered(schema::convert(kind, from, to, std::move(group)), [&](schema::Group& made) {
             if (rises(from, to) && made.size() > 2) made.pop_back();
         });
     };
 }
 void doubles_one(Settings& settings) {
-    settings.convert = [](Kind kind, Number from, Number to, schema::Group group) {
+    settings.convert = [](Kind kind, Version from, Version to, schema::Group group) {
         return altered(schema::convert(kind, from, to, std::move(group)), [&](schema::Group& made) {
             if (rises(from, to) && !made.empty())
                 made.insert(made.begin(), {"copy" + made[0].key, made[0].value});
@@ -440,4 +440,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
--- a/src/app/machines.cpp
+++ b/src/app/machines.cpp
@@ -4,7 +4,7 @@
 #include "fleet/leadership/endpoint_list.h"
 #include "fleet/leadership/lease_state_machine.h"
 #include "fleet/quota/machine.h"
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/shards/views.h"
 
 namespace ochrehub::app {
@@ -15,7 +15,8 @@
     all.push_back(std::make_unique<leadership::LeaseStateMachine>());
     all.push_back(std::make_unique<shards::Views>(shards::Views::Settings{}));
     all.push_back(std::make_unique<leadership::endpoint_list::StateMachine>());
-    all.push_back(std::make_unique<schema_migration::Migrations>(schema_migration::Migrations::kFirst));
+    all.push_back(std::make_unique<schema_migration::MigrationStateMachine>(
+        schema_migration::MigrationStateMachine::kInitialVersions));
     all.push_back(std::make_unique<config_distribution::Agreement>());
     all.push_back(std::make_unique<quota::Quotas>());
     return all;
--- a/src/app/migrate.cpp
+++ b/src/app/migrate.cpp
@@ -13,7 +13,7 @@
 #include "app/commands.h"
 #include "app/node_config.h"
 #include "fleet/coordinator/error.h"
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 
 namespace ochrehub::app {
@@ -47,7 +47,7 @@
     auto answer = leader_says(at, std::move(ask));
     wire::Machine machine;
     if (!answer) return std::nullopt;
-    if (!machine.ParseFromString(answer->result()) || machine.levels_size() != int(schema::kKinds)) {
+    if (!machine.ParseFromString(answer->result()) || machine.levels_size() != int(schema::kKindCount)) {
         say(schema_migration::on_wire(schema_migration::Error::Malformed), "the keepers' answer");
         return std::nullopt;
     }
@@ -69,7 +69,7 @@
 
 schema::Kind read_kind(const std::string& text) {
     schema::Kind kind{};
-    if (!schema::kind_of(text, kind))
+    if (!schema::parse_kind(text, kind))
         throw ConfigError("KIND: not sessions, rates, rules, fences or snapshots: '" + text + "'");
     return kind;
 }
@@ -85,12 +85,12 @@
 
 json::object as_json(const wire::Machine& machine) {
     json::object levels, all;
-    for (std::size_t i = 0; i < schema::kKinds; ++i)
+    for (std::size_t i = 0; i < schema::kKindCount; ++i)
         levels[schema::name(schema::Kind(i))] = machine.levels(int(i));
     json::array sessions;
     for (const wire::Session& one : machine.sessions()) {
         json::object reads;
-        for (std::size_t i = 0; one.said() && i < schema::kKinds && int(i) < one.ranges_size(); ++i)
+        for (std::size_t i = 0; one.said() && i < schema::kKindCount && int(i) < one.ranges_size(); ++i)
             reads[schema::name(schema::Kind(i))] =
                 json::array{one.ranges(int(i)).least(), one.ranges(int(i)).most()};
         json::object session{{"id", one.id()},
@@ -139,7 +139,7 @@
 
 void print(const wire::Machine& machine) {
     std::printf("%-10s %6s\n", "KIND", "LEVEL");
-    for (std::size_t i = 0; i < schema::kKinds; ++i)
+    for (std::size_t i = 0; i < schema::kKindCount; ++i)
         std::printf("%-10s %6u\n", kind_name(std::uint32_t(i)).c_str(), machine.levels(int(i)));
     const wire::Status& now = machine.migration();
     if (!now.id()) {
@@ -176,15 +176,15 @@
     schema::Kind kind = read_kind(text);
     auto machine = look(at);
     if (!machine) return 1;
-    schema::Number level = machine->levels(int(kind)), next = to ? schema::Number(to) : level + 1;
-    bool possible = (next == level + 1 || next + 1 == level) && next <= schema::last(kind) &&
+    schema::Version level = machine->levels(int(kind)), next = to ? schema::Version(to) : level + 1;
+    bool possible = (next == level + 1 || next + 1 == level) && next <= schema::newest_version(kind) &&
                     schema_migration::ended(Stage(machine->migration().stage()));
     json::array can, cannot;
     for (const wire::Session& one : machine->sessions()) {
         schema::Range reads;
         if (int(kind) < one.ranges_size())
             reads = {one.ranges(int(kind)).least(), one.ranges(int(kind)).most()};
-        bool fits = one.said() && reads.holds(next);
+        bool fits = one.said() && reads.contains(next);
         if (one.refused()) continue;  // it neither reads nor writes: upgrade it first, or leave it
         (fits ? can : cannot).push_back(json::string(one.name()));
         possible = possible && fits;
--- a/src/fleet/schema/errors.cpp
+++ b/src/fleet/schema/errors.cpp
@@ -22,12 +22,13 @@
 }
 
 std::string_view name(Kind kind) {
-    static constexpr std::string_view kNames[kKinds] = {"sessions", "rates", "rules", "fences", "snapshots"};
+    static constexpr std::string_view kNames[kKindCount] = {"sessions", "rates", "rules", "fences",
+                                                            "snapshots"};
     return kNames[std::size_t(kind)];
 }
 
-bool kind_of(std::string_view text, Kind& kind) {
-    for (std::size_t i = 0; i < kKinds; ++i)
+bool parse_kind(std::string_view text, Kind& kind) {
+    for (std::size_t i = 0; i < kKindCount; ++i)
         if (name(Kind(i)) == text) {
             kind = Kind(i);
             return true;
@@ -35,19 +36,19 @@
     return false;
 }
 
-Ranges of_newest(const std::array<Number, kKinds>& newest) {
+Ranges ranges_of_newest(const std::array<Version, kKindCount>& newest) {
     Ranges ranges;
-    for (std::size_t i = 0; i < kKinds; ++i) ranges[i] = {newest[i] > 1 ? newest[i] - 1 : 1, newest[i]};
+    for (std::size_t i = 0; i < kKindCount; ++i) ranges[i] = {newest[i] > 1 ? newest[i] - 1 : 1, newest[i]};
     return ranges;
 }
 
 std::variant<std::monostate, Failure> compatible(const Ranges& one, const Ranges& other) {
-    auto words = [](Range r) { return std::to_string(r.least) + " to " + std::to_string(r.most); };
-    for (std::size_t i = 0; i < kKinds; ++i) {
+    auto words = [](Range r) { return std::to_string(r.min) + " to " + std::to_string(r.max); };
+    for (std::size_t i = 0; i < kKindCount; ++i) {
         std::string kind(name(Kind(i)));
         for (const Range& r : {one[i], other[i]})
-            if (r.least == 0 || r.least > r.most) return Failure{Error::EmptyRange, kind + ", " + words(r)};
-        if (one[i].most < other[i].least || other[i].most < one[i].least)
+            if (r.min == 0 || r.min > r.max) return Failure{Error::EmptyRange, kind + ", " + words(r)};
+        if (one[i].max < other[i].min || other[i].max < one[i].min)
             return Failure{Error::Apart, kind + ", " + words(one[i]) + " and " + words(other[i])};
     }
     return {};
--- a/src/fleet/schema/schema.cpp
+++ b/src/fleet/schema/schema.cpp
@@ -235,22 +235,22 @@
 constexpr Form<wire::Fence1> kFences1{read_one, write_one};
 constexpr Form<wire::Snapshot1> kSnapshots1{read_one, write_one};
 
-Result refused(Error error, Kind kind, Number schema) {
+Result refused(Error error, Kind kind, Version schema) {
     return Failure{error, std::string(name(kind)) + " " + std::to_string(schema)};
 }
 Fault bounded(const Group& group) {
     std::size_t size = 0;
     for (const Record& record : group) size += record.key.size() + record.value.size();
-    return group.size() > kMostRecords || size > kMostOctets ? Fault(Error::TooLarge) : Fault();
+    return group.size() > kMaxGroupRecords || size > kMaxGroupBytes ? Fault(Error::TooLarge) : Fault();
 }
-Result out(Kind kind, Number schema, Group group) {
+Result out(Kind kind, Version schema, Group group) {
     if (Fault fault = bounded(group)) return refused(*fault, kind, schema);
     std::sort(group.begin(), group.end(), [](const Record& a, const Record& b) { return a.key < b.key; });
     return group;
 }
 
 template <class From, class To, class Step>
-Result stepped(Kind kind, Number schema, const Group& group, const Form<From>& from, const Form<To>& to,
+Result stepped(Kind kind, Version schema, const Group& group, const Form<From>& from, const Form<To>& to,
                const Step& step) {
     Items<From> read;
     Items<To> made;
@@ -267,7 +267,7 @@
     return out(kind, schema, to.write(made));
 }
 template <class Item>
-Result same_items(Kind kind, Number schema, const Group& group, const Form<Item>& from,
+Result same_items(Kind kind, Version schema, const Group& group, const Form<Item>& from,
                   const Form<Item>& to) {
     return stepped(kind, schema, group, from, to, [](const Item& item, Item& into) {
         into = item;
@@ -275,28 +275,28 @@
     });
 }
 template <class Pair>
-Result raised(Kind kind, Number schema, const Group& group, const Form<typename Pair::Old>& from,
+Result raised(Kind kind, Version schema, const Group& group, const Form<typename Pair::Old>& from,
               const Form<typename Pair::New>& to) {
     return stepped(kind, schema, group, from, to, up_item<Pair>);
 }
 template <class Pair>
-Result lowered(Kind kind, Number schema, const Group& group, const Form<typename Pair::New>& from,
+Result lowered(Kind kind, Version schema, const Group& group, const Form<typename Pair::New>& from,
                const Form<typename Pair::Old>& to) {
     return stepped(kind, schema, group, from, to, down_item<Pair>);
 }
 
 }  // namespace
 
-Number last(Kind kind) {
-    static constexpr Number kLast[kKinds] = {4, 3, 2, 1, 1};
-    return std::size_t(kind) < kKinds ? kLast[std::size_t(kind)] : 0;
+Version newest_version(Kind kind) {
+    static constexpr Version kLast[kKindCount] = {4, 3, 2, 1, 1};
+    return std::size_t(kind) < kKindCount ? kLast[std::size_t(kind)] : 0;
 }
 
 namespace {
 
 /// `step` for the items of this schema, into the same one.
 template <class Step>
-Result within(Kind kind, Number schema, const Group& group, const Step& step) {
+Result within(Kind kind, Version schema, const Group& group, const Step& step) {
     auto same = [&](const auto& form) { return stepped(kind, schema, group, form, form, step); };
     switch (kind) {
         case Kind::Sessions:
@@ -326,21 +326,21 @@
 
 }  // namespace
 
-Result canonical(Kind kind, Number schema, const Group& group) {
+Result canonical(Kind kind, Version schema, const Group& group) {
     return within(kind, schema, group, [](const auto& item, auto& into) {
         into = item;
         return Fault();
     });
 }
 
-Result bare(Kind kind, Number schema, const Group& group) {
+Result bare(Kind kind, Version schema, const Group& group) {
     return within(kind, schema, group, [](const auto& item, auto& into) {
         into = without_behind(without_beyond(item));
         return Fault();
     });
 }
 
-Result up(Kind kind, Number from, const Group& group) {
+Result up(Kind kind, Version from, const Group& group) {
     if (kind == Kind::Sessions) {
         if (from == 1) return same_items(kind, from, group, kSessions1, kSessions2);
         if (from == 2) return raised<IdleToLease>(kind, from, group, kSessions2, kSessions3);
@@ -354,7 +354,7 @@
     return refused(Error::UnknownSchema, kind, from + 1);
 }
 
-Result down(Kind kind, Number from, const Group& group) {
+Result down(Kind kind, Version from, const Group& group) {
     if (kind == Kind::Sessions) {
         if (from == 2) return same_items(kind, from, group, kSessions2, kSessions1);
         if (from == 3) return lowered<IdleToLease>(kind, from, group, kSessions3, kSessions2);
@@ -365,10 +365,10 @@
     } else if (kind == Kind::Rules && from == 2) {
         return lowered<HexToOctets>(kind, from, group, kRules2, kRules1);
     }
-    return refused(Error::UnknownSchema, kind, from > last(kind) ? from : from - 1);
+    return refused(Error::UnknownSchema, kind, from > newest_version(kind) ? from : from - 1);
 }
 
-Result convert(Kind kind, Number from, Number to, Group group) {
+Result convert(Kind kind, Version from, Version to, Group group) {
     if (from == to) return canonical(kind, from, group);
     while (from != to) {
         Result next = from < to ? up(kind, from, group) : down(kind, from, group);
@@ -379,8 +379,8 @@
     return group;
 }
 
-std::string_view group_of(Kind kind, Number schema, std::string_view key) {
-    if (schema == 0 || schema > last(kind)) return {};
+std::string_view group_of(Kind kind, Version schema, std::string_view key) {
+    if (schema == 0 || schema > newest_version(kind)) return {};
     if ((kind != Kind::Sessions && kind != Kind::Rates) || schema == 1) return key;
     if (kind == Kind::Sessions && schema == 2) {
         if (!key.starts_with('p') && !key.starts_with('w')) return {};
@@ -390,7 +390,7 @@
     return split(key, tenant, client) ? client : std::string_view();
 }
 
-std::variant<Spent, Failure> spent(Kind kind, Number schema, const Group& group) {
+std::variant<Spent, Failure> spent(Kind kind, Version schema, const Group& group) {
     Spent sums;
     if (kind != Kind::Rates) return sums;
     Items<wire::Bucket3> buckets;
--- a/src/fleet/schema/schema.h
+++ b/src/fleet/schema/schema.h
@@ -21,13 +21,13 @@
 
 namespace ochrehub::schema {
 
-using Number = std::uint32_t;  ///< of a schema, from 1 on; 0: none
+using Version = std::uint32_t;  ///< of a schema, from 1 on; 0: none
 
 enum class Kind : std::uint8_t { Sessions, Rates, Rules, Fences, Snapshots };
-inline constexpr std::size_t kKinds = 5;
+inline constexpr std::size_t kKindCount = 5;
 std::string_view name(Kind kind);
 /// False: there is none of this name.
-bool kind_of(std::string_view name, Kind& kind);
+bool parse_kind(std::string_view name, Kind& kind);
 
 enum class Error : std::uint8_t {
     UnknownKind,
@@ -49,43 +49,43 @@
 using Group = std::vector<Record>;  ///< by key, each once
 using Result = std::variant<Group, Failure>;
 
-inline constexpr std::size_t kMostRecords = 2048, kMostOctets = 512 << 10;  ///< of a group
+inline constexpr std::size_t kMaxGroupRecords = 2048, kMaxGroupBytes = 512 << 10;  ///< of a group
 inline constexpr std::uint64_t kBindingLeaseMs = 1'800'000;  ///< how long a client keeps its cell unseen
 inline constexpr std::uint64_t kMillion = 1'000'000;
 
-Number last(Kind kind);  ///< the newest that this tree knows; the first is always 1
+Version newest_version(Kind kind);  ///< the newest that this tree knows; the first is always 1
 
 /// As every reader takes it: sorted, records that say nothing left out. Octets that are no group of this
 /// schema are refused.
-Result canonical(Kind kind, Number schema, const Group& group);
-Result up(Kind kind, Number from, const Group& group);    ///< to from + 1
-Result down(Kind kind, Number from, const Group& group);  ///< to from - 1
+Result canonical(Kind kind, Version schema, const Group& group);
+Result up(Kind kind, Version from, const Group& group);    ///< to from + 1
+Result down(Kind kind, Version from, const Group& group);  ///< to from - 1
 /// By as many steps as it takes.
-Result convert(Kind kind, Number from, Number to, Group group);
+Result convert(Kind kind, Version from, Version to, Group group);
 /// Without what is kept for other schemas: what the records say by themselves.
-Result bare(Kind kind, Number schema, const Group& group);
+Result bare(Kind kind, Version schema, const Group& group);
 /// The group that a key belongs to, or nothing where it is no key of this schema.
-std::string_view group_of(Kind kind, Number schema, std::string_view key);
+std::string_view group_of(Kind kind, Version schema, std::string_view key);
 
 /// What is spent, in millionths of a request, by tenant. Of other kinds than rates: empty.
 using Spent = std::map<std::string, std::uint64_t, std::less<>>;
-std::variant<Spent, Failure> spent(Kind kind, Number schema, const Group& group);
+std::variant<Spent, Failure> spent(Kind kind, Version schema, const Group& group);
 
 // ---- Who reads what
 struct Range {
-    Number least = 1, most = 1;
-    bool holds(Number n) const { return least <= n && n <= most; }
+    Version min = 1, max = 1;
+    bool contains(Version n) const { return min <= n && n <= max; }
     friend bool operator==(const Range&, const Range&) = default;
 };
-using Ranges = std::array<Range, kKinds>;  ///< by Kind: what a process reads and, once the fleet's level is
-                                           ///< there, writes
+using Ranges = std::array<Range, kKindCount>;  ///< by Kind: what a process reads and, once the fleet's level
+                                               ///< is there, writes
 /// Nothing: they may work side by side. Else the kind at which they may not.
 std::variant<std::monostate, Failure> compatible(const Ranges& one, const Ranges& other);
 /// What a release reads: the newest of each kind and its neighbour below, so that neighbours may work side by
 /// side.
-Ranges of_newest(const std::array<Number, kKinds>& newest);
+Ranges ranges_of_newest(const std::array<Version, kKindCount>& newest);
 /// Of this program. Not a setting: a test's program of an older release links another object in its place
 /// (release.cpp).
-const Ranges& built();
+const Ranges& supported_ranges();
 
 }  // namespace ochrehub::schema
--- a/src/fleet/schema/step.h
+++ b/src/fleet/schema/step.h
@@ -94,7 +94,7 @@
 }
 template <class M>
 bool read(const std::string& from, M& into) {
-    return from.size() <= kMostOctets && into.ParseFromString(from) && only<M>(from);
+    return from.size() <= kMaxGroupBytes && into.ParseFromString(from) && only<M>(from);
 }
 
 template <class M>
--- a/src/fleet/schema_migration/machine.cpp
+++ b/src/fleet/schema_migration/migration_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 
 #include <limits>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace ochrehub::schema_migration {
 namespace {
 
-using schema::kKinds;
+using schema::kKindCount;
 
 constexpr std::size_t kAbout = 256;  // octets of what somebody says of a trouble, which stays in the state
 
@@ -15,7 +15,7 @@
     answer.set_about(std::string(about));
 }
 std::string words(const schema::Range& range) {
-    return std::to_string(range.least) + " to " + std::to_string(range.most);
+    return std::to_string(range.min) + " to " + std::to_string(range.max);
 }
 std::uint64_t added(std::uint64_t a, std::uint64_t b) {
     return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max()
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-Migrations::Migrations(const Levels& first) : levels_(first) {}
+MigrationStateMachine::MigrationStateMachine(const WrittenVersions& first) : levels_(first) {}
 
-std::string Migrations::apply(const coordinator::Command& command) {
+std::string MigrationStateMachine::apply(const coordinator::Command& command) {
     wire::Command what;
     Answer answer;
     if (!what.ParseFromArray(command.body.data(), int(command.body.size()))) {
@@ -79,43 +79,43 @@
     return answer.SerializeAsString();
 }
 
-void Migrations::session_opened(coordinator::SessionId session, std::string_view name,
-                                std::string_view zone) {
+void MigrationStateMachine::session_opened(coordinator::SessionId session, std::string_view name,
+                                           std::string_view zone) {
     Live& live = sessions_[session];
     live = {};
     live.name = name, live.zone = zone;
 }
 
-void Migrations::session_ended(coordinator::SessionId session) {
+void MigrationStateMachine::session_ended(coordinator::SessionId session) {
     sessions_.erase(session);
     if (now_.owner() == session) now_.set_owner(0);
     advance();
 }
 
-void Migrations::judge(Live& live) const {
+void MigrationStateMachine::judge(Live& live) const {
     live.refused = 0;
     live.about.clear();
-    auto needs = [&](std::size_t kind, schema::Number number, std::string_view what) {
+    auto needs = [&](std::size_t kind, schema::Version number, std::string_view what) {
         const schema::Range& reads = live.ranges[kind];
-        if (live.refused || reads.holds(number)) return;
-        live.refused = on_wire(reads.most < number ? Error::OldRelease : Error::NewRelease);
+        if (live.refused || reads.contains(number)) return;
+        live.refused = on_wire(reads.max < number ? Error::OldRelease : Error::NewRelease);
         live.about = live.name + ": " + std::string(schema::name(schema::Kind(kind))) + ": reads " +
                      words(reads) + ", the fleet " + std::string(what) + std::to_string(number);
     };
-    for (std::size_t i = 0; i < kKinds; ++i) needs(i, levels_[i], "writes ");
+    for (std::size_t i = 0; i < kKindCount; ++i) needs(i, levels_[i], "writes ");
     // The way back is open: whoever could not go it must not come in.
     if (stage() == Stage::Switch || stage() == Stage::Hold)
         needs(now_.kind(), now_.from(), "may go back to ");
 }
 
-void Migrations::says(coordinator::SessionId session, const wire::Says& said, Answer& answer) {
+void MigrationStateMachine::says(coordinator::SessionId session, const wire::Says& said, Answer& answer) {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return refuse(answer, Error::Stale);
-    if (std::size_t(said.ranges_size()) != kKinds) return refuse(answer, Error::Malformed);
+    if (std::size_t(said.ranges_size()) != kKindCount) return refuse(answer, Error::Malformed);
     Live& live = found->second;
-    for (std::size_t i = 0; i < kKinds; ++i) {
+    for (std::size_t i = 0; i < kKindCount; ++i) {
         live.ranges[i] = {said.ranges(int(i)).least(), said.ranges(int(i)).most()};
-        if (live.ranges[i].least == 0 || live.ranges[i].least > live.ranges[i].most)
+        if (live.ranges[i].min == 0 || live.ranges[i].min > live.ranges[i].max)
             return refuse(answer, Error::Malformed);
     }
     live.said = true;
@@ -125,15 +125,15 @@
         return;
     }
     // It may serve by the level of now, and there is nowhere to go while it does.
-    if (!ended(stage()) && stage() < Stage::Switch && !live.ranges[now_.kind()].holds(now_.to()))
+    if (!ended(stage()) && stage() < Stage::Switch && !live.ranges[now_.kind()].contains(now_.to()))
         stop(Error::OldProcess, live.name);
 }
 
-bool Migrations::someone_cannot(schema::Kind kind, schema::Number number, Failure& why) const {
+bool MigrationStateMachine::someone_cannot(schema::Kind kind, schema::Version number, Failure& why) const {
     for (const auto& [id, live] : sessions_) {
         if (!live.said)
             why = {Error::Silent, live.name};
-        else if (!live.refused && !live.ranges[std::size_t(kind)].holds(number))
+        else if (!live.refused && !live.ranges[std::size_t(kind)].contains(number))
             why = {Error::OldProcess, live.name};
         else
             continue;
@@ -142,16 +142,15 @@
     return false;
 }
 
-void Migrations::start(const wire::Start& start, Answer& answer) {
-    if (start.kind() >= kKinds) return refuse(answer, Error::UnknownKind);
+void MigrationStateMachine::start(const wire::Start& start, Answer& answer) {
+    if (start.kind() >= kKindCount) return refuse(answer, Error::UnknownKind);
     if (!ended(stage())) return refuse(answer, Error::Running);
     auto kind = schema::Kind(start.kind());
-    schema::Number level = levels_[start.kind()], to = start.to();
+    schema::Version level = levels_[start.kind()], to = start.to();
     bool next_to = to + 1 == level || to == level + 1;
-    if (!next_to || to == 0 || to > schema::last(kind))
+    if (!next_to || to == 0 || to > schema::newest_version(kind))
         return refuse(answer, Error::NotNextTo, "the level is " + std::to_string(level));
-    if (start.shards() == 0 || start.shards() > kShardsMost)
-        return refuse(answer, Error::Malformed, "shards");
+    if (start.shards() == 0 || start.shards() > kMaxShards) return refuse(answer, Error::Malformed, "shards");
     Failure why;
     if (someone_cannot(kind, to, why)) return refuse(answer, why.error, why.about);
     now_.Clear();
@@ -162,7 +161,7 @@
     enter(Stage::Widen);
 }
 
-void Migrations::want(coordinator::SessionId session, Answer& answer) {
+void MigrationStateMachine::want(coordinator::SessionId session, Answer& answer) {
     auto found = sessions_.find(session);
     if (found == sessions_.end()) return refuse(answer, Error::Stale);
     if (ended(stage())) return refuse(answer, Error::Nothing);
@@ -170,7 +169,7 @@
     if (!live.said) return refuse(answer, Error::Silent, live.name);
     if (live.refused) return refuse(answer, from_wire(live.refused), live.about);
     const schema::Range& reads = live.ranges[now_.kind()];
-    if (!reads.holds(now_.from()) || !reads.holds(now_.to()))
+    if (!reads.contains(now_.from()) || !reads.contains(now_.to()))
         return refuse(answer, Error::OldProcess, live.name);
     if (now_.owner() == session) return;
     if (now_.owner()) return refuse(answer, Error::Owned);
@@ -178,13 +177,13 @@
     now_.set_epoch(++epochs_);
 }
 
-bool Migrations::of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
-                          std::uint64_t revision, std::uint32_t shard) const {
+bool MigrationStateMachine::of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
+                                     std::uint64_t revision, std::uint32_t shard) const {
     return session && now_.owner() == session && now_.id() == id && now_.epoch() == epoch &&
            now_.revision() == revision && works(stage()) && shard < now_.shards();
 }
 
-void Migrations::did(coordinator::SessionId session, const wire::Did& did, Answer& answer) {
+void MigrationStateMachine::did(coordinator::SessionId session, const wire::Did& did, Answer& answer) {
     if (!of_owner(session, did.migration(), did.epoch(), did.revision(), did.shard()))
         return refuse(answer, Error::Stale);
     const wire::Counts& counts = did.counts();
@@ -205,14 +204,15 @@
         stop(Error::Refusals, std::to_string(refusals));
 }
 
-void Migrations::trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& answer) {
+void MigrationStateMachine::trouble(coordinator::SessionId session, const wire::Trouble& trouble,
+                                    Answer& answer) {
     if (!of_owner(session, trouble.migration(), trouble.epoch(), trouble.revision(), trouble.shard()))
         return refuse(answer, Error::Stale);
     stop(from_wire(trouble.error()), "shard " + std::to_string(trouble.shard()) +
                                          (trouble.about().empty() ? "" : ", ") + trouble.about());
 }
 
-void Migrations::steer(wire::Steer way, Answer& answer) {
+void MigrationStateMachine::steer(wire::Steer way, Answer& answer) {
     if (ended(stage())) return refuse(answer, Error::Nothing);
     Failure why;
     switch (way) {
@@ -257,7 +257,7 @@
     now_.set_paused(false), now_.set_stopped(0), now_.clear_about();
 }
 
-void Migrations::enter(Stage stage) {
+void MigrationStateMachine::enter(Stage stage) {
     now_.set_stage(std::uint32_t(stage));
     now_.set_revision(++revisions_);
     now_.set_done(std::string(works(stage) ? (now_.shards() + 7) / 8 : 0, '\0'));
@@ -265,20 +265,20 @@
     if (ended(stage)) now_.set_owner(0);
 }
 
-void Migrations::stop(Error error, std::string_view about) {
+void MigrationStateMachine::stop(Error error, std::string_view about) {
     now_.set_paused(true);
     now_.set_stopped(on_wire(error));
     now_.set_about(std::string(about.substr(0, kAbout)));
 }
 
-bool Migrations::all_done() const {
+bool MigrationStateMachine::all_done() const {
     if (now_.done().empty()) return false;
     for (std::uint32_t i = 0; i < now_.shards(); ++i)
         if (!bit(now_.done(), i)) return false;
     return true;
 }
 
-void Migrations::advance() {
+void MigrationStateMachine::advance() {
     while (!ended(stage()) && !now_.paused()) {
         if (stage() == Stage::Hold) {
             if (!now_.narrows()) return;
@@ -322,8 +322,8 @@
     }
 }
 
-void Migrations::fill(wire::News& news, coordinator::SessionId session) const {
-    for (schema::Number level : levels_) news.add_levels(level);
+void MigrationStateMachine::fill(wire::News& news, coordinator::SessionId session) const {
+    for (schema::Version level : levels_) news.add_levels(level);
     if (now_.id()) *news.mutable_migration() = now_;
     news.set_asked(!ended(stage()) && now_.owner() == 0);
     news.set_mine(session && now_.owner() == session);
@@ -334,26 +334,26 @@
     news.set_about(live.about);
 }
 
-std::string Migrations::session_update(coordinator::SessionId session) const {
+std::string MigrationStateMachine::session_update(coordinator::SessionId session) const {
     wire::News news;
     fill(news, session);
     return news.SerializeAsString();
 }
 
-std::string Migrations::query(std::string_view) const {
+std::string MigrationStateMachine::query(std::string_view) const {
     return snapshot();
 }
 
-std::string Migrations::snapshot() const {
+std::string MigrationStateMachine::snapshot() const {
     wire::Machine all;
-    for (schema::Number level : levels_) all.add_levels(level);
+    for (schema::Version level : levels_) all.add_levels(level);
     for (const auto& [id, live] : sessions_) {
         wire::Session& one = *all.add_sessions();
         one.set_id(id), one.set_name(live.name), one.set_zone(live.zone), one.set_said(live.said);
         one.set_refused(live.refused), one.set_about(live.about);
         for (const schema::Range& range : live.ranges) {
             wire::Range& to = *one.add_ranges();
-            to.set_least(range.least), to.set_most(range.most);
+            to.set_least(range.min), to.set_most(range.max);
         }
     }
     *all.mutable_migration() = now_;
@@ -361,26 +361,26 @@
     return all.SerializeAsString();
 }
 
-bool Migrations::restore(std::uint32_t schema, std::string_view bytes) {
+bool MigrationStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::Machine all;
     if (schema != this->schema() || !all.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
     const wire::Status& status = all.migration();
     std::size_t bits =
         ended(Stage(status.stage())) || Stage(status.stage()) == Stage::Hold ? 0 : (status.shards() + 7) / 8;
-    if (std::size_t(all.levels_size()) != kKinds || std::size_t(all.sessions_size()) > kSessionsMost ||
-        status.stage() > std::uint32_t(Stage::Undone) || status.kind() >= kKinds ||
-        status.shards() > kShardsMost || std::uint32_t(status.refusals_size()) != status.shards() ||
+    if (std::size_t(all.levels_size()) != kKindCount || std::size_t(all.sessions_size()) > kMaxSessions ||
+        status.stage() > std::uint32_t(Stage::Undone) || status.kind() >= kKindCount ||
+        status.shards() > kMaxShards || std::uint32_t(status.refusals_size()) != status.shards() ||
         status.done().size() != bits)
         return false;
     std::map<coordinator::SessionId, Live> sessions;
     for (const wire::Session& one : all.sessions()) {
         Live live{one.name(), one.zone(), one.about(), one.said(), {}, one.refused()};
-        if (std::size_t(one.ranges_size()) != kKinds) return false;
-        for (std::size_t i = 0; i < kKinds; ++i)
+        if (std::size_t(one.ranges_size()) != kKindCount) return false;
+        for (std::size_t i = 0; i < kKindCount; ++i)
             live.ranges[i] = {one.ranges(int(i)).least(), one.ranges(int(i)).most()};
         sessions.emplace(one.id(), std::move(live));
     }
-    for (std::size_t i = 0; i < kKinds; ++i) levels_[i] = all.levels(int(i));
+    for (std::size_t i = 0; i < kKindCount; ++i) levels_[i] = all.levels(int(i));
     sessions_ = std::move(sessions);
     now_ = status;
     epochs_ = all.epochs(), ids_ = all.ids(), revisions_ = all.revisions();
--- a/src/fleet/schema_migration/machine.h
+++ b/src/fleet/schema_migration/migration_state_machine.h
@@ -19,16 +19,16 @@
 
 namespace ochrehub::schema_migration {
 
-class Migrations : public coordinator::StateMachine {
+class MigrationStateMachine : public coordinator::StateMachine {
 public:
-    using Levels = std::array<schema::Number, schema::kKinds>;
+    using WrittenVersions = std::array<schema::Version, schema::kKindCount>;
     /// Of a fleet that has never migrated. Keepers of two releases begin alike: this is never changed.
-    static constexpr Levels kFirst = {3, 2, 1, 1, 1};
-    static constexpr std::uint32_t kShardsMost = 4096;
-    static constexpr std::size_t kSessionsMost = 10'000;
+    static constexpr WrittenVersions kInitialVersions = {3, 2, 1, 1, 1};
+    static constexpr std::uint32_t kMaxShards = 4096;
+    static constexpr std::size_t kMaxSessions = 10'000;
 
     /// `first`: the levels of a fleet that has never migrated.
-    explicit Migrations(const Levels& first);
+    explicit MigrationStateMachine(const WrittenVersions& first);
 
     std::string_view kind() const override { return "migration"; }
     std::uint32_t schema() const override { return 1; }
@@ -45,7 +45,7 @@
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    const Levels& levels() const { return levels_; }
+    const WrittenVersions& written_versions() const { return levels_; }
     const wire::Status& migration() const { return now_; }
     Stage stage() const { return Stage(now_.stage()); }
 
@@ -70,14 +70,14 @@
     /// Whether this one may read and write by the levels of now.
     void judge(Live& live) const;
     /// The first live session that does not read this, or has not said: fills `why`.
-    bool someone_cannot(schema::Kind kind, schema::Number number, Failure& why) const;
+    bool someone_cannot(schema::Kind kind, schema::Version number, Failure& why) const;
     void enter(Stage stage);
     void advance();
     void stop(Error error, std::string_view about);
     void fill(wire::News& news, coordinator::SessionId session) const;
     bool all_done() const;
 
-    Levels levels_;
+    WrittenVersions levels_;
     std::map<coordinator::SessionId, Live> sessions_;
     wire::Status now_;
     std::uint64_t epochs_ = 0, ids_ = 0, revisions_ = 0;
--- a/src/fleet/schema_migration/receiver.cpp
+++ b/src/fleet/schema_migration/receiver.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using schema::Group;
-using schema::Number;
+using schema::Version;
 
 Group group_of(const google::protobuf::RepeatedPtrField<wire::Rec>& records) {
     Group group;
@@ -33,12 +33,12 @@
 public:
     explicit Forms(const std::string& octets) : sound_(stored_.ParseFromString(octets)) {}
     bool sound() const { return sound_; }
-    bool has(Number schema) const { return find(schema) != nullptr; }
-    Group get(Number schema) const {
+    bool has(Version schema) const { return find(schema) != nullptr; }
+    Group get(Version schema) const {
         const wire::Form* form = find(schema);
         return form ? group_of(form->records()) : Group();
     }
-    void set(Number schema, const Group& group) {
+    void set(Version schema, const Group& group) {
         for (wire::Form& form : *stored_.mutable_forms())
             if (form.schema() == schema) return put(group, *form.mutable_records());
         wire::Form& form = *stored_.add_forms();
@@ -46,7 +46,7 @@
         put(group, *form.mutable_records());
     }
     /// All but this one; false: there was nothing else.
-    bool keep_only(Number schema) {
+    bool keep_only(Version schema) {
         auto& forms = *stored_.mutable_forms();
         int before = forms.size();
         forms.erase(std::remove_if(forms.begin(), forms.end(),
@@ -62,7 +62,7 @@
     }
 
 private:
-    const wire::Form* find(Number schema) const {
+    const wire::Form* find(Version schema) const {
         for (const wire::Form& form : stored_.forms())
             if (form.schema() == schema) return &form;
         return nullptr;
@@ -115,13 +115,13 @@
 ShardForm Receiver::form(std::uint32_t shard) const {
     return ShardForm(state(shard).form());
 }
-Number Receiver::writes(std::uint32_t shard) const {
+Version Receiver::writes(std::uint32_t shard) const {
     State s = state(shard);
     auto form = ShardForm(s.form());
     return form == ShardForm::Switched || form == ShardForm::Narrowing ? s.to() : s.from();
 }
 
-schema::Result Receiver::convert(Number from, Number to, const Group& group) const {
+schema::Result Receiver::convert(Version from, Version to, const Group& group) const {
     try {
         return set_.convert(set_.kind, from, to, group);
     } catch (const std::exception& e) {
@@ -131,8 +131,8 @@
 
 // ---- Those who read and write
 
-bool Receiver::takes(const State& state, Number schema, Error& why) const {
-    Number least = state.from(), most = state.from();
+bool Receiver::takes(const State& state, Version schema, Error& why) const {
+    Version least = state.from(), most = state.from();
     switch (ShardForm(state.form())) {
         case ShardForm::Plain:
         case ShardForm::Unwidening:
@@ -181,7 +181,7 @@
     if (!forms.sound()) return fail(given, Error::Malformed, shown(ask.group()));
     if (forms.has(ask.schema())) return put(forms.get(ask.schema()), *given.mutable_records());
     // Not converted yet, or no longer there: made of the other one.
-    Number other = ask.schema() == state.from() ? state.to() : state.from();
+    Version other = ask.schema() == state.from() ? state.to() : state.from();
     schema::Result made = convert(other, ask.schema(), forms.get(other));
     if (const Group* group = std::get_if<Group>(&made)) return put(*group, *given.mutable_records());
     fail(given, Error::Conversion, shown(ask.group()));
@@ -199,7 +199,7 @@
     forms.set(ask.schema(), group);
     auto form = ShardForm(state.form());
     if (form == ShardForm::Wide || form == ShardForm::Switched) {
-        Number other = ask.schema() == state.from() ? state.to() : state.from();
+        Version other = ask.schema() == state.from() ? state.to() : state.from();
         schema::Result made = convert(ask.schema(), other, group);
         if (const Group* both = std::get_if<Group>(&made)) {
             forms.set(other, *both);
@@ -244,7 +244,7 @@
     auto form = ShardForm(state.form());
     bool both = form == ShardForm::Wide || form == ShardForm::Switched;
     auto become = [&](ShardForm next) { state.set_form(std::uint32_t(next)); };
-    Number plain = form == ShardForm::Plain ? state.from() : 0;
+    Version plain = form == ShardForm::Plain ? state.from() : 0;
     // A stage may begin anew: a shard that is through with it, or in it, is as good.
     switch (Stage(order.stage())) {
         case Stage::Widen:
@@ -402,7 +402,7 @@
     counts.set_differ(counts.differ() + 1);
 }
 
-bool Receiver::drop(std::uint32_t shard, const std::string& name, const Records::Held& held, Number stays,
+bool Receiver::drop(std::uint32_t shard, const std::string& name, const Records::Held& held, Version stays,
                     wire::Reply& reply) {
     Forms forms(held.octets);
     if (!forms.sound() || !forms.has(stays)) {  // what would be lost with it is left, and said
--- a/src/fleet/schema_migration/receiver.h
+++ b/src/fleet/schema_migration/receiver.h
@@ -31,10 +31,10 @@
 class Receiver {
 public:
     using Convert =
-        std::function<schema::Result(schema::Kind, schema::Number from, schema::Number to, schema::Group)>;
+        std::function<schema::Result(schema::Kind, schema::Version from, schema::Version to, schema::Group)>;
     struct Settings {
         schema::Kind kind = schema::Kind::Sessions;
-        schema::Number first = 1;           ///< the level of a shard that was never migrated
+        schema::Version first = 1;          ///< the level of a shard that was never migrated
         std::uint32_t step_most = 1000;     ///< groups in one step, whatever the owner asks for
         Convert convert = schema::convert;  ///< what it throws is a conversion that failed
         std::function<bool(std::uint32_t shard)> holds = nullptr;  ///< none: all
@@ -46,15 +46,15 @@
 
     ShardForm form(std::uint32_t shard) const;
     /// Of a shard: what it takes writes in.
-    schema::Number writes(std::uint32_t shard) const;
+    schema::Version writes(std::uint32_t shard) const;
     std::uint64_t refusals() const { return refusals_; }
 
 private:
     using State = wire::Shard;
     State state(std::uint32_t shard) const;
     bool keep(std::uint32_t shard, const State& state);
-    bool takes(const State& state, schema::Number schema, Error& why) const;
-    schema::Result convert(schema::Number from, schema::Number to, const schema::Group& group) const;
+    bool takes(const State& state, schema::Version schema, Error& why) const;
+    schema::Result convert(schema::Version from, schema::Version to, const schema::Group& group) const;
     void give(const State& state, const wire::Ask& ask, wire::Given& given) const;
     void take(const State& state, const wire::Ask& ask, wire::Given& given);
     bool enter(State& state, const wire::Order& order, wire::Reply& reply) const;
@@ -63,7 +63,7 @@
     bool widen_group(std::uint32_t shard, const State& state, const std::string& name,
                      const Records::Held& held, wire::Reply& reply);
     void compare_group(State& state, const std::string& name, const Records::Held& held) const;
-    bool drop(std::uint32_t shard, const std::string& name, const Records::Held& held, schema::Number stays,
+    bool drop(std::uint32_t shard, const std::string& name, const Records::Held& held, schema::Version stays,
               wire::Reply& reply);
 
     Settings set_;
--- a/tests/fleet/schema_fuzz.cpp
+++ b/tests/fleet/schema_fuzz.cpp
@@ -36,7 +36,7 @@
     }
     return records;
 }
-std::string written(Kind kind, Number schema, const Group& records) {
+std::string written(Kind kind, Version schema, const Group& records) {
     std::string out{char(kind), char(schema)};
     for (const Record& r : records)
         out += r.key + '\xff' + char(r.value.size() >> 8) + char(r.value.size()) + r.value;
@@ -54,7 +54,7 @@
         return ((state = state * 6364136223846793005u + 1442695040888963407u) >> 33) % below;
     };
     Kind kind = Kind(draw(3));
-    Number schema = Number(1 + draw(last(kind))), from = Number(1 + draw(last(kind)));
+    Version schema = Version(1 + draw(newest_version(kind))), from = Version(1 + draw(newest_version(kind)));
     Group records = fresh(kind, from, draw);
     if (Result at = convert(kind, from, schema, records); group(at))
         records = written_on(kind, schema, *group(at), draw);
@@ -66,8 +66,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     if (size < 2) return 0;
-    Kind kind = Kind(data[0] % kKinds);
-    Number schema = data[1] % 6;
+    Kind kind = Kind(data[0] % kKindCount);
+    Version schema = data[1] % 6;
     Group given = read(data + 2, size - 2);
     for (const Record& r : given) group_of(kind, schema, r.key);
     Result taken = canonical(kind, schema, given);
@@ -75,12 +75,12 @@
     const Group& records = *group(taken);
     Result again = canonical(kind, schema, records);
     must(group(again) && *group(again) == records);
-    auto sum = [&](Number at, const Group& of) {
+    auto sum = [&](Version at, const Group& of) {
         auto result = spent(kind, at, of);
         return result.index() == 0 ? std::get<Spent>(result) : Spent();
     };
     for (bool rises : {true, false}) {
-        Number to = rises ? schema + 1 : schema - 1;
+        Version to = rises ? schema + 1 : schema - 1;
         Result made = rises ? up(kind, schema, given) : down(kind, schema, given);
         if (!group(made)) continue;
         again = canonical(kind, to, *group(made));
--- a/tests/fleet/schema_migration_test.cpp
+++ b/tests/fleet/schema_migration_test.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
 #include "lab/schema_migration/nodes.h"
@@ -17,7 +17,7 @@
 namespace {
 
 using schema::Kind;
-namespace judge = lab::migrating;
+namespace judge = lab::migration;
 
 std::set<std::string>& caused() {
     static std::set<std::string> codes;
@@ -34,7 +34,8 @@
 // ---- The machine
 
 struct Fleet {
-    Migrations machine = Migrations(Migrations::Levels{3, 2, 2, 1, 1});
+    MigrationStateMachine machine =
+        MigrationStateMachine(MigrationStateMachine::WrittenVersions{3, 2, 2, 1, 1});
 
     wire::Answer say(coordinator::SessionId session, const wire::Command& command) {
         wire::Answer answer;
@@ -42,19 +43,19 @@
         EXPECT_TRUE(answer.ParseFromString(machine.apply({session, body})));
         return answer;
     }
-    wire::Answer says(coordinator::SessionId session, schema::Number least, schema::Number most) {
+    wire::Answer says(coordinator::SessionId session, schema::Version least, schema::Version most) {
         wire::Command command;
-        for (std::size_t i = 0; i < schema::kKinds; ++i) {
+        for (std::size_t i = 0; i < schema::kKindCount; ++i) {
             auto& range = *command.mutable_says()->add_ranges();
             range.set_least(i ? 1 : least), range.set_most(i ? 9 : most);
         }
         return say(session, command);
     }
-    wire::Answer join(coordinator::SessionId session, schema::Number least, schema::Number most) {
+    wire::Answer join(coordinator::SessionId session, schema::Version least, schema::Version most) {
         machine.session_opened(session, "node " + std::to_string(session), "z");
         return says(session, least, most);
     }
-    wire::Answer start(schema::Number to, std::uint64_t refusals = 5, bool narrows = false) {
+    wire::Answer start(schema::Version to, std::uint64_t refusals = 5, bool narrows = false) {
         wire::Command command;
         auto& start = *command.mutable_start();
         start.set_to(to), start.set_shards(2), start.set_refusals(refusals), start.set_narrows(narrows);
@@ -101,7 +102,7 @@
     EXPECT_EQ(error(fleet.want(2)), "owned");
     for (Stage stage : {Stage::Widen, Stage::Convert, Stage::Compare}) {
         EXPECT_EQ(fleet.machine.stage(), stage);
-        EXPECT_EQ(fleet.machine.levels()[0], 3u);
+        EXPECT_EQ(fleet.machine.written_versions()[0], 3u);
         EXPECT_EQ(fleet.pass(1), "");
     }
     EXPECT_EQ(fleet.machine.stage(), Stage::Switch);
@@ -135,7 +136,7 @@
     EXPECT_EQ(error(fleet.says(4, 2, 3)), "");
     fleet.pass(1), fleet.pass(1);
     EXPECT_EQ(fleet.machine.stage(), Stage::Undone);
-    EXPECT_EQ(fleet.machine.levels()[0], 3u);
+    EXPECT_EQ(fleet.machine.written_versions()[0], 3u);
 }
 
 TEST(Machine, AnOldProcessStopsItBeforeTheSwitch) {
@@ -249,7 +250,7 @@
     EXPECT_EQ(error(fleet.says(1, 4, 3)), "malformed");
     EXPECT_EQ(error(fleet.says(9, 3, 4)), "stale");
     EXPECT_EQ(fleet.machine.snapshot().size(), before.size());
-    Migrations other({1, 1, 1, 1, 1});
+    MigrationStateMachine other({1, 1, 1, 1, 1});
     EXPECT_FALSE(other.restore(2, before));
     EXPECT_FALSE(other.restore(1, before.substr(1)));
     EXPECT_FALSE(other.restore(1, ""));
@@ -266,7 +267,7 @@
     std::map<coordinator::SessionId, schema::Range> said;
     std::set<coordinator::SessionId> live;
     coordinator::SessionId next = 1;
-    schema::Number level = 3;
+    schema::Version level = 3;
     std::uint64_t revision = 0, epoch = 0;
     int switched = 0, done = 0, undone = 0, stopped = 0;
     for (int i = 0; i < 30'000; ++i) {
@@ -287,14 +288,14 @@
             case 2:
                 for (coordinator::SessionId one : live) {
                     if (said.contains(one)) continue;
-                    schema::Number least = schema::Number(draw(8) ? level : 1 + draw(4));
+                    schema::Version least = schema::Version(draw(8) ? level : 1 + draw(4));
                     said[one] = {least, least + 1};
                     if (level == 4 && least == 4) said[one] = {3, 4};
-                    fleet.says(one, said[one].least, said[one].most);
+                    fleet.says(one, said[one].min, said[one].max);
                 }
                 break;
             case 3:
-                fleet.start(schema::Number(level + (draw(2) ? 1 : -1)), draw(3) * 100, draw(2));
+                fleet.start(schema::Version(level + (draw(2) ? 1 : -1)), draw(3) * 100, draw(2));
                 break;
             case 4:
                 fleet.want(who);
@@ -325,21 +326,21 @@
         revision = std::max(revision, now.revision()), epoch = std::max(epoch, now.epoch());
         ASSERT_TRUE(now.owner() == 0 || live.contains(now.owner()));
         ASSERT_LE(now.about().size(), 256u);
-        if (fleet.machine.levels()[0] != level) {
+        if (fleet.machine.written_versions()[0] != level) {
             ASSERT_TRUE(stage == Stage::Switch || stage == Stage::Unswitch) << name(stage);
-            ASSERT_EQ(fleet.machine.levels()[0], stage == Stage::Switch ? now.to() : now.from());
-            level = fleet.machine.levels()[0];
+            ASSERT_EQ(fleet.machine.written_versions()[0], stage == Stage::Switch ? now.to() : now.from());
+            level = fleet.machine.written_versions()[0];
             ++switched;
             // Nobody who has a say could not read it.
             for (coordinator::SessionId one : live) {
                 wire::News news = fleet.news(one);
-                ASSERT_TRUE(news.refused() || said.at(one).holds(level));
+                ASSERT_TRUE(news.refused() || said.at(one).contains(level));
             }
         }
         if (stage != before) done += stage == Stage::Done, undone += stage == Stage::Undone;
         stopped += now.stopped() != 0;
         if (i % 50 == 0) {
-            Migrations other({1, 1, 1, 1, 1});
+            MigrationStateMachine other({1, 1, 1, 1, 1});
             std::string snapshot = fleet.machine.snapshot();
             ASSERT_TRUE(other.restore(1, snapshot));
             ASSERT_EQ(other.snapshot(), snapshot);
@@ -361,7 +362,7 @@
     wire::Order last;
 
     explicit Holding(Receiver::Convert convert = schema::convert, Kind kind = Kind::Sessions,
-                     schema::Number first = 3)
+                     schema::Version first = 3)
         : receiver({kind, first, 1000, std::move(convert), nullptr}, records) {
         last.set_migration(1), last.set_epoch(1), last.set_kind(std::uint32_t(kind)), last.set_from(first),
             last.set_to(first + 1);
@@ -372,12 +373,12 @@
         last.set_revision(last.revision() + 1);
         return receiver.handle(last);
     }
-    wire::Given ask(schema::Number schema, const std::string& group = kGroup) {
+    wire::Given ask(schema::Version schema, const std::string& group = kGroup) {
         wire::Ask ask;
         ask.set_kind(last.kind()), ask.set_group(group), ask.set_schema(schema);
         return receiver.handle(ask);
     }
-    wire::Given put(schema::Number schema, std::uint64_t id, const std::string& group = kGroup,
+    wire::Given put(schema::Version schema, std::uint64_t id, const std::string& group = kGroup,
                     std::uint64_t version = ~0ull) {
         wire::Given was = ask(schema, group);
         if (was.error()) return was;
@@ -394,7 +395,7 @@
         }
         return receiver.handle(put);
     }
-    std::string server(schema::Number schema) {
+    std::string server(schema::Version schema) {
         wire::Given given = ask(schema);
         schema::Group group;
         for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
@@ -495,7 +496,7 @@
 }
 
 TEST(Holder, AConversionThatThrowsStopsThereAndServesOn) {
-    Holding h([](Kind kind, schema::Number from, schema::Number to, schema::Group group) -> schema::Result {
+    Holding h([](Kind kind, schema::Version from, schema::Version to, schema::Group group) -> schema::Result {
         for (const auto& r : group)
             if (from < to && r.key.find("c5") != std::string::npos) throw std::runtime_error("a bad day");
         return schema::convert(kind, from, to, std::move(group));
--- a/tests/fleet/schema_test.cpp
+++ b/tests/fleet/schema_test.cpp
@@ -24,15 +24,15 @@
     }
     return std::get<Group>(std::move(result));
 }
-Spent sums(Kind kind, Number schema, const Group& group) {
+Spent sums(Kind kind, Version schema, const Group& group) {
     return std::get<Spent>(spent(kind, schema, group));
 }
 Draw drawn() {
     return [](std::uint64_t below) { return *rc::gen::inRange<std::uint64_t>(0, below); };
 }
-void for_pairs(const std::function<void(Kind, Number)>& law) {
+void for_pairs(const std::function<void(Kind, Version)>& law) {
     for (Kind kind : kAll)
-        for (Number from = 1; from < last(kind); ++from) {
+        for (Version from = 1; from < newest_version(kind); ++from) {
             SCOPED_TRACE(std::string(name(kind)) + " " + std::to_string(from));
             EXPECT_TRUE(
                 rc::check(std::string(name(kind)) + " " + std::to_string(from), [&] { law(kind, from); }));
@@ -40,7 +40,7 @@
 }
 
 TEST(Steps, UpAndDownIsTheSame) {
-    for_pairs([](Kind kind, Number from) {
+    for_pairs([](Kind kind, Version from) {
         Group x = fresh(kind, from, drawn());
         Group y = must(up(kind, from, x));
         RC_ASSERT(must(down(kind, from + 1, y)) == must(canonical(kind, from, x)));
@@ -49,7 +49,7 @@
     });
 }
 TEST(Steps, DownAndUpIsTheSame) {
-    for_pairs([](Kind kind, Number from) {
+    for_pairs([](Kind kind, Version from) {
         Group y = fresh(kind, from + 1, drawn());
         Group x = must(down(kind, from + 1, y));
         Group again = must(up(kind, from, x));
@@ -59,7 +59,7 @@
     });
 }
 TEST(Steps, WhatIsWrittenBelowIsThereAbove) {
-    for_pairs([](Kind kind, Number from) {
+    for_pairs([](Kind kind, Version from) {
         Draw draw = drawn();
         Group x = must(down(kind, from + 1, fresh(kind, from + 1, draw)));
         Group later = written_on(kind, from, x, draw);
@@ -69,7 +69,7 @@
     });
 }
 TEST(Steps, WhatIsWrittenAboveIsThereBelow) {
-    for_pairs([](Kind kind, Number from) {
+    for_pairs([](Kind kind, Version from) {
         Draw draw = drawn();
         Group y = must(up(kind, from, fresh(kind, from, draw)));
         Group later = written_on(kind, from + 1, y, draw);
@@ -81,10 +81,10 @@
 TEST(Steps, NothingSpentIsLostWhateverTheWay) {
     EXPECT_TRUE(rc::check([] {
         Draw draw = drawn();
-        Number at = Number(1 + draw(3));
+        Version at = Version(1 + draw(3));
         Group group = fresh(Kind::Rates, at, draw);
         for (int i = 0; i < 6; ++i) {
-            Number to = at == 1 ? 2 : at == 3 ? 2 : draw(2) ? 1 : 3;
+            Version to = at == 1 ? 2 : at == 3 ? 2 : draw(2) ? 1 : 3;
             Group next = must(convert(Kind::Rates, at, to, group));
             auto exact_before = sums(Kind::Rates, at, group), exact = sums(Kind::Rates, to, next);
             auto shown = face(to, next);
@@ -227,7 +227,7 @@
         return failure.error;
     };
     Kind kind{};
-    if (!kind_of("baskets", kind)) caused.insert(std::string(row(Error::UnknownKind).code));
+    if (!parse_kind("baskets", kind)) caused.insert(std::string(row(Error::UnknownKind).code));
     EXPECT_EQ(error(up(Kind::Sessions, 4, {})), Error::UnknownSchema);
     EXPECT_EQ(error(down(Kind::Sessions, 1, {})), Error::UnknownSchema);
     EXPECT_EQ(error(canonical(Kind::Rates, 0, {})), Error::UnknownSchema);
@@ -235,8 +235,9 @@
     wire::Use use;
     use.set_window_ms(1), use.set_counted(kMillion << 44);
     EXPECT_EQ(error(up(Kind::Rates, 2, {{key_of("a", "c"), bytes(use)}})), Error::DoesNotFit);
-    EXPECT_EQ(error(canonical(Kind::Rules, 1, {{"r", std::string(kMostOctets + 1, 'x')}})), Error::TooLarge);
-    Ranges none = of_newest({4, 3, 2, 1, 1}), now = none;
+    EXPECT_EQ(error(canonical(Kind::Rules, 1, {{"r", std::string(kMaxGroupBytes + 1, 'x')}})),
+              Error::TooLarge);
+    Ranges none = ranges_of_newest({4, 3, 2, 1, 1}), now = none;
     none[1] = {3, 2};
     auto fault = [&](const Ranges& a, const Ranges& b) {
         auto result = compatible(a, b);
@@ -244,14 +245,14 @@
         return result.index() ? sentence(std::get<Failure>(result)) : std::string();
     };
     EXPECT_TRUE(fault(none, now).starts_with("schema.empty-range: rates"));
-    Ranges before = of_newest({3, 2, 1, 1, 1}), long_before = of_newest({2, 2, 1, 1, 1});
+    Ranges before = ranges_of_newest({3, 2, 1, 1, 1}), long_before = ranges_of_newest({2, 2, 1, 1, 1});
     EXPECT_EQ(fault(before, now), "");
     EXPECT_EQ(fault(now, before), "");
     EXPECT_EQ(fault(now, long_before),
               "schema.apart: sessions, 3 to 4 and 1 to 2: two releases that have no schema in common cannot "
               "work side by "
               "side; upgrade by one release at a time: first to the one between");
-    EXPECT_EQ(built(), now);
+    EXPECT_EQ(supported_ranges(), now);
 
     // No schema takes another's records for its own, nor what is cut or has a field more.
     wire::Session4 four;
@@ -306,7 +307,7 @@
 TEST(Released, EverySchemaHasItsFileAndReadsAsEver) {
     const std::string folder = OCHREHUB_RELEASED;
     for (Kind kind : kAll)
-        for (Number schema = 1; schema <= last(kind); ++schema) {
+        for (Version schema = 1; schema <= newest_version(kind); ++schema) {
             std::string path = folder + "/" + std::string(name(kind)) + "_" + std::to_string(schema);
             std::string octets = file(path);
             // To add one for a new schema: run this test with OCHREHUB_WRITE_RELEASED=1. None that is there
@@ -319,7 +320,7 @@
                 std::ofstream(path, std::ios::binary) << (octets = framed(group));
                 // What its release makes of it in every other schema, read as ever too.
                 std::ofstream as_text(path + ".as");
-                for (Number to = 1; to <= last(kind); ++to) {
+                for (Version to = 1; to <= newest_version(kind); ++to) {
                     std::string other = framed(must(convert(kind, schema, to, group)));
                     as_text << to << ' ';
                     for (unsigned char c : other)
@@ -332,7 +333,7 @@
             ASSERT_EQ(framed(group), octets) << path;
             EXPECT_EQ(must(canonical(kind, schema, group)), group) << path;
             std::ifstream as_text(path + ".as");
-            Number to = 0;
+            Version to = 0;
             std::string hex;
             int read = 0;
             for (; as_text >> to >> hex; ++read) {
--- a/tests/fleet/schema_world.h
+++ b/tests/fleet/schema_world.h
@@ -59,7 +59,7 @@
 
 /// Of client `c`, without anything kept. May hold what canonical puts in order: orders twice, items that say
 /// nothing.
-inline Group fresh(Kind kind, Number schema, const Draw& draw) {
+inline Group fresh(Kind kind, Version schema, const Draw& draw) {
     Group group;
     const std::string tenants[] = {"", "a", "dealer", "z"};
     wire::Sessions1 sessions;
@@ -131,7 +131,7 @@
         if constexpr (requires { m.clear_behind(); }) m.clear_behind();
     });
 }
-inline Group alone(Kind kind, Number schema, Group group) {
+inline Group alone(Kind kind, Version schema, Group group) {
     for (Record& r : group) {
         if (kind == Kind::Sessions && schema == 1)
             r.value = changed<wire::Sessions1>(r.value, [](auto& all) {
@@ -154,7 +154,7 @@
 
 /// As a process of this schema writes it on: it spends, moves, begins an order, and carries along what it
 /// does not read.
-inline Group written_on(Kind kind, Number schema, Group group, const Draw& draw) {
+inline Group written_on(Kind kind, Version schema, Group group, const Draw& draw) {
     auto moves = [&](auto& m) {
         if (draw(2)) place(draw, m);
         if (draw(2)) m.add_under_way(100 + draw(9));
@@ -204,7 +204,7 @@
 }
 
 /// What the records of a group say is spent, as their own release counts it: in millionths, by tenant.
-inline std::map<std::string, std::uint64_t> face(Number schema, const Group& group) {
+inline std::map<std::string, std::uint64_t> face(Version schema, const Group& group) {
     std::map<std::string, std::uint64_t> sums;
     auto add = [&](const std::string& tenant, const wire::Use& u) {
         long double before =
