--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -16,15 +16,15 @@
 #include <sstream>
 
 #include "base/asio_scheduler.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session_thread.h"
-#include "fleet/schema_migration/machine.h"
+#include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
 #include "lab/schema_migration/disk.h"
 #include "lab/schema_migration/nodes.h"
 
-namespace ochrehub::lab::migrating {
+namespace ochrehub::lab::migration {
 namespace {
 
 namespace m = ochrehub::schema_migration;
@@ -43,24 +43,23 @@
           groups_(groups),
           records_(path("disk", index)),
           book_(path("book", index)),
-          receiver_({kKind, m::Migrations::kFirst[std::size_t(kKind)], 50, schema::convert,
-                     [this](std::uint32_t shard) { return shard % holders_ == index_; }},
+          receiver_({kKind, m::MigrationStateMachine::kInitialVersions[std::size_t(kKind)], 50,
+                     schema::convert, [this](std::uint32_t shard) { return shard % holders_ == index_; }},
                     records_),
           owner_(owner_settings()),
           random_(unsigned(getpid())) {
         fill();
         std::uint64_t instance = std::uint64_t(getpid()) << 20 | index;
-        channel::MeshSettings set;
+        channel::PeerConnectionsSettings set;
         set.channel.self.name = "member-" + std::to_string(index), set.channel.self.instance = instance;
         set.channel.cluster = fleet::fingerprint("migration");
-        mesh_ = std::make_unique<channel::Mesh>(
-            io_, scheduler_, channel::Mesh::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set,
-            instance);
-        mesh_->deliver = [this](const channel::Peer& peer, channel::Kind, std::string body) {
-            deliver(peer.instance, std::move(body));
-        };
+        peer_connections_ = std::make_unique<channel::PeerConnections>(
+            io_, scheduler_,
+            channel::PeerConnections::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), set, instance);
+        peer_connections_->on_message = [this](const channel::Peer& peer, channel::MessageKind,
+                                               std::string body) { deliver(peer.instance, std::move(body)); };
         std::ostringstream at;
-        at << mesh_->at();
+        at << peer_connections_->listen_address();
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
         coordinator::SessionThreadSettings side;
@@ -98,7 +97,7 @@
             if (shard_of(name) % holders_ != index_) continue;
             wire::Ask put;
             put.set_shard(shard_of(name)), put.set_group(name), put.set_writes(true);
-            put.set_schema(m::Migrations::kFirst[0]);
+            put.set_schema(m::MigrationStateMachine::kInitialVersions[0]);
             for (const auto& r : beginning(kKind, put.schema(), name, i)) {
                 auto& to = *put.add_records();
                 to.set_key(r.key), to.set_value(r.value);
@@ -113,8 +112,8 @@
             std::ifstream in(path("address", i));
             std::string address;
             if (i == index_ || !(in >> address) || address == addresses_[i]) continue;
-            if (!addresses_[i].empty()) mesh_->drop(addresses_[i]);
-            mesh_->dial(addresses_[i] = address);
+            if (!addresses_[i].empty()) peer_connections_->drop(addresses_[i]);
+            peer_connections_->dial(addresses_[i] = address);
         }
         scheduler_.call_at(scheduler_.now() + Duration{100}, [this] { look_around(); });
     }
@@ -122,12 +121,12 @@
         std::size_t holder = shard % holders_;
         if (holder == index_)
             return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        if (std::uint64_t instance = mesh_->instance_at(addresses_[holder]))
-            mesh_->send(instance, channel::Kind::Migration, what + body);
+        if (std::uint64_t instance = peer_connections_->instance_at(addresses_[holder]))
+            peer_connections_->send(instance, channel::MessageKind::Migration, what + body);
     }
     void answer(std::uint64_t to, char what, const std::string& body) {
         if (to == 0) return boost::asio::post(io_, [this, whole = what + body] { deliver(0, whole); });
-        mesh_->send(to, channel::Kind::Migration, what + body);
+        peer_connections_->send(to, channel::MessageKind::Migration, what + body);
     }
     void deliver(std::uint64_t from, std::string body) {
         if (body.empty()) return;
@@ -152,9 +151,9 @@
             if (held->session == session_id_) return;
             session_id_ = held->session, said_ = false;
             wire::Command says;
-            for (const schema::Range& range : schema::built()) {
+            for (const schema::Range& range : schema::supported_ranges()) {
                 auto& to = *says.mutable_says()->add_ranges();
-                to.set_least(range.least), to.set_most(range.most);
+                to.set_least(range.min), to.set_most(range.max);
             }
             submit(says);
         } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&told)) {
@@ -176,7 +175,7 @@
                          });
     }
     void learn(const wire::News& news) {
-        if (news.levels_size() != int(schema::kKinds)) return;
+        if (news.levels_size() != int(schema::kKindCount)) return;
         if (news.refused() && news.refused() != refused_)
             std::printf("refused: %s\n",
                         fleet::sentence(m::row(m::from_wire(news.refused())), news.about()).c_str()),
@@ -218,7 +217,7 @@
         }
         scheduler_.call_at(now + kOp, [this] { next_op(); });
     }
-    bool said_once() { return said_ || (level_ && schema::built()[0].holds(level_)); }
+    bool said_once() { return said_ || (level_ && schema::supported_ranges()[0].contains(level_)); }
     void ask() {
         wire::Ask ask;
         ask.set_id(ask_ = ++asks_), ask.set_shard(shard_of(write_.group)), ask.set_group(write_.group),
@@ -232,7 +231,7 @@
             line << "r " << std::string(m::row(m::from_wire(given.error())).code) << '\n';
             book_.add(line.str());
             busy_ = false;
-            if (schema::built()[0].holds(given.schema()) && !refused_) level_ = given.schema();
+            if (schema::supported_ranges()[0].contains(given.schema()) && !refused_) level_ = given.schema();
             return;
         }
         if (writing_) {
@@ -244,7 +243,7 @@
         Group group;
         for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
         Seen seen;
-        if (!schema::built()[0].holds(asked_in_) || !see(kKind, asked_in_, group, seen)) {
+        if (!schema::supported_ranges()[0].contains(asked_in_) || !see(kKind, asked_in_, group, seen)) {
             book_.add("x " + std::to_string(asked_in_) + '\n');
             busy_ = false;
             return;
@@ -276,26 +275,26 @@
     m::Receiver receiver_;
     m::Owner owner_;
     boost::random::taus88 random_;
-    std::unique_ptr<channel::Mesh> mesh_;
+    std::unique_ptr<channel::PeerConnections> peer_connections_;
     std::unique_ptr<coordinator::SessionThread> session_;
     std::map<std::size_t, std::string> addresses_;
     coordinator::SessionId session_id_ = 0;
     TimePoint until_{}, op_ends_{};
     bool said_ = false, busy_ = false, writing_ = false;
     std::uint32_t refused_ = 0;
-    Number level_ = 0, asked_in_ = 0;
+    Version level_ = 0, asked_in_ = 0;
     std::uint64_t revision_ = 0, writes_ = 0, ask_ = 0, asks_ = 0;
     TimerId timer_ = 0;
     Write write_;
 };
 
 }  // namespace
-}  // namespace ochrehub::lab::migrating
+}  // namespace ochrehub::lab::migration
 
 int main(int argc, char** argv) {
     if (argc < 7) return 2;
     std::vector<std::string> keepers(argv + 6, argv + argc);
-    ochrehub::lab::migrating::Member member(
+    ochrehub::lab::migration::Member member(
         argv[1], std::strtoul(argv[2], nullptr, 10), std::strtoul(argv[3], nullptr, 10),
         std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), keepers);
     member.run();
--- a/src/fleet/shards/shard_service.h
+++ b/src/fleet/shards/shard_service.h
@@ -18,7 +18,7 @@
 
 #include "base/asio_scheduler.h"
 #include "base/clock.h"
-#include "fleet/channel/mesh.h"
+#include "fleet/channel/peer_connections.h"
 #include "fleet/coordinator/session_thread.h"
 #include "fleet/shards/shard_client.h"
 #include "fleet/shards/shard_holder.h"
@@ -31,15 +31,15 @@
     TableSettings table;
     ShardHolder::Settings holder;  ///< its address is where this process listens, if it is empty
     ShardClient::Settings client;  ///< its shards and instance are those of the two others
-    channel::MeshSettings mesh;
-    channel::Mesh::Endpoint listen;
+    channel::PeerConnectionsSettings peer_connections;
+    channel::PeerConnections::Endpoint listen;
 };
 
 class ShardService {
 public:
     using Callback = std::function<void(const ShardClient::Completed&)>;
 
-    /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
+    /// Before `keepers` is started, which must end before this does. Throws what PeerConnections throws.
     ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& keepers);
     ~ShardService();
     ShardService(const ShardService&) = delete;
@@ -56,7 +56,7 @@
     /// What this process holds; a record of it may be another's by now.
     const Table& table() const { return table_; }
 
-    channel::Mesh::Endpoint at() const { return mesh_.at(); }
+    channel::PeerConnections::Endpoint at() const { return peer_connections_.listen_address(); }
 
 private:
     struct Worker;
@@ -76,7 +76,7 @@
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     AsioScheduler scheduler_;
-    channel::Mesh mesh_;
+    channel::PeerConnections peer_connections_;
     ShardClient client_;
     SessionId session_ = 0;
     TimePoint until_{};
