--- a/lab/equivalence/admission.cpp
+++ b/lab/equivalence/admission.cpp
@@ -35,7 +35,7 @@
 struct OpenRequest {
     AdmissionController::AdmissionRequest request;
     TimePoint since{};
-    TimePoint ends{};
+    TimePoint end{};
 };
 
 constexpr int kClasses = 4;
@@ -64,7 +64,7 @@
         // Calm, then an overload, then slow servers, then calm again.
         const int phase = step * 4 / kSteps;
         now += Duration{(phase == 1 ? 0.5 : 4.0) * uniform()};
-        while (!open.empty() && open.front().ends <= now) {
+        while (!open.empty() && open.front().end <= now) {
             const OpenRequest request = open.front();
             open.pop_front();
             const bool served = uniform() < (phase == 2 ? 0.6 : 0.98);
@@ -82,8 +82,8 @@
         const auto rejected = admission.admit(now, request);
         record(event, rejected ? rejected->count() : -1);
         if (!rejected) {
-            const double took = (phase == 2 ? 400 : 60) * (0.5 + uniform());
-            open.push_back({request, now, now + Duration{took}});
+            const double latency_ms = (phase == 2 ? 400 : 60) * (0.5 + uniform());
+            open.push_back({request, now, now + Duration{latency_ms}});
         }
         if (step % 17 == 0) {
             event.call = Call::RejectLater;
@@ -108,6 +108,6 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    return lab::equivalence::run(count, words, {{"admission_random", run_random_requests}});
+int main(int argc, char** argv) {
+    return lab::equivalence::run(argc, argv, {{"admission_random", run_random_requests}});
 }
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,141 +6,145 @@
 namespace ochrehub {
 namespace {
 
-constexpr Duration kSoonest{250};   // no sooner: a refusal must be a rest
-constexpr Duration kShortest{800};  // of a window: few who come together are no crowd
-constexpr double kSoonestPart = 0.25,
-                 kShortestPart = 0.5;  // ... of the time of clients who wait for less than twice kSoonest
-constexpr int kLooks = 4;              // slots that are looked at for the emptiest
-constexpr std::uint64_t kEarly = 2;    // slots by which one may be early, for the way
-constexpr std::uint64_t kLate = 4;     // ... or late
-constexpr double kReturnsShare = 0.5;  // of what is served: the rest is first tries
-constexpr Duration kServedOver{2000};
-constexpr double kTookGain = 0.05;
-constexpr double kRoomMost = 0.9;     // of the connections, for requests that are open
-constexpr double kRoomLeast = 0.7;    // ... the class that is worth the least for its time
-constexpr double kRoomRepeats = 0.5;  // ... and repeats out of turn
-constexpr double kRoomDeaf = 0.3;     // ... of those who come out of turn again and again
-constexpr int kDeaf = 2;              // strikes
-constexpr double kRoomShared = 0.8;   // ... of its part, till where a tenant may use what others leave
-constexpr double kShareSlack =
+constexpr Duration kMinRetryDelay{250};    // no sooner: a refusal must be a rest
+constexpr Duration kMinReturnWindow{800};  // of a window: few who come together are no crowd
+constexpr double kMinRetryDelayFraction = 0.25,
+                 kMinReturnWindowFraction =
+                     0.5;         // ... of the time of clients who wait for less than twice kSoonest
+constexpr int kSampledSlots = 4;  // slots that are looked at for the emptiest
+constexpr std::uint64_t kEarlyToleranceSlots = 2;  // slots by which one may be early, for the way
+constexpr std::uint64_t kLateToleranceSlots = 4;   // ... or late
+constexpr double kReturnRateFraction = 0.5;        // of what is served: the rest is first tries
+constexpr Duration kServedRateTimeConstant{2000};
+constexpr double kLatencyGain = 0.05;
+constexpr double kMaxCapacityFraction = 0.9;        // of the connections, for requests that are open
+constexpr double kMinCapacityFraction = 0.7;        // ... the class that is worth the least for its time
+constexpr double kUnscheduledRetryFraction = 0.5;   // ... and repeats out of turn
+constexpr double kNoncompliantRetryFraction = 0.3;  // ... of those who come out of turn again and again
+constexpr int kNoncompliantEarlyRetries = 2;        // strikes
+constexpr double kBorrowableFraction = 0.8;  // ... of its part, till where a tenant may use what others leave
+constexpr double kShareSlackDeviations =
     3;  // how far chance carries one that is at its share, in its standard deviations
-constexpr Duration kRoomTime{400};  // ... and never more than are served in this time, by the most of late
-constexpr double kRoomTimes = 2;    // ... or in so many times what answers take usually, if that is more
-constexpr double kRoomAlways = 24;  // ... but so many, of a node that serves few
-constexpr Duration kMostFade{30000};
-constexpr Duration kOnTime{100};  // by which one may be early or late
-constexpr Duration kRemembered{10000};
+constexpr Duration kMaxOpenTime{400};  // ... and never more than are served in this time, by the most of late
+constexpr double kMaxOpenTimeLatencies =
+    2;                                // ... or in so many times what answers take usually, if that is more
+constexpr double kMinOpenLimit = 24;  // ... but so many, of a node that serves few
+constexpr Duration kPeakRateTimeConstant{30000};
+constexpr Duration kOnTimeTolerance{100};  // by which one may be early or late
+constexpr Duration kComplianceMemory{10000};
 
 }  // namespace
 
 void RetryAfterSchedule::advance(TimePoint now) {
-    std::uint64_t slot = slot_of(now), keep = slot > kLate ? slot - kLate : 0;
-    std::uint64_t left = std::min<std::uint64_t>(keep > from_ ? keep - from_ : 0, kSlots);
-    for (; left > 0; --left) {
-        std::uint16_t& seats = seats_[(keep - left) % kSlots];
-        booked_ -= seats;
-        seats = 0;
+    std::uint64_t slot = slot_of(now),
+                  first_kept = slot > kLateToleranceSlots ? slot - kLateToleranceSlots : 0;
+    std::uint64_t expired =
+        std::min<std::uint64_t>(first_kept > oldest_slot_ ? first_kept - oldest_slot_ : 0, kSlots);
+    for (; expired > 0; --expired) {
+        std::uint16_t& reservations = reservations_[(first_kept - expired) % kSlots];
+        reserved_ -= reservations;
+        reservations = 0;
     }
-    from_ = std::max(from_, keep);
+    oldest_slot_ = std::max(oldest_slot_, first_kept);
 }
 
-Duration RetryAfterSchedule::give(TimePoint now, double rate, Duration patience) {
-    if (most_.count() <= 0) return Duration{0};
+Duration RetryAfterSchedule::reserve(TimePoint now, double returns_per_s, Duration client_timeout) {
+    if (max_delay_.count() <= 0) return Duration{0};
     advance(now);
-    bool brief = patience.count() > 0 && patience < 2 * kSoonest;
-    Duration soonest = brief ? kSoonestPart * patience : kSoonest,
-             shortest = brief ? kShortestPart * patience : kShortest;
-    Duration last = std::min(most_, kSlot * double(kSlots - 2 * kLate));
-    Duration first = std::min(soonest, last / 2);
-    Duration needed = rate > 0 ? Duration{1000 * double(booked_) / rate} : last;
-    Duration window = std::min(last - first, std::max(shortest, needed));
+    bool short_timeout = client_timeout.count() > 0 && client_timeout < 2 * kMinRetryDelay;
+    Duration preferred_min_delay = short_timeout ? kMinRetryDelayFraction * client_timeout : kMinRetryDelay,
+             min_window = short_timeout ? kMinReturnWindowFraction * client_timeout : kMinReturnWindow;
+    Duration max_delay = std::min(max_delay_, kSlot * double(kSlots - 2 * kLateToleranceSlots));
+    Duration min_delay = std::min(preferred_min_delay, max_delay / 2);
+    Duration needed = returns_per_s > 0 ? Duration{1000 * double(reserved_) / returns_per_s} : max_delay;
+    Duration window = std::min(max_delay - min_delay, std::max(min_window, needed));
     Duration best{0};
-    std::uint16_t least = 0;
-    for (int look = 0; look < kLooks; ++look) {
-        Duration at = first + window * uniform();
-        std::uint16_t seats = seats_[slot_of(now + at) % kSlots];
-        if (look > 0 && seats >= least) continue;
-        best = at;
-        least = seats;
+    std::uint16_t fewest = 0;
+    for (int sample = 0; sample < kSampledSlots; ++sample) {
+        Duration delay = min_delay + window * uniform();
+        std::uint16_t reservations = reservations_[slot_of(now + delay) % kSlots];
+        if (sample > 0 && reservations >= fewest) continue;
+        best = delay;
+        fewest = reservations;
     }
-    std::uint16_t& seats = seats_[slot_of(now + best) % kSlots];
-    if (seats < UINT16_MAX) {
-        ++seats;
-        ++booked_;
+    std::uint16_t& reservations = reservations_[slot_of(now + best) % kSlots];
+    if (reservations < UINT16_MAX) {
+        ++reservations;
+        ++reserved_;
     }
     return best;
 }
 
-bool RetryAfterSchedule::keep(TimePoint now) {
+bool RetryAfterSchedule::claim(TimePoint now) {
     advance(now);
     // Oldest first: those behind may still be on time.
-    for (std::uint64_t slot = from_; slot <= slot_of(now) + kEarly; ++slot) {
-        std::uint16_t& seats = seats_[slot % kSlots];
-        if (seats == 0) continue;
-        --seats;
-        --booked_;
+    for (std::uint64_t slot = oldest_slot_; slot <= slot_of(now) + kEarlyToleranceSlots; ++slot) {
+        std::uint16_t& reservations = reservations_[slot % kSlots];
+        if (reservations == 0) continue;
+        --reservations;
+        --reserved_;
         return true;
     }
     return false;
 }
 
-std::size_t RetryAfterSchedule::booked(TimePoint now) {
+std::size_t RetryAfterSchedule::reserved(TimePoint now) {
     advance(now);
-    return booked_;
+    return reserved_;
 }
 
-std::uint64_t RetryAfterCompliance::mixed(std::uint64_t who) {
-    who = (who ^ who >> 33) * 0xff51afd7ed558ccd;
-    who = (who ^ who >> 33) * 0xc4ceb9fe1a85ec53;
-    return who ^ who >> 33;
+std::uint64_t RetryAfterCompliance::hash_of(std::uint64_t client) {
+    client = (client ^ client >> 33) * 0xff51afd7ed558ccd;
+    client = (client ^ client >> 33) * 0xc4ceb9fe1a85ec53;
+    return client ^ client >> 33;
 }
 
-void RetryAfterCompliance::told(TimePoint now, std::uint64_t who, Duration back) {
-    std::uint64_t mix = mixed(who);
-    Entry& entry = entries_[mix % kPlaces];
-    auto tag = std::uint16_t(mix >> 48);
-    if (entry.tag != tag || strikes(now, who) == 0) entry = {0, tag, 0};
-    entry.due = std::uint32_t(std::uint64_t((now + back).time_since_epoch().count()));
+void RetryAfterCompliance::record_retry_after(TimePoint now, std::uint64_t client, Duration retry_after) {
+    std::uint64_t hash = hash_of(client);
+    Entry& entry = entries_[hash % kEntries];
+    auto tag = std::uint16_t(hash >> 48);
+    if (entry.tag != tag || early_retries(now, client) == 0) entry = {0, tag, 0};
+    entry.due = std::uint32_t(std::uint64_t((now + retry_after).time_since_epoch().count()));
 }
 
-RetryAfterCompliance::Comes RetryAfterCompliance::comes(TimePoint now, std::uint64_t who) {
-    std::uint64_t mix = mixed(who);
-    Entry& entry = entries_[mix % kPlaces];
-    if (entry.tag != std::uint16_t(mix >> 48) || entry.due == 0) return Comes::Unknown;
-    auto left = std::int32_t(entry.due - std::uint32_t(std::uint64_t(now.time_since_epoch().count())));
-    if (left < -kRemembered.count()) return Comes::Unknown;
-    if (left > kOnTime.count()) {
-        if (entry.strikes < UINT8_MAX) ++entry.strikes;
-        return Comes::Early;
+RetryAfterCompliance::Arrival RetryAfterCompliance::record_arrival(TimePoint now, std::uint64_t client) {
+    std::uint64_t hash = hash_of(client);
+    Entry& entry = entries_[hash % kEntries];
+    if (entry.tag != std::uint16_t(hash >> 48) || entry.due == 0) return Arrival::Unknown;
+    auto remaining = std::int32_t(entry.due - std::uint32_t(std::uint64_t(now.time_since_epoch().count())));
+    if (remaining < -kComplianceMemory.count()) return Arrival::Unknown;
+    if (remaining > kOnTimeTolerance.count()) {
+        if (entry.early_retries < UINT8_MAX) ++entry.early_retries;
+        return Arrival::Early;
     }
-    if (left < -kOnTime.count()) return Comes::Unknown;
-    entry.strikes /= 2;
-    return Comes::OnTime;
+    if (remaining < -kOnTimeTolerance.count()) return Arrival::Unknown;
+    entry.early_retries /= 2;
+    return Arrival::OnTime;
 }
 
-int RetryAfterCompliance::strikes(TimePoint now, std::uint64_t who) const {
-    std::uint64_t mix = mixed(who);
-    const Entry& entry = entries_[mix % kPlaces];
-    if (entry.tag != std::uint16_t(mix >> 48)) return 0;
-    auto left = std::int32_t(entry.due - std::uint32_t(std::uint64_t(now.time_since_epoch().count())));
-    return left < -kRemembered.count() ? 0 : entry.strikes;
+int RetryAfterCompliance::early_retries(TimePoint now, std::uint64_t client) const {
+    std::uint64_t hash = hash_of(client);
+    const Entry& entry = entries_[hash % kEntries];
+    if (entry.tag != std::uint16_t(hash >> 48)) return 0;
+    auto remaining = std::int32_t(entry.due - std::uint32_t(std::uint64_t(now.time_since_epoch().count())));
+    return remaining < -kComplianceMemory.count() ? 0 : entry.early_retries;
 }
 
 AdmissionController::AdmissionController(const Settings& settings)
-    : room_(double(std::max<std::size_t>(settings.max_connections, 1))),
-      bounded_(settings.limits_open_requests),
-      advises_(settings.max_retry_after.count() > 0),
+    : max_connections_(double(std::max<std::size_t>(settings.max_connections, 1))),
+      limits_open_requests_(settings.limits_open_requests),
+      sends_retry_after_(settings.max_retry_after.count() > 0),
       retry_after_(settings.max_retry_after, settings.seed),
       load_state_(
           [&] {
-              std::vector<Duration> give_up = settings.request_timeouts;
-              give_up.resize(settings.priority_weights.size(), Duration{1000});
-              return give_up;
+              std::vector<Duration> request_timeouts = settings.request_timeouts;
+              request_timeouts.resize(settings.priority_weights.size(), Duration{1000});
+              return request_timeouts;
           }(),
           settings.tenant_shares.size()) {
-    for (double worth : settings.priority_weights) classes_.push_back({worth, 0, {}});
+    for (double weight : settings.priority_weights) classes_.push_back({weight, 0, {}});
     for (std::size_t i = 0; i < std::min(classes_.size(), settings.request_timeouts.size()); ++i)
-        classes_[i].give_up = settings.request_timeouts[i];
+        classes_[i].request_timeout = settings.request_timeouts[i];
     double sum = 0;
     for (double share : settings.tenant_shares) sum += share;
     for (double share : settings.tenant_shares)
@@ -148,10 +152,16 @@
     tenants_.push_back({sum > 0 ? sum / double(settings.tenant_shares.size()) : 1, 0});
 }
 
-AdmissionController AdmissionController::from_settings(const ochrehub::Settings& settings, std::size_t room,
-                                                       std::uint64_t seed, bool bounded) {
-    Settings own{{},   {},     {}, room, settings.retry_after ? settings.max_retry_after : Duration{0},
-                 seed, bounded};
+AdmissionController AdmissionController::from_settings(const ochrehub::Settings& settings,
+                                                       std::size_t max_connections, std::uint64_t seed,
+                                                       bool limits_open_requests) {
+    Settings own{{},
+                 {},
+                 {},
+                 max_connections,
+                 settings.retry_after ? settings.max_retry_after : Duration{0},
+                 seed,
+                 limits_open_requests};
     for (const ClassSettings& c : settings.classes) {
         own.priority_weights.push_back(c.priority_weight);
         own.request_timeouts.push_back(c.request_timeout);
@@ -166,106 +176,116 @@
 }
 
 // Between the least and the most by how many other classes are worth less for their time.
-double AdmissionController::part(const Class& cls) const {
-    auto density = [](const Class& c) { return c.worth / std::max(1.0, c.took_ms); };
+double AdmissionController::capacity_fraction(const Class& request_class) const {
+    auto density = [](const Class& c) { return c.priority_weight / std::max(1.0, c.latency_ms); };
     double below = 0;
-    for (const Class& other : classes_) below += density(other) < density(cls);
+    for (const Class& other : classes_) below += density(other) < density(request_class);
     double rank = classes_.size() > 1 ? below / double(classes_.size() - 1) : 1;
-    return kRoomLeast + (kRoomMost - kRoomLeast) * rank;
+    return kMinCapacityFraction + (kMaxCapacityFraction - kMinCapacityFraction) * rank;
 }
 
 // Max-min fair: filled up to this tenant's level, by their shares, do all together use the room up? A tenant
 // that has more for a moment than its share, as chance has it, is not beyond it.
-bool AdmissionController::beyond_share(const Tenant& own, double room) const {
+bool AdmissionController::exceeds_fair_share(const Tenant& tenant, double capacity) const {
     double shares = 0, sum = 0;
-    for (const Tenant& each : tenants_) shares += each.share;
-    double fair = room * own.share / shares;
-    double slack = kShareSlack * std::sqrt(fair);
-    if (own.open + 1 <= fair + slack) return false;
-    double level = (own.open + 1 - slack) / own.share;
-    for (const Tenant& each : tenants_) sum += std::min(double(each.open), each.share * level);
-    return sum >= room;
+    for (const Tenant& other : tenants_) shares += other.share;
+    double fair = capacity * tenant.share / shares;
+    double slack = kShareSlackDeviations * std::sqrt(fair);
+    if (tenant.open_requests + 1 <= fair + slack) return false;
+    double level = (tenant.open_requests + 1 - slack) / tenant.share;
+    for (const Tenant& other : tenants_) sum += std::min(double(other.open_requests), other.share * level);
+    return sum >= capacity;
 }
 
-AdmissionController::Tenant& AdmissionController::tenant(const AdmissionRequest& request) {
+AdmissionController::Tenant& AdmissionController::tenant_of(const AdmissionRequest& request) {
     return tenants_[request.tenant == kNone ? tenants_.size() - 1 : std::size_t(request.tenant)];
 }
 
-std::uint64_t AdmissionController::known_as(const AdmissionRequest& request) const {
+std::uint64_t AdmissionController::compliance_key(const AdmissionRequest& request) const {
     return request.client_id == 0 ? 0
                                   : request.client_id * tenants_.size() + std::uint64_t(request.tenant + 1);
 }
 
-bool AdmissionController::may_enter(TimePoint now, const AdmissionRequest& request) {
-    std::uint64_t who = known_as(request);
-    RetryAfterCompliance::Comes comes =
-        who != 0 ? compliance_.comes(now, who) : RetryAfterCompliance::Comes::Unknown;
+bool AdmissionController::record_arrival_and_check_capacity(TimePoint now, const AdmissionRequest& request) {
+    std::uint64_t client = compliance_key(request);
+    RetryAfterCompliance::Arrival arrival =
+        client != 0 ? compliance_.record_arrival(now, client) : RetryAfterCompliance::Arrival::Unknown;
     load_state_.request_arrived(now, request.tenant, request.is_retry);
     // One that is known to come too early takes nobody's seat.
-    bool in_turn = !request.is_retry;
-    if (request.is_retry && comes != RetryAfterCompliance::Comes::Early)
-        in_turn = retry_after_.keep(now) || comes == RetryAfterCompliance::Comes::OnTime;
-    double own = part(classes_[std::size_t(request.class_index)]), part = own;
-    if (!in_turn) part = who != 0 && compliance_.strikes(now, who) >= kDeaf ? kRoomDeaf : kRoomRepeats;
+    bool scheduled = !request.is_retry;
+    if (request.is_retry && arrival != RetryAfterCompliance::Arrival::Early)
+        scheduled = retry_after_.claim(now) || arrival == RetryAfterCompliance::Arrival::OnTime;
+    double class_fraction = capacity_fraction(classes_[std::size_t(request.class_index)]),
+           fraction = class_fraction;
+    if (!scheduled)
+        fraction = client != 0 && compliance_.early_retries(now, client) >= kNoncompliantEarlyRetries
+                       ? kNoncompliantRetryFraction
+                       : kUnscheduledRetryFraction;
     // Of the most and not of what is served now: that would fall for its own fall, and never rise above what
     // is let in.
-    double rate = most_ * std::exp(-((now - most_at_) / kMostFade));
-    double room = room_;
-    if (!began_) began_ = now;
+    double peak_per_s = peak_served_per_s_ * std::exp(-((now - peak_served_at_) / kPeakRateTimeConstant));
+    double capacity = max_connections_;
+    if (!first_request_at_) first_request_at_ = now;
     // Behind a start nothing is known of the rate yet, and a burst is no storm. What answers take when
     // nothing is wrong stands there by itself: as little room as that would be refused for no need, and the
     // rate fall with it.
-    Duration time = std::max(kRoomTime, Duration{kRoomTimes * usual_ms_});
-    if (now - *began_ >= std::max(kServedOver, 2 * time))
-        room = std::min(room, std::max(kRoomAlways, rate * time.count() / 1000));
-    room *= part;
-    if (!bounded_) return true;
-    if (double(open_) >= std::max(1.0, room)) return false;
+    Duration max_open_time = std::max(kMaxOpenTime, Duration{kMaxOpenTimeLatencies * usual_latency_ms_});
+    if (now - *first_request_at_ >= std::max(kServedRateTimeConstant, 2 * max_open_time))
+        capacity = std::min(capacity, std::max(kMinOpenLimit, peak_per_s * max_open_time.count() / 1000));
+    capacity *= fraction;
+    if (!limits_open_requests_) return true;
+    if (double(open_requests_) >= std::max(1.0, capacity)) return false;
     // What is worth the least for its time makes way first here too. Who comes as it was told keeps its turn.
-    double rank = (own - kRoomLeast) / (kRoomMost - kRoomLeast);
-    double shared = room * (kRoomShared + (1 - kRoomShared) * rank);
-    return (request.is_retry && in_turn) || double(open_) < shared || !beyond_share(tenant(request), shared);
+    double rank = (class_fraction - kMinCapacityFraction) / (kMaxCapacityFraction - kMinCapacityFraction);
+    double borrowable = capacity * (kBorrowableFraction + (1 - kBorrowableFraction) * rank);
+    return (request.is_retry && scheduled) || double(open_requests_) < borrowable ||
+           !exceeds_fair_share(tenant_of(request), borrowable);
 }
 
 std::optional<Duration> AdmissionController::admit(TimePoint now, const AdmissionRequest& request) {
-    if (!may_enter(now, request)) return reject(now, request);
-    ++open_;
-    ++tenant(request).open;
+    if (!record_arrival_and_check_capacity(now, request)) return reject(now, request);
+    ++open_requests_;
+    ++tenant_of(request).open_requests;
     return std::nullopt;
 }
 
-void AdmissionController::complete(TimePoint now, const AdmissionRequest& request, bool served, Duration took,
-                                   Duration server_took) {
-    --open_;
-    --tenant(request).open;
-    load_state_.request_completed(now, request.class_index, served, took);
+void AdmissionController::complete(TimePoint now, const AdmissionRequest& request, bool served,
+                                   Duration latency, Duration server_latency) {
+    --open_requests_;
+    --tenant_of(request).open_requests;
+    load_state_.request_completed(now, request.class_index, served, latency);
     if (!served) return;
-    if (server_took.count() > 0) load_state_.server_responded(now, request.class_index, server_took);
-    served_ = served_ * std::exp(-((now - served_at_) / kServedOver)) + 1000 / kServedOver.count();
+    if (server_latency.count() > 0) load_state_.server_responded(now, request.class_index, server_latency);
+    served_per_s_ = served_per_s_ * std::exp(-((now - served_at_) / kServedRateTimeConstant)) +
+                    1000 / kServedRateTimeConstant.count();
     served_at_ = now;
-    most_ = std::max(served_, most_ * std::exp(-((now - most_at_) / kMostFade)));
-    most_at_ = now;
-    usual_ms_ += (usual_ms_ > 0 ? kTookGain : 1) * (load_state_.usual_ms(request.class_index) - usual_ms_);
+    peak_served_per_s_ = std::max(
+        served_per_s_, peak_served_per_s_ * std::exp(-((now - peak_served_at_) / kPeakRateTimeConstant)));
+    peak_served_at_ = now;
+    usual_latency_ms_ += (usual_latency_ms_ > 0 ? kLatencyGain : 1) *
+                         (load_state_.usual_latency_ms(request.class_index) - usual_latency_ms_);
     Class& c = classes_[std::size_t(request.class_index)];
-    c.took_ms += (c.took_ms > 0 ? kTookGain : 1) * (took.count() - c.took_ms);
+    c.latency_ms += (c.latency_ms > 0 ? kLatencyGain : 1) * (latency.count() - c.latency_ms);
 }
 
 Duration AdmissionController::reject(TimePoint now, const AdmissionRequest& request) {
-    return advise(now, request, classes_[std::size_t(request.class_index)].give_up);
+    return schedule_retry(now, request, classes_[std::size_t(request.class_index)].request_timeout);
 }
 
-Duration AdmissionController::advise(TimePoint now, const AdmissionRequest& request, Duration patience) {
+Duration AdmissionController::schedule_retry(TimePoint now, const AdmissionRequest& request,
+                                             Duration client_timeout) {
     load_state_.request_rejected(now);
-    if (!advises_) return Duration{0};
-    double rate = served_ * std::exp(-((now - served_at_) / kServedOver));
-    Duration back = retry_after_.give(now, kReturnsShare * rate, patience);
-    if (std::uint64_t who = known_as(request)) compliance_.told(now, who, back);
-    return back;
+    if (!sends_retry_after_) return Duration{0};
+    double rate = served_per_s_ * std::exp(-((now - served_at_) / kServedRateTimeConstant));
+    Duration retry_after = retry_after_.reserve(now, kReturnRateFraction * rate, client_timeout);
+    if (std::uint64_t client = compliance_key(request))
+        compliance_.record_retry_after(now, client, retry_after);
+    return retry_after;
 }
 
 Duration AdmissionController::reject_connection(TimePoint now, const AdmissionRequest& request) {
     load_state_.request_arrived(now, request.tenant, request.is_retry);
-    return advise(now, request, {});  // nobody has read what it asks for
+    return schedule_retry(now, request, {});  // nobody has read what it asks for
 }
 
 }  // namespace ochrehub
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -24,25 +24,25 @@
     static constexpr Duration kSlot{25};
     static constexpr std::size_t kSlots = 2048;  // 51.2 s; longer advice is cut to that
 
-    RetryAfterSchedule(Duration most, std::uint64_t seed) : most_(most), random_(seed) {}
+    RetryAfterSchedule(Duration max_delay, std::uint64_t seed) : max_delay_(max_delay), random_(seed) {}
 
     /// `rate`: returns a second that the tier can take; it may be zero. `patience`: how long the client waits
     /// over all its tries; zero: not known.
-    Duration give(TimePoint now, double rate, Duration patience = {});
+    Duration reserve(TimePoint now, double returns_per_s, Duration client_timeout = {});
     /// A repeat comes. True: it has a seat, which is taken; else it comes out of turn.
-    bool keep(TimePoint now);
-    std::size_t booked(TimePoint now);
+    bool claim(TimePoint now);
+    std::size_t reserved(TimePoint now);
 
 private:
     std::uint64_t slot_of(TimePoint at) const { return std::uint64_t(at.time_since_epoch() / kSlot); }
     void advance(TimePoint now);
     double uniform() { return double(random_() >> 11) * 0x1p-53; }
 
-    Duration most_;
+    Duration max_delay_;
     std::mt19937_64 random_;
-    std::array<std::uint16_t, kSlots> seats_{};  // by slot: who is to come in it
-    std::uint64_t from_ = 0;                     // the earliest slot that is still kept
-    std::size_t booked_ = 0;                     // in all of them
+    std::array<std::uint16_t, kSlots> reservations_{};  // by slot: who is to come in it
+    std::uint64_t oldest_slot_ = 0;                     // the earliest slot that is still kept
+    std::size_t reserved_ = 0;                          // in all of them
 };
 
 /// Who was told when to come back, and how often they came before that all the same. It keys on the client's
@@ -51,23 +51,23 @@
 /// more.
 class RetryAfterCompliance {
 public:
-    enum class Comes { Unknown, Early, OnTime };
+    enum class Arrival { Unknown, Early, OnTime };
 
-    void told(TimePoint now, std::uint64_t who, Duration back);
+    void record_retry_after(TimePoint now, std::uint64_t client, Duration retry_after);
     /// One that was told comes. Early: a strike, which a later one that is on time takes off by half.
-    Comes comes(TimePoint now, std::uint64_t who);
-    int strikes(TimePoint now, std::uint64_t who) const;
+    Arrival record_arrival(TimePoint now, std::uint64_t client);
+    int early_retries(TimePoint now, std::uint64_t client) const;
 
 private:
-    static constexpr std::size_t kPlaces = 4096;
+    static constexpr std::size_t kEntries = 4096;
     struct Entry {
         std::uint32_t due = 0;  // ms of the clock, which may wrap
         std::uint16_t tag = 0;
-        std::uint8_t strikes = 0;
+        std::uint8_t early_retries = 0;
     };
-    static std::uint64_t mixed(std::uint64_t who);
+    static std::uint64_t hash_of(std::uint64_t client);
 
-    std::array<Entry, kPlaces> entries_{};
+    std::array<Entry, kEntries> entries_{};
 };
 
 /// What may be open in a node at once. Requests that wait hold their clients' connections: if they may have
@@ -90,8 +90,8 @@
     };
     explicit AdmissionController(const Settings& settings);
     /// `room`: as in Settings; the rest is as the module is told.
-    static AdmissionController from_settings(const ochrehub::Settings& settings, std::size_t room,
-                                             std::uint64_t seed, bool bounded = true);
+    static AdmissionController from_settings(const ochrehub::Settings& settings, std::size_t max_connections,
+                                             std::uint64_t seed, bool limits_open_requests = true);
 
     struct AdmissionRequest {
         int class_index = 0, tenant = kNone;
@@ -101,8 +101,8 @@
     /// A request has come. None: it may enter, and must complete(); else it is refused, and told this.
     std::optional<Duration> admit(TimePoint now, const AdmissionRequest& request);
     /// One that entered is over; `took`: since it entered, and the server since it was sent there.
-    void complete(TimePoint now, const AdmissionRequest& request, bool served, Duration took,
-                  Duration server_took = {});
+    void complete(TimePoint now, const AdmissionRequest& request, bool served, Duration latency,
+                  Duration server_latency = {});
     /// For one that entered and is refused by others: when to come back.
     Duration reject(TimePoint now, const AdmissionRequest& request);
     /// For one whose connection there is no room for.
@@ -118,37 +118,37 @@
     const LoadState& load_state() const { return load_state_; }
     std::size_t memory_bytes() const;
 
-    std::size_t open_requests() const { return open_; }
+    std::size_t open_requests() const { return open_requests_; }
 
 private:
     struct Class {
-        double worth = 1, took_ms = 0;  // of those served
-        Duration give_up{};
+        double priority_weight = 1, latency_ms = 0;  // of those served
+        Duration request_timeout{};
     };
-    Duration advise(TimePoint now, const AdmissionRequest& request, Duration patience);
-    double part(const Class& cls) const;
+    Duration schedule_retry(TimePoint now, const AdmissionRequest& request, Duration client_timeout);
+    double capacity_fraction(const Class& request_class) const;
     struct Tenant {
         double share = 1;
-        std::uint32_t open = 0;
+        std::uint32_t open_requests = 0;
     };
-    bool beyond_share(const Tenant& own, double room) const;
-    Tenant& tenant(const AdmissionRequest& request);
-    std::uint64_t known_as(const AdmissionRequest& request) const;
-    bool may_enter(TimePoint now, const AdmissionRequest& request);
+    bool exceeds_fair_share(const Tenant& tenant, double capacity) const;
+    Tenant& tenant_of(const AdmissionRequest& request);
+    std::uint64_t compliance_key(const AdmissionRequest& request) const;
+    bool record_arrival_and_check_capacity(TimePoint now, const AdmissionRequest& request);
 
     std::vector<Class> classes_;
     std::vector<Tenant> tenants_;  // the last: those that are none
-    double room_;
-    std::size_t open_ = 0;
-    bool bounded_, advises_;
+    double max_connections_;
+    std::size_t open_requests_ = 0;
+    bool limits_open_requests_, sends_retry_after_;
     RetryAfterSchedule retry_after_;
     RetryAfterCompliance compliance_;
     LoadState load_state_;
-    double served_ = 0;    // a second, smoothed over kServedOver
-    double most_ = 0;      // ... at most, of late
-    double usual_ms_ = 0;  // of a server's answer, over what is served
-    TimePoint served_at_{}, most_at_{};
-    std::optional<TimePoint> began_;  // the first request came
+    double served_per_s_ = 0;       // a second, smoothed over kServedOver
+    double peak_served_per_s_ = 0;  // ... at most, of late
+    double usual_latency_ms_ = 0;   // of a server's answer, over what is served
+    TimePoint served_at_{}, peak_served_at_{};
+    std::optional<TimePoint> first_request_at_;  // the first request came
 };
 
 }  // namespace ochrehub
--- a/src/admission/load_state.cpp
+++ b/src/admission/load_state.cpp
@@ -7,32 +7,32 @@
 namespace ochrehub {
 namespace {
 
-constexpr double kLearnOver = 20000;  // ms
-constexpr double kCapacityFade = 60000;
-constexpr std::uint32_t kLearnAtLeast = 12;  // steps, before anything is held against what is usual
-constexpr double kLate = 0.5;                // of the time that a client waits
-constexpr Duration kFresh{10000};            // a server that started since is new
-constexpr double kTenantLeast = 0.07;        // of all that comes: what one must ask to be called
-constexpr int kStormFor = 8;  // steps that it must be seen before it is called; a peak is shorter
-constexpr int kOtherFor = 2;
-constexpr int kOverFor = 8;  // ... and before it is over
-
-bool sorted_has(const std::vector<EndpointId>& ids, EndpointId id) {
+constexpr double kLearningTimeConstantMs = 20000;  // ms
+constexpr double kPeakServedTimeConstantMs = 60000;
+constexpr std::uint32_t kMinLearnedSteps = 12;  // steps, before anything is held against what is usual
+constexpr double kLateTimeoutFraction = 0.5;    // of the time that a client waits
+constexpr Duration kNewServerAge{10000};        // a server that started since is new
+constexpr double kMinTenantFraction = 0.07;     // of all that comes: what one must ask to be called
+constexpr int kStormEntrySteps = 8;  // steps that it must be seen before it is called; a peak is shorter
+constexpr int kEntrySteps = 2;
+constexpr int kExitSteps = 8;  // ... and before it is over
+
+bool contains_sorted(const std::vector<EndpointId>& ids, EndpointId id) {
     return std::binary_search(ids.begin(), ids.end(), id);
 }
-void sorted_put(std::vector<EndpointId>& ids, EndpointId id) {
+void insert_sorted(std::vector<EndpointId>& ids, EndpointId id) {
     auto at = std::lower_bound(ids.begin(), ids.end(), id);
     if (at == ids.end() || *at != id) ids.insert(at, id);
 }
-void sorted_drop(std::vector<EndpointId>& ids, EndpointId id) {
+void erase_sorted(std::vector<EndpointId>& ids, EndpointId id) {
     auto at = std::lower_bound(ids.begin(), ids.end(), id);
     if (at != ids.end() && *at == id) ids.erase(at);
 }
 
 }  // namespace
 
-LoadState::LoadState(std::vector<Duration> give_up, std::size_t tenants) : tenants_(tenants) {
-    for (Duration each : give_up) classes_.push_back({each});
+LoadState::LoadState(std::vector<Duration> request_timeouts, std::size_t tenants) : tenants_(tenants) {
+    for (Duration timeout : request_timeouts) classes_.push_back({timeout});
 }
 
 const char* LoadState::name(State state) {
@@ -47,182 +47,189 @@
 
 LoadState::Step& LoadState::step(TimePoint now) {
     auto at = std::uint64_t(std::max(0.0, now.time_since_epoch() / kStep));
-    if (began_ == 0) began_ = at_ = at;
+    if (first_step_ == 0) first_step_ = current_step_ = at;
     // Behind a long silence the window is empty, and all that was of late is over.
-    if (at > at_ + joined_.size()) at_ = at - joined_.size();
-    while (at_ < at) close_step();
-    return steps_[at_ % kSteps];
+    if (at > current_step_ + newly_started_.size()) current_step_ = at - newly_started_.size();
+    while (current_step_ < at) close_step();
+    return steps_[current_step_ % kSteps];
 }
 
 void LoadState::connection_opened(TimePoint now) {
-    ++step(now).opened;
+    ++step(now).connections;
 }
-void LoadState::request_arrived(TimePoint now, int tenant, bool repeat) {
+void LoadState::request_arrived(TimePoint now, int tenant, bool is_retry) {
     Step& s = step(now);
-    ++(repeat ? s.repeats : s.first);
-    if (tenant >= 0 && std::size_t(tenant) < tenants_.size()) ++tenants_[std::size_t(tenant)].came;
+    ++(is_retry ? s.retries : s.first_attempts);
+    if (tenant >= 0 && std::size_t(tenant) < tenants_.size()) ++tenants_[std::size_t(tenant)].arrived;
 }
 void LoadState::request_rejected(TimePoint now) {
-    ++step(now).refused;
+    ++step(now).rejected;
 }
 
-void LoadState::request_completed(TimePoint now, int cls, bool served, Duration took) {
+void LoadState::request_completed(TimePoint now, int class_index, bool served, Duration latency) {
     Step& s = step(now);
-    ++s.ended;
+    ++s.completed;
     s.served += served;
-    s.late += took > classes_[std::size_t(cls)].give_up * kLate;
+    s.late += latency > classes_[std::size_t(class_index)].request_timeout * kLateTimeoutFraction;
 }
 
-void LoadState::server_responded(TimePoint now, int cls, Duration took) {
+void LoadState::server_responded(TimePoint now, int class_index, Duration latency) {
     Step& s = step(now);
-    Class& c = classes_[std::size_t(cls)];
-    double log = std::log(std::max(0.1, took.count()));
-    c.sum += log;
-    ++c.answers;
-    if (c.steps < kLearnAtLeast) return;
-    s.slow += log - c.usual;
-    ++s.answers;
+    Class& c = classes_[std::size_t(class_index)];
+    double log_ms = std::log(std::max(0.1, latency.count()));
+    c.log_ms_sum += log_ms;
+    ++c.responses;
+    if (c.learned_steps < kMinLearnedSteps) return;
+    s.log_slowdown += log_ms - c.usual_log_ms;
+    ++s.responses;
 }
 
 void LoadState::update_endpoints(TimePoint now, const EndpointUpdate& update) {
     if (update.kind == UpdateKind::Failed) return;
     step(now);
-    std::size_t place = at_ % joined_.size();
-    std::vector<EndpointId> before;
+    std::size_t index = current_step_ % newly_started_.size();
+    std::vector<EndpointId> previous;
     if (update.kind != UpdateKind::Delta) {
-        before = std::exchange(ready_, {});
+        previous = std::exchange(ready_, {});
         draining_.clear();
     }
-    const std::vector<EndpointId>& known = update.kind != UpdateKind::Delta ? before : ready_;
+    const std::vector<EndpointId>& known = update.kind != UpdateKind::Delta ? previous : ready_;
     for (const EndpointEntry& entry : update.entries) {
-        bool was = sorted_has(known, entry.endpoint);
+        bool was_known = contains_sorted(known, entry.endpoint);
         if (entry.phase == Phase::Ready) {
-            bool young = entry.last_start && now - *entry.last_start < kFresh;
-            if (listed_ && !was && young && joined_[place] < UINT8_MAX) ++joined_[place];
-            sorted_put(ready_, entry.endpoint);
-            sorted_drop(draining_, entry.endpoint);
+            bool is_new = entry.last_start && now - *entry.last_start < kNewServerAge;
+            if (has_list_ && !was_known && is_new && newly_started_[index] < UINT8_MAX)
+                ++newly_started_[index];
+            insert_sorted(ready_, entry.endpoint);
+            erase_sorted(draining_, entry.endpoint);
             continue;
         }
         if (entry.phase == Phase::Draining) {
-            if (was && !sorted_has(draining_, entry.endpoint) && left_[place] < UINT8_MAX) ++left_[place];
-            sorted_put(draining_, entry.endpoint);
+            if (was_known && !contains_sorted(draining_, entry.endpoint) &&
+                newly_draining_[index] < UINT8_MAX)
+                ++newly_draining_[index];
+            insert_sorted(draining_, entry.endpoint);
         } else {
-            sorted_drop(draining_, entry.endpoint);
+            erase_sorted(draining_, entry.endpoint);
         }
-        sorted_drop(ready_, entry.endpoint);
+        erase_sorted(ready_, entry.endpoint);
     }
     // What a node keeps from before its start says nothing of now.
-    listed_ = update.kind != UpdateKind::Cached || listed_;
+    has_list_ = update.kind != UpdateKind::Cached || has_list_;
 }
 
-void LoadState::sum_up() {
+void LoadState::update_signals() {
     Step sum;
     for (const Step& s : steps_) {
-        sum.first += s.first;
-        sum.repeats += s.repeats;
-        sum.refused += s.refused;
-        sum.ended += s.ended;
+        sum.first_attempts += s.first_attempts;
+        sum.retries += s.retries;
+        sum.rejected += s.rejected;
+        sum.completed += s.completed;
         sum.late += s.late;
         sum.served += s.served;
-        sum.opened += s.opened;
-        sum.answers += s.answers;
-        sum.slow += s.slow;
+        sum.connections += s.connections;
+        sum.responses += s.responses;
+        sum.log_slowdown += s.log_slowdown;
     }
     const double window = kStep.count() * double(kSteps) / 1000;
-    auto part = [](double some, double all) { return all > 0 ? std::min(1.0, some / all) : 0; };
-    double tries = sum.first + sum.repeats;
-    signals_.requests_per_s = tries / window;
-    signals_.retry_fraction = part(sum.repeats, tries);
-    signals_.rejected_fraction = part(sum.refused, tries);
-    signals_.late_fraction = part(sum.late, sum.ended);
+    auto fraction = [](double part, double whole) { return whole > 0 ? std::min(1.0, part / whole) : 0; };
+    double requests = sum.first_attempts + sum.retries;
+    signals_.requests_per_s = requests / window;
+    signals_.retry_fraction = fraction(sum.retries, requests);
+    signals_.rejected_fraction = fraction(sum.rejected, requests);
+    signals_.late_fraction = fraction(sum.late, sum.completed);
     signals_.served_per_s = sum.served / window;
-    signals_.slowdown = sum.answers > 0 ? std::exp(sum.slow / sum.answers) : 1;
-    signals_.connections_per_s = sum.opened / window;
-    signals_.peak_served_per_s = std::max(
-        signals_.served_per_s, signals_.peak_served_per_s * std::exp(-kStep.count() / kCapacityFade));
+    signals_.slowdown = sum.responses > 0 ? std::exp(sum.log_slowdown / sum.responses) : 1;
+    signals_.connections_per_s = sum.connections / window;
+    signals_.peak_served_per_s =
+        std::max(signals_.served_per_s,
+                 signals_.peak_served_per_s * std::exp(-kStep.count() / kPeakServedTimeConstantMs));
     signals_.draining_servers = signals_.new_servers = 0;
-    for (std::uint8_t left : left_) signals_.draining_servers += left;
-    for (std::uint8_t joined : joined_) signals_.new_servers += joined;
+    for (std::uint8_t count : newly_draining_) signals_.draining_servers += count;
+    for (std::uint8_t count : newly_started_) signals_.new_servers += count;
     signals_.tenant = kNone;
     signals_.tenant_growth = 1;
     for (std::size_t i = 0; i < tenants_.size(); ++i) {
         Tenant& t = tenants_[i];
         const double fade = std::exp(-1 / double(kSteps));
-        t.recent = t.recent * fade + t.came * (1 - fade) * 1000 / kStep.count();
+        t.recent_per_s = t.recent_per_s * fade + t.arrived * (1 - fade) * 1000 / kStep.count();
         // One that asks little must not be called for a few more, nor one that asked nothing.
-        double grew = t.recent / std::max(t.usual, kTenantLeast * signals_.usual_first_attempts_per_s);
-        if (learnt_ < kLearnAtLeast || grew <= signals_.tenant_growth) continue;
+        double growth = t.recent_per_s /
+                        std::max(t.usual_per_s, kMinTenantFraction * signals_.usual_first_attempts_per_s);
+        if (learned_steps_ < kMinLearnedSteps || growth <= signals_.tenant_growth) continue;
         signals_.tenant = int(i);
-        signals_.tenant_growth = grew;
+        signals_.tenant_growth = growth;
     }
 }
 
 void LoadState::close_step() {
-    sum_up();
-    State seen = judge();
+    update_signals();
+    State observed = classify();
     // What is called is not what is usual, nor is what may be called in the next step.
-    if (at_ - began_ >= kSteps && state_ <= State::Busy && seen <= State::Busy) learn();
-    for (Class& c : classes_) c.sum = c.answers = 0;
-    for (Tenant& t : tenants_) t.came = 0;
-
-    wanted_for_ = seen == wanted_ ? wanted_for_ + 1 : 1;
-    wanted_ = seen;
-    int needed = seen < state_ ? kOverFor : seen == State::Storm ? kStormFor : kOtherFor;
-    if (seen != state_ && wanted_for_ >= needed) {
-        TimePoint at{kStep * double(at_ + 1)};
-        change_ = Change{at, state_, seen, signals_};
-        state_ = seen;
+    if (current_step_ - first_step_ >= kSteps && state_ <= State::Busy && observed <= State::Busy) learn();
+    for (Class& c : classes_) c.log_ms_sum = c.responses = 0;
+    for (Tenant& t : tenants_) t.arrived = 0;
+
+    candidate_steps_ = observed == candidate_ ? candidate_steps_ + 1 : 1;
+    candidate_ = observed;
+    int needed = observed < state_ ? kExitSteps : observed == State::Storm ? kStormEntrySteps : kEntrySteps;
+    if (observed != state_ && candidate_steps_ >= needed) {
+        TimePoint at{kStep * double(current_step_ + 1)};
+        change_ = Change{at, state_, observed, signals_};
+        state_ = observed;
         since_ = at;
     }
-    ++at_;
-    steps_[at_ % kSteps] = {};
-    left_[at_ % left_.size()] = joined_[at_ % joined_.size()] = 0;
+    ++current_step_;
+    steps_[current_step_ % kSteps] = {};
+    newly_draining_[current_step_ % newly_draining_.size()] =
+        newly_started_[current_step_ % newly_started_.size()] = 0;
 }
 
 void LoadState::learn() {
-    learnt_ = std::min(learnt_ + 1, UINT32_MAX - 1);
+    learned_steps_ = std::min(learned_steps_ + 1, UINT32_MAX - 1);
     auto gain = [](std::uint32_t steps) {
-        return std::max(1 - std::exp(-kStep.count() / kLearnOver), 1.0 / steps);
+        return std::max(1 - std::exp(-kStep.count() / kLearningTimeConstantMs), 1.0 / steps);
     };
     signals_.usual_first_attempts_per_s +=
-        gain(learnt_) *
+        gain(learned_steps_) *
         (signals_.requests_per_s * (1 - signals_.retry_fraction) - signals_.usual_first_attempts_per_s);
     signals_.usual_connections_per_s +=
-        gain(learnt_) * (signals_.connections_per_s - signals_.usual_connections_per_s);
+        gain(learned_steps_) * (signals_.connections_per_s - signals_.usual_connections_per_s);
     for (Tenant& t : tenants_) {
         // What grows all at once becomes usual slowly, or a storm would be usual before it is called.
-        bool sudden = learnt_ >= kLearnAtLeast && t.recent > 2 * t.usual;
-        t.usual += gain(learnt_) * (sudden ? 0.125 : 1) * (t.recent - t.usual);
+        bool is_sudden = learned_steps_ >= kMinLearnedSteps && t.recent_per_s > 2 * t.usual_per_s;
+        t.usual_per_s += gain(learned_steps_) * (is_sudden ? 0.125 : 1) * (t.recent_per_s - t.usual_per_s);
     }
     for (Class& c : classes_) {
-        if (c.answers == 0) continue;
-        ++c.steps;
-        c.usual += gain(c.steps) * (c.sum / c.answers - c.usual);
+        if (c.responses == 0) continue;
+        ++c.learned_steps;
+        c.usual_log_ms += gain(c.learned_steps) * (c.log_ms_sum / c.responses - c.usual_log_ms);
     }
 }
 
-double LoadState::usual_ms(int cls) const {
-    const Class& c = classes_[std::size_t(cls)];
-    return c.steps > 0 ? std::exp(c.usual) : 0;
+double LoadState::usual_latency_ms(int class_index) const {
+    const Class& c = classes_[std::size_t(class_index)];
+    return c.learned_steps > 0 ? std::exp(c.usual_log_ms) : 0;
 }
 
-LoadState::State LoadState::judge() const {
+LoadState::State LoadState::classify() const {
     const OverloadSignals& s = signals_;
     if (s.draining_servers >= 1 && s.draining_servers + s.new_servers >= 2) return State::Release;
-    const bool known = learnt_ >= kLearnAtLeast;
+    const bool has_usual = learned_steps_ >= kMinLearnedSteps;
     const bool storm = state_ == State::Storm, brownout = state_ == State::Brownout;
-    const double first = s.requests_per_s * (1 - s.retry_fraction);
+    const double first_attempts = s.requests_per_s * (1 - s.retry_fraction);
     // Fewer are answered than could be before, though no more come: the servers have less to give.
-    const bool less =
-        known && s.served_per_s < 0.8 * s.peak_served_per_s && s.served_per_s > 0.1 * s.peak_served_per_s;
-    const bool no_more = first < (brownout ? 1.6 : 1.35) * s.usual_first_attempts_per_s;
-    if (less && no_more && s.slowdown >= (brownout ? 1.15 : 1.35) &&
+    const bool serves_less =
+        has_usual && s.served_per_s < 0.8 * s.peak_served_per_s && s.served_per_s > 0.1 * s.peak_served_per_s;
+    const bool no_more_requests = first_attempts < (brownout ? 1.6 : 1.35) * s.usual_first_attempts_per_s;
+    if (serves_less && no_more_requests && s.slowdown >= (brownout ? 1.15 : 1.35) &&
         s.rejected_fraction >= (brownout ? 0.1 : 0.25))
         return State::Brownout;
     // More comes than can be answered, and what was refused comes again.
-    if (known && s.rejected_fraction >= (storm ? 0.15 : 0.35) && s.retry_fraction >= (storm ? 0.15 : 0.25))
+    if (has_usual && s.rejected_fraction >= (storm ? 0.15 : 0.35) &&
+        s.retry_fraction >= (storm ? 0.15 : 0.25))
         return State::Storm;
-    if (known && s.tenant_growth >= (storm ? 2 : 3) && s.rejected_fraction >= (storm ? 0.02 : 0.05))
+    if (has_usual && s.tenant_growth >= (storm ? 2 : 3) && s.rejected_fraction >= (storm ? 0.02 : 0.05))
         return State::Storm;
     return s.rejected_fraction >= 0.02 || s.retry_fraction >= 0.1 ? State::Busy : State::Calm;
 }
--- a/src/admission/load_state.h
+++ b/src/admission/load_state.h
@@ -47,15 +47,15 @@
     };
 
     /// `give_up`: of each class, how long its clients wait.
-    LoadState(std::vector<Duration> give_up, std::size_t tenants);
+    LoadState(std::vector<Duration> request_timeouts, std::size_t tenants);
 
     void connection_opened(TimePoint now);
-    void request_arrived(TimePoint now, int tenant, bool repeat);
+    void request_arrived(TimePoint now, int tenant, bool is_retry);
     void request_rejected(TimePoint now);
     /// A request that had entered is over; `took` since then.
-    void request_completed(TimePoint now, int cls, bool served, Duration took);
+    void request_completed(TimePoint now, int class_index, bool served, Duration latency);
     /// A server's answer, `took` after it was sent there.
-    void server_responded(TimePoint now, int cls, Duration took);
+    void server_responded(TimePoint now, int class_index, Duration latency);
     void update_endpoints(TimePoint now, const EndpointUpdate& update);
 
     /// Whatever else happens, time passes: to be called now and then. The change since the last call, if any.
@@ -63,7 +63,7 @@
 
     State state() const { return state_; }
     /// What a server's answer takes usually, in ms; zero: not known.
-    double usual_ms(int cls) const;
+    double usual_latency_ms(int class_index) const;
     TimePoint since() const { return since_; }
     const OverloadSignals& signals() const { return signals_; }
     /// But for an entry a class, a tenant and a listed server it is fixed.
@@ -76,40 +76,42 @@
     static constexpr std::size_t kSteps = 8;
 
     struct Step {
-        std::uint32_t first = 0, repeats = 0, refused = 0, ended = 0, late = 0, served = 0, opened = 0;
-        std::uint32_t answers = 0;
-        double slow = 0;  // sum of the logarithms of time over usual time
+        std::uint32_t first_attempts = 0, retries = 0, rejected = 0, completed = 0, late = 0, served = 0,
+                      connections = 0;
+        std::uint32_t responses = 0;
+        double log_slowdown = 0;  // sum of the logarithms of time over usual time
     };
     struct Class {
-        Duration give_up{};
-        double usual = 0;  // logarithm of ms
-        double sum = 0;    // of this step
-        std::uint32_t answers = 0, steps = 0;
+        Duration request_timeout{};
+        double usual_log_ms = 0;  // logarithm of ms
+        double log_ms_sum = 0;    // of this step
+        std::uint32_t responses = 0, learned_steps = 0;
     };
     struct Tenant {
-        double recent = 0, usual = 0;  // a second
-        std::uint32_t came = 0;        // in this step
+        double recent_per_s = 0, usual_per_s = 0;  // a second
+        std::uint32_t arrived = 0;                 // in this step
     };
     Step& step(TimePoint now);
     void close_step();
-    void sum_up();
+    void update_signals();
     void learn();
-    State judge() const;
+    State classify() const;
 
     std::vector<Class> classes_;
     std::vector<Tenant> tenants_;
     std::array<Step, kSteps> steps_{};
-    std::uint64_t at_ = 0;  // the step that is being filled
-    std::uint64_t began_ = 0;
-    std::uint32_t learnt_ = 0;
+    std::uint64_t current_step_ = 0;  // the step that is being filled
+    std::uint64_t first_step_ = 0;
+    std::uint32_t learned_steps_ = 0;
     OverloadSignals signals_;
-    State state_ = State::Calm, wanted_ = State::Calm;
-    int wanted_for_ = 0;  // steps
+    State state_ = State::Calm, candidate_ = State::Calm;
+    int candidate_steps_ = 0;  // steps
     TimePoint since_{};
     std::optional<Change> change_;
     std::vector<EndpointId> ready_, draining_;  // as listed, sorted
-    bool listed_ = false;
-    std::array<std::uint8_t, 40> left_{}, joined_{};  // by step: servers that began to drain, and new ones
+    bool has_list_ = false;
+    std::array<std::uint8_t, 40> newly_draining_{},
+        newly_started_{};  // by step: servers that began to drain, and new ones
 };
 
 }  // namespace ochrehub
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -18,26 +18,26 @@
     return TimePoint{Duration{1e6 + ms}};
 }
 
-AdmissionController::Settings settings(std::size_t room = 100, double most_advice = 1200) {
-    return {{5, 3, 8, 3}, {}, {}, room, Duration{most_advice}, 7, true};
+AdmissionController::Settings settings(std::size_t max_connections = 100, double max_retry_after = 1200) {
+    return {{5, 3, 8, 3}, {}, {}, max_connections, Duration{max_retry_after}, 7, true};
 }
 
 /// Lets one in and out again, so that admission control knows that so many a second are served, each in its
 /// class's time.
 void serve(AdmissionController& admission, double from, double to, double per_s) {
-    const std::vector<double> took = {50, 60, 200, 200};
-    int cls = 0;
-    for (double t = from; t < to; t += 1000 / per_s, cls = (cls + 1) % 4) {
-        ASSERT_FALSE(admission.admit(at(t), {cls, kNone, false}));
-        admission.complete(at(t), {cls}, true, Duration{took[std::size_t(cls)]});
+    const std::vector<double> latency_ms = {50, 60, 200, 200};
+    int class_index = 0;
+    for (double t = from; t < to; t += 1000 / per_s, class_index = (class_index + 1) % 4) {
+        ASSERT_FALSE(admission.admit(at(t), {class_index, kNone, false}));
+        admission.complete(at(t), {class_index}, true, Duration{latency_ms[std::size_t(class_index)]});
     }
 }
 
-TEST(RetryAfterSchedule, ACrowdThatIsRefusedAtOneMomentComesBackSpreadOut) {
+TEST(RetryAfterSchedule, SpreadsRetriesOfClientsRejectedAtOneMoment) {
     RetryAfterSchedule retry_after(Duration{1200}, 3);
     std::map<int, int> returns;  // by 100 ms
     for (int i = 0; i < 2000; ++i) {
-        double back = retry_after.give(at(0), 100).count();
+        double back = retry_after.reserve(at(0), 100).count();
         EXPECT_GE(back, 250);
         EXPECT_LE(back, 1200);
         ++returns[int(back / 100)];
@@ -46,61 +46,61 @@
     for (const auto& [step, count] : returns) EXPECT_LT(count, 1.2 * 2000 / 9.5) << step;
 }
 
-TEST(RetryAfterSchedule, TheWindowIsAsLongAsTheCrowdNeedsAndCrowdsDoNotMeet) {
+TEST(RetryAfterSchedule, SizesWindowByReservationsAndSeparatesCrowds) {
     RetryAfterSchedule retry_after(Duration{30000}, 3);
     std::map<int, int> returns;  // by s
     for (int i = 0; i < 3000; ++i) {
         double now = i < 1500 ? 0 : 2000;
-        ++returns[int((now + retry_after.give(at(now), 200).count()) / 1000)];
+        ++returns[int((now + retry_after.reserve(at(now), 200).count()) / 1000)];
     }
     for (const auto& [second, count] : returns) EXPECT_LT(count, 1.5 * 200 + 30) << second;
     EXPECT_GT(returns.rbegin()->first, 10);
     EXPECT_LT(returns.rbegin()->first, 25);
 }
 
-TEST(RetryAfterSchedule, WhoComesOnTimeHasASeatAndWhoComesAtOnceHasNone) {
+TEST(RetryAfterSchedule, GrantsOneReservationOnTimeAndNoneTooEarlyOrLate) {
     RetryAfterSchedule retry_after(Duration{1200}, 3);
-    double back = retry_after.give(at(0), 100).count();
-    EXPECT_FALSE(retry_after.keep(at(1)));
-    EXPECT_TRUE(retry_after.keep(at(back + 5)));
-    EXPECT_FALSE(retry_after.keep(at(back + 6))) << "one seat, once";
-    back = retry_after.give(at(2000), 100).count();
-    EXPECT_FALSE(retry_after.keep(at(2000 + back + 400))) << "too late";
-    EXPECT_EQ(retry_after.booked(at(10000)), 0u);
+    double back = retry_after.reserve(at(0), 100).count();
+    EXPECT_FALSE(retry_after.claim(at(1)));
+    EXPECT_TRUE(retry_after.claim(at(back + 5)));
+    EXPECT_FALSE(retry_after.claim(at(back + 6))) << "one seat, once";
+    back = retry_after.reserve(at(2000), 100).count();
+    EXPECT_FALSE(retry_after.claim(at(2000 + back + 400))) << "too late";
+    EXPECT_EQ(retry_after.reserved(at(10000)), 0u);
 }
 
 // Requests that waited held all connections that clients may have; whoever came then was told by admission
 // control that there is no room, its connection closed, and asked again on another: 4,000 of them in 30 s
 // where 450 are needed.
-TEST(AdmissionController, WhatIsOpenEndsBelowWhatClientsMayHold) {
+TEST(AdmissionController, LimitsOpenRequestsBelowConnectionLimit) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
-    int entered = 0, refused = 0;
+    int admitted = 0, rejected = 0;
     for (int i = 0; i < 1000; ++i)
-        (admission.admit(at(5000 + i * 0.1), {i % 4, kNone, false}) ? refused : entered) += 1;
-    EXPECT_EQ(entered, 90);
-    EXPECT_EQ(refused, 910);
+        (admission.admit(at(5000 + i * 0.1), {i % 4, kNone, false}) ? rejected : admitted) += 1;
+    EXPECT_EQ(admitted, 90);
+    EXPECT_EQ(rejected, 910);
     EXPECT_EQ(admission.open_requests(), 90u);
 }
 
-TEST(AdmissionController, RepeatsOutOfTurnGoFirstThenWhatIsWorthTheLeastForItsTime) {
+TEST(AdmissionController, RejectsUnscheduledRetriesThenLowestWeightPerLatencyFirst) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
     std::vector<int> kinds;  // of class 0 to 3, and repeats as 4
-    std::map<int, std::size_t> shut;
+    std::map<int, std::size_t> open_at_rejection;
     for (int i = 0; i < 1000; ++i)
         for (int kind : {4, 3, 1, 2, 0})
-            if (admission.admit(at(5000), {kind % 4, kNone, kind == 4}) && !shut.contains(kind))
-                shut[kind] = admission.open_requests();
+            if (admission.admit(at(5000), {kind % 4, kNone, kind == 4}) && !open_at_rejection.contains(kind))
+                open_at_rejection[kind] = admission.open_requests();
     // Worth for the time: 0.1, 0.05, 0.04, 0.015.
-    EXPECT_EQ(shut[4], 50u);
-    EXPECT_EQ(shut[3], 70u);
-    EXPECT_LT(shut[2], shut[1]);
-    EXPECT_GT(shut[2], 70u);
-    EXPECT_EQ(shut[0], 90u);
+    EXPECT_EQ(open_at_rejection[4], 50u);
+    EXPECT_EQ(open_at_rejection[3], 70u);
+    EXPECT_LT(open_at_rejection[2], open_at_rejection[1]);
+    EXPECT_GT(open_at_rejection[2], 70u);
+    EXPECT_EQ(open_at_rejection[0], 90u);
 }
 
-TEST(AdmissionController, ARepeatThatComesWhenItWasToldToEntersLikeAFirstTry) {
+TEST(AdmissionController, AdmitsScheduledRetryLikeFirstAttempt) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
     int open = 0;
@@ -114,7 +114,7 @@
 }
 
 // In a brownout less is served; if what may be open followed that down, less would be served for it.
-TEST(AdmissionController, WhatMayBeOpenComesOfTheMostThatWasServedAndNotOfWhatIs) {
+TEST(AdmissionController, DerivesOpenLimitFromPeakServedRate) {
     AdmissionController admission(settings(100000));
     serve(admission, 0, 10000, 500);
     auto open_at = [&](double ms) {
@@ -131,54 +131,55 @@
 
 // What a server takes for each stands open by itself. Where 400 ms were less than that, most were refused for
 // no need, the rate fell with what was let in, and the room with it.
-TEST(AdmissionController, LongUsualTimesNeedRoomForWhatStandsThereByItself) {
-    for (double took : {50.0, 200.0, 300.0, 400.0, 900.0, 2500.0}) {
+TEST(AdmissionController, RejectsNothingAtLongUsualLatency) {
+    for (double latency_ms : {50.0, 200.0, 300.0, 400.0, 900.0, 2500.0}) {
         AdmissionController admission(
             {{5, 3, 8, 3}, std::vector<Duration>(4, Duration{10'000}), {}, 100'000, Duration{1200}, 7, true});
         std::multimap<double, int> open;
-        int asked = 0, refused = 0, cls = 0;
-        for (double t = 0; t < 60'000; t += 5, cls = (cls + 1) % 4) {
+        int requests = 0, rejected = 0, class_index = 0;
+        for (double t = 0; t < 60'000; t += 5, class_index = (class_index + 1) % 4) {
             while (!open.empty() && open.begin()->first <= t) {
-                admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
-                                   Duration{took});
+                admission.complete(at(open.begin()->first), {open.begin()->second}, true,
+                                   Duration{latency_ms}, Duration{latency_ms});
                 open.erase(open.begin());
             }
             admission.poll_state_change(at(t));
-            bool enters = !admission.admit(at(t), {cls});
-            if (enters) open.emplace(t + took, cls);
-            if (t >= 5000 + 4 * took) ++asked, refused += !enters;
+            bool is_admitted = !admission.admit(at(t), {class_index});
+            if (is_admitted) open.emplace(t + latency_ms, class_index);
+            if (t >= 5000 + 4 * latency_ms) ++requests, rejected += !is_admitted;
         }
-        EXPECT_EQ(refused, 0) << took << " ms, of " << asked;
+        EXPECT_EQ(rejected, 0) << latency_ms << " ms, of " << requests;
     }
 }
 
 // ... and servers that slow down for a while get no more than before.
-TEST(AdmissionController, ASlowSpellIsNotTakenForWhatAnswersTakeUsually) {
+TEST(AdmissionController, KeepsOpenLimitWhileServersAreSlow) {
     AdmissionController admission(
         {{5, 3, 8, 3}, std::vector<Duration>(4, Duration{2000}), {}, 100'000, Duration{1200}, 7, true});
     std::multimap<double, int> open;
-    std::size_t most = 0;
-    int cls = 0;
-    for (double t = 0; t < 40'000; t += 2, cls = (cls + 1) % 4) {  // 500 a second
-        double took = t < 10'000 ? 60 : 1200;
+    std::size_t max_open = 0;
+    int class_index = 0;
+    for (double t = 0; t < 40'000; t += 2, class_index = (class_index + 1) % 4) {  // 500 a second
+        double latency_ms = t < 10'000 ? 60 : 1200;
         while (!open.empty() && open.begin()->first <= t) {
-            admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{took},
-                               Duration{took});
+            admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{latency_ms},
+                               Duration{latency_ms});
             open.erase(open.begin());
         }
         admission.poll_state_change(at(t));
-        if (!admission.admit(at(t), {cls})) open.emplace(t + took, cls);
-        if (t < 20'000) most = std::max(most, open.size());
+        if (!admission.admit(at(t), {class_index})) open.emplace(t + latency_ms, class_index);
+        if (t < 20'000) max_open = std::max(max_open, open.size());
     }
-    EXPECT_LT(most, 0.9 * 0.4 * 500 + 10);
+    EXPECT_LT(max_open, 0.9 * 0.4 * 500 + 10);
 }
 
 // A node that has just started, or that stood still, has many requests at once and knows no rate yet.
-TEST(AdmissionController, ABurstBehindAStartEnters) {
+TEST(AdmissionController, AdmitsBurstAfterStart) {
     AdmissionController admission(settings(300));
-    int entered = 0;
-    for (int i = 0; i < 200; ++i) entered += !admission.admit(at(i / 4.0), {i % 4, kNone, false}).has_value();
-    EXPECT_EQ(entered, 200);
+    int admitted = 0;
+    for (int i = 0; i < 200; ++i)
+        admitted += !admission.admit(at(i / 4.0), {i % 4, kNone, false}).has_value();
+    EXPECT_EQ(admitted, 200);
     for (int i = 0; i < 100; ++i) admission.complete(at(100 + i), {i % 4}, true, Duration{90});
     // Once it has watched for a while it holds to what it has seen served.
     for (int i = 0; i < 100; ++i) admission.complete(at(2500 + i), {i % 4}, true, Duration{90});
@@ -188,45 +189,47 @@
     EXPECT_GT(later, 10);
 }
 
-TEST(AdmissionController, GivesNoAdviceWhereNoneIsHeeded) {
+TEST(AdmissionController, SendsNoRetryAfterWhenDisabled) {
     AdmissionController admission(settings(10, 0));
     while (!admission.admit(at(0), {0, kNone, false})) continue;
     EXPECT_EQ(admission.reject(at(0), {}).count(), 0);
 }
 
 // Told to come back when they had given up.
-TEST(AdmissionController, AdviceIsWithinTheTimeOfClientsThatWaitBriefly) {
+TEST(AdmissionController, KeepsRetryAfterWithinShortClientTimeouts) {
     AdmissionController::Settings set = settings(100);
     set.request_timeouts = {Duration{200}, Duration{400}, Duration{500}, Duration{2000}};
     const std::vector<std::pair<double, double>> span = {{50, 150}, {100, 300}, {250, 1050}, {250, 1050}};
-    for (int cls = 0; cls < 4; ++cls) {
+    for (int class_index = 0; class_index < 4; ++class_index) {
         AdmissionController admission(set);
-        double least = 1e9, most = 0;
+        double shortest = 1e9, longest = 0;
         for (int i = 0; i < 100; ++i) {
             double t = 3000 * i + 1000;
             serve(admission, t - 1000, t, 100);
-            double back = admission.reject(at(t), {cls}).count();
-            least = std::min(least, back), most = std::max(most, back);
-            EXPECT_TRUE(admission.admit(at(t + back), {cls, kNone, true}) == std::nullopt) << "it has a seat";
-            admission.complete(at(t + back + 20), {cls}, true, Duration{20});
+            double back = admission.reject(at(t), {class_index}).count();
+            shortest = std::min(shortest, back), longest = std::max(longest, back);
+            EXPECT_TRUE(admission.admit(at(t + back), {class_index, kNone, true}) == std::nullopt)
+                << "it has a seat";
+            admission.complete(at(t + back + 20), {class_index}, true, Duration{20});
         }
-        EXPECT_NEAR(least, span[std::size_t(cls)].first, 40) << cls;
-        EXPECT_NEAR(most, span[std::size_t(cls)].second, 40) << cls;
+        EXPECT_NEAR(shortest, span[std::size_t(class_index)].first, 40) << class_index;
+        EXPECT_NEAR(longest, span[std::size_t(class_index)].second, 40) << class_index;
     }
 }
 
-AdmissionController shared_admission(std::size_t room = 100) {
-    return AdmissionController({{5, 3, 8, 3}, {}, {0.5, 0.25, 0.25}, room, Duration{1200}, 7, true});
+AdmissionController shared_admission(std::size_t max_connections = 100) {
+    return AdmissionController(
+        {{5, 3, 8, 3}, {}, {0.5, 0.25, 0.25}, max_connections, Duration{1200}, 7, true});
 }
 
 /// Asks for one tenant till it is refused; how many entered.
-int fill(AdmissionController& admission, double ms, int tenant, int cls = 3) {
-    int entered = 0;
-    while (!admission.admit(at(ms), {cls, tenant})) ++entered;
-    return entered;
+int fill(AdmissionController& admission, double ms, int tenant, int class_index = 3) {
+    int admitted = 0;
+    while (!admission.admit(at(ms), {class_index, tenant})) ++admitted;
+    return admitted;
 }
 
-TEST(AdmissionController, ATenantInTroubleLeavesTheOthersRoom) {
+TEST(AdmissionController, ReservesCapacityForTenantsBelowTheirShare) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
     // Of the 70 for its class one alone may use what nobody else does, but not the last of it.
@@ -242,7 +245,7 @@
     EXPECT_EQ(fill(admission, 5002, 2), 20) << "a share of its own, unlike the other's third";
 }
 
-TEST(AdmissionController, ATenantThatIsAboveItsShareByChanceIsNotBeyondIt) {
+TEST(AdmissionController, ToleratesRandomExcessOverTenantShare) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
     for (int i = 0; i < 30; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 0}));
@@ -252,7 +255,7 @@
     EXPECT_FALSE(admission.admit(at(5000), {3, kNone})) << "one of no tenant has a share too";
 }
 
-TEST(AdmissionController, WhoComesAsToldKeepsItsTurnThoughItsTenantIsBeyondItsShare) {
+TEST(AdmissionController, AdmitsScheduledRetryOfTenantOverItsShare) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
     fill(admission, 5000, 1);
@@ -264,8 +267,8 @@
 }
 
 // Those who ask again at once took the seats of whoever was due just then.
-TEST(AdmissionController, WhoComesTooEarlyTakesNobodysSeat) {
-    for (bool known : {false, true}) {
+TEST(AdmissionController, EarlyRetryClaimsNoReservationOfAnotherClient) {
+    for (bool is_identified : {false, true}) {
         AdmissionController admission(settings(100));
         serve(admission, 0, 5000, 1000);
         while (!admission.admit(at(5000), {0})) continue;
@@ -275,12 +278,14 @@
         double later = due;
         while (later < due + 200)
             later = due - 50 + admission.reject(at(due - 50), {3, kNone, false, 2}).count();
-        EXPECT_EQ(admission.admit(at(due), {3, kNone, true, known ? 2ul : 0ul}).has_value(), known);
-        EXPECT_EQ(admission.admit(at(due + 1), {3, kNone, true, known ? 1ul : 0ul}).has_value(), !known);
+        EXPECT_EQ(admission.admit(at(due), {3, kNone, true, is_identified ? 2ul : 0ul}).has_value(),
+                  is_identified);
+        EXPECT_EQ(admission.admit(at(due + 1), {3, kNone, true, is_identified ? 1ul : 0ul}).has_value(),
+                  !is_identified);
     }
 }
 
-TEST(AdmissionController, WhoComesOutOfTurnAgainAndAgainIsRefusedFirstAndNobodyElse) {
+TEST(AdmissionController, RejectsClientThatRepeatedlyRetriesEarlyFirst) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
     for (int i = 0; i < 40; ++i) ASSERT_FALSE(admission.admit(at(5000), {0}));  // below what repeats may have
@@ -293,41 +298,42 @@
     EXPECT_FALSE(admission.admit(at(30000), {3, 0, true, 1})) << "forgotten";
 }
 
-TEST(RetryAfterCompliance, OneThatMendsItsWaysIsForgiven) {
+TEST(RetryAfterCompliance, HalvesEarlyRetriesOnCompliance) {
     RetryAfterCompliance compliance;
     for (int i = 0; i < 4; ++i) {
-        compliance.told(at(i), 5, Duration{500});
-        EXPECT_EQ(compliance.comes(at(i + 0.5), 5), RetryAfterCompliance::Comes::Early);
+        compliance.record_retry_after(at(i), 5, Duration{500});
+        EXPECT_EQ(compliance.record_arrival(at(i + 0.5), 5), RetryAfterCompliance::Arrival::Early);
     }
-    EXPECT_EQ(compliance.strikes(at(5), 5), 4);
-    EXPECT_EQ(compliance.strikes(at(5), 6), 0);
-    EXPECT_EQ(compliance.comes(at(500), 5), RetryAfterCompliance::Comes::OnTime);
-    EXPECT_EQ(compliance.strikes(at(501), 5), 2);
-    compliance.told(at(501), 5, Duration{500});
-    EXPECT_EQ(compliance.comes(at(1000), 5), RetryAfterCompliance::Comes::OnTime);
-    EXPECT_EQ(compliance.strikes(at(1001), 5), 1);
-    EXPECT_EQ(compliance.comes(at(1500), 5), RetryAfterCompliance::Comes::Unknown) << "too late";
+    EXPECT_EQ(compliance.early_retries(at(5), 5), 4);
+    EXPECT_EQ(compliance.early_retries(at(5), 6), 0);
+    EXPECT_EQ(compliance.record_arrival(at(500), 5), RetryAfterCompliance::Arrival::OnTime);
+    EXPECT_EQ(compliance.early_retries(at(501), 5), 2);
+    compliance.record_retry_after(at(501), 5, Duration{500});
+    EXPECT_EQ(compliance.record_arrival(at(1000), 5), RetryAfterCompliance::Arrival::OnTime);
+    EXPECT_EQ(compliance.early_retries(at(1001), 5), 1);
+    EXPECT_EQ(compliance.record_arrival(at(1500), 5), RetryAfterCompliance::Arrival::Unknown) << "too late";
 }
 
 // A million clients, each told and some of them deaf: what admission control holds is what it held before
 // they came.
-TEST(AdmissionController, AMillionClientsCostItNoMemory) {
+TEST(AdmissionController, AllocatesNothingForAMillionClients) {
     AdmissionController admission = shared_admission(300);
     serve(admission, 0, 3000, 300);
     std::size_t bytes = admission.memory_bytes(), before = allocations();
     double now = 3000;
-    std::size_t refused = 0;
-    for (std::uint64_t who = 1; who <= 1000000; ++who) {
+    std::size_t rejected = 0;
+    for (std::uint64_t client = 1; client <= 1000000; ++client) {
         now += 0.5;
         admission.connection_opened(at(now));
-        AdmissionController::AdmissionRequest request{int(who % 4), int(who % 4) - 1, who % 3 == 0, who};
-        refused += admission.admit(at(now), request).has_value();
+        AdmissionController::AdmissionRequest request{int(client % 4), int(client % 4) - 1, client % 3 == 0,
+                                                      client};
+        rejected += admission.admit(at(now), request).has_value();
         if (admission.open_requests() > 200)
-            admission.complete(at(now), {request.class_index, int(who % 3)}, who % 2 == 0, Duration{60},
+            admission.complete(at(now), {request.class_index, int(client % 3)}, client % 2 == 0, Duration{60},
                                Duration{40});
-        if (who % 64 == 0) admission.poll_state_change(at(now));
+        if (client % 64 == 0) admission.poll_state_change(at(now));
     }
-    EXPECT_GT(refused, 300000u);
+    EXPECT_GT(rejected, 300000u);
     EXPECT_EQ(allocations(), before);
     EXPECT_EQ(admission.memory_bytes(), bytes);
     EXPECT_LT(bytes, 45000u);
@@ -335,21 +341,21 @@
 
 // Whatever comes: as many are open as entered and did not leave, nobody is refused while little is open, and
 // advice is heeded advice.
-TEST(AdmissionController, HoldsWhateverComes) {
+TEST(AdmissionController, KeepsInvariantsForRandomEvents) {
     EXPECT_TRUE(rc::check([](std::vector<std::uint32_t> events) {
         AdmissionController admission(settings(40));
         std::vector<int> open;  // classes
         double now = 0;
         for (std::uint32_t event : events) {
             now += event >> 8 & 0xff;
-            int cls = int(event % 4);
+            int class_index = int(event % 4);
             if (event & 0x10 && !open.empty()) {
                 admission.complete(at(now), {open.back()}, event & 0x20, Duration{double(event >> 24)});
                 open.pop_back();
             } else {
-                bool repeat = event & 0x40;
-                auto back = admission.admit(at(now), {cls, kNone, repeat});
-                if (!back) open.push_back(cls);
+                bool is_retry = event & 0x40;
+                auto back = admission.admit(at(now), {class_index, kNone, is_retry});
+                if (!back) open.push_back(class_index);
                 if (back) RC_ASSERT(open.size() >= 12u);
                 if (back) RC_ASSERT(back->count() > 0 && back->count() <= 1200);
             }
@@ -358,12 +364,13 @@
         }
         // Free capacity: whoever comes then enters.
         while (!open.empty()) admission.complete(at(now), {open.back()}, false, Duration{1}), open.pop_back();
-        for (int cls = 0; cls < 4; ++cls) RC_ASSERT(!admission.admit(at(now), {cls, kNone, true}));
+        for (int class_index = 0; class_index < 4; ++class_index)
+            RC_ASSERT(!admission.admit(at(now), {class_index, kNone, true}));
     }));
 }
 
 // Every seat that was given is taken once or passes, whoever asks.
-TEST(RetryAfterSchedule, SeatsAreKeptCount) {
+TEST(RetryAfterSchedule, CountsReservationsForRandomEvents) {
     EXPECT_TRUE(rc::check([](std::vector<std::uint32_t> events) {
         RetryAfterSchedule retry_after(Duration{5000}, 1);
         std::size_t given = 0, taken = 0;
@@ -371,16 +378,16 @@
         for (std::uint32_t event : events) {
             now += event >> 8 & 0xff;
             if (event & 1) {
-                double back = retry_after.give(at(now), double(event >> 16 & 0xff)).count();
+                double back = retry_after.reserve(at(now), double(event >> 16 & 0xff)).count();
                 RC_ASSERT(back > 0 && back <= 5000);
                 ++given;
             } else {
-                taken += retry_after.keep(at(now));
+                taken += retry_after.claim(at(now));
             }
-            RC_ASSERT(taken + retry_after.booked(at(now)) <= given);
+            RC_ASSERT(taken + retry_after.reserved(at(now)) <= given);
         }
-        RC_ASSERT(retry_after.booked(at(now + 1e7)) == 0u);
-        RC_ASSERT(!retry_after.keep(at(now + 2e7)));
+        RC_ASSERT(retry_after.reserved(at(now + 1e7)) == 0u);
+        RC_ASSERT(!retry_after.claim(at(now + 2e7)));
     }));
 }
 
--- a/tests/allocations.cpp
+++ b/tests/allocations.cpp
@@ -13,12 +13,12 @@
 
 void* operator new(std::size_t size) {
     ++count;
-    if (void* room = std::malloc(size)) return room;
+    if (void* memory = std::malloc(size)) return memory;
     throw std::bad_alloc();
 }
-void operator delete(void* room) noexcept {
-    std::free(room);
+void operator delete(void* memory) noexcept {
+    std::free(memory);
 }
-void operator delete(void* room, std::size_t) noexcept {
-    std::free(room);
+void operator delete(void* memory, std::size_t) noexcept {
+    std::free(memory);
 }
--- a/tests/load_state_test.cpp
+++ b/tests/load_state_test.cpp
@@ -17,50 +17,53 @@
 }
 
 /// A node's day, evenly spread: so many a second come and are answered.
-struct Day {
+struct SimulatedNode {
     LoadState load_state{{Duration{600}, Duration{1500}}, 3};
     std::vector<LoadState::Change> changes;
     double now = 0;
 
     struct Rates {
-        double first = 200, repeats = 0, refused = 0, served = 200, server_ms = 30, opened = 5;
-        int tenant = -1;       // asks ...
-        double of_tenant = 0;  // ... so many of the first tries; else all ask alike
+        double first_attempts = 200, retries = 0, rejected = 0, served = 200, server_ms = 30, connections = 5;
+        int tenant = -1;                   // asks ...
+        double tenant_first_attempts = 0;  // ... so many of the first tries; else all ask alike
     };
-    void pass(double ms, const Rates& rates) {
-        double first = 0, repeats = 0, refused = 0, served = 0, opened = 0, own = 0;
-        int turn = 0;
+    void advance(double ms, const Rates& rates) {
+        double first_attempts = 0, retries = 0, rejected = 0, served = 0, connections = 0,
+               tenant_requests = 0;
+        int sequence = 0;
         for (double end = now + ms; now < end; now += 5) {
-            auto each = [](double& sum, double rate, auto f) {
-                for (sum += rate * 0.005; sum >= 1; --sum) f();
+            auto per_event = [](double& sum, double rate, auto event) {
+                for (sum += rate * 0.005; sum >= 1; --sum) event();
             };
-            each(first, rates.first - rates.of_tenant,
-                 [&] { load_state.request_arrived(at(now), turn++ % 3, false); });
-            each(own, rates.of_tenant, [&] { load_state.request_arrived(at(now), rates.tenant, false); });
-            each(repeats, rates.repeats, [&] { load_state.request_arrived(at(now), turn++ % 3, true); });
-            each(refused, rates.refused, [&] { load_state.request_rejected(at(now)); });
-            each(opened, rates.opened, [&] { load_state.connection_opened(at(now)); });
-            each(served, rates.served, [&] {
-                int cls = turn++ % 2;
-                double took = rates.server_ms * (cls + 1) * (0.7 + 0.1 * (turn % 7));
-                load_state.request_completed(at(now), cls, true, Duration{took + 5});
-                load_state.server_responded(at(now), cls, Duration{took});
+            per_event(first_attempts, rates.first_attempts - rates.tenant_first_attempts,
+                      [&] { load_state.request_arrived(at(now), sequence++ % 3, false); });
+            per_event(tenant_requests, rates.tenant_first_attempts,
+                      [&] { load_state.request_arrived(at(now), rates.tenant, false); });
+            per_event(retries, rates.retries,
+                      [&] { load_state.request_arrived(at(now), sequence++ % 3, true); });
+            per_event(rejected, rates.rejected, [&] { load_state.request_rejected(at(now)); });
+            per_event(connections, rates.connections, [&] { load_state.connection_opened(at(now)); });
+            per_event(served, rates.served, [&] {
+                int class_index = sequence++ % 2;
+                double latency_ms = rates.server_ms * (class_index + 1) * (0.7 + 0.1 * (sequence % 7));
+                load_state.request_completed(at(now), class_index, true, Duration{latency_ms + 5});
+                load_state.server_responded(at(now), class_index, Duration{latency_ms});
             });
             if (auto change = load_state.poll_change(at(now))) changes.push_back(*change);
         }
     }
-    int called(State state) const {
-        int count = 0;
-        for (const auto& change : changes) count += change.to == state;
-        return count;
+    int count(State state) const {
+        int changes_to_state = 0;
+        for (const auto& change : changes) changes_to_state += change.to == state;
+        return changes_to_state;
     }
     /// How long it took until this was called, ms; negative: it was not.
-    double after(State state, double from) const {
+    double delay_until(State state, double from) const {
         for (const auto& change : changes)
             if (change.to == state) return (change.at - at(from)).count();
         return -1;
     }
-    void list(UpdateKind kind, const std::vector<EndpointEntry>& entries) {
+    void update_list(UpdateKind kind, const std::vector<EndpointEntry>& entries) {
         EndpointUpdate update;
         update.kind = kind;
         update.entries = entries;
@@ -76,123 +79,130 @@
     return e;
 }
 
-TEST(LoadState, ABusyDayIsNoStorm) {
-    Day day;
+TEST(LoadState, StaysBelowStormAtPeaksOfNormalLoad) {
+    SimulatedNode node;
     // Waves up to what the servers can do and a little beyond: some are refused at each peak and come again.
     for (int wave = 0; wave < 20; ++wave) {
-        day.pass(4000, {.first = 140, .served = 140});
-        day.pass(2000, {.first = 210, .repeats = 30, .refused = 40, .served = 200, .server_ms = 40});
-        day.pass(1000, {.first = 230, .repeats = 100, .refused = 130, .served = 200, .server_ms = 45});
+        node.advance(4000, {.first_attempts = 140, .served = 140});
+        node.advance(2000,
+                     {.first_attempts = 210, .retries = 30, .rejected = 40, .served = 200, .server_ms = 40});
+        node.advance(
+            1000, {.first_attempts = 230, .retries = 100, .rejected = 130, .served = 200, .server_ms = 45});
     }
-    EXPECT_EQ(day.called(State::Storm), 0);
-    EXPECT_EQ(day.called(State::Brownout), 0);
-    EXPECT_GT(day.called(State::Busy), 0);
+    EXPECT_EQ(node.count(State::Storm), 0);
+    EXPECT_EQ(node.count(State::Brownout), 0);
+    EXPECT_GT(node.count(State::Busy), 0);
 }
 
-TEST(LoadState, MoreThanCanBeAnsweredAndAskedAgainIsAStorm) {
-    Day day;
-    day.pass(10000, {});
-    day.pass(6000, {.first = 320, .repeats = 180, .refused = 290, .served = 210, .server_ms = 45});
-    EXPECT_EQ(day.load_state.state(), State::Storm);
-    EXPECT_GT(day.after(State::Storm, 10000), 1000);
-    EXPECT_LT(day.after(State::Storm, 10000), 4000);
-    EXPECT_EQ(day.called(State::Brownout), 0);
+TEST(LoadState, ReportsStormWhenRejectedClientsRetry) {
+    SimulatedNode node;
+    node.advance(10000, {});
+    node.advance(6000,
+                 {.first_attempts = 320, .retries = 180, .rejected = 290, .served = 210, .server_ms = 45});
+    EXPECT_EQ(node.load_state.state(), State::Storm);
+    EXPECT_GT(node.delay_until(State::Storm, 10000), 1000);
+    EXPECT_LT(node.delay_until(State::Storm, 10000), 4000);
+    EXPECT_EQ(node.count(State::Brownout), 0);
     // What is called is not taken for usual.
-    EXPECT_NEAR(day.load_state.signals().usual_first_attempts_per_s, 200, 30);
-    day.pass(8000, {});
-    EXPECT_EQ(day.load_state.state(), State::Calm);
+    EXPECT_NEAR(node.load_state.signals().usual_first_attempts_per_s, 200, 30);
+    node.advance(8000, {});
+    EXPECT_EQ(node.load_state.state(), State::Calm);
 }
 
-TEST(LoadState, FewerAnswersThoughNoMoreComesIsABrownout) {
-    Day day;
-    day.pass(10000, {});
-    day.pass(5000, {.first = 200, .repeats = 90, .refused = 190, .served = 100, .server_ms = 70});
-    EXPECT_EQ(day.load_state.state(), State::Brownout);
-    EXPECT_LT(day.after(State::Brownout, 10000), 3000);
-    EXPECT_EQ(day.called(State::Storm), 0);
-    EXPECT_GT(day.changes.back().signals.slowdown, 1.35);
-    day.pass(8000, {});
-    EXPECT_EQ(day.load_state.state(), State::Calm);
+TEST(LoadState, ReportsBrownoutWhenLessIsServedAtUsualLoad) {
+    SimulatedNode node;
+    node.advance(10000, {});
+    node.advance(5000,
+                 {.first_attempts = 200, .retries = 90, .rejected = 190, .served = 100, .server_ms = 70});
+    EXPECT_EQ(node.load_state.state(), State::Brownout);
+    EXPECT_LT(node.delay_until(State::Brownout, 10000), 3000);
+    EXPECT_EQ(node.count(State::Storm), 0);
+    EXPECT_GT(node.changes.back().signals.slowdown, 1.35);
+    node.advance(8000, {});
+    EXPECT_EQ(node.load_state.state(), State::Calm);
 }
 
-TEST(LoadState, NoAnswersAtAllAndACrowdThatAsksAgainIsAStorm) {
-    Day day;
-    day.pass(10000, {});
-    day.pass(6000, {.first = 200, .repeats = 400, .refused = 600, .served = 0});
-    EXPECT_EQ(day.load_state.state(), State::Storm);
+TEST(LoadState, ReportsStormWhenNothingIsServedAndClientsRetry) {
+    SimulatedNode node;
+    node.advance(10000, {});
+    node.advance(6000, {.first_attempts = 200, .retries = 400, .rejected = 600, .served = 0});
+    EXPECT_EQ(node.load_state.state(), State::Storm);
 }
 
-TEST(LoadState, OneTenantsStormIsCalledByItsName) {
-    Day day;
-    day.pass(10000, {});
-    day.pass(5000, {.first = 400, .refused = 60, .served = 340, .tenant = 1, .of_tenant = 270});
-    EXPECT_EQ(day.load_state.state(), State::Storm);
-    ASSERT_FALSE(day.changes.empty());
-    EXPECT_EQ(day.changes.back().signals.tenant, 1);
-    EXPECT_GT(day.changes.back().signals.tenant_growth, 3);
+TEST(LoadState, NamesTenantThatCausesStorm) {
+    SimulatedNode node;
+    node.advance(10000, {});
+    node.advance(
+        5000,
+        {.first_attempts = 400, .rejected = 60, .served = 340, .tenant = 1, .tenant_first_attempts = 270});
+    EXPECT_EQ(node.load_state.state(), State::Storm);
+    ASSERT_FALSE(node.changes.empty());
+    EXPECT_EQ(node.changes.back().signals.tenant, 1);
+    EXPECT_GT(node.changes.back().signals.tenant_growth, 3);
 }
 
-TEST(LoadState, ServersThatDrainAndNewOnesAreARelease) {
-    Day day;
-    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3), entry(4)});
-    day.pass(5000, {});
-    EXPECT_EQ(day.load_state.state(), State::Calm);
-    day.list(UpdateKind::Delta, {entry(1, Phase::Draining), entry(2, Phase::Draining)});
-    day.pass(1000, {});
-    EXPECT_EQ(day.load_state.state(), State::Release);
-    day.list(UpdateKind::Delta, {entry(1, Phase::Removed), entry(5, Phase::Ready, at(day.now - 500))});
-    day.pass(9000, {});
-    EXPECT_EQ(day.load_state.state(), State::Release) << "the new one warms still";
-    day.pass(9000, {});
-    EXPECT_EQ(day.load_state.state(), State::Calm);
-    EXPECT_EQ(day.changes.size(), 2u);
+TEST(LoadState, ReportsReleaseWhenServersDrainAndStart) {
+    SimulatedNode node;
+    node.update_list(UpdateKind::Full, {entry(1), entry(2), entry(3), entry(4)});
+    node.advance(5000, {});
+    EXPECT_EQ(node.load_state.state(), State::Calm);
+    node.update_list(UpdateKind::Delta, {entry(1, Phase::Draining), entry(2, Phase::Draining)});
+    node.advance(1000, {});
+    EXPECT_EQ(node.load_state.state(), State::Release);
+    node.update_list(UpdateKind::Delta,
+                     {entry(1, Phase::Removed), entry(5, Phase::Ready, at(node.now - 500))});
+    node.advance(9000, {});
+    EXPECT_EQ(node.load_state.state(), State::Release) << "the new one warms still";
+    node.advance(9000, {});
+    EXPECT_EQ(node.load_state.state(), State::Calm);
+    EXPECT_EQ(node.changes.size(), 2u);
 }
 
-TEST(LoadState, ListsThatSayNothingNewAreNoRelease) {
-    Day day;
-    day.list(UpdateKind::Cached, {entry(8), entry(9)});
-    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
-    day.pass(3000, {});
-    day.list(UpdateKind::Full, {});
-    day.list(UpdateKind::Failed, {});
-    day.list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
-    day.list(UpdateKind::Delta, {entry(2, Phase::Removed)});  // crashed: it did not drain
-    day.pass(3000, {});
-    day.list(UpdateKind::Delta, {entry(2, Phase::Ready, at(-60000))});
-    day.pass(3000, {});
-    EXPECT_TRUE(day.changes.empty());
+TEST(LoadState, ReportsNoReleaseForUnchangedLists) {
+    SimulatedNode node;
+    node.update_list(UpdateKind::Cached, {entry(8), entry(9)});
+    node.update_list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
+    node.advance(3000, {});
+    node.update_list(UpdateKind::Full, {});
+    node.update_list(UpdateKind::Failed, {});
+    node.update_list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
+    node.update_list(UpdateKind::Delta, {entry(2, Phase::Removed)});  // crashed: it did not drain
+    node.advance(3000, {});
+    node.update_list(UpdateKind::Delta, {entry(2, Phase::Ready, at(-60000))});
+    node.advance(3000, {});
+    EXPECT_TRUE(node.changes.empty());
 }
 
-TEST(LoadState, ABurstBehindAStartIsNoStorm) {
-    Day day;
-    day.pass(2000, {.first = 600, .repeats = 400, .refused = 800, .served = 200});
-    day.pass(5000, {});
-    EXPECT_EQ(day.called(State::Storm), 0);
-    EXPECT_EQ(day.called(State::Brownout), 0);
+TEST(LoadState, ReportsNoStormForBurstAfterStart) {
+    SimulatedNode node;
+    node.advance(2000, {.first_attempts = 600, .retries = 400, .rejected = 800, .served = 200});
+    node.advance(5000, {});
+    EXPECT_EQ(node.count(State::Storm), 0);
+    EXPECT_EQ(node.count(State::Brownout), 0);
 }
 
-TEST(LoadState, ASilenceEndsWhatWasCalled) {
-    Day day;
-    day.pass(10000, {});
-    day.pass(6000, {.first = 320, .repeats = 180, .refused = 290, .served = 210});
-    ASSERT_EQ(day.load_state.state(), State::Storm);
+TEST(LoadState, ReturnsToCalmAfterSilence) {
+    SimulatedNode node;
+    node.advance(10000, {});
+    node.advance(6000, {.first_attempts = 320, .retries = 180, .rejected = 290, .served = 210});
+    ASSERT_EQ(node.load_state.state(), State::Storm);
     // A node that stood still, too: it hears all at once.
-    day.now += 3.6e6;
-    day.pass(4000, {});
-    EXPECT_EQ(day.load_state.state(), State::Calm);
+    node.now += 3.6e6;
+    node.advance(4000, {});
+    EXPECT_EQ(node.load_state.state(), State::Calm);
 }
 
 // Whatever comes: it tells of each change once, in the order of their times, and what it was before fits.
-TEST(LoadState, TellsOfEachChangeOnceWhateverComes) {
+TEST(LoadState, ReportsEachChangeOnceForRandomEvents) {
     EXPECT_TRUE(rc::check([](const std::vector<std::uint32_t>& events) {
         LoadState load_state({Duration{600}, Duration{1500}}, 3);
         double now = 0;
-        State known = State::Calm;
-        TimePoint told = at(0);
+        State reported = State::Calm;
+        TimePoint last_change = at(0);
         for (std::uint32_t event : events) {
             now += event % 11 == 0 ? event >> 8 & 0xffff : event >> 8 & 0x3f;
-            int many = 1 + int(event >> 24) % 40;
-            for (int i = 0; i < many; ++i) switch (event % 5) {
+            int repetitions = 1 + int(event >> 24) % 40;
+            for (int i = 0; i < repetitions; ++i) switch (event % 5) {
                     case 0:
                         load_state.request_arrived(at(now), int(event >> 5) % 4 - 1, event & 0x20);
                         break;
@@ -210,17 +220,17 @@
                     default:
                         load_state.connection_opened(at(now));
                 }
-            State before = load_state.state();
+            State previous = load_state.state();
             auto change = load_state.poll_change(at(now));
             if (change) {
                 RC_ASSERT(change->to == load_state.state());
-                RC_ASSERT(change->at >= told);
-                told = change->at;
-                known = change->to;
+                RC_ASSERT(change->at >= last_change);
+                last_change = change->at;
+                reported = change->to;
             } else {
-                RC_ASSERT(load_state.state() == before);
+                RC_ASSERT(load_state.state() == previous);
             }
-            RC_ASSERT(known == load_state.state());
+            RC_ASSERT(reported == load_state.state());
             const LoadState::OverloadSignals& s = load_state.signals();
             RC_ASSERT(std::isfinite(s.slowdown) && s.retry_fraction <= 1 && s.rejected_fraction <= 1 &&
                       s.late_fraction <= 1);
