--- a/lab/equivalence/admission.cpp
+++ b/lab/equivalence/admission.cpp
@@ -1,5 +1,5 @@
-// Decisions of admission control, of the advice given to rejected clients and of the load state, on random
-// requests: an overload, a crowd that comes back too early, and servers that slow down and leave.
+// Decisions of admission control, of the Retry-After given to rejected clients and of the load state, on
+// random requests: an overload, clients that retry too early, and servers that slow down and leave.
 #include "admission/admission.h"
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 enum class Call : std::uint8_t { Admit, Complete, RejectLater, RejectConnection, ConnectionOpened, Poll };
 
-/// What was asked of admission control.
+/// A call of admission control.
 struct Event {
     Call call{};
     int class_index = 0;
@@ -25,7 +25,7 @@
     bool is_retry = false;
     std::uint64_t client = 0;
 };
-/// What it returned, in numbers, and what it holds afterwards.
+/// Its result as a number, and the state afterwards.
 struct Decision {
     double value = 0;
     std::uint64_t open = 0;
@@ -61,7 +61,7 @@
                                                     std::uint8_t(admission.load_state().state())}});
     };
     for (int step = 0; step < kSteps; ++step) {
-        // Calm, then an overload, then slow servers, then calm again.
+        // Normal load, then an overload, then slow servers, then normal load again.
         const int phase = step * 4 / kSteps;
         now += Duration{(phase == 1 ? 0.5 : 4.0) * uniform()};
         while (!open.empty() && open.front().end <= now) {
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,31 +6,53 @@
 namespace ochrehub {
 namespace {
 
-constexpr Duration kMinRetryDelay{250};    // no sooner: a refusal must be a rest
-constexpr Duration kMinReturnWindow{800};  // of a window: few who come together are no crowd
-constexpr double kMinRetryDelayFraction = 0.25,
-                 kMinReturnWindowFraction =
-                     0.5;         // ... of the time of clients who wait for less than twice kSoonest
-constexpr int kSampledSlots = 4;  // slots that are looked at for the emptiest
-constexpr std::uint64_t kEarlyToleranceSlots = 2;  // slots by which one may be early, for the way
-constexpr std::uint64_t kLateToleranceSlots = 4;   // ... or late
-constexpr double kReturnRateFraction = 0.5;        // of what is served: the rest is first tries
+/// A rejected client must pause: no Retry-After is shorter, unless its timeout is short.
+constexpr Duration kMinRetryDelay{250};
+/// The window that retries are spread over is at least this long: a few simultaneous clients are no crowd.
+constexpr Duration kMinReturnWindow{800};
+/// Replaces kMinRetryDelay for clients that wait for less than twice as long, as a fraction of their timeout.
+constexpr double kMinRetryDelayFraction = 0.25;
+/// Replaces kMinReturnWindow for the same clients, as a fraction of their timeout.
+constexpr double kMinReturnWindowFraction = 0.5;
+/// Moments that are sampled to find the least reserved slot.
+constexpr int kSampledSlots = 4;
+/// Slots by which a scheduled retry may arrive early, for variations in network latency.
+constexpr std::uint64_t kEarlyToleranceSlots = 2;
+/// Slots by which a scheduled retry may arrive late.
+constexpr std::uint64_t kLateToleranceSlots = 4;
+/// Fraction of the served rate that retries are scheduled at; the rest is for first attempts.
+constexpr double kReturnRateFraction = 0.5;
+/// Time constant of the smoothed rate of served requests.
 constexpr Duration kServedRateTimeConstant{2000};
+/// Gain of the smoothed latencies, per served request.
 constexpr double kLatencyGain = 0.05;
-constexpr double kMaxCapacityFraction = 0.9;        // of the connections, for requests that are open
-constexpr double kMinCapacityFraction = 0.7;        // ... the class that is worth the least for its time
-constexpr double kUnscheduledRetryFraction = 0.5;   // ... and repeats out of turn
-constexpr double kNoncompliantRetryFraction = 0.3;  // ... of those who come out of turn again and again
-constexpr int kNoncompliantEarlyRetries = 2;        // strikes
-constexpr double kBorrowableFraction = 0.8;  // ... of its part, till where a tenant may use what others leave
-constexpr double kShareSlackDeviations =
-    3;  // how far chance carries one that is at its share, in its standard deviations
-constexpr Duration kMaxOpenTime{400};  // ... and never more than are served in this time, by the most of late
-constexpr double kMaxOpenTimeLatencies =
-    2;                                // ... or in so many times what answers take usually, if that is more
-constexpr double kMinOpenLimit = 24;  // ... but so many, of a node that serves few
+/// Fraction of the connections that open requests may hold, for the class with the most priority weight for
+/// its latency.
+constexpr double kMaxCapacityFraction = 0.9;
+/// The same for the class with the least priority weight for its latency.
+constexpr double kMinCapacityFraction = 0.7;
+/// The same for unscheduled retries.
+constexpr double kUnscheduledRetryFraction = 0.5;
+/// The same for unscheduled retries of clients that ignore Retry-After.
+constexpr double kNoncompliantRetryFraction = 0.3;
+/// From this many early retries on a client counts as ignoring Retry-After.
+constexpr int kNoncompliantEarlyRetries = 2;
+/// Fraction of its class's capacity up to which a tenant may use what others leave free, for the class with
+/// the least priority weight for its latency; it rises to 1 for the class with the most.
+constexpr double kBorrowableFraction = 0.8;
+/// A tenant at its share exceeds it at times by chance; up to this many standard deviations are tolerated.
+constexpr double kShareSlackDeviations = 3;
+/// No more requests are open than are served within this time, at the recent peak rate.
+constexpr Duration kMaxOpenTime{400};
+/// The same in multiples of the servers' usual latency, where that is longer than kMaxOpenTime.
+constexpr double kMaxOpenTimeLatencies = 2;
+/// This many requests may be open even at a node that serves few.
+constexpr double kMinOpenLimit = 24;
+/// Time constant by which the recent peak of the served rate decays.
 constexpr Duration kPeakRateTimeConstant{30000};
-constexpr Duration kOnTimeTolerance{100};  // by which one may be early or late
+/// A retry this much before or after its time is on time.
+constexpr Duration kOnTimeTolerance{100};
+/// How long after a client's retry was due its early retries are remembered.
 constexpr Duration kComplianceMemory{10000};
 
 }  // namespace
@@ -77,7 +99,7 @@
 
 bool RetryAfterSchedule::claim(TimePoint now) {
     advance(now);
-    // Oldest first: those behind may still be on time.
+    // Oldest slot first: retries reserved in later slots may still arrive on time.
     for (std::uint64_t slot = oldest_slot_; slot <= slot_of(now) + kEarlyToleranceSlots; ++slot) {
         std::uint16_t& reservations = reservations_[slot % kSlots];
         if (reservations == 0) continue;
@@ -93,6 +115,7 @@
     return reserved_;
 }
 
+// The finalizer of MurmurHash3.
 std::uint64_t RetryAfterCompliance::hash_of(std::uint64_t client) {
     client = (client ^ client >> 33) * 0xff51afd7ed558ccd;
     client = (client ^ client >> 33) * 0xc4ceb9fe1a85ec53;
@@ -175,7 +198,7 @@
            classes_.capacity() * sizeof(Class) + tenants_.capacity() * sizeof(Tenant);
 }
 
-// Between the least and the most by how many other classes are worth less for their time.
+// Between the minimum and the maximum, by how many other classes have less priority weight for their latency.
 double AdmissionController::capacity_fraction(const Class& request_class) const {
     auto density = [](const Class& c) { return c.priority_weight / std::max(1.0, c.latency_ms); };
     double below = 0;
@@ -184,8 +207,9 @@
     return kMinCapacityFraction + (kMaxCapacityFraction - kMinCapacityFraction) * rank;
 }
 
-// Max-min fair: filled up to this tenant's level, by their shares, do all together use the room up? A tenant
-// that has more for a moment than its share, as chance has it, is not beyond it.
+// Max-min fairness: if every tenant were filled up to this tenant's level, in proportion to their shares,
+// would all together use up the capacity? A tenant that is above its share for a moment by chance does not
+// exceed it.
 bool AdmissionController::exceeds_fair_share(const Tenant& tenant, double capacity) const {
     double shares = 0, sum = 0;
     for (const Tenant& other : tenants_) shares += other.share;
@@ -211,7 +235,7 @@
     RetryAfterCompliance::Arrival arrival =
         client != 0 ? compliance_.record_arrival(now, client) : RetryAfterCompliance::Arrival::Unknown;
     load_state_.request_arrived(now, request.tenant, request.is_retry);
-    // One that is known to come too early takes nobody's seat.
+    // A retry that is known to be early does not claim another client's reservation.
     bool scheduled = !request.is_retry;
     if (request.is_retry && arrival != RetryAfterCompliance::Arrival::Early)
         scheduled = retry_after_.claim(now) || arrival == RetryAfterCompliance::Arrival::OnTime;
@@ -221,21 +245,22 @@
         fraction = client != 0 && compliance_.early_retries(now, client) >= kNoncompliantEarlyRetries
                        ? kNoncompliantRetryFraction
                        : kUnscheduledRetryFraction;
-    // Of the most and not of what is served now: that would fall for its own fall, and never rise above what
-    // is let in.
+    // The recent peak, not the current rate: a limit that followed the current rate would lower the rate
+    // further when it falls, and would never rise above what is admitted.
     double peak_per_s = peak_served_per_s_ * std::exp(-((now - peak_served_at_) / kPeakRateTimeConstant));
     double capacity = max_connections_;
     if (!first_request_at_) first_request_at_ = now;
-    // Behind a start nothing is known of the rate yet, and a burst is no storm. What answers take when
-    // nothing is wrong stands there by itself: as little room as that would be refused for no need, and the
-    // rate fall with it.
+    // After a start the rate is unknown, and a burst is no storm. As many requests as the servers' usual
+    // latency accounts for are open at any time; a limit as low as that would reject requests without need
+    // and so lower the rate.
     Duration max_open_time = std::max(kMaxOpenTime, Duration{kMaxOpenTimeLatencies * usual_latency_ms_});
     if (now - *first_request_at_ >= std::max(kServedRateTimeConstant, 2 * max_open_time))
         capacity = std::min(capacity, std::max(kMinOpenLimit, peak_per_s * max_open_time.count() / 1000));
     capacity *= fraction;
     if (!limits_open_requests_) return true;
     if (double(open_requests_) >= std::max(1.0, capacity)) return false;
-    // What is worth the least for its time makes way first here too. Who comes as it was told keeps its turn.
+    // Classes with the least priority weight for their latency give way first here too. A scheduled retry is
+    // admitted even if its tenant exceeds its share.
     double rank = (class_fraction - kMinCapacityFraction) / (kMaxCapacityFraction - kMinCapacityFraction);
     double borrowable = capacity * (kBorrowableFraction + (1 - kBorrowableFraction) * rank);
     return (request.is_retry && scheduled) || double(open_requests_) < borrowable ||
@@ -285,7 +310,7 @@
 
 Duration AdmissionController::reject_connection(TimePoint now, const AdmissionRequest& request) {
     load_state_.request_arrived(now, request.tenant, request.is_retry);
-    return schedule_retry(now, request, {});  // nobody has read what it asks for
+    return schedule_retry(now, request, {});  // the request is unread, so its class is unknown
 }
 
 }  // namespace ochrehub
--- a/src/admission/load_state.cpp
+++ b/src/admission/load_state.cpp
@@ -7,15 +7,24 @@
 namespace ochrehub {
 namespace {
 
-constexpr double kLearningTimeConstantMs = 20000;  // ms
+/// Time constant by which usual values are learned, in ms.
+constexpr double kLearningTimeConstantMs = 20000;
+/// Time constant by which the peak of the served rate decays, in ms.
 constexpr double kPeakServedTimeConstantMs = 60000;
-constexpr std::uint32_t kMinLearnedSteps = 12;  // steps, before anything is held against what is usual
-constexpr double kLateTimeoutFraction = 0.5;    // of the time that a client waits
-constexpr Duration kNewServerAge{10000};        // a server that started since is new
-constexpr double kMinTenantFraction = 0.07;     // of all that comes: what one must ask to be called
-constexpr int kStormEntrySteps = 8;  // steps that it must be seen before it is called; a peak is shorter
+/// Nothing is compared with its usual value before it was learned in this many steps.
+constexpr std::uint32_t kMinLearnedSteps = 12;
+/// A request is late after this fraction of its client's timeout.
+constexpr double kLateTimeoutFraction = 0.5;
+/// A server that started within this time is new.
+constexpr Duration kNewServerAge{10000};
+/// A tenant's growth is measured against at least this fraction of all usual first attempts.
+constexpr double kMinTenantFraction = 0.07;
+/// Steps that a storm must be observed for before it is reported; peaks of normal load are shorter.
+constexpr int kStormEntrySteps = 8;
+/// Steps that the other states must be observed for before they are reported.
 constexpr int kEntrySteps = 2;
-constexpr int kExitSteps = 8;  // ... and before it is over
+/// Steps that a lower state must be observed for before it replaces a higher one.
+constexpr int kExitSteps = 8;
 
 bool contains_sorted(const std::vector<EndpointId>& ids, EndpointId id) {
     return std::binary_search(ids.begin(), ids.end(), id);
@@ -48,7 +57,7 @@
 LoadState::Step& LoadState::step(TimePoint now) {
     auto at = std::uint64_t(std::max(0.0, now.time_since_epoch() / kStep));
     if (first_step_ == 0) first_step_ = current_step_ = at;
-    // Behind a long silence the window is empty, and all that was of late is over.
+    // After a long silence the window is empty and all recent counts have expired.
     if (at > current_step_ + newly_started_.size()) current_step_ = at - newly_started_.size();
     while (current_step_ < at) close_step();
     return steps_[current_step_ % kSteps];
@@ -114,7 +123,7 @@
         }
         erase_sorted(ready_, entry.endpoint);
     }
-    // What a node keeps from before its start says nothing of now.
+    // A list cached before the start of this node says nothing about current changes.
     has_list_ = update.kind != UpdateKind::Cached || has_list_;
 }
 
@@ -153,7 +162,7 @@
         Tenant& t = tenants_[i];
         const double fade = std::exp(-1 / double(kSteps));
         t.recent_per_s = t.recent_per_s * fade + t.arrived * (1 - fade) * 1000 / kStep.count();
-        // One that asks little must not be called for a few more, nor one that asked nothing.
+        // A tenant with few or no usual requests must not be reported for a few more.
         double growth = t.recent_per_s /
                         std::max(t.usual_per_s, kMinTenantFraction * signals_.usual_first_attempts_per_s);
         if (learned_steps_ < kMinLearnedSteps || growth <= signals_.tenant_growth) continue;
@@ -165,7 +174,7 @@
 void LoadState::close_step() {
     update_signals();
     State observed = classify();
-    // What is called is not what is usual, nor is what may be called in the next step.
+    // Steps in a higher state are not usual, nor are steps that may lead to one.
     if (current_step_ - first_step_ >= kSteps && state_ <= State::Busy && observed <= State::Busy) learn();
     for (Class& c : classes_) c.log_ms_sum = c.responses = 0;
     for (Tenant& t : tenants_) t.arrived = 0;
@@ -196,7 +205,7 @@
     signals_.usual_connections_per_s +=
         gain(learned_steps_) * (signals_.connections_per_s - signals_.usual_connections_per_s);
     for (Tenant& t : tenants_) {
-        // What grows all at once becomes usual slowly, or a storm would be usual before it is called.
+        // A sudden increase is learned slowly; a storm would otherwise become usual before it is reported.
         bool is_sudden = learned_steps_ >= kMinLearnedSteps && t.recent_per_s > 2 * t.usual_per_s;
         t.usual_per_s += gain(learned_steps_) * (is_sudden ? 0.125 : 1) * (t.recent_per_s - t.usual_per_s);
     }
@@ -218,14 +227,14 @@
     const bool has_usual = learned_steps_ >= kMinLearnedSteps;
     const bool storm = state_ == State::Storm, brownout = state_ == State::Brownout;
     const double first_attempts = s.requests_per_s * (1 - s.retry_fraction);
-    // Fewer are answered than could be before, though no more come: the servers have less to give.
+    // Fewer requests are served than before although no more arrive: the servers' capacity has fallen.
     const bool serves_less =
         has_usual && s.served_per_s < 0.8 * s.peak_served_per_s && s.served_per_s > 0.1 * s.peak_served_per_s;
     const bool no_more_requests = first_attempts < (brownout ? 1.6 : 1.35) * s.usual_first_attempts_per_s;
     if (serves_less && no_more_requests && s.slowdown >= (brownout ? 1.15 : 1.35) &&
         s.rejected_fraction >= (brownout ? 0.1 : 0.25))
         return State::Brownout;
-    // More comes than can be answered, and what was refused comes again.
+    // More requests arrive than can be served, and rejected clients retry.
     if (has_usual && s.rejected_fraction >= (storm ? 0.15 : 0.35) &&
         s.retry_fraction >= (storm ? 0.15 : 0.25))
         return State::Storm;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,5 +1,5 @@
-// What a node lets in and when those sent away come back: each loop that it breaks, caused, and what holds
-// whatever comes.
+// Admission control: each test of a feedback loop provokes the loop that admission control must break; the
+// property tests check invariants for random events.
 #include "admission/admission.h"
 
 #include <gtest/gtest.h>
@@ -22,8 +22,8 @@
     return {{5, 3, 8, 3}, {}, {}, max_connections, Duration{max_retry_after}, 7, true};
 }
 
-/// Lets one in and out again, so that admission control knows that so many a second are served, each in its
-/// class's time.
+/// Admits and completes requests at this rate, each with the latency of its class, so that admission control
+/// learns the served rate.
 void serve(AdmissionController& admission, double from, double to, double per_s) {
     const std::vector<double> latency_ms = {50, 60, 200, 200};
     int class_index = 0;
@@ -42,7 +42,8 @@
         EXPECT_LE(back, 1200);
         ++returns[int(back / 100)];
     }
-    // A draw between 500 and 1,500 that is cut to 1,200 sends three in ten of them back at one moment.
+    // Delays sampled between 500 and 1,500 and cut to 1,200 would send three in ten clients back at one
+    // moment.
     for (const auto& [step, count] : returns) EXPECT_LT(count, 1.2 * 2000 / 9.5) << step;
 }
 
@@ -63,15 +64,14 @@
     double back = retry_after.reserve(at(0), 100).count();
     EXPECT_FALSE(retry_after.claim(at(1)));
     EXPECT_TRUE(retry_after.claim(at(back + 5)));
-    EXPECT_FALSE(retry_after.claim(at(back + 6))) << "one seat, once";
+    EXPECT_FALSE(retry_after.claim(at(back + 6))) << "the reservation is claimed already";
     back = retry_after.reserve(at(2000), 100).count();
     EXPECT_FALSE(retry_after.claim(at(2000 + back + 400))) << "too late";
     EXPECT_EQ(retry_after.reserved(at(10000)), 0u);
 }
 
-// Requests that waited held all connections that clients may have; whoever came then was told by admission
-// control that there is no room, its connection closed, and asked again on another: 4,000 of them in 30 s
-// where 450 are needed.
+// Waiting requests held all client connections. New clients' connections were closed, and the clients retried
+// on others: 4,000 connections in 30 s where 450 are needed.
 TEST(AdmissionController, LimitsOpenRequestsBelowConnectionLimit) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
@@ -86,13 +86,13 @@
 TEST(AdmissionController, RejectsUnscheduledRetriesThenLowestWeightPerLatencyFirst) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
-    std::vector<int> kinds;  // of class 0 to 3, and repeats as 4
+    std::vector<int> kinds;  // classes 0 to 3, and retries as 4
     std::map<int, std::size_t> open_at_rejection;
     for (int i = 0; i < 1000; ++i)
         for (int kind : {4, 3, 1, 2, 0})
             if (admission.admit(at(5000), {kind % 4, kNone, kind == 4}) && !open_at_rejection.contains(kind))
                 open_at_rejection[kind] = admission.open_requests();
-    // Worth for the time: 0.1, 0.05, 0.04, 0.015.
+    // Priority weight per latency: 0.1, 0.05, 0.04, 0.015.
     EXPECT_EQ(open_at_rejection[4], 50u);
     EXPECT_EQ(open_at_rejection[3], 70u);
     EXPECT_LT(open_at_rejection[2], open_at_rejection[1]);
@@ -107,13 +107,13 @@
     while (!admission.admit(at(5000), {3, kNone, false})) ++open;
     auto back = admission.admit(at(5000), {3, kNone, false});
     ASSERT_TRUE(back);
-    // 55 open: closed to repeats out of turn.
+    // 55 open: unscheduled retries are rejected.
     for (int i = 0; i < 15; ++i) admission.complete(at(5001), {3}, false, Duration{1});
     EXPECT_TRUE(admission.admit(at(5002), {0, kNone, true}));
     EXPECT_FALSE(admission.admit(at(5000 + back->count()), {0, kNone, true}));
 }
 
-// In a brownout less is served; if what may be open followed that down, less would be served for it.
+// In a brownout fewer requests are served. A limit that followed the served rate would lower it further.
 TEST(AdmissionController, DerivesOpenLimitFromPeakServedRate) {
     AdmissionController admission(settings(100000));
     serve(admission, 0, 10000, 500);
@@ -126,11 +126,11 @@
     int before = open_at(10000);
     EXPECT_NEAR(before, 0.9 * 0.4 * 500, 10);
     EXPECT_GT(open_at(15000), 0.8 * before) << "nothing was served for 5 s";
-    EXPECT_GE(open_at(1e6), 21) << "never nothing, whatever is forgotten";
+    EXPECT_GE(open_at(1e6), 21) << "the minimum limit remains when the peak has decayed";
 }
 
-// What a server takes for each stands open by itself. Where 400 ms were less than that, most were refused for
-// no need, the rate fell with what was let in, and the room with it.
+// As many requests are open as the server latency accounts for. With a fixed limit of 400 ms and a longer
+// usual latency most requests were rejected without need; the served rate fell, and the limit with it.
 TEST(AdmissionController, RejectsNothingAtLongUsualLatency) {
     for (double latency_ms : {50.0, 200.0, 300.0, 400.0, 900.0, 2500.0}) {
         AdmissionController admission(
@@ -152,14 +152,14 @@
     }
 }
 
-// ... and servers that slow down for a while get no more than before.
+// A temporary slowdown must not raise the limit as a long usual latency does.
 TEST(AdmissionController, KeepsOpenLimitWhileServersAreSlow) {
     AdmissionController admission(
         {{5, 3, 8, 3}, std::vector<Duration>(4, Duration{2000}), {}, 100'000, Duration{1200}, 7, true});
     std::multimap<double, int> open;
     std::size_t max_open = 0;
     int class_index = 0;
-    for (double t = 0; t < 40'000; t += 2, class_index = (class_index + 1) % 4) {  // 500 a second
+    for (double t = 0; t < 40'000; t += 2, class_index = (class_index + 1) % 4) {  // 500 requests per second
         double latency_ms = t < 10'000 ? 60 : 1200;
         while (!open.empty() && open.begin()->first <= t) {
             admission.complete(at(open.begin()->first), {open.begin()->second}, true, Duration{latency_ms},
@@ -173,7 +173,7 @@
     EXPECT_LT(max_open, 0.9 * 0.4 * 500 + 10);
 }
 
-// A node that has just started, or that stood still, has many requests at once and knows no rate yet.
+// A node that has just started or resumed receives many requests at once and knows no served rate yet.
 TEST(AdmissionController, AdmitsBurstAfterStart) {
     AdmissionController admission(settings(300));
     int admitted = 0;
@@ -181,7 +181,7 @@
         admitted += !admission.admit(at(i / 4.0), {i % 4, kNone, false}).has_value();
     EXPECT_EQ(admitted, 200);
     for (int i = 0; i < 100; ++i) admission.complete(at(100 + i), {i % 4}, true, Duration{90});
-    // Once it has watched for a while it holds to what it has seen served.
+    // After observing for a while it limits open requests by the served rate.
     for (int i = 0; i < 100; ++i) admission.complete(at(2500 + i), {i % 4}, true, Duration{90});
     int later = 0;
     for (int i = 0; i < 200; ++i) later += !admission.admit(at(2700), {i % 4, kNone, false}).has_value();
@@ -195,7 +195,7 @@
     EXPECT_EQ(admission.reject(at(0), {}).count(), 0);
 }
 
-// Told to come back when they had given up.
+// Clients were asked to retry after their own timeout had passed.
 TEST(AdmissionController, KeepsRetryAfterWithinShortClientTimeouts) {
     AdmissionController::Settings set = settings(100);
     set.request_timeouts = {Duration{200}, Duration{400}, Duration{500}, Duration{2000}};
@@ -209,7 +209,7 @@
             double back = admission.reject(at(t), {class_index}).count();
             shortest = std::min(shortest, back), longest = std::max(longest, back);
             EXPECT_TRUE(admission.admit(at(t + back), {class_index, kNone, true}) == std::nullopt)
-                << "it has a seat";
+                << "it has a reservation";
             admission.complete(at(t + back + 20), {class_index}, true, Duration{20});
         }
         EXPECT_NEAR(shortest, span[std::size_t(class_index)].first, 40) << class_index;
@@ -222,7 +222,7 @@
         {{5, 3, 8, 3}, {}, {0.5, 0.25, 0.25}, max_connections, Duration{1200}, 7, true});
 }
 
-/// Asks for one tenant till it is refused; how many entered.
+/// Sends requests of one tenant until one is rejected; returns how many were admitted.
 int fill(AdmissionController& admission, double ms, int tenant, int class_index = 3) {
     int admitted = 0;
     while (!admission.admit(at(ms), {class_index, tenant})) ++admitted;
@@ -232,17 +232,17 @@
 TEST(AdmissionController, ReservesCapacityForTenantsBelowTheirShare) {
     AdmissionController admission = shared_admission();
     serve(admission, 0, 5000, 1000);
-    // Of the 70 for its class one alone may use what nobody else does, but not the last of it.
+    // Of the 70 for its class a single tenant may use what no other uses, but not the last part.
     int alone = fill(admission, 5000, 1);
     EXPECT_GT(alone, 60);
     EXPECT_LT(alone, 70);
-    EXPECT_EQ(alone + fill(admission, 5000, 0), 70) << "what is within its share has the rest";
-    // As they leave, the one beyond its share does not come back in their place.
+    EXPECT_EQ(alone + fill(admission, 5000, 0), 70) << "a tenant within its share gets the rest";
+    // As its requests end, the tenant over its share does not get their places again.
     for (int i = 0; i < 20; ++i) admission.complete(at(5001), {3, 1}, false, Duration{1});
     EXPECT_LT(fill(admission, 5001, 1), 18);
     EXPECT_GT(fill(admission, 5001, 2), 2);
     for (int i = 0; i < 20; ++i) admission.complete(at(5002), {3, 1}, false, Duration{1});
-    EXPECT_EQ(fill(admission, 5002, 2), 20) << "a share of its own, unlike the other's third";
+    EXPECT_EQ(fill(admission, 5002, 2), 20) << "it has its own share";
 }
 
 TEST(AdmissionController, ToleratesRandomExcessOverTenantShare) {
@@ -252,7 +252,7 @@
     for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 1}));
     for (int i = 0; i < 15; ++i) ASSERT_FALSE(admission.admit(at(5000), {3, 2}));
     EXPECT_FALSE(admission.admit(at(5000), {3, 1})) << "15 of 60 is a quarter";
-    EXPECT_FALSE(admission.admit(at(5000), {3, kNone})) << "one of no tenant has a share too";
+    EXPECT_FALSE(admission.admit(at(5000), {3, kNone})) << "requests without a tenant have a share too";
 }
 
 TEST(AdmissionController, AdmitsScheduledRetryOfTenantOverItsShare) {
@@ -262,11 +262,11 @@
     auto back = admission.admit(at(5000), {3, 1, false, 77});
     ASSERT_TRUE(back);
     EXPECT_TRUE(admission.admit(at(5000 + back->count()), {3, 1, false, 78}))
-        << "a first try of the same tenant";
+        << "a first attempt of the same tenant";
     EXPECT_FALSE(admission.admit(at(5000 + back->count()), {3, 1, true, 77}));
 }
 
-// Those who ask again at once took the seats of whoever was due just then.
+// Clients that retried at once claimed the reservations of clients that were due at that moment.
 TEST(AdmissionController, EarlyRetryClaimsNoReservationOfAnotherClient) {
     for (bool is_identified : {false, true}) {
         AdmissionController admission(settings(100));
@@ -274,7 +274,7 @@
         while (!admission.admit(at(5000), {0})) continue;
         double due = 5000 + admission.reject(at(5000), {3, kNone, false, 1}).count();
         for (int i = 0; i < 25; ++i) admission.complete(at(5001), {0}, false, Duration{1});  // 65 open
-        // The other is told later, and comes when the first one is due.
+        // The other client is scheduled later and retries when the first is due.
         double later = due;
         while (later < due + 200)
             later = due - 50 + admission.reject(at(due - 50), {3, kNone, false, 2}).count();
@@ -288,14 +288,14 @@
 TEST(AdmissionController, RejectsClientThatRepeatedlyRetriesEarlyFirst) {
     AdmissionController admission(settings(100));
     serve(admission, 0, 5000, 1000);
-    for (int i = 0; i < 40; ++i) ASSERT_FALSE(admission.admit(at(5000), {0}));  // below what repeats may have
+    for (int i = 0; i < 40; ++i) ASSERT_FALSE(admission.admit(at(5000), {0}));  // below the limit for retries
     admission.reject(at(5000), {3, 0, false, 1});
-    EXPECT_FALSE(admission.admit(at(5001), {3, 0, true, 1})) << "once";
+    EXPECT_FALSE(admission.admit(at(5001), {3, 0, true, 1})) << "first early retry";
     admission.reject(at(5002), {3, 0, false, 1});
-    EXPECT_TRUE(admission.admit(at(5003), {3, 0, true, 1})) << "again";
+    EXPECT_TRUE(admission.admit(at(5003), {3, 0, true, 1})) << "second early retry";
     EXPECT_FALSE(admission.admit(at(5004), {3, 0, true, 2})) << "another connection";
-    EXPECT_FALSE(admission.admit(at(5004), {3, 0, false, 1})) << "its first tries are as good as any";
-    EXPECT_FALSE(admission.admit(at(30000), {3, 0, true, 1})) << "forgotten";
+    EXPECT_FALSE(admission.admit(at(5004), {3, 0, false, 1})) << "first attempts are not affected";
+    EXPECT_FALSE(admission.admit(at(30000), {3, 0, true, 1})) << "early retries have expired";
 }
 
 TEST(RetryAfterCompliance, HalvesEarlyRetriesOnCompliance) {
@@ -314,8 +314,7 @@
     EXPECT_EQ(compliance.record_arrival(at(1500), 5), RetryAfterCompliance::Arrival::Unknown) << "too late";
 }
 
-// A million clients, each told and some of them deaf: what admission control holds is what it held before
-// they came.
+// A million clients are asked to retry, and some of them ignore it: the memory in use stays as it was before.
 TEST(AdmissionController, AllocatesNothingForAMillionClients) {
     AdmissionController admission = shared_admission(300);
     serve(admission, 0, 3000, 300);
@@ -339,12 +338,12 @@
     EXPECT_LT(bytes, 45000u);
 }
 
-// Whatever comes: as many are open as entered and did not leave, nobody is refused while little is open, and
-// advice is heeded advice.
+// For any events: the open requests are those admitted and not completed, no request is rejected while few
+// are open, and Retry-After is within its limits.
 TEST(AdmissionController, KeepsInvariantsForRandomEvents) {
     EXPECT_TRUE(rc::check([](std::vector<std::uint32_t> events) {
         AdmissionController admission(settings(40));
-        std::vector<int> open;  // classes
+        std::vector<int> open;  // class indices
         double now = 0;
         for (std::uint32_t event : events) {
             now += event >> 8 & 0xff;
@@ -362,14 +361,14 @@
             RC_ASSERT(admission.open_requests() == open.size());
             RC_ASSERT(open.size() <= 40u);
         }
-        // Free capacity: whoever comes then enters.
+        // With free capacity every request is admitted.
         while (!open.empty()) admission.complete(at(now), {open.back()}, false, Duration{1}), open.pop_back();
         for (int class_index = 0; class_index < 4; ++class_index)
             RC_ASSERT(!admission.admit(at(now), {class_index, kNone, true}));
     }));
 }
 
-// Every seat that was given is taken once or passes, whoever asks.
+// Every reservation is claimed once or expires, whichever client retries.
 TEST(RetryAfterSchedule, CountsReservationsForRandomEvents) {
     EXPECT_TRUE(rc::check([](std::vector<std::uint32_t> events) {
         RetryAfterSchedule retry_after(Duration{5000}, 1);
@@ -391,7 +390,7 @@
     }));
 }
 
-static_assert(sizeof(AdmissionController) < 45000, "its memory is fixed, but for one entry a class");
+static_assert(sizeof(AdmissionController) < 45000, "memory is fixed, except for one entry per class");
 
 }  // namespace
 }  // namespace ochrehub
--- a/tests/allocations.cpp
+++ b/tests/allocations.cpp
@@ -1,4 +1,4 @@
-// Counts what a test's program allocates, so that a test can say that some code allocates nothing.
+// Counts the allocations of a test program, so that a test can check that code allocates nothing.
 #include <cstddef>
 #include <cstdlib>
 #include <new>
--- a/tests/load_state_test.cpp
+++ b/tests/load_state_test.cpp
@@ -1,4 +1,4 @@
-// What a node calls the weather: each kind of day caused, and what must not be taken for one.
+// The load state of a node: each state is provoked, and so are situations that resemble it.
 #include "admission/load_state.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     return TimePoint{Duration{1e6 + ms}};
 }
 
-/// A node's day, evenly spread: so many a second come and are answered.
+/// The events of one node, evenly spread at given rates per second.
 struct SimulatedNode {
     LoadState load_state{{Duration{600}, Duration{1500}}, 3};
     std::vector<LoadState::Change> changes;
@@ -24,8 +24,8 @@
 
     struct Rates {
         double first_attempts = 200, retries = 0, rejected = 0, served = 200, server_ms = 30, connections = 5;
-        int tenant = -1;                   // asks ...
-        double tenant_first_attempts = 0;  // ... so many of the first tries; else all ask alike
+        int tenant = -1;  // sends tenant_first_attempts; otherwise all tenants send alike
+        double tenant_first_attempts = 0;
     };
     void advance(double ms, const Rates& rates) {
         double first_attempts = 0, retries = 0, rejected = 0, served = 0, connections = 0,
@@ -57,7 +57,7 @@
         for (const auto& change : changes) changes_to_state += change.to == state;
         return changes_to_state;
     }
-    /// How long it took until this was called, ms; negative: it was not.
+    /// The delay from `from` to the change to this state, in ms; negative: there was none.
     double delay_until(State state, double from) const {
         for (const auto& change : changes)
             if (change.to == state) return (change.at - at(from)).count();
@@ -81,7 +81,8 @@
 
 TEST(LoadState, StaysBelowStormAtPeaksOfNormalLoad) {
     SimulatedNode node;
-    // Waves up to what the servers can do and a little beyond: some are refused at each peak and come again.
+    // Waves up to the capacity of the servers and a little beyond: some requests are rejected at each peak
+    // and retried.
     for (int wave = 0; wave < 20; ++wave) {
         node.advance(4000, {.first_attempts = 140, .served = 140});
         node.advance(2000,
@@ -103,7 +104,7 @@
     EXPECT_GT(node.delay_until(State::Storm, 10000), 1000);
     EXPECT_LT(node.delay_until(State::Storm, 10000), 4000);
     EXPECT_EQ(node.count(State::Brownout), 0);
-    // What is called is not taken for usual.
+    // Load during a storm is not learned as usual.
     EXPECT_NEAR(node.load_state.signals().usual_first_attempts_per_s, 200, 30);
     node.advance(8000, {});
     EXPECT_EQ(node.load_state.state(), State::Calm);
@@ -152,7 +153,7 @@
     node.update_list(UpdateKind::Delta,
                      {entry(1, Phase::Removed), entry(5, Phase::Ready, at(node.now - 500))});
     node.advance(9000, {});
-    EXPECT_EQ(node.load_state.state(), State::Release) << "the new one warms still";
+    EXPECT_EQ(node.load_state.state(), State::Release) << "the new server is still warming up";
     node.advance(9000, {});
     EXPECT_EQ(node.load_state.state(), State::Calm);
     EXPECT_EQ(node.changes.size(), 2u);
@@ -166,7 +167,7 @@
     node.update_list(UpdateKind::Full, {});
     node.update_list(UpdateKind::Failed, {});
     node.update_list(UpdateKind::Full, {entry(1), entry(2), entry(3, Phase::Draining)});
-    node.update_list(UpdateKind::Delta, {entry(2, Phase::Removed)});  // crashed: it did not drain
+    node.update_list(UpdateKind::Delta, {entry(2, Phase::Removed)});  // crashed without draining
     node.advance(3000, {});
     node.update_list(UpdateKind::Delta, {entry(2, Phase::Ready, at(-60000))});
     node.advance(3000, {});
@@ -186,13 +187,13 @@
     node.advance(10000, {});
     node.advance(6000, {.first_attempts = 320, .retries = 180, .rejected = 290, .served = 210});
     ASSERT_EQ(node.load_state.state(), State::Storm);
-    // A node that stood still, too: it hears all at once.
+    // Also a process that was suspended: time advances in one step.
     node.now += 3.6e6;
     node.advance(4000, {});
     EXPECT_EQ(node.load_state.state(), State::Calm);
 }
 
-// Whatever comes: it tells of each change once, in the order of their times, and what it was before fits.
+// For any events: each change is reported once, in order of time, and starts from the state reported before.
 TEST(LoadState, ReportsEachChangeOnceForRandomEvents) {
     EXPECT_TRUE(rc::check([](const std::vector<std::uint32_t>& events) {
         LoadState load_state({Duration{600}, Duration{1500}}, 3);
