--- a/src/engine/decode.h
+++ b/src/engine/decode.h
@@ -23,6 +23,6 @@
 
 /// Reads "name:value,..." with `mark` between name and value; skips what it does not know, also a "TEXT " in
 /// front. Throws std::runtime_error on what is neither.
-LoadReport parse_report(std::string_view text, char mark);
+LoadReport parse_report(std::string_view text, char separator);
 
 }  // namespace ochrehub
--- a/src/engine/settings.cpp
+++ b/src/engine/settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kDay = 86400000;  // ms: longer is a slip of the pen
+constexpr double kMaxDurationMs = 86400000;  // ms: longer is a slip of the pen
 
 }  // namespace
 
@@ -29,14 +29,14 @@
                       {"keyed", Idempotency::IdempotentWithKey},
                       {"single_shot", Idempotency::NonIdempotent}}),
         number({.name = "aim_ms", .fallback = "1000", .help = "an answer within this earns the full worth"},
-               &ClassSettings::latency_objective, 1.0, kDay, kMilliseconds),
+               &ClassSettings::latency_objective, 1.0, kMaxDurationMs, kMilliseconds),
         number({.name = "give_up_ms",
                 .fallback = "10000",
                 .help = "how long a client waits that does not say so in `X-Expires-In`"},
-               &ClassSettings::request_timeout, 1.0, kDay, kMilliseconds),
+               &ClassSettings::request_timeout, 1.0, kMaxDurationMs, kMilliseconds),
         number({.name = "window_ms",
                 .help = "keyed: how long servers drop repeats, from the first attempt that may have run"},
-               &ClassSettings::deduplication_window, 0.0, kDay, kMilliseconds),
+               &ClassSettings::deduplication_window, 0.0, kMaxDurationMs, kMilliseconds),
         config::word(
             {.name = "scope", .help = "keyed: which servers drop them: `all`, those of its `zone` or `cell`"},
             &ClassSettings::deduplication_scope,
@@ -77,11 +77,11 @@
         number({.name = "connect_timeout_ms",
                 .fallback = "1000",
                 .help = "a connection to a server that is not up within this has failed"},
-               &Settings::connect_timeout, 1.0, kDay, kMilliseconds),
+               &Settings::connect_timeout, 1.0, kMaxDurationMs, kMilliseconds),
         number({.name = "conn_idle_ms",
                 .fallback = "4000",
                 .help = "servers close a connection that stood idle for this: it is closed before"},
-               &Settings::connection_idle_timeout, 1.0, kDay, kMilliseconds),
+               &Settings::connection_idle_timeout, 1.0, kMaxDurationMs, kMilliseconds),
         flag({.name = "cancel", .fallback = "on", .help = "attempts that are no use any more are called off"},
              &Settings::cancel),
         flag({.name = "second_copies",
@@ -91,7 +91,7 @@
         flag({.name = "retry_after", .fallback = "on", .help = "refusals say when to come back"},
              &Settings::retry_after),
         number({.name = "max_retry_after_ms", .fallback = "1500", .help = "... and no later than this"},
-               &Settings::max_retry_after, 0.0, kDay, kMilliseconds)};
+               &Settings::max_retry_after, 0.0, kMaxDurationMs, kMilliseconds)};
 }
 
 Table<Settings> safety_settings() {
@@ -99,9 +99,9 @@
         number({.name = "answer_grace_ms",
                 .fallback = "20",
                 .help = "how late behind a client's deadline a final answer still counts"},
-               &Settings::response_grace, 2.0, kDay, kMilliseconds),
+               &Settings::response_grace, 2.0, kMaxDurationMs, kMilliseconds),
         number({.name = "cold_ms", .fallback = "5000", .help = "how long a server that has started is cold"},
-               &Settings::slow_start_duration, 0.0, kDay, kMilliseconds),
+               &Settings::slow_start_duration, 0.0, kMaxDurationMs, kMilliseconds),
         number({.name = "cold_from", .fallback = "0.5", .help = "part of its capacity that it starts with"},
                &Settings::slow_start_initial_capacity, 0.01, 1.0),
         number({.name = "overload_factor",
@@ -109,7 +109,7 @@
                 .help = "a cold server falls over when sent this many times what it can do"},
                &Settings::overload_factor, 1.0, 1e6),
         number({.name = "tip_after_ms", .fallback = "1500", .help = "... for this long"},
-               &Settings::overload_after, 1.0, kDay, kMilliseconds),
+               &Settings::overload_after, 1.0, kMaxDurationMs, kMilliseconds),
         flag({.name = "removal_not_binding",
               .fallback = "off",
               .help = "a server that leaves the list may still be sent to"},
--- a/src/engine/types.h
+++ b/src/engine/types.h
@@ -38,7 +38,7 @@
 class ResponseSink {
 public:
     virtual ~ResponseSink() = default;
-    virtual void respond(FinalResponse reply) = 0;
+    virtual void respond(FinalResponse response) = 0;
     /// Looked at in the instant before an attempt begins, and before its first byte leaves: the client has
     /// closed its connection or called its request off, though nobody has read that yet.
     virtual bool is_client_disconnected() { return false; }
@@ -80,12 +80,12 @@
 class Upstream {
 public:
     virtual ~Upstream() = default;
-    virtual void update_endpoints(const EndpointList& listing) = 0;
+    virtual void update_endpoints(const EndpointList& list) = 0;
     virtual void start_attempt(AttemptId id, EndpointId server, std::shared_ptr<const Message> message,
-                               Duration patience) = 0;
+                               Duration timeout) = 0;
     /// Gives an attempt up, its connection closed on return. False: it was never written whole.
     virtual bool cancel_attempt(AttemptId id) = 0;
-    virtual void probe(EndpointId server, Duration limit) = 0;
+    virtual void probe(EndpointId server, Duration timeout) = 0;
     virtual void close_idle_connections(EndpointId server) = 0;
     /// Operators have taken a server out, or put it back: nothing that has not begun goes to one that is out.
     /// For an upstream whose connections are up at once the module's own word is enough.
