--- a/lab/tests/engine_test.cpp
+++ b/lab/tests/engine_test.cpp
@@ -1,5 +1,5 @@
-// The engine on virtual time, with an upstream that does what it is told: every request is answered once, and
-// nothing of it is kept when it is over.
+// The engine on virtual time with a scripted upstream: every request gets exactly one response, and nothing
+// of it is kept once it has ended.
 #include "engine/engine.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
     int& count_;
 };
 
-/// Answers as it is told, each attempt after a time of its own; none where that is negative.
+/// Ends each attempt with the outcome and after the delay that `behavior` returns; never if that is negative.
 class Servers : public Upstream {
 public:
     using Behavior = std::function<std::pair<Outcome, double>(AttemptId)>;
@@ -132,9 +132,9 @@
     std::vector<RequestId> ids;
 };
 
-// Given up by a wake, which concludes many at once: the engine once kept all of them, with their bodies'
-// buffers, and a node that had refused a few hundred orders told every newcomer that it had no room, for
-// good.
+// Guards against keeping requests that one timer completes together. The engine kept them and their body
+// buffers, and a node that had rejected a few hundred requests then rejected every new one for lack of
+// capacity, permanently.
 TEST(Engine, ErasesRequestsRejectedWhileWaiting) {
     EngineFixture fixture(0);
     for (int i = 0; i < 300; ++i) fixture.submit(i % 3, 200 + i);
@@ -161,7 +161,7 @@
     for (const auto& client : fixture.clients) EXPECT_EQ(client->responses, 0);
 }
 
-// Their ends were in the sockets, and nobody had read them: attempts once began for them all the same.
+// Guards against attempts for clients whose disconnect is in the socket but not yet read.
 TEST(Engine, StartsNoAttemptAfterDisconnect) {
     EngineFixture fixture(2);
     auto connected = fixture.submit(0, 500), disconnecting = fixture.submit(0, 500);
@@ -202,12 +202,12 @@
     EXPECT_FALSE(fixture.engine.may_send({fixture.ids[1], 0}));
     EXPECT_FALSE(fixture.engine.may_send({99, 0}));
     fixture.run_to(400);
-    EXPECT_FALSE(fixture.engine.may_send({fixture.ids[0], 0})) << "answered";
+    EXPECT_FALSE(fixture.engine.may_send({fixture.ids[0], 0})) << "completed";
     EXPECT_EQ(disconnecting->responses, 0);
     EXPECT_EQ(fixture.engine.held_requests(), 0u);
 }
 
-// A connection that comes up behind the window for a repeat carries it no more.
+// A connection that is established after the deduplication window must not carry the retry.
 TEST(Engine, MayNotSendRetryAfterDeduplicationWindow) {
     EngineFixture fixture(2);
     fixture.servers.behavior = [](AttemptId id) {
@@ -222,25 +222,26 @@
     fixture.run_to(2100);
     EXPECT_EQ(fixture.servers.started, 2);
     EXPECT_EQ(may_send, (std::vector<bool>{true, false}));
-    EXPECT_FALSE(fixture.engine.may_send({fixture.ids[0], 2})) << "there is none";
+    EXPECT_FALSE(fixture.engine.may_send({fixture.ids[0], 2})) << "no such attempt";
 }
 
 TEST(Engine, MayRetryByIdempotencyAndRemainingAttempts) {
     EngineFixture fixture(2);
     fixture.servers.behavior = [](AttemptId) { return std::pair(Outcome::Ok, 50.0); };
-    for (int class_index : {0, 1, 2}) fixture.submit(class_index, 500);  // free, single_shot, guarded
+    for (int class_index : {0, 1, 2})
+        fixture.submit(class_index, 500);  // Idempotent, NonIdempotent, IdempotentWithKey
     fixture.run_to(10);
     EXPECT_TRUE(fixture.engine.may_retry({fixture.ids[0], 0}));
     EXPECT_TRUE(fixture.engine.may_retry({fixture.ids[0], 1}));
-    EXPECT_FALSE(fixture.engine.may_retry({fixture.ids[0], 2})) << "of three";
+    EXPECT_FALSE(fixture.engine.may_retry({fixture.ids[0], 2})) << "the last of three attempts";
     EXPECT_FALSE(fixture.engine.may_retry({fixture.ids[1], 0}));
     EXPECT_TRUE(fixture.engine.may_retry({fixture.ids[2], 0}));
     EXPECT_FALSE(fixture.engine.may_retry({99, 0}));
     fixture.run_to(400);
-    EXPECT_FALSE(fixture.engine.may_retry({fixture.ids[0], 0})) << "over";
+    EXPECT_FALSE(fixture.engine.may_retry({fixture.ids[0], 0})) << "ended";
 }
 
-// A list of servers that drain or are gone serves nobody.
+// Draining and removed servers cannot serve requests.
 TEST(Engine, HasServersAfterFirstReadyServer) {
     EngineFixture fixture(0);
     EndpointList list;
@@ -257,7 +258,7 @@
     EXPECT_TRUE(fixture.engine.has_servers());
     list.update.entries[0].phase = Phase::Draining;
     fixture.engine.update_endpoints(list);
-    EXPECT_TRUE(fixture.engine.has_servers()) << "what has begun to serve stays in service";
+    EXPECT_TRUE(fixture.engine.has_servers()) << "a node that has served stays in service";
 }
 
 TEST(Engine, RespondsOnceAndErasesRequestsForRandomOutcomes) {
--- a/src/engine/counters.h
+++ b/src/engine/counters.h
@@ -1,5 +1,5 @@
-// What is counted of requests, attempts and servers: one definition each, for the figures and the second
-// address alike. Written by the node's loop alone, where the event happens; read by any thread at any time.
+// Counters of requests, attempts and servers, shared by the statistics output and the admin address. The
+// node's event loop is the only writer; any thread may read at any time.
 #pragma once
 
 #include <atomic>
@@ -9,7 +9,7 @@
 
 namespace ochrehub {
 
-/// Has one writer, so that an addition needs no lock.
+/// A counter with a single writer, so an addition needs no atomic read-modify-write.
 class Counter {
 public:
     void add(std::int64_t more = 1) { set(get() + more); }
@@ -21,8 +21,9 @@
 };
 
 struct Counters {
-    /// Of whole requests of a class, by the answer that went out whole: 200 (off the platform: below 400),
-    /// 429 or 503, any other. One whose client left is in none of them.
+    /// Requests of one class by the response that was sent completely: succeeded is 200 (in deployments
+    /// outside the platform: below 400), rejected 429 or 503, failed any other. A request whose client
+    /// disconnected is counted in none of them.
     struct Class {
         Counter succeeded, rejected, failed;
     };
@@ -30,10 +31,10 @@
     explicit Counters(std::size_t class_count) : classes(class_count) {}
 
     std::vector<Class> classes;
-    Counter active_requests;        ///< requests taken and neither answered whole nor left
-    Counter attempts_sent;          ///< attempts written whole to a server
+    Counter active_requests;        ///< accepted, neither responded to completely nor abandoned by the client
+    Counter attempts_sent;          ///< attempts written completely to a server
     Counter listed_endpoints;       ///< servers in the list
-    Counter unavailable_endpoints;  ///< ... that get nothing new now
+    Counter unavailable_endpoints;  ///< listed servers that get no new requests
 };
 
 }  // namespace ochrehub
--- a/src/engine/decode.cpp
+++ b/src/engine/decode.cpp
@@ -52,7 +52,7 @@
     settings.retry_after = in.flag_or("Limits.RetryAfter", false);
     settings.max_attempts = int(in.real_or("Limits.MaxAttempts", 1));
     settings.max_retry_after = Duration{in.real_or("Limits.MaxRetryAfter", 0)};
-    // Guards against looks that learn nothing: what a look is for is how many requests a server holds.
+    // Load probes are useful only if they report the number of requests that a server holds.
     std::vector<std::string> columns = in.list("LoadReport.Columns");
     settings.probes_report_load = in.text_or("LoadReport.How", "none") != "none" &&
                                   std::find(columns.begin(), columns.end(), "inflight") != columns.end();
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -16,7 +16,7 @@
         class_may_retry_.push_back(c.idempotency != Idempotency::NonIdempotent);
 }
 
-// Where a node goes and its scheduler stays, nothing that it armed may run.
+// The scheduler may outlive the engine: none of the engine's timers may fire afterwards.
 Engine::~Engine() {
     stop_timer(wake_timer_);
     for (auto& [id, request] : requests_) {
@@ -39,7 +39,7 @@
     ++open_requests_;
     if (!request.receiving_body) set_overdue_timer(request);
     incoming.request.request = id;
-    // Behind the front's own work: it must know the id before it can hear the answer.
+    // Posted, because the front must know the id before it can receive the response.
     pending_arrivals_.push_back(incoming.request);
     scheduler_.post([this] {
         RequestArrived event = pending_arrivals_.front();
@@ -49,18 +49,20 @@
     return id;
 }
 
-// Guards against a request that nothing answers: whatever went wrong, it fails inside the rules' grace.
+// Guards against a request that never gets a response: whatever the fault, it fails within the response
+// grace.
 void Engine::set_overdue_timer(Request& request) {
-    request.overdue_timer = scheduler_.call_at(request.deadline + response_grace_ / 2, [this,
-                                                                                        id = request.id] {
-        Request* overdue = find(id);
-        if (!overdue || overdue->completed) return;
-        overdue->overdue_timer = 0;
-        log_line(LogLevel::Error, "request %llu was left unanswered", static_cast<unsigned long long>(id));
-        complete(*overdue, {FinalStatus::Failed, {}, true, nullptr});
-        post(ClientDisconnected{id});
-        erase_if_finished(id);
-    });
+    request.overdue_timer =
+        scheduler_.call_at(request.deadline + response_grace_ / 2, [this, id = request.id] {
+            Request* overdue = find(id);
+            if (!overdue || overdue->completed) return;
+            overdue->overdue_timer = 0;
+            log_line(LogLevel::Error, "request %llu got no response by its deadline",
+                     static_cast<unsigned long long>(id));
+            complete(*overdue, {FinalStatus::Failed, {}, true, nullptr});
+            post(ClientDisconnected{id});
+            erase_if_finished(id);
+        });
 }
 
 void Engine::body_received(RequestId id, TimePoint deadline) {
@@ -72,7 +74,7 @@
     for (std::size_t k = 0; k < request->attempts.size(); ++k) {
         Attempt& attempt = request->attempts[k];
         if (attempt.ended) continue;
-        attempt.sent_at = scheduler_.now();  // a server begins with the last byte
+        attempt.sent_at = scheduler_.now();  // a server starts when it has the last byte
         attempt.timeout_timer =
             scheduler_.call_at(deadline, [this, a = AttemptId{id, int(k)}] { attempt_timed_out(a); });
     }
@@ -123,8 +125,8 @@
     process_events();
 }
 
-// Actions may bring further events at once. They wait here: the module is never entered again before all its
-// actions are carried out.
+// Actions may cause further events at once. These are queued: the core handles the next event only after all
+// actions of the previous one are executed.
 void Engine::process_events() {
     if (processing_events_) return;
     processing_events_ = true;
@@ -136,8 +138,8 @@
         balancer_.handle(scheduler_.now(), event, actions);
         if (decision_observer_) decision_observer_(scheduler_.now(), event, actions);
         for (const Action& action : actions) execute(action);
-        // An event concludes others' requests too: a wake gives up all that have waited too long. Guards
-        // against keeping them, and the buffers of their bodies, for good.
+        // An event may complete other requests: a timer rejects all that have waited too long. They are
+        // erased here; otherwise they and their body buffers would be kept forever.
         for (RequestId id : completed_requests_) erase_if_finished(id);
         completed_requests_.clear();
         if (const auto* ended = std::get_if<AttemptEnded>(&event)) erase_if_finished(ended->request);
@@ -184,7 +186,8 @@
         action);
 }
 
-// A client that has left may not have been read to its end yet. Nothing begins for it, and nothing is owed.
+// The client may have disconnected without that having been read. Then no attempt starts and no response is
+// sent.
 bool Engine::check_client_waiting(Request& request) {
     if (request.completed) return false;
     if (!request.sink->is_client_disconnected()) return true;
@@ -229,7 +232,8 @@
 void Engine::attempt_timed_out(AttemptId id) {
     Request* request = find(id.request);
     if (!request || request->attempts[std::size_t(id.attempt)].ended) return;
-    // What was never written whole has not run, and the module may go on as it may after no other time-out.
+    // An attempt that was not written completely has not been executed. It is reported as ConnectFailed,
+    // because the core may then retry, which it may not after a timeout.
     request->attempts[std::size_t(id.attempt)].timeout_timer = 0;
     bool fully_written = upstream_->cancel_attempt(id);
     end_attempt(id, {fully_written ? Outcome::Timeout : Outcome::ConnectFailed, {}, nullptr});
@@ -272,7 +276,7 @@
         return ended && ended->request == id;
     };
     if (std::any_of(events_.begin(), events_.end(), ends_attempt_of_request))
-        return;  // dropped after that one
+        return;  // erased after that event
     requests_.erase(id);
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,6 +1,6 @@
-// Owns the decision module, its clock and its tables of requests and attempts. Turns what happens into the
-// module's events, one at a time, and carries its actions out in order. It knows no clock, socket or protocol
-// but through the seams it is given, and so runs unchanged on virtual time.
+// Drives the decision core: translates what fronts, upstreams and discovery report into its events, one at a
+// time, and executes its actions in order. Owns the core and the tables of requests and attempts. Clock,
+// sockets and protocols are behind the interfaces it is given, so it runs unchanged on virtual time.
 #pragma once
 
 #include <deque>
@@ -27,19 +27,19 @@
         discovery_ = &discovery;
     }
 
-    /// Takes a request; `caller` hears its final answer. Never answers before it returns.
+    /// Accepts a request; `sink` receives its final response, never before submit() returns.
     RequestId submit(IncomingRequest incoming, std::shared_ptr<ResponseSink> sink);
-    /// The body of a call that was submitted as uploading is whole; its client gives up at `give_up_at`.
+    /// The body of a request that was submitted with receiving_body is complete; its deadline is `deadline`.
     void body_received(RequestId id, TimePoint deadline);
-    /// The client of this request has gone: nothing is owed any more.
+    /// The client of this request has disconnected; no response is sent.
     void client_disconnected(RequestId id);
 
     void update_endpoints(const EndpointList& list);
-    /// Called before each request is decided on, so that what must not be acted on any more is not.
+    /// `hook` is called first in submit(), so that expired state is dropped before the request is decided on.
     void set_pre_submit_hook(std::function<void()> hook) { pre_submit_hook_ = std::move(hook); }
-    /// Operators take a server out, or put it back cold at `since`; whether it is listed now does not matter.
+    /// Operators drain a server, or return it, in slow start as of `since`; it need not be listed now.
     void set_admin_override(std::uint64_t key, bool drained, TimePoint since);
-    /// Another process of this node lives, or no longer does.
+    /// Whether another process of this node is running (takeover).
     void set_handover_peer_present(bool present) { post(HandoverPeerChanged{present}); }
     void set_fleet_size(int node_count, int node_index) {
         post(FleetSizeChanged{node_count < 1 ? 1 : node_count, node_index});
@@ -48,10 +48,10 @@
     /// recorders. Called on the engine's thread; must not call the engine.
     using DecisionObserver = std::function<void(TimePoint now, const Event& event, const Actions& actions)>;
     void observe_decisions(DecisionObserver observer) { decision_observer_ = std::move(observer); }
-    /// Where the module's count of avoided servers goes; may be null.
+    /// `counters` receives the number of unavailable endpoints; may be null.
     void set_counters(Counters* counters) { counters_ = counters; }
-    /// It may still be written: its request is unanswered, its time and the window for a repeat are not over,
-    /// and its caller is not gone; where that is, the request departs.
+    /// True while the request is not completed, its deadline and the send deadline of a retry have not
+    /// passed, and the client is connected. If the client has disconnected, the request is ended.
     bool may_send(AttemptId id) override;
     bool may_retry(AttemptId id) override;
     void attempt_ended(AttemptId id, AttemptResult result) override;
@@ -59,9 +59,9 @@
 
     TimePoint now() const { return scheduler_.now(); }
     std::size_t open_requests() const { return open_requests_; }
-    /// Those whose messages are still held: unanswered, or with an attempt that has not ended.
+    /// Requests whose messages are still held: not completed, or with an attempt that has not ended.
     std::size_t held_requests() const { return requests_.size(); }
-    /// There has been a list with a server that is ready.
+    /// Whether any list so far had a server that was ready.
     bool has_servers() const { return has_servers_; }
 
 private:
@@ -102,9 +102,9 @@
 
     Scheduler& scheduler_;
     Balancer balancer_;
-    DecisionObserver decision_observer_;  ///< empty: nobody observes
+    DecisionObserver decision_observer_;  ///< may be empty
     Duration response_grace_;
-    std::vector<bool> class_may_retry_;  // of each class: what may have run may be sent again
+    std::vector<bool> class_may_retry_;  // per class: a request that may have been executed may be retried
     int max_attempts_;
     Upstream* upstream_ = nullptr;
     Counters* counters_ = nullptr;
@@ -113,9 +113,9 @@
     std::unordered_map<RequestId, Request> requests_;
     RequestId next_id_ = 0;
     std::size_t open_requests_ = 0;
-    std::deque<RequestArrived> pending_arrivals_;  // submitted, not yet told to the module
+    std::deque<RequestArrived> pending_arrivals_;  // submitted, not yet passed to the core
     std::deque<Event> events_;
-    std::vector<RequestId> completed_requests_;  // while the event in hand was carried out
+    std::vector<RequestId> completed_requests_;  // while the current event was handled
     bool processing_events_ = false;
     bool has_servers_ = false;
 };
--- a/src/engine/names.h
+++ b/src/engine/names.h
@@ -1,4 +1,4 @@
-// What classes, tenants, zones and kinds are called. The module knows their numbers alone.
+// The names of classes, tenants, zones and kinds. The decision core knows them by index only.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace ochrehub {
 
-/// The names an instance's settings give, in the order that makes them indices.
+/// The names in the settings of a node, in the order of their indices.
 struct Names {
     std::vector<std::string> classes, tenants, zones, kinds;
 };
 
-/// The place of `name` in `names`, or kNone.
+/// The index of `name` in `names`, or kNone.
 inline int index_of(const std::vector<std::string>& names, std::string_view name) {
     auto it = std::find(names.begin(), names.end(), name);
     return it == names.end() ? kNone : int(it - names.begin());
--- a/src/engine/settings.h
+++ b/src/engine/settings.h
@@ -1,4 +1,5 @@
-// The module's settings as files of the project's own word them. What the platform says is read by decode.h.
+// Tables that read the decision core's settings from the project's own configuration files. decode.h reads
+// the settings that the platform provides.
 #pragma once
 
 #include <string>
@@ -19,7 +20,7 @@
 
 config::Table<NamedClass> class_settings();
 config::Table<NamedTenant> tenant_settings();
-// Each a part of Settings.
+// Each of these fills in a part of Settings.
 config::Table<Settings> limit_settings();
 config::Table<Settings> safety_settings();
 config::Table<Settings> price_settings();
