--- a/include/ochrehub/subset.h
+++ b/include/ochrehub/subset.h
@@ -10,8 +10,8 @@
 namespace ochrehub {
 
 struct Subset {
-    std::vector<int> users;  ///< of each key: how many gateways use that server
-    std::vector<char> mine;  ///< of each key: whether this gateway does
+    std::vector<int> nodes_per_endpoint;  ///< of each key: how many gateways use that server
+    std::vector<char> assigned;           ///< of each key: whether this gateway does
 };
 
 /// `keys`: the servers, by numbers that are the same at every gateway, in any order, each once. `me` is this
@@ -20,16 +20,18 @@
 /// gateways find left makes that one less or two more now and then. A list that changes by one server moves
 /// little else. Empty where that would take too long (`gateways * width * keys` above a million) or `me` is
 /// none of them: then each may choose for itself.
-Subset share_out(const std::vector<std::uint64_t>& keys, int gateways, int me, std::size_t width);
+Subset compute_subset(const std::vector<std::uint64_t>& keys, int node_count, int node_index,
+                      std::size_t width);
 
 /// share_out, which remembers its last answer: gateways ask every second, and lists change seldom.
-class Shares {
+class SubsetCache {
 public:
-    const Subset& of(const std::vector<std::uint64_t>& keys, int gateways, int me, std::size_t width);
+    const Subset& get(const std::vector<std::uint64_t>& keys, int node_count, int node_index,
+                      std::size_t width);
 
 private:
     std::vector<std::uint64_t> keys_;
-    int gateways_ = 0, me_ = 0;
+    int node_count_ = 0, node_index_ = 0;
     std::size_t width_ = 0;
     Subset subset_;
 };
--- a/src/balancer/subset_selector.cpp
+++ b/src/balancer/subset_selector.cpp
@@ -93,9 +93,10 @@
     if (quotas <= 0 || size >= order_.size() || prefers_own_zone() || settings.removal_not_binding) return;
     std::vector<std::uint64_t> keys;
     for (EndpointIndex index : order_) keys.push_back(mixed(inputs_.registry.at(index).entry.key));
-    const Subset& subset = assignment_.of(keys, settings.node_count, settings.node_index, size);
-    for (std::size_t k = 0; k < subset.users.size(); ++k)
-        inputs_.registry.at(order_[k]).membership.assigned_nodes = subset.mine[k] ? subset.users[k] : -1;
+    const Subset& subset = assignment_.get(keys, settings.node_count, settings.node_index, size);
+    for (std::size_t k = 0; k < subset.nodes_per_endpoint.size(); ++k)
+        inputs_.registry.at(order_[k]).membership.assigned_nodes =
+            subset.assigned[k] ? subset.nodes_per_endpoint[k] : -1;
     std::stable_partition(order_.begin(), order_.end(), [&](EndpointIndex index) {
         return inputs_.registry.at(index).membership.assigned_nodes >= 0;
     });
--- a/src/balancer/subset_selector.h
+++ b/src/balancer/subset_selector.h
@@ -57,7 +57,7 @@
     void assign();
 
     Inputs inputs_;
-    Shares assignment_;
+    SubsetCache assignment_;
     std::vector<EndpointIndex> order_;
     std::size_t local_count_ = 0;
     std::size_t size_ = kMinSubset;  ///< at most this many endpoints are members
