--- a/include/ochrehub/subset.h
+++ b/include/ochrehub/subset.h
@@ -1,6 +1,6 @@
-// Which gateways use which servers, where each uses a few of many. All gateways of a tier work out the same
-// from the same list, by their numbers alone, and send each other nothing: so a server has as many users as
-// any other, and each user knows how many. No I/O, no clock, no state.
+// Deterministic subsetting: which nodes use which endpoints, if each uses a few of many. All nodes of a tier
+// compute the same assignment from the same endpoint list without exchanging messages, so endpoints are used
+// by equally many nodes, and each node knows by how many. No I/O, no clock, no state but a cached result.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +10,24 @@
 namespace ochrehub {
 
 struct Subset {
-    std::vector<int> nodes_per_endpoint;  ///< of each key: how many gateways use that server
-    std::vector<char> assigned;           ///< of each key: whether this gateway does
+    std::vector<int> nodes_per_endpoint;  ///< per key: how many nodes use that endpoint
+    std::vector<char> assigned;           ///< per key: whether this node uses it
 };
 
-/// `keys`: the servers, by numbers that are the same at every gateway, in any order, each once. `me` is this
-/// gateway among `gateways`, from 0. `width` must be the same at all of them. Each gateway gets so many
-/// servers (all, if there are fewer), each server the even number of gateways or one more; what the last
-/// gateways find left makes that one less or two more now and then. A list that changes by one server moves
-/// little else. Empty where that would take too long (`gateways * width * keys` above a million) or `me` is
-/// none of them: then each may choose for itself.
+/// Assigns `width` endpoints (all, if there are fewer) to each of `node_count` nodes, and returns the subset
+/// of node `node_index`, from 0.
+///
+/// `keys`: identify the endpoints, equal on all nodes, in any order, without duplicates. `width` must be
+/// equal on all nodes. Each endpoint gets the even number of nodes or one more; what remains for the last
+/// nodes makes that one less or two more at times. If the list changes by one endpoint, few other assignments
+/// change.
+///
+/// Empty if node_index is not one of the nodes, or if the computation would take too long (node_count * width
+/// * keys above a million); then each node may choose its own subset.
 Subset compute_subset(const std::vector<std::uint64_t>& keys, int node_count, int node_index,
                       std::size_t width);
 
-/// share_out, which remembers its last answer: gateways ask every second, and lists change seldom.
+/// Caches the last result of compute_subset: nodes need it every second, and lists change seldom.
 class SubsetCache {
 public:
     const Subset& get(const std::vector<std::uint64_t>& keys, int node_count, int node_index,
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -7,12 +7,14 @@
 namespace ochrehub {
 namespace {
 
-constexpr double kMaxAssignmentWork = 1e6;  // some milliseconds, in which a gateway does nothing else
+/// Limit on node_count * width * keys: some milliseconds, in which the node does nothing else.
+constexpr double kMaxAssignmentWork = 1e6;
 
 }  // namespace
 
-// Rendezvous hashing with bounded loads: the gateways in turn take those they like best of what has room.
-// Room is the even part, rounded down, until that is used up everywhere, and then one more.
+// Rendezvous hashing with bounded loads: the nodes in turn take their highest scores among the endpoints with
+// free capacity. The capacity is the even number, rounded down, until that is used up everywhere, and then
+// one more.
 Subset compute_subset(const std::vector<std::uint64_t>& keys, int node_count, int node_index,
                       std::size_t width) {
     Subset out;
@@ -36,8 +38,8 @@
             std::size_t best = n;
             for (std::size_t i = 0; i < n; ++i) {
                 if (chosen[i]) continue;
-                // One with room before one without, of those without the least used, of equals the one liked
-                // best.
+                // An endpoint with free capacity before one without; of those without, the least used; among
+                // equals, the highest score.
                 int over = best == n ? 0
                                      : std::max(out.nodes_per_endpoint[i] - capacity + 1, 0) -
                                            std::max(out.nodes_per_endpoint[best] - capacity + 1, 0);
