--- a/lab/equivalence/admission.cpp
+++ b/lab/equivalence/admission.cpp
@@ -1,5 +1,5 @@
-// Decisions of admission control, of the advice given to rejected clients and of the load state, on random
-// requests: an overload, a crowd that comes back too early, and servers that slow down and leave.
+// Decisions of admission control, of the Retry-After given to rejected clients and of the load state, on
+// random requests: an overload, clients that retry too early, and servers that slow down and leave.
 #include "admission/admission.h"
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 enum class Call : std::uint8_t { Admit, Complete, RejectLater, RejectConnection, ConnectionOpened, Poll };
 
-/// What was asked of admission control.
+/// A call of admission control.
 struct Event {
     Call call{};
     int class_index = 0;
@@ -25,7 +25,7 @@
     bool is_retry = false;
     std::uint64_t client = 0;
 };
-/// What it returned, in numbers, and what it holds afterwards.
+/// Its result as a number, and the state afterwards.
 struct Decision {
     double value = 0;
     std::uint64_t open = 0;
@@ -35,7 +35,7 @@
 struct OpenRequest {
     AdmissionController::AdmissionRequest request;
     TimePoint since{};
-    TimePoint ends{};
+    TimePoint end{};
 };
 
 constexpr int kClasses = 4;
@@ -61,10 +61,10 @@
                                                     std::uint8_t(admission.load_state().state())}});
     };
     for (int step = 0; step < kSteps; ++step) {
-        // Calm, then an overload, then slow servers, then calm again.
+        // Normal load, then an overload, then slow servers, then normal load again.
         const int phase = step * 4 / kSteps;
         now += Duration{(phase == 1 ? 0.5 : 4.0) * uniform()};
-        while (!open.empty() && open.front().ends <= now) {
+        while (!open.empty() && open.front().end <= now) {
             const OpenRequest request = open.front();
             open.pop_front();
             const bool served = uniform() < (phase == 2 ? 0.6 : 0.98);
@@ -82,8 +82,8 @@
         const auto rejected = admission.admit(now, request);
         record(event, rejected ? rejected->count() : -1);
         if (!rejected) {
-            const double took = (phase == 2 ? 400 : 60) * (0.5 + uniform());
-            open.push_back({request, now, now + Duration{took}});
+            const double latency_ms = (phase == 2 ? 400 : 60) * (0.5 + uniform());
+            open.push_back({request, now, now + Duration{latency_ms}});
         }
         if (step % 17 == 0) {
             event.call = Call::RejectLater;
@@ -108,6 +108,6 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    return lab::equivalence::run(count, words, {{"admission_random", run_random_requests}});
+int main(int argc, char** argv) {
+    return lab::equivalence::run(argc, argv, {{"admission_random", run_random_requests}});
 }
--- a/tests/allocations.cpp
+++ b/tests/allocations.cpp
@@ -1,4 +1,4 @@
-// Counts what a test's program allocates, so that a test can say that some code allocates nothing.
+// Counts the allocations of a test program, so that a test can check that code allocates nothing.
 #include <cstddef>
 #include <cstdlib>
 #include <new>
@@ -13,12 +13,12 @@
 
 void* operator new(std::size_t size) {
     ++count;
-    if (void* room = std::malloc(size)) return room;
+    if (void* memory = std::malloc(size)) return memory;
     throw std::bad_alloc();
 }
-void operator delete(void* room) noexcept {
-    std::free(room);
+void operator delete(void* memory) noexcept {
+    std::free(memory);
 }
-void operator delete(void* room, std::size_t) noexcept {
-    std::free(room);
+void operator delete(void* memory, std::size_t) noexcept {
+    std::free(memory);
 }
