--- a/lab/quota/ways.cpp
+++ b/lab/quota/baselines.cpp
@@ -1,19 +1,19 @@
-#include "lab/quota/ways.h"
+#include "lab/quota/baselines.h"
 
 #include <cmath>
 #include <cstring>
 #include <map>
 
-#include "lab/quota/inflict.h"
+#include "lab/quota/fault_injection.h"
 
 namespace ochrehub::lab {
 
 using namespace quota;
 
-std::string_view name(Way way) {
+std::string_view name(Baseline baseline) {
     constexpr std::string_view kNames[] = {"fixed parts", "one counter, closed", "one counter, open",
                                            "gossiped counters", "leases"};
-    return kNames[std::size_t(way)];
+    return kNames[std::size_t(baseline)];
 }
 
 namespace {
@@ -41,41 +41,41 @@
     std::vector<double> sums{};  // by node and partner, ever
 };
 
-class Ways {
+class BaselineSimulation {
 public:
-    Ways(Way way, const QuotaDay& day)
-        : way_(way),
-          day_(day),
-          net_({0, Duration{0.2}, Duration{2}, day.loss, day.doubled, false, day.seed},
+    BaselineSimulation(Baseline baseline, const QuotaSimulationSettings& settings)
+        : baseline_(baseline),
+          settings_(settings),
+          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.doubled, false, settings.seed},
                {[this](std::size_t p, TimePoint own) { woken(p, own); },
                 [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
                     received(p, from, own, m);
                 }}),
-          random_(unsigned(day.seed * 40503u + 7)) {
+          random_(unsigned(settings.seed * 40503u + 7)) {
         // The same processes as with leases, so that the same faults hit the same ones.
-        for (std::size_t group = 0; group <= day.sites; ++group)
-            for (std::size_t i = 0; i < 3 + (group > 0 ? day.nodes : 0); ++i) {
+        for (std::size_t group = 0; group <= settings.sites; ++group)
+            for (std::size_t i = 0; i < 3 + (group > 0 ? settings.nodes : 0); ++i) {
                 std::size_t p = net_.add();
                 all_.push_back({group, group > 0 && i >= 3, {}, {}, {}});
                 if (all_[p].node) nodes_.push_back(p);
             }
         for (std::size_t p = 0; p < all_.size(); ++p) {
-            if (day.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
+            if (settings.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
             for (std::size_t q = 0; q < all_.size(); ++q)
-                if (all_[p].group != all_[q].group) net_.delay(p, q, day.site_delay);
+                if (all_[p].group != all_[q].group) net_.delay(p, q, settings.site_delay);
             begin(p);
             net_.wake_at(p, net_.own(p) + Duration{200 * uniform()});
         }
-        for (std::size_t n = 0; n < day_.nodes; ++n) {
-            sum_ += 1 / std::pow(double(n + 1), day_.skew);
+        for (std::size_t n = 0; n < settings_.nodes; ++n) {
+            sum_ += 1 / std::pow(double(n + 1), settings_.skew);
             weights_.push_back(sum_);
         }
     }
 
-    WayOutcome run() {
-        for (const QuotaFault& f : day_.faults)
-            due_.emplace(TimePoint{} + f.at, [this, f] { inflict(f, day_, net_, *this); });
-        TimePoint next{}, end = TimePoint{} + day_.length;
+    BaselineResult run() {
+        for (const QuotaFault& f : settings_.faults)
+            due_.emplace(TimePoint{} + f.at, [this, f] { inject_fault(f, settings_, net_, *this); });
+        TimePoint next{}, end = TimePoint{} + settings_.length;
         while (true) {
             TimePoint at = std::min(next, due_.empty() ? TimePoint::max() : due_.begin()->first);
             if (at > end) break;
@@ -88,12 +88,12 @@
                 next = at + arrive();
             }
         }
-        std::stable_sort(out_.let_in.begin(), out_.let_in.end(),
-                         [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
+        std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
+                         [](const AdmittedRequest& a, const AdmittedRequest& b) { return a.at < b.at; });
         return std::move(out_);
     }
 
-    // for `inflict`
+    // for `inject_fault`
     std::size_t group_of(std::size_t p) const { return all_[p].group; }
     bool lends(std::size_t p) const { return !all_[p].node; }
     bool serves(std::size_t p) const { return all_[p].node; }
@@ -132,19 +132,19 @@
 
     void begin(std::size_t p) {
         Process& one = all_[p];
-        double part = way_ == Way::Fixed ? 1 / double(day_.sites * day_.nodes) : 1;
+        double part = baseline_ == Baseline::Fixed ? 1 / double(settings_.sites * settings_.nodes) : 1;
         one.buckets.clear(), one.waiting.clear();
-        for (const Budget& b : day_.budgets)
+        for (const Budget& b : settings_.budgets)
             one.buckets.push_back({0.98 * double(b.rate) * part, double(b.burst) * part, 0, net_.own(p)});
-        one.sums.assign(all_.size() * day_.budgets.size(), 0);
+        one.sums.assign(all_.size() * settings_.budgets.size(), 0);
     }
     Duration arrive() {
         Duration at = net_.now() - TimePoint{};
         std::vector<double> rates;
         double sum = 0;
-        for (std::size_t b = 0; b < day_.budgets.size(); ++b)
-            for (std::size_t s = 0; s < day_.sites; ++s)
-                rates.push_back(day_.demand(b, s, at)), sum += rates.back();
+        for (std::size_t b = 0; b < settings_.budgets.size(); ++b)
+            for (std::size_t s = 0; s < settings_.sites; ++s)
+                rates.push_back(settings_.demand(b, s, at)), sum += rates.back();
         Duration gap{sum > 0 ? -std::log(1 - uniform()) / sum * 1000 : 1e9};
         if (gap > Duration{20}) return Duration{20};
         double draw = uniform() * sum;
@@ -152,25 +152,25 @@
             if ((draw -= rates[i]) >= 0) continue;
             std::size_t n = std::size_t(
                 std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * sum_) - weights_.begin());
-            std::size_t p = nodes_[i % day_.sites * day_.nodes + n];
+            std::size_t p = nodes_[i % settings_.sites * settings_.nodes + n];
             ++out_.asked;
             if (!net_.up(p)) break;
             if (net_.stopped(p)) {
-                if (all_[p].waiting.size() < 500) all_[p].waiting.push_back(i / day_.sites);
+                if (all_[p].waiting.size() < 500) all_[p].waiting.push_back(i / settings_.sites);
             } else {
-                request(p, i / day_.sites);
+                request(p, i / settings_.sites);
             }
             break;
         }
         return gap;
     }
     void let(std::size_t p, std::size_t partner) {
-        out_.let_in.push_back({net_.now(), partner, all_[p].group - 1, 0, kUnit, false});
+        out_.admitted.push_back({net_.now(), partner, all_[p].group - 1, 0, kUnit, false});
     }
     void request(std::size_t p, std::size_t partner) {
-        if (way_ == Way::Fixed || way_ == Way::Gossip) {
+        if (baseline_ == Baseline::Fixed || baseline_ == Baseline::Gossip) {
             if (!all_[p].buckets[partner].take(net_.own(p), double(kUnit))) return;
-            all_[p].sums[p * day_.budgets.size() + partner] += double(kUnit);
+            all_[p].sums[p * settings_.budgets.size() + partner] += double(kUnit);
             return let(p, partner);
         }
         std::uint64_t number = ++numbers_;
@@ -183,13 +183,13 @@
             PendingQuery asked = found->second;
             asked_.erase(found);
             out_.waits.push_back(1000);
-            if (way_ == Way::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node))
+            if (baseline_ == Baseline::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node))
                 let(asked.node, asked.partner);
         });
     }
     void woken(std::size_t p, TimePoint own) {
         net_.wake_at(p, own + Duration{200});
-        if (way_ != Way::Gossip || !all_[p].node) return;
+        if (baseline_ != Baseline::Gossip || !all_[p].node) return;
         for (int i = 0; i < 3; ++i) {
             ++out_.messages;
             net_.send(p, nodes_[std::size_t(uniform() * double(nodes_.size()))],
@@ -206,7 +206,7 @@
                 double more = m.sums[i] - all_[p].sums[i];
                 if (more <= 0) continue;
                 all_[p].sums[i] = m.sums[i];
-                Bucket& bucket = all_[p].buckets[i % day_.budgets.size()];
+                Bucket& bucket = all_[p].buckets[i % settings_.budgets.size()];
                 bucket.grow(own);
                 bucket.level -= more;
             }
@@ -223,8 +223,8 @@
         std::size_t node = 0, partner = 0;
         TimePoint at;
     };
-    Way way_;
-    QuotaDay day_;
+    Baseline baseline_;
+    QuotaSimulationSettings settings_;
     Net<Message> net_;
     boost::random::taus88 random_;
     std::vector<Process> all_;
@@ -234,16 +234,16 @@
     std::multimap<TimePoint, std::function<void()>> due_;
     std::map<std::uint64_t, PendingQuery> asked_;
     std::uint64_t numbers_ = 0;
-    WayOutcome out_;
+    BaselineResult out_;
 };
 
 }  // namespace
 
-WayOutcome run(Way way, const QuotaDay& day) {
-    if (way != Way::Leases) return Ways(way, day).run();
-    QuotaOutcome outcome = run(day);
-    WayOutcome out;
-    out.let_in = std::move(outcome.let_in), out.messages = outcome.messages, out.asked = outcome.asked;
+BaselineResult run(Baseline baseline, const QuotaSimulationSettings& settings) {
+    if (baseline != Baseline::Leases) return BaselineSimulation(baseline, settings).run();
+    QuotaSimulationResult result = run(settings);
+    BaselineResult out;
+    out.admitted = std::move(result.admitted), out.messages = result.messages, out.asked = result.asked;
     return out;
 }
 
--- a/lab/quota/ways.h
+++ b/lab/quota/baselines.h
@@ -2,24 +2,24 @@
 // request.
 #pragma once
 
-#include "lab/quota/world.h"
+#include "lab/quota/simulation.h"
 
 namespace ochrehub::lab {
 
-enum class Way {
+enum class Baseline {
     Fixed,           ///< each node a part of rate and burst of its own
     OneCounter,      ///< each request asks one counter; without an answer within a second it is refused
     OneCounterOpen,  ///< ... or let in
     Gossip,          ///< each node counts what it knows of, and tells three others every 200 ms
     Leases,          ///< as shipped
 };
-std::string_view name(Way way);
+std::string_view name(Baseline baseline);
 
-struct WayOutcome {
-    std::vector<LetIn> let_in;
+struct BaselineResult {
+    std::vector<AdmittedRequest> admitted;
     std::vector<double> waits;  ///< milliseconds that requests waited for an answer, in no order
     std::uint64_t messages = 0, asked = 0;
 };
-WayOutcome run(Way way, const QuotaDay& day);
+BaselineResult run(Baseline baseline, const QuotaSimulationSettings& settings);
 
 }  // namespace ochrehub::lab
--- a/lab/quota/inflict.h
+++ b/lab/quota/fault_injection.h
@@ -2,23 +2,24 @@
 // ways.
 #pragma once
 
-#include "lab/quota/world.h"
+#include "lab/quota/simulation.h"
 
 namespace ochrehub::lab {
 
 /// `Host`: group_of(process), lends(process), serves(process), crash(process, back), stop(process, length),
 /// after(wait, what). Groups: 0 the federation's, then a site each.
 template <class Message, class Host>
-void inflict(const QuotaFault& f, const QuotaDay& day, Net<Message>& net, Host& host) {
+void inject_fault(const QuotaFault& f, const QuotaSimulationSettings& settings, Net<Message>& net,
+                  Host& host) {
     using Kind = QuotaFault::Kind;
-    std::size_t all = net.size(), p = f.which % all, site = 1 + f.which % day.sites;
+    std::size_t all = net.size(), p = f.which % all, site = 1 + f.which % settings.sites;
     auto each = [all](auto which, auto what) {
         for (std::size_t q = 0; q < all; ++q)
             if (which(q)) what(q);
     };
     auto others = [p](std::size_t q) { return q != p; };
-    auto mended = [&net, &host, &day](std::size_t a, std::size_t b) {
-        net.delay(a, b, host.group_of(a) == host.group_of(b) ? Duration{0} : day.site_delay);
+    auto mended = [&net, &host, &settings](std::size_t a, std::size_t b) {
+        net.delay(a, b, host.group_of(a) == host.group_of(b) ? Duration{0} : settings.site_delay);
     };
     switch (f.kind) {
         case Kind::CutSite:
@@ -83,11 +84,11 @@
         }
         case Kind::Loss:
             net.loss(f.much);
-            host.after(f.length, [&net, &day] { net.loss(day.loss); });
+            host.after(f.length, [&net, &settings] { net.loss(settings.loss); });
             break;
         case Kind::Doubled:
             net.doubled(f.much);
-            host.after(f.length, [&net, &day] { net.doubled(day.doubled); });
+            host.after(f.length, [&net, &settings] { net.doubled(settings.doubled); });
             break;
         case Kind::Budgets:
             break;
--- a/lab/quota/judge.h
+++ b/lab/quota/invariant_checker.h
@@ -9,28 +9,28 @@
 
 namespace ochrehub::lab {
 
-struct LetIn {
+struct AdmittedRequest {
     TimePoint at;  ///< the world's
     std::size_t partner = 0, site = 0, node = 0;
     quota::Amount cost = 0;
     bool given_back = false;  ///< it never ran, and counts for nothing
 };
 
-struct Excess {
+struct ExcessWindow {
     double amount = 0;  ///< millionths above rate * w + burst in the worst window; zero or less: none
     TimePoint from, to;
 };
 
 /// Over all windows, exactly: the worst one that ends with each request is the worst before it, less what the
 /// time between allows, or begins with it. `records` in the order of their times.
-inline Excess worst_window(const std::vector<LetIn>& records, std::size_t partner, quota::Amount rate,
-                           quota::Amount burst, TimePoint from = TimePoint{},
-                           TimePoint to = TimePoint::max()) {
-    Excess worst;
+inline ExcessWindow worst_window(const std::vector<AdmittedRequest>& records, std::size_t partner,
+                                 quota::Amount rate, quota::Amount burst, TimePoint from = TimePoint{},
+                                 TimePoint to = TimePoint::max()) {
+    ExcessWindow worst;
     worst.amount = -double(burst);
     long double held = 0;
     TimePoint begun{}, last{};
-    for (const LetIn& r : records) {
+    for (const AdmittedRequest& r : records) {
         if (r.partner != partner || r.given_back || r.at < from || r.at > to) continue;
         held -= (long double)rate * (long double)(r.at - last).count() / 1000;
         if (held <= 0) held = 0, begun = r.at;
@@ -41,10 +41,10 @@
     return worst;
 }
 
-inline quota::Amount let_in(const std::vector<LetIn>& records, std::size_t partner, TimePoint from,
-                            TimePoint to, int site = -1) {
+inline quota::Amount admitted(const std::vector<AdmittedRequest>& records, std::size_t partner,
+                              TimePoint from, TimePoint to, int site = -1) {
     quota::Amount sum = 0;
-    for (const LetIn& r : records)
+    for (const AdmittedRequest& r : records)
         if (r.partner == partner && !r.given_back && r.at >= from && r.at < to &&
             (site < 0 || r.site == std::size_t(site)))
             sum += r.cost;
--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <thread>
 
-#include "lab/quota/scripts.h"
-#include "lab/quota/ways.h"
+#include "lab/quota/baselines.h"
+#include "lab/quota/workloads.h"
 
 using namespace ochrehub;
 using namespace ochrehub::lab;
@@ -40,23 +40,24 @@
         double most = -1e18, tail = 0, least = 1e18;
         std::uint64_t over = 0, requests = 0, messages = 0, calm = 0;
         each_seed(count, [&](std::uint64_t seed) {
-            QuotaDay day = seed % 3 == 1 ? steady_day(shape.sites, shape.nodes, seed)
-                                         : swinging_day(shape.sites, shape.nodes, seed);
+            QuotaSimulationSettings settings = seed % 3 == 1
+                                                   ? steady_workload(shape.sites, shape.nodes, seed)
+                                                   : swinging_workload(shape.sites, shape.nodes, seed);
             if (seed % 3 == 0) {
-                auto base = day.demand;
-                day.demand = [base](std::size_t b, std::size_t s, Duration at) {
+                auto base = settings.demand;
+                settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
                     return std::fmod(at.count(), 6000) < 3000 ? 4 * base(b, s, at) : 0.0;
                 };
             }
-            day.faults = draw_faults(seed, day, 12);
-            day.loss = day.doubled = 0.01;
-            QuotaOutcome outcome = run(day);
-            double w = worst(day, outcome),
-                   u = used(day, outcome, 0, day.length - Duration{3000}, day.length);
+            settings.faults = random_faults(seed, settings, 12);
+            settings.loss = settings.doubled = 0.01;
+            QuotaSimulationResult result = run(settings);
+            double w = worst_excess(settings, result),
+                   u = budget_use(settings, result, 0, settings.length - Duration{3000}, settings.length);
             std::unique_lock hold(lock);
             most = std::max(most, w), over += w > 0;
             if (seed % 3 != 0) ++calm, tail += u, least = std::min(least, u);
-            requests += outcome.asked, messages += outcome.messages;
+            requests += result.asked, messages += result.messages;
         });
         std::printf(
             "%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window is %.1f "
@@ -71,31 +72,31 @@
 
 void used_shares(std::uint64_t count) {
     for (Shape shape : kShapes)
-        for (auto make : {steady_day, swinging_day}) {
+        for (auto make : {steady_workload, swinging_workload}) {
             double least[2] = {9, 9}, sum[2] = {};
             std::uint64_t messages = 0;
             for (std::uint64_t seed = 1; seed <= count; ++seed) {
-                QuotaDay day = make(shape.sites, shape.nodes, seed);
-                day.length = Duration{60'000};
-                QuotaOutcome outcome = run(day);
+                QuotaSimulationSettings settings = make(shape.sites, shape.nodes, seed);
+                settings.length = Duration{60'000};
+                QuotaSimulationResult result = run(settings);
                 for (std::size_t b = 0; b < 2; ++b) {
-                    double u = used(day, outcome, b, Duration{3000}, day.length);
+                    double u = budget_use(settings, result, b, Duration{3000}, settings.length);
                     least[b] = std::min(least[b], u), sum[b] += u / double(count);
                 }
-                messages += outcome.messages;
+                messages += result.messages;
             }
             std::printf(
                 "%zu x %zu, %s: dealers %.3f (least %.3f), workshops %.3f (least %.3f); %.0f messages a "
                 "second\n",
-                shape.sites, shape.nodes, make == steady_day ? "steady" : "swinging every 10 s", sum[0],
+                shape.sites, shape.nodes, make == steady_workload ? "steady" : "swinging every 10 s", sum[0],
                 least[0], sum[1], least[1], double(messages) / double(count) / 60);
         }
     for (double part : {0.35, 0.5, 0.75, 1.0, 1.5}) {
-        QuotaDay day = steady_day(5, 40, 1);
-        day.budgets = {plain_budget("dealers", 2000, std::int64_t(2000 * part), 5, 0, 0)};
-        QuotaOutcome outcome = run(day);
+        QuotaSimulationSettings settings = steady_workload(5, 40, 1);
+        settings.budgets = {plain_budget("dealers", 2000, std::int64_t(2000 * part), 5, 0, 0)};
+        QuotaSimulationResult result = run(settings);
         std::printf("5 x 40, no floors, burst of %.2f s: used %.3f\n", part,
-                    used(day, outcome, 0, Duration{3000}, day.length));
+                    budget_use(settings, result, 0, Duration{3000}, settings.length));
     }
 }
 
@@ -103,17 +104,17 @@
     for (Shape shape : kShapes) {
         double least = 9, most_used = 0, back = 0;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
-            QuotaDay day = steady_day(shape.sites, shape.nodes, seed);
-            day.length = Duration{40'000};
-            day.faults = {
+            QuotaSimulationSettings settings = steady_workload(shape.sites, shape.nodes, seed);
+            settings.length = Duration{40'000};
+            settings.faults = {
                 {QuotaFault::Kind::CutSite, Duration{10'000}, Duration{20'000}, 1, 0}};  // the second
-            QuotaOutcome outcome = run(day);
-            double floor = double(day.budgets[0].floors[1].rate);
-            double in = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{14'000},
-                                      TimePoint{} + Duration{30'000}, 1)) /
+            QuotaSimulationResult result = run(settings);
+            double floor = double(settings.budgets[0].floors[1].rate);
+            double in = double(admitted(result.admitted, 0, TimePoint{} + Duration{14'000},
+                                        TimePoint{} + Duration{30'000}, 1)) /
                         16;
             least = std::min(least, in / floor), most_used = std::max(most_used, in / floor);
-            back += used(day, outcome, 0, Duration{31'000}, Duration{34'000}) / double(count);
+            back += budget_use(settings, result, 0, Duration{31'000}, Duration{34'000}) / double(count);
         }
         std::printf(
             "%zu x %zu, a site cut off for 20 s: it let in %.3f of its floor at least, %.3f at most; all "
@@ -126,13 +127,14 @@
 void lost(std::uint64_t count) {
     std::vector<double> times;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        QuotaDay day = steady_day(5, 40, seed);
-        day.budgets = {plain_budget("dealers", 2000, 2400, 5, 0, 0)};
-        day.demand = [](std::size_t, std::size_t site, Duration) { return site == 1 ? 1600.0 : 600.0; };
-        day.faults = {{QuotaFault::Kind::LoseSite, Duration{8000}, Duration{0}, 1, 0}};
-        QuotaOutcome outcome = run(day);
+        QuotaSimulationSettings settings = steady_workload(5, 40, seed);
+        settings.budgets = {plain_budget("dealers", 2000, 2400, 5, 0, 0)};
+        settings.demand = [](std::size_t, std::size_t site, Duration) { return site == 1 ? 1600.0 : 600.0; };
+        settings.faults = {{QuotaFault::Kind::LoseSite, Duration{8000}, Duration{0}, 1, 0}};
+        QuotaSimulationResult result = run(settings);
         double at = 8000;
-        while (at < 20'000 && used(day, outcome, 0, Duration{at}, Duration{at + 500}) < 0.93) at += 20;
+        while (at < 20'000 && budget_use(settings, result, 0, Duration{at}, Duration{at + 500}) < 0.93)
+            at += 20;
         times.push_back(at - 8000);
     }
     std::sort(times.begin(), times.end());
@@ -145,36 +147,38 @@
 
 void ways(std::uint64_t count) {
     for (int faults : {0, 12})
-        for (int way = 0; way <= int(Way::Leases); ++way) {
+        for (int baseline = 0; baseline <= int(Baseline::Leases); ++baseline) {
             std::mutex lock;
             double most = -1e18, share = 0, messages = 0;
             std::uint64_t over = 0;
             std::vector<double> waits;
             each_seed(count, [&](std::uint64_t seed) {
-                QuotaDay day = swinging_day(2, 5, seed);
-                auto base = day.demand;
+                QuotaSimulationSettings settings = swinging_workload(2, 5, seed);
+                auto base = settings.demand;
                 if (faults)
-                    day.loss = day.doubled = 0.01, day.faults = draw_faults(seed, day, std::size_t(faults));
+                    settings.loss = settings.doubled = 0.01,
+                    settings.faults = random_faults(seed, settings, std::size_t(faults));
                 // Idle, then all at once: where too much shows. What is used is counted in the steady part.
-                day.demand = [base](std::size_t b, std::size_t s, Duration at) {
+                settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
                     return at < Duration{15'000}   ? base(b, s, at)
                            : at < Duration{17'000} ? 0.0
                                                    : 4 * base(b, s, at);
                 };
-                WayOutcome outcome = run(Way(way), day);
+                BaselineResult result = run(Baseline(baseline), settings);
                 double w = -1e18;
-                for (std::size_t b = 0; b < day.budgets.size(); ++b)
-                    w = std::max(
-                        w, worst_window(outcome.let_in, b, day.budgets[b].rate, day.budgets[b].burst).amount /
-                               double(kUnit));
-                double u = double(let_in(outcome.let_in, 0, TimePoint{} + Duration{3000},
-                                         TimePoint{} + Duration{15'000})) /
-                           (double(day.budgets[0].rate) * 12);
+                for (std::size_t b = 0; b < settings.budgets.size(); ++b)
+                    w = std::max(w, worst_window(result.admitted, b, settings.budgets[b].rate,
+                                                 settings.budgets[b].burst)
+                                            .amount /
+                                        double(kUnit));
+                double u = double(admitted(result.admitted, 0, TimePoint{} + Duration{3000},
+                                           TimePoint{} + Duration{15'000})) /
+                           (double(settings.budgets[0].rate) * 12);
                 std::unique_lock hold(lock);
                 most = std::max(most, w), over += w > 0, share += u / double(count);
-                messages += double(outcome.messages) / double(std::max<std::uint64_t>(1, outcome.asked)) /
+                messages += double(result.messages) / double(std::max<std::uint64_t>(1, result.asked)) /
                             double(count);
-                waits.insert(waits.end(), outcome.waits.begin(), outcome.waits.end());
+                waits.insert(waits.end(), result.waits.begin(), result.waits.end());
             });
             std::sort(waits.begin(), waits.end());
             auto at = [&](double part) {
@@ -184,40 +188,41 @@
                 "%2d faults  %-20s over in %llu of %llu days, by %.0f requests at most; used %.3f; a request "
                 "waits %.1f ms, p99 %.0f; "
                 "%.2f messages a request\n",
-                faults, std::string(name(Way(way))).c_str(), (unsigned long long)over,
+                faults, std::string(name(Baseline(baseline))).c_str(), (unsigned long long)over,
                 (unsigned long long)count, std::max(0.0, most), share, at(0.5), at(0.99), messages);
         }
 }
 
 void saboteurs(std::uint64_t count) {
-    for (int s = 1; s <= int(Saboteur::MintsPastCap); ++s) {
+    for (int s = 1; s <= int(QuotaMutant::MintsPastCap); ++s) {
         int found = 0;
         double most = -1e18, honest = -1e18;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
-            QuotaDay day = saboteur_day(Saboteur(s), seed);
-            double w = worst(day, run(day));
+            QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
+            double w = worst_excess(settings, run(settings));
             found += w > 0, most = std::max(most, w);
-            day.saboteur = Saboteur::None;
-            honest = std::max(honest, worst(day, run(day)));
+            settings.mutant = QuotaMutant::None;
+            honest = std::max(honest, worst_excess(settings, run(settings)));
         }
         std::printf("%-26s found in %d of %llu days, by %.1f; without it %.1f\n",
-                    std::string(name(Saboteur(s))).c_str(), found, (unsigned long long)count, most, honest);
+                    std::string(name(QuotaMutant(s))).c_str(), found, (unsigned long long)count, most,
+                    honest);
     }
 }
 
 /// Each process crashes, and stops, at each event of a short day.
 void events(std::uint64_t stride) {
-    QuotaDay day = small_day();
-    std::uint64_t happened = run(day).happened, runs = 0, over = 0;
+    QuotaSimulationSettings settings = small_workload();
+    std::uint64_t happened = run(settings).happened, runs = 0, over = 0;
     double most = -1e18;
     std::mutex lock;
-    std::size_t processes = 3 + day.sites * (3 + day.nodes);
+    std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
     each_seed(happened / stride, [&](std::uint64_t n) {
         for (std::size_t p = 0; p < processes; ++p)
             for (bool stops : {false, true}) {
-                QuotaDay hit = day;
-                hit.at = QuotaDay::At{n * stride, p, stops, Duration{stops ? 1500.0 : 50.0}};
-                double w = worst(hit, run(hit));
+                QuotaSimulationSettings hit = settings;
+                hit.at = QuotaSimulationSettings::At{n * stride, p, stops, Duration{stops ? 1500.0 : 50.0}};
+                double w = worst_excess(hit, run(hit));
                 std::unique_lock hold(lock);
                 ++runs, over += w > 0, most = std::max(most, w);
             }
@@ -266,12 +271,12 @@
         took.clear();
         for (std::uint64_t i = 0; i < count; ++i) {
             auto begun = Clock::now();
-            auto outcome =
+            auto result =
                 charger.charge(TimePoint{} + Duration{double(begun.time_since_epoch().count()) / 1e6},
                                which(i % names.size()), kNone);
             auto ended = Clock::now();
             took.push_back(std::chrono::duration<double, std::nano>(ended - begun).count());
-            allowed += std::holds_alternative<quota::Charge>(outcome);
+            allowed += std::holds_alternative<quota::Charge>(result);
         }
         std::sort(took.begin(), took.end());
         std::printf(
--- a/lab/quota/world.cpp
+++ b/lab/quota/simulation.cpp
@@ -1,16 +1,16 @@
-#include "lab/quota/world.h"
+#include "lab/quota/simulation.h"
 
 #include <cmath>
 #include <map>
 
-#include "lab/quota/inflict.h"
+#include "lab/quota/fault_injection.h"
 #include "lab/record/decision_recorder.h"
 
 namespace ochrehub::lab {
 
 using namespace quota;
 
-std::string_view name(Saboteur saboteur) {
+std::string_view name(QuotaMutant mutant) {
     constexpr std::string_view kNames[] = {"none",
                                            "charges later",
                                            "counts from the answer",
@@ -26,7 +26,7 @@
                                            "counts gifts twice",
                                            "shrinks at once",
                                            "mints past the cap"};
-    return kNames[std::size_t(saboteur)];
+    return kNames[std::size_t(mutant)];
 }
 
 std::string site_name(std::size_t site) {
@@ -51,47 +51,47 @@
     std::string more{};
 };
 
-class World {
+class QuotaSimulation {
 public:
-    explicit World(const QuotaDay& day)
-        : day_(day),
-          net_({0, Duration{0.2}, Duration{2}, day.loss, day.doubled, false, day.seed},
+    explicit QuotaSimulation(const QuotaSimulationSettings& settings)
+        : settings_(settings),
+          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.doubled, false, settings.seed},
                {[this](std::size_t p, TimePoint own) { woken(p, own); },
                 [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
                     received(p, from, own, m);
                 }}),
-          random_(unsigned(day.seed * 40503u + 7)) {
-        for (std::size_t group = 0; group <= day.sites; ++group) {
+          random_(unsigned(settings.seed * 40503u + 7)) {
+        for (std::size_t group = 0; group <= settings.sites; ++group) {
             add(Role::Keeper, group);
             add(Role::Owner, group);
             add(Role::Owner, group);
-            for (std::size_t n = 0; group > 0 && n < day.nodes; ++n) add(Role::Node, group);
+            for (std::size_t n = 0; group > 0 && n < settings.nodes; ++n) add(Role::Node, group);
         }
         for (std::size_t p = 0; p < all_.size(); ++p) {
-            if (day.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
+            if (settings.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
             if (all_[p].role != Role::Keeper) {
                 for (std::size_t q = 0; q < all_.size(); ++q)
                     if (all_[p].group != all_[q].group) distant(p, q);
             } else {
-                keeper(p).apply({0, command_set(0, day_.budgets)});
+                keeper(p).apply({0, command_set(0, settings_.budgets)});
             }
             start(p);
         }
-        out_.asked_for.resize(day.budgets.size());
+        out_.asked_for.resize(settings.budgets.size());
     }
 
-    QuotaOutcome run() {
-        std::stable_sort(day_.faults.begin(), day_.faults.end(),
+    QuotaSimulationResult run() {
+        std::stable_sort(settings_.faults.begin(), settings_.faults.end(),
                          [](const auto& a, const auto& b) { return a.at < b.at; });
-        for (const QuotaFault& f : day_.faults) plan(f);
+        for (const QuotaFault& f : settings_.faults) plan(f);
         next_arrival_ = TimePoint{} + Duration{1};
         while (true) {
             TimePoint next = std::min(next_arrival_, due_.empty() ? TimePoint::max() : due_.begin()->first);
-            if (next > TimePoint{} + day_.length) break;
-            if (day_.at && !struck_) {
-                while (!struck_ && net_.happened() < day_.at->event && stepped_before(next)) {
+            if (next > TimePoint{} + settings_.length) break;
+            if (settings_.at && !struck_) {
+                while (!struck_ && net_.happened() < settings_.at->event && stepped_before(next)) {
                 }
-                if (net_.happened() >= day_.at->event) strike();
+                if (net_.happened() >= settings_.at->event) strike();
             }
             net_.run_to(next);
             if (!due_.empty() && due_.begin()->first <= next) {
@@ -102,9 +102,9 @@
                 arrive();
             }
         }
-        net_.run_to(TimePoint{} + day_.length);
-        std::stable_sort(out_.let_in.begin(), out_.let_in.end(),
-                         [](const LetIn& a, const LetIn& b) { return a.at < b.at; });
+        net_.run_to(TimePoint{} + settings_.length);
+        std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
+                         [](const AdmittedRequest& a, const AdmittedRequest& b) { return a.at < b.at; });
         out_.happened = net_.happened();
         return std::move(out_);
     }
@@ -156,12 +156,12 @@
         one.number = p - group_begin(group);
         if (role == Role::Keeper) {
             std::vector<std::string> sites;
-            for (std::size_t s = 0; s < day_.sites; ++s) sites.push_back(site_name(s));
-            one.machine = std::make_unique<QuotaStateMachine>(sites, day_.timing);
+            for (std::size_t s = 0; s < settings_.sites; ++s) sites.push_back(site_name(s));
+            one.machine = std::make_unique<QuotaStateMachine>(sites, settings_.timing);
         }
     }
     std::size_t group_begin(std::size_t group) const {
-        return group == 0 ? 0 : 3 + (group - 1) * (3 + day_.nodes);
+        return group == 0 ? 0 : 3 + (group - 1) * (3 + settings_.nodes);
     }
     std::size_t process(std::size_t group, std::size_t number) const { return group_begin(group) + number; }
     std::size_t node(std::size_t site, std::size_t n) const { return process(site + 1, 3 + n); }
@@ -171,7 +171,7 @@
         return std::string("node").append(std::to_string(all_[p].number - 3));
     }
     void distant(std::size_t a, std::size_t b) {
-        net_.delay(a, b, day_.site_delay), net_.delay(b, a, day_.site_delay);
+        net_.delay(a, b, settings_.site_delay), net_.delay(b, a, settings_.site_delay);
     }
     double uniform() { return double(random_()) * 0x1p-32; }
     std::uint64_t draw() { return (std::uint64_t(random_()) << 32 | random_()) | 1; }
@@ -184,7 +184,7 @@
         if (one.role == Role::Owner) {
             one.lender = std::make_unique<QuotaAllocator>(
                 QuotaAllocatorSettings{one.group == 0 ? "" : site_name(one.group - 1), one.instance,
-                                       one.group == 0 ? 2 : 1, day_.timing});
+                                       one.group == 0 ? 2 : 1, settings_.timing});
             one.session = one.epoch = one.version = 0;
             one.until = {}, one.renew_at = own, one.lender_at = own + Duration{1};
             one.command.reset(), one.recording.reset(), one.renewed.clear();
@@ -192,10 +192,10 @@
         }
         if (one.role == Role::Node) {
             QuotaLimiterSettings settings;
-            settings.instance = one.instance, settings.timing = day_.timing;
+            settings.instance = one.instance, settings.timing = settings_.timing;
             one.charger = std::make_unique<QuotaLimiter>(settings);
-            one.charger->configure(day_.budgets);
-            one.asks_at = own + day_.timing.ask * uniform();
+            one.charger->configure(settings_.budgets);
+            one.asks_at = own + settings_.timing.ask * uniform();
             one.waiting.clear();
             one.asked.clear();
         }
@@ -209,23 +209,24 @@
     }
     void strike() {
         struck_ = true;
-        day_.at->stops ? stop(day_.at->process, day_.at->length) : crash(day_.at->process, day_.at->length);
+        settings_.at->stops ? stop(settings_.at->process, settings_.at->length)
+                            : crash(settings_.at->process, settings_.at->length);
     }
 
     void plan(const QuotaFault& f) {
         due_.emplace(TimePoint{} + f.at, [this, f] { begin(f); });
     }
     void begin(const QuotaFault& f) {
-        if (f.kind != QuotaFault::Kind::Budgets) return inflict(f, day_, net_, *this);
-        for (std::size_t group = 0; group <= day_.sites; ++group) {
+        if (f.kind != QuotaFault::Kind::Budgets) return inject_fault(f, settings_, net_, *this);
+        for (std::size_t group = 0; group <= settings_.sites; ++group) {
             QuotaStateMachine& machine = *all_[process(group, 0)].machine;
             auto reply = decode_command_response(machine.apply({0, command_get()}));
-            machine.apply({0, command_set(reply->version, day_.later)});
+            machine.apply({0, command_set(reply->version, settings_.later)});
         }
         changed_ = true;
     }
 
-public:  // for `inflict`
+public:  // for `inject_fault`
     std::size_t group_of(std::size_t p) const { return all_[p].group; }
     bool lends(std::size_t p) const { return all_[p].role == Role::Owner; }
     bool serves(std::size_t p) const { return all_[p].role == Role::Node; }
@@ -252,7 +253,7 @@
                 for (auto [partner, cost] : std::exchange(all_[p].waiting, {}))
                     request(p, partner, cost, own);
             };
-            if (day_.saboteur == Saboteur::StaleClock) return work_off(one.before_pause);
+            if (settings_.mutant == QuotaMutant::StaleClock) return work_off(one.before_pause);
             after(Duration{0.5}, [this, p, life, work_off] {
                 if (all_[p].instance == life && net_.up(p) && !net_.stopped(p)) work_off(net_.own(p));
             });
@@ -280,7 +281,7 @@
         }
         if (one.role == Role::Owner) {
             if (own >= one.renew_at) {
-                one.renew_at = own + day_.session / 3;
+                one.renew_at = own + settings_.session / 3;
                 one.renewed[++one.renewals] = own;
                 if (one.renewed.size() > 8) one.renewed.erase(one.renewed.begin());
                 send(p, process(one.group, 0),
@@ -288,14 +289,14 @@
             }
             if (one.command && own >= one.resend_at) say(p, own);
             if (own >= one.lender_at) {
-                one.lender_at = own + day_.timing.ask;
+                one.lender_at = own + settings_.timing.ask;
                 lender(p, own, quota::TimerFired{});
             }
             return wake(p, own,
                         std::min({one.renew_at, one.lender_at, one.command ? one.resend_at : one.renew_at}));
         }
         if (own >= one.asks_at) {
-            one.asks_at = own + day_.timing.ask;
+            one.asks_at = own + settings_.timing.ask;
             ask(p, own, true);
         }
         wake(p, own, one.asks_at);
@@ -349,14 +350,14 @@
                 one.machine->session_opened(session, child(from), "");
             }
         }
-        one.sessions[session].ends = own + day_.session;
+        one.sessions[session].ends = own + settings_.session;
         send(p, from, {Message::Kind::Renewed, session, m.b, one.machine->session_update(session)});
     }
     std::string child(std::size_t p) const { return std::string("process").append(std::to_string(p)); }
     void command(std::size_t p, std::size_t from, const Message& m) {
         Process& one = all_[p];
         auto found = one.sessions.find(m.a);
-        if (found == one.sessions.end() && day_.saboteur != Saboteur::IgnoresEpochs) return;
+        if (found == one.sessions.end() && settings_.mutant != QuotaMutant::IgnoresEpochs) return;
         std::string reply;
         if (found != one.sessions.end() && m.b < found->second.last) return;
         if (found != one.sessions.end() && m.b == found->second.last) {
@@ -366,7 +367,7 @@
             ++out_.records;
             if (found != one.sessions.end()) found->second.last = m.b, found->second.reply = reply;
         }
-        if (day_.saboteur == Saboteur::IgnoresEpochs && m.more == "record") reply.clear();
+        if (settings_.mutant == QuotaMutant::IgnoresEpochs && m.more == "record") reply.clear();
         send(p, from, {Message::Kind::Done, m.a, m.b, reply});
     }
 
@@ -382,14 +383,14 @@
             one.session = m.a, one.epoch = 0, one.command.reset();
             queued_.erase(p);
             auto recording = std::exchange(one.recording, std::nullopt);
-            if (day_.saboteur != Saboteur::IgnoresEpochs)
+            if (settings_.mutant != QuotaMutant::IgnoresEpochs)
                 lender(p, own, OwnershipLost{});
             else if (recording)
                 lender(p, own, LeasesRecorded{*recording});
         }
         TimePoint until =
-            borrower_expiry(asked->second, std::int64_t(day_.session.count() * 1000), day_.timing);
-        if (day_.saboteur == Saboteur::IgnoresEpochs) until = own + Duration{1e9};
+            borrower_expiry(asked->second, std::int64_t(settings_.session.count() * 1000), settings_.timing);
+        if (settings_.mutant == QuotaMutant::IgnoresEpochs) until = own + Duration{1e9};
         one.until = std::max(one.until, until);
         if (news->owner && one.epoch != 0) {
             lender(p, own, OwnershipConfirmed{one.until, std::nullopt, true});
@@ -428,17 +429,17 @@
         } else if (reply && reply->state) {
             one.version = reply->version;
             std::vector<Budget> budgets = reply->state->budgets;
-            if (one.group == 0 && day_.saboteur == Saboteur::LendsFloorsTwice)
+            if (one.group == 0 && settings_.mutant == QuotaMutant::LendsFloorsTwice)
                 for (Budget& b : budgets) b.floors.clear();
-            if (day_.saboteur == Saboteur::MintsPastCap)
+            if (settings_.mutant == QuotaMutant::MintsPastCap)
                 for (Budget& b : budgets) b.burst *= 3;
             lender(p, own, BudgetsConfigured{budgets});
             if (one.epoch == 0 && reply->state->owner == one.session) {
                 one.epoch = reply->epoch;
                 auto books = reply->state->books;
-                if (day_.saboteur == Saboteur::ForgetsAtRestart) books.clear();
+                if (settings_.mutant == QuotaMutant::ForgetsAtRestart) books.clear();
                 lender(p, own, OwnershipConfirmed{one.until, std::move(books), false});
-                if (day_.saboteur == Saboteur::ForgetsAtRestart) begin_full(p, own);
+                if (settings_.mutant == QuotaMutant::ForgetsAtRestart) begin_full(p, own);
                 for (const std::string& partner : reply->state->frozen)
                     lender(p, own, OperatorOrder{OperatorOrder::What::Freeze, partner, "", 0});
             }
@@ -465,7 +466,7 @@
         for (Amount given : {Amount(0), kMaxAmount}) {
             ask.lines.clear();
             ++ask.seq;
-            for (const Budget& b : day_.budgets)
+            for (const Budget& b : settings_.budgets)
                 for (bool floor : {false, true}) ask.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, given});
             lender(p, own, RequestReceived{"nobody", ask});
         }
@@ -474,8 +475,8 @@
     /// over.
     void look_in_force() {
         if (out_.in_force) return;
-        for (std::size_t group = 0; group <= day_.sites && day_.saboteur != Saboteur::ShrinksAtOnce;
-             ++group) {
+        for (std::size_t group = 0;
+             group <= settings_.sites && settings_.mutant != QuotaMutant::ShrinksAtOnce; ++group) {
             bool holds = false;
             for (std::size_t p : {process(group, 1), process(group, 2)}) {
                 const Process& one = all_[p];
@@ -496,9 +497,9 @@
         record_decision("allocator", own, event, actions);
         for (quota::QuotaAllocatorAction& a : actions) {
             if (auto* up = std::get_if<SendRequest>(&a)) {
-                if (day_.liar && *day_.liar + 1 == one.group)
+                if (settings_.liar && *settings_.liar + 1 == one.group)
                     for (BorrowRequestLine& l : up->ask.lines) l.demand = kMaxAmount;
-                if (day_.saboteur == Saboteur::GiftsTwice)
+                if (settings_.mutant == QuotaMutant::GiftsTwice)
                     for (BorrowRequestLine& l : up->ask.lines) l.given *= 2;
                 if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
                 send(p, process(0, 1 + std::size_t(one.target)),
@@ -522,7 +523,7 @@
         if (one.asked.size() > 256) one.asked.erase(one.asked.begin());
         if (ask.lines.empty()) return;
         if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
-        if (day_.saboteur != Saboteur::None) meddle(one, ask);
+        if (settings_.mutant != QuotaMutant::None) meddle(one, ask);
         send(p, process(one.group, 1 + std::size_t(one.target)),
              {Message::Kind::BorrowRequest, 0, 0, encode(ask)});
     }
@@ -531,9 +532,9 @@
         Duration at = net_.now() - TimePoint{};
         double sum = 0;
         std::vector<double> rates;
-        for (std::size_t b = 0; b < day_.budgets.size(); ++b)
-            for (std::size_t s = 0; s < day_.sites; ++s)
-                rates.push_back(day_.demand(b, s, at)), sum += rates.back();
+        for (std::size_t b = 0; b < settings_.budgets.size(); ++b)
+            for (std::size_t s = 0; s < settings_.sites; ++s)
+                rates.push_back(settings_.demand(b, s, at)), sum += rates.back();
         // A look at least each 20 ms, since what is asked for moves; an arrival has no memory.
         Duration gap{sum > 0 ? -std::log(1 - uniform()) / sum * 1000 : 1e9};
         next_arrival_ = net_.now() + std::min(gap, Duration{20});
@@ -541,7 +542,7 @@
         double draw = uniform() * sum;
         for (std::size_t i = 0; i < rates.size(); ++i) {
             if ((draw -= rates[i]) >= 0) continue;
-            std::size_t partner = i / day_.sites, site = i % day_.sites;
+            std::size_t partner = i / settings_.sites, site = i % settings_.sites;
             std::size_t p = node(site, pick_node());
             out_.asked_for[partner] += double(kUnit);
             ++out_.asked;
@@ -556,8 +557,8 @@
     std::size_t pick_node() {
         if (weights_.empty()) {
             double sum = 0;
-            for (std::size_t n = 0; n < day_.nodes; ++n)
-                weights_.push_back(sum += 1 / std::pow(double(n + 1), day_.skew));
+            for (std::size_t n = 0; n < settings_.nodes; ++n)
+                weights_.push_back(sum += 1 / std::pow(double(n + 1), settings_.skew));
         }
         double at = uniform() * weights_.back();
         return std::size_t(std::upper_bound(weights_.begin(), weights_.end() - 1, at) - weights_.begin());
@@ -565,11 +566,11 @@
 
     void request(std::size_t p, std::size_t partner, Amount cost, TimePoint own) {
         Process& one = all_[p];
-        auto number = one.charger->find(day_.budgets[partner].partner);
+        auto number = one.charger->find(settings_.budgets[partner].partner);
         auto let = [&] {
-            out_.let_in.push_back({net_.now(), partner, one.group - 1, one.number - 3, cost, false});
+            out_.admitted.push_back({net_.now(), partner, one.group - 1, one.number - 3, cost, false});
         };
-        if (day_.saboteur == Saboteur::ChargesLater) {
+        if (settings_.mutant == QuotaMutant::ChargesLater) {
             if (one.charger->counts(own, *number).balance < cost) {
                 (void)one.charger->charge(own, *number, kNone);
             } else {
@@ -585,13 +586,14 @@
             record_decision("limiter", own, *number, outcome.index());
             if (auto* receipt = std::get_if<Charge>(&outcome)) {
                 let();
-                if (uniform() < day_.never_ran) never_ran(p, std::move(*receipt), out_.let_in.size() - 1);
+                if (uniform() < settings_.never_ran)
+                    never_ran(p, std::move(*receipt), out_.admitted.size() - 1);
             } else {
                 ++out_.refused;
                 if (out_.backs.size() < 100'000) out_.backs.push_back(std::get<Rejection>(outcome).back);
             }
         }
-        if (one.charger->asks_early() && own - one.early_at >= day_.timing.ask / 5) {
+        if (one.charger->asks_early() && own - one.early_at >= settings_.timing.ask / 5) {
             one.early_at = own;
             ask(p, own, false);
         }
@@ -599,13 +601,13 @@
     void never_ran(std::size_t p, Charge receipt, std::size_t index) {
         auto held = std::make_shared<Charge>(std::move(receipt));
         std::uint64_t life = all_[p].instance;
-        bool told = day_.saboteur == Saboteur::GivesBackTold;
+        bool told = settings_.mutant == QuotaMutant::GivesBackTold;
         after(Duration{told ? 1500 : 150 * uniform()}, [=, this] {
             Process& one = all_[p];
             if (one.instance != life || !net_.up(p) || net_.stopped(p)) return;
             Amount cost = held->cost();
             bool back = false;
-            if (day_.saboteur == Saboteur::GivesBackTwice)
+            if (settings_.mutant == QuotaMutant::GivesBackTwice)
                 one.charger->give_back(net_.own(p), held->forged());
             back = one.charger->give_back(net_.own(p), std::move(*held));
             if (told && !back) {
@@ -613,7 +615,7 @@
                     if (!account.floor) one.extra[account] += cost;
                 back = true;
             }
-            if (back) out_.let_in[index].given_back = true;
+            if (back) out_.admitted[index].given_back = true;
             back ? ++out_.given_back : ++out_.forfeited;
         });
     }
@@ -627,8 +629,8 @@
             Told& told = one.said[l.account];
             if (told.lease != l.lease) told = {l.lease, 0, 0, 0};
             // Whoever errs so tells nothing that its lender can see to be wrong.
-            if (day_.saboteur == Saboteur::TellsSpentTwice) l.spent *= 2;
-            if (day_.saboteur == Saboteur::ReturnsAndKeeps) {
+            if (settings_.mutant == QuotaMutant::TellsSpentTwice) l.spent *= 2;
+            if (settings_.mutant == QuotaMutant::ReturnsAndKeeps) {
                 told.kept = std::max(told.kept,
                                      std::min(told.kept + 2 * kUnit, known.granted - l.spent - l.returned));
                 l.returned += told.kept;
@@ -643,17 +645,17 @@
         auto asked = one.asked.find(answer.seq);
         for (BorrowResponseLine& l : answer.lines) {
             BorrowResponseLine& known = one.known[l.account];
-            if (day_.saboteur == Saboteur::AddsAnswersTwice && known.lease == l.lease &&
+            if (settings_.mutant == QuotaMutant::AddsAnswersTwice && known.lease == l.lease &&
                 doubled_.contains({one.instance, answer.seq}))
                 one.extra[l.account] += std::max<Amount>(0, 5 * kUnit);
             if (known.lease != l.lease) one.extra[l.account] = 0;
             if (known.lease != l.lease || known.granted <= l.granted) known = l;
             l.granted += one.extra[l.account];
-            if (day_.saboteur == Saboteur::CountsFromAnswer && asked != one.asked.end())
-                l.length = std::int64_t(double(l.length) / (1 - day_.timing.drift / 1000.0) +
-                                        (own - asked->second + day_.timing.margin).count() * 1000);
+            if (settings_.mutant == QuotaMutant::CountsFromAnswer && asked != one.asked.end())
+                l.length = std::int64_t(double(l.length) / (1 - settings_.timing.drift / 1000.0) +
+                                        (own - asked->second + settings_.timing.margin).count() * 1000);
         }
-        if (day_.saboteur == Saboteur::AddsAnswersTwice) doubled_.insert({one.instance, answer.seq});
+        if (settings_.mutant == QuotaMutant::AddsAnswersTwice) doubled_.insert({one.instance, answer.seq});
     }
     void send(std::size_t from, std::size_t to, Message message) {
         ++out_.messages;
@@ -661,7 +663,7 @@
         net_.send(from, to, std::move(message));
     }
 
-    QuotaDay day_;
+    QuotaSimulationSettings settings_;
     Net<Message> net_;
     boost::random::taus88 random_;
     std::vector<Process> all_;
@@ -672,16 +674,17 @@
     std::map<std::size_t, RecordLeases> queued_;
     std::set<std::pair<std::uint64_t, std::uint64_t>> doubled_;
     bool changed_ = false, struck_ = false;
-    QuotaOutcome out_;
+    QuotaSimulationResult out_;
 };
 
 }  // namespace
 
-QuotaOutcome run(const QuotaDay& day) {
-    return World(day).run();
+QuotaSimulationResult run(const QuotaSimulationSettings& settings) {
+    return QuotaSimulation(settings).run();
 }
 
-std::vector<QuotaFault> draw_faults(std::uint64_t seed, const QuotaDay& day, std::size_t count) {
+std::vector<QuotaFault> random_faults(std::uint64_t seed, const QuotaSimulationSettings& settings,
+                                      std::size_t count) {
     boost::random::taus88 random(unsigned(seed * 69069u + 5));
     auto uniform = [&] { return double(random()) * 0x1p-32; };
     std::vector<QuotaFault> faults;
@@ -690,19 +693,20 @@
         QuotaFault::Kind::Pause,   QuotaFault::Kind::Pause,         QuotaFault::Kind::Crash,
         QuotaFault::Kind::Crash,   QuotaFault::Kind::AllNodes,      QuotaFault::Kind::Clock,
         QuotaFault::Kind::Late,    QuotaFault::Kind::Loss,          QuotaFault::Kind::Doubled};
-    std::size_t processes = 3 + day.sites * (3 + day.nodes);
+    std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
     for (std::size_t i = 0; i < count; ++i) {
         QuotaFault f;
         f.kind = kKinds[std::size_t(uniform() * std::size(kKinds))];
-        f.at = day.length * (0.1 + 0.5 * uniform());
+        f.at = settings.length * (0.1 + 0.5 * uniform());
         f.length = Duration{uniform() < 0.5 ? 100 + 900 * uniform() : 1000 + 5000 * uniform()};
-        f.length = std::min(f.length, day.length * 0.75 - f.at);
+        f.length = std::min(f.length, settings.length * 0.75 - f.at);
         f.which = std::size_t(uniform() * double(processes));
         // Half of those that hit one process hit a lender's owner.
         if (uniform() < 0.5)
-            f.which =
-                (f.which % (day.sites + 1) == 0 ? 0 : 3 + (f.which % (day.sites + 1) - 1) * (3 + day.nodes)) +
-                1 + f.which % 2;
+            f.which = (f.which % (settings.sites + 1) == 0
+                           ? 0
+                           : 3 + (f.which % (settings.sites + 1) - 1) * (3 + settings.nodes)) +
+                      1 + f.which % 2;
         if (f.kind == QuotaFault::Kind::AllNodes) f.length = Duration{50 + 500 * uniform()};
         f.much = f.kind == QuotaFault::Kind::Late    ? 50 + 1500 * uniform()
                  : f.kind == QuotaFault::Kind::Clock ? uniform()
--- a/lab/quota/world.h
+++ b/lab/quota/simulation.h
@@ -12,14 +12,14 @@
 
 #include "fleet/quota/quota_limiter.h"
 #include "fleet/quota/quota_state_machine.h"
-#include "lab/quota/judge.h"
+#include "lab/quota/invariant_checker.h"
 #include "lab/swarm/net.h"
 
 namespace ochrehub::lab {
 
 /// What errs on purpose, each at one place outside of what ships; a judge that sees none of it is worth
 /// nothing.
-enum class Saboteur {
+enum class QuotaMutant {
     None,
     ChargesLater,      ///< lets a request in by a look at the balance, and charges it 50 ms behind
     CountsFromAnswer,  ///< a node's lease is counted from when its answer came
@@ -36,7 +36,7 @@
     ShrinksAtOnce,     ///< a smaller budget is said to be in force while more is lent
     MintsPastCap,      ///< the root counts nothing that is lent against the burst
 };
-std::string_view name(Saboteur saboteur);
+std::string_view name(QuotaMutant mutant);
 
 struct QuotaFault {
     enum class Kind {
@@ -61,7 +61,7 @@
     double much = 0;        ///< part, milliseconds, the other process: by kind
 };
 
-struct QuotaDay {
+struct QuotaSimulationSettings {
     std::size_t sites = 2, nodes = 5;
     Duration length{20'000};
     std::vector<quota::Budget> budgets;
@@ -77,7 +77,7 @@
     std::vector<QuotaFault> faults;
     std::vector<quota::Budget> later;  ///< of Kind::Budgets
     std::optional<std::size_t> liar;   ///< a site whose owner says that it needs everything
-    Saboteur saboteur = Saboteur::None;
+    QuotaMutant mutant = QuotaMutant::None;
     std::uint64_t seed = 1;
     /// At this event, counted, the process crashes (or stops for a while).
     struct At {
@@ -89,8 +89,8 @@
     std::optional<At> at;
 };
 
-struct QuotaOutcome {
-    std::vector<LetIn> let_in;  ///< in the world's order
+struct QuotaSimulationResult {
+    std::vector<AdmittedRequest> admitted;  ///< in the world's order
     std::uint64_t asked = 0, refused = 0, given_back = 0, forfeited = 0, messages = 0, happened = 0,
                   records = 0;
     std::vector<double> asked_for;     ///< by partner, millionths
@@ -98,9 +98,10 @@
     std::vector<Duration> backs;       ///< what refused clients were told
 };
 
-QuotaOutcome run(const QuotaDay& day);
+QuotaSimulationResult run(const QuotaSimulationSettings& settings);
 /// Faults of every kind, drawn; none after three quarters of the day.
-std::vector<QuotaFault> draw_faults(std::uint64_t seed, const QuotaDay& day, std::size_t count);
+std::vector<QuotaFault> random_faults(std::uint64_t seed, const QuotaSimulationSettings& settings,
+                                      std::size_t count);
 /// A budget of common size: hard, with floors for each site.
 quota::Budget plain_budget(std::string partner, std::int64_t rate, std::int64_t burst, std::size_t sites,
                            std::int64_t floor, std::int64_t floor_burst);
--- /dev/null
+++ b/lab/quota/workloads.h
@@ -0,0 +1,153 @@
+// Days for the judge of the common quota: common ones, and for each saboteur the one that shows it.
+#pragma once
+
+#include <cmath>
+
+#include "lab/quota/simulation.h"
+
+namespace ochrehub::lab {
+
+using quota::kUnit;
+
+/// 1.5 times the rate, more of it at the first site.
+inline QuotaSimulationSettings steady_workload(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
+    QuotaSimulationSettings settings;
+    settings.sites = sites, settings.nodes = nodes, settings.seed = seed;
+    settings.budgets = sites * nodes > 20 ? std::vector{plain_budget("dealers", 2000, 3000, sites, 100, 300),
+                                                        plain_budget("workshops", 400, 600, sites, 0, 0)}
+                                          : std::vector{plain_budget("dealers", 400, 600, sites, 20, 60),
+                                                        plain_budget("workshops", 100, 300, sites, 0, 0)};
+    settings.clocks = true;
+    settings.demand = [budgets = settings.budgets, sites](std::size_t b, std::size_t site, Duration) {
+        return 1.5 * double(budgets[b].rate) / double(kUnit) * (site == 0 ? 0.4 : 0.6 / double(sites - 1));
+    };
+    return settings;
+}
+/// Four fifths of it at one site, which changes every 10 s.
+inline QuotaSimulationSettings swinging_workload(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
+    QuotaSimulationSettings settings = steady_workload(sites, nodes, seed);
+    settings.demand = [budgets = settings.budgets, sites](std::size_t b, std::size_t site, Duration at) {
+        bool hot = std::size_t(at.count() / 10'000) % sites == site;
+        return 1.5 * double(budgets[b].rate) / double(kUnit) * (hot ? 0.8 : 0.2 / double(sites - 1));
+    };
+    return settings;
+}
+/// Small, with much lent, much idle and all of it asked for at once, where what leaks shows. Cycles of
+/// `cycle` ms: for 4 s nine tenths of the rate, at one site or the other, then nothing, then eight times the
+/// rate for the last second.
+inline QuotaSimulationSettings leaky_workload(std::uint64_t seed, std::int64_t rate = 100,
+                                              double cover = 1000, double cycle = 7000) {
+    QuotaSimulationSettings settings;
+    settings.sites = 2, settings.nodes = 3, settings.seed = seed, settings.length = Duration{cycle * 6};
+    settings.budgets = {plain_budget("dealers", rate, 150, 2, rate / 10, 15)};
+    settings.timing.cover = Duration{cover};
+    settings.demand = [cycle, rate](std::size_t, std::size_t site, Duration at) {
+        double t = std::fmod(at.count(), cycle);
+        bool there = std::size_t(at.count() / cycle) % 2 == site;
+        return t < 4000 ? double(rate) * (there ? 0.7 : 0.2) : t < cycle - 1000 ? 0.0 : 400.0;
+    };
+    return settings;
+}
+
+/// Two sites of two nodes for two seconds, first a little, then all at once.
+inline QuotaSimulationSettings small_workload() {
+    QuotaSimulationSettings settings = leaky_workload(1);
+    settings.nodes = 2, settings.length = Duration{2000}, settings.session = Duration{300};
+    settings.budgets = {plain_budget("dealers", 100, 60, 2, 10, 10)};
+    settings.timing.cover = Duration{300};
+    settings.demand = [](std::size_t, std::size_t, Duration at) { return at.count() < 1200 ? 20.0 : 400.0; };
+    return settings;
+}
+
+inline QuotaSimulationSettings mutant_workload(QuotaMutant mutant, std::uint64_t seed) {
+    using Kind = QuotaFault::Kind;
+    QuotaSimulationSettings settings = leaky_workload(seed);
+    auto always = [&](double first, double second, double ms) {
+        settings.demand = [=](std::size_t, std::size_t site, Duration) { return site == 0 ? first : second; };
+        settings.length = Duration{ms};
+    };
+    constexpr std::size_t kOwner = 1, kNode = 6;  // the federation's first owner; the first site's first node
+    switch (mutant) {
+        case QuotaMutant::GivesBackTwice:
+        case QuotaMutant::GivesBackTold:
+            settings.never_ran = 0.4;
+            break;
+        case QuotaMutant::CountsFromAnswer:
+            // Much is asked for at once, and the answers that grant it find their nodes stopped, till long
+            // behind the end.
+            settings = leaky_workload(seed, 40, 4000, 10'000);
+            settings.length = Duration{30'000};
+            settings.demand = [](std::size_t, std::size_t site, Duration at) {
+                return at.count() >= 29'000                                       ? 400.0
+                       : at.count() >= 20'000 && at.count() < 21'000 && site == 0 ? 300.0
+                                                                                  : 0.0;
+            };
+            for (std::size_t n = 0; n < 3; ++n) {
+                settings.faults.push_back({Kind::Late, Duration{19'500}, Duration{1500}, kNode + n, 400});
+                settings.faults.push_back({Kind::Pause, Duration{20'400}, Duration{9000}, kNode + n, 0});
+            }
+            break;
+        case QuotaMutant::StaleClock:
+            settings = leaky_workload(seed, 40, 4000, 10'000);
+            for (std::size_t n = 0; n < 3; ++n)
+                settings.faults.push_back({Kind::Pause, Duration{23'900}, Duration{5600}, kNode + n, 0});
+            break;
+        case QuotaMutant::ForgetsAtRestart:
+            always(150, 150, 12'000);
+            settings.session = Duration{300};
+            for (int i = 0; i < 4; ++i)
+                settings.faults.push_back(
+                    {Kind::Crash, Duration{6000.0 + 800 * i}, Duration{500}, kOwner + std::size_t(i) % 2, 0});
+            break;
+        case QuotaMutant::IgnoresEpochs:
+            always(150, 150, 40'000);
+            settings.faults.push_back({Kind::Pause, Duration{6000}, Duration{3000}, kOwner, 0});
+            for (std::size_t n : {4, 5})
+                settings.faults.push_back({Kind::CutLink, Duration{10'000}, Duration{30'000}, n, kOwner + 1});
+            break;
+        case QuotaMutant::GiftsTwice:
+            settings.budgets = {plain_budget("dealers", 100, 150, 2, 25, 40)};
+            always(200, 0, 40'000);
+            break;
+        case QuotaMutant::ShrinksAtOnce:
+            always(150, 150, 12'000);
+            settings.demand = [](std::size_t, std::size_t, Duration at) {
+                return at.count() < 5900 ? 40.0 : 300.0;
+            };
+            settings.later = {plain_budget("dealers", 10, 15, 2, 1, 2)};
+            settings.faults.push_back({Kind::Budgets, Duration{6000}, Duration{0}, 0, 0});
+            break;
+        case QuotaMutant::AddsAnswersTwice:
+            settings.doubled = 0.2;
+            break;
+        default:
+            break;
+    }
+    settings.mutant = mutant;
+    return settings;
+}
+
+/// The worst over all partners, in requests of the common cost: above zero is too much.
+inline double worst_excess(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result) {
+    double most = -1e18;
+    bool shrinks = !settings.later.empty() && result.in_force;
+    for (std::size_t b = 0; b < settings.budgets.size(); ++b) {
+        const quota::Budget& budget = settings.budgets[b];
+        most =
+            std::max(most, worst_window(result.admitted, b, budget.rate, budget.burst + budget.bound).amount);
+        if (shrinks)
+            most = std::max(most, worst_window(result.admitted, b, settings.later[b].rate,
+                                               settings.later[b].burst + settings.later[b].bound,
+                                               TimePoint{} + *result.in_force)
+                                      .amount);
+    }
+    return most / double(kUnit);
+}
+/// Of the budget, from `from` to `to`.
+inline double budget_use(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result,
+                         std::size_t partner, Duration from, Duration to) {
+    return double(admitted(result.admitted, partner, TimePoint{} + from, TimePoint{} + to)) /
+           (double(settings.budgets[partner].rate) * (to - from).count() / 1000);
+}
+
+}  // namespace ochrehub::lab
