--- a/lab/quota/baselines.cpp
+++ b/lab/quota/baselines.cpp
@@ -22,12 +22,12 @@
 struct Bucket {
     double rate = 0, burst = 0, level = 0;
     TimePoint at{};
-    void grow(TimePoint now) {
+    void refill(TimePoint now) {
         level = std::min(burst, level + rate * std::max(0.0, (now - at).count()) / 1000);
         at = std::max(at, now);
     }
     bool take(TimePoint now, double cost) {
-        grow(now);
+        refill(now);
         if (level < cost) return false;
         level -= cost;
         return true;
@@ -35,10 +35,10 @@
 };
 
 struct Message {
-    enum class Kind : std::uint8_t { Query, Yes, No, Sums } kind{};
+    enum class Kind : std::uint8_t { Query, Admit, Reject, AdmittedSums } kind{};
     std::uint64_t number = 0;
     std::size_t partner = 0;
-    std::vector<double> sums{};  // by node and partner, ever
+    std::vector<double> admitted_sums{};  // by node and partner, ever
 };
 
 class BaselineSimulation {
@@ -46,8 +46,8 @@
     BaselineSimulation(Baseline baseline, const QuotaSimulationSettings& settings)
         : baseline_(baseline),
           settings_(settings),
-          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.doubled, false, settings.seed},
-               {[this](std::size_t p, TimePoint own) { woken(p, own); },
+          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.duplication, false, settings.seed},
+               {[this](std::size_t p, TimePoint own) { on_timer(p, own); },
                 [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
                     received(p, from, own, m);
                 }}),
@@ -56,36 +56,36 @@
         for (std::size_t group = 0; group <= settings.sites; ++group)
             for (std::size_t i = 0; i < 3 + (group > 0 ? settings.nodes : 0); ++i) {
                 std::size_t p = net_.add();
-                all_.push_back({group, group > 0 && i >= 3, {}, {}, {}});
-                if (all_[p].node) nodes_.push_back(p);
+                processes_.push_back({group, group > 0 && i >= 3, {}, {}, {}});
+                if (processes_[p].node) nodes_.push_back(p);
             }
-        for (std::size_t p = 0; p < all_.size(); ++p) {
-            if (settings.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
-            for (std::size_t q = 0; q < all_.size(); ++q)
-                if (all_[p].group != all_[q].group) net_.delay(p, q, settings.site_delay);
+        for (std::size_t p = 0; p < processes_.size(); ++p) {
+            if (settings.clock_rates_vary) net_.clock(p, 0.99 + 0.02 * uniform());
+            for (std::size_t q = 0; q < processes_.size(); ++q)
+                if (processes_[p].group != processes_[q].group) net_.delay(p, q, settings.site_delay);
             begin(p);
             net_.wake_at(p, net_.own(p) + Duration{200 * uniform()});
         }
         for (std::size_t n = 0; n < settings_.nodes; ++n) {
-            sum_ += 1 / std::pow(double(n + 1), settings_.skew);
-            weights_.push_back(sum_);
+            total_weight_ += 1 / std::pow(double(n + 1), settings_.node_skew);
+            weights_.push_back(total_weight_);
         }
     }
 
     BaselineResult run() {
         for (const QuotaFault& f : settings_.faults)
-            due_.emplace(TimePoint{} + f.at, [this, f] { inject_fault(f, settings_, net_, *this); });
+            scheduled_.emplace(TimePoint{} + f.at, [this, f] { inject_fault(f, settings_, net_, *this); });
         TimePoint next{}, end = TimePoint{} + settings_.length;
         while (true) {
-            TimePoint at = std::min(next, due_.empty() ? TimePoint::max() : due_.begin()->first);
+            TimePoint at = std::min(next, scheduled_.empty() ? TimePoint::max() : scheduled_.begin()->first);
             if (at > end) break;
             net_.run_to(at);
-            if (!due_.empty() && due_.begin()->first <= at) {
-                auto what = std::move(due_.begin()->second);
-                due_.erase(due_.begin());
+            if (!scheduled_.empty() && scheduled_.begin()->first <= at) {
+                auto what = std::move(scheduled_.begin()->second);
+                scheduled_.erase(scheduled_.begin());
                 what();
             } else {
-                next = at + arrive();
+                next = at + generate_arrival();
             }
         }
         std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
@@ -94,17 +94,17 @@
     }
 
     // for `inject_fault`
-    std::size_t group_of(std::size_t p) const { return all_[p].group; }
-    bool lends(std::size_t p) const { return !all_[p].node; }
-    bool serves(std::size_t p) const { return all_[p].node; }
-    void crash(std::size_t p, Duration back) {
+    std::size_t group_of(std::size_t p) const { return processes_[p].group; }
+    bool is_allocator(std::size_t p) const { return !processes_[p].node; }
+    bool is_node(std::size_t p) const { return processes_[p].node; }
+    void crash(std::size_t p, Duration restart_after) {
         if (!net_.up(p)) return;
         net_.crash(p);
-        if (all_[p].node) begin(p);
-        after(back, [this, p] {
+        if (processes_[p].node) begin(p);
+        after(restart_after, [this, p] {
             if (net_.up(p)) return;
             net_.start(p);
-            if (all_[p].node) begin(p);  // a counter that is asked has its state on a disk
+            if (processes_[p].node) begin(p);  // a counter that is asked has its state on a disk
             net_.wake_at(p, net_.own(p) + Duration{1});
         });
     }
@@ -113,11 +113,11 @@
         net_.stop(p);
         after(length, [this, p] {
             net_.go_on(p);
-            for (std::size_t partner : std::exchange(all_[p].waiting, {})) request(p, partner);
+            for (std::size_t partner : std::exchange(processes_[p].waiting, {})) request(p, partner);
         });
     }
     void after(Duration wait, std::function<void()> what) {
-        due_.emplace(net_.now() + wait, std::move(what));
+        scheduled_.emplace(net_.now() + wait, std::move(what));
     }
 
 private:
@@ -125,20 +125,20 @@
         std::size_t group = 0;
         bool node = false;
         std::vector<Bucket> buckets;
-        std::vector<double> sums;
+        std::vector<double> admitted_sums;
         std::vector<std::size_t> waiting;
     };
     double uniform() { return double(random_()) * 0x1p-32; }
 
     void begin(std::size_t p) {
-        Process& one = all_[p];
-        double part = baseline_ == Baseline::Fixed ? 1 / double(settings_.sites * settings_.nodes) : 1;
-        one.buckets.clear(), one.waiting.clear();
+        Process& process = processes_[p];
+        double part = baseline_ == Baseline::StaticShares ? 1 / double(settings_.sites * settings_.nodes) : 1;
+        process.buckets.clear(), process.waiting.clear();
         for (const Budget& b : settings_.budgets)
-            one.buckets.push_back({0.98 * double(b.rate) * part, double(b.burst) * part, 0, net_.own(p)});
-        one.sums.assign(all_.size() * settings_.budgets.size(), 0);
+            process.buckets.push_back({0.98 * double(b.rate) * part, double(b.burst) * part, 0, net_.own(p)});
+        process.admitted_sums.assign(processes_.size() * settings_.budgets.size(), 0);
     }
-    Duration arrive() {
+    Duration generate_arrival() {
         Duration at = net_.now() - TimePoint{};
         std::vector<double> rates;
         double sum = 0;
@@ -151,12 +151,13 @@
         for (std::size_t i = 0; i < rates.size(); ++i) {
             if ((draw -= rates[i]) >= 0) continue;
             std::size_t n = std::size_t(
-                std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * sum_) - weights_.begin());
+                std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * total_weight_) -
+                weights_.begin());
             std::size_t p = nodes_[i % settings_.sites * settings_.nodes + n];
-            ++out_.asked;
+            ++out_.requests;
             if (!net_.up(p)) break;
             if (net_.stopped(p)) {
-                if (all_[p].waiting.size() < 500) all_[p].waiting.push_back(i / settings_.sites);
+                if (processes_[p].waiting.size() < 500) processes_[p].waiting.push_back(i / settings_.sites);
             } else {
                 request(p, i / settings_.sites);
             }
@@ -164,58 +165,59 @@
         }
         return gap;
     }
-    void let(std::size_t p, std::size_t partner) {
-        out_.admitted.push_back({net_.now(), partner, all_[p].group - 1, 0, kUnit, false});
+    void admit(std::size_t p, std::size_t partner) {
+        out_.admitted.push_back({net_.now(), partner, processes_[p].group - 1, 0, kUnit, false});
     }
     void request(std::size_t p, std::size_t partner) {
-        if (baseline_ == Baseline::Fixed || baseline_ == Baseline::Gossip) {
-            if (!all_[p].buckets[partner].take(net_.own(p), double(kUnit))) return;
-            all_[p].sums[p * settings_.budgets.size() + partner] += double(kUnit);
-            return let(p, partner);
+        if (baseline_ == Baseline::StaticShares || baseline_ == Baseline::GossipedCounters) {
+            if (!processes_[p].buckets[partner].take(net_.own(p), double(kUnit))) return;
+            processes_[p].admitted_sums[p * settings_.budgets.size() + partner] += double(kUnit);
+            return admit(p, partner);
         }
-        std::uint64_t number = ++numbers_;
-        asked_[number] = {p, partner, net_.now()};
+        std::uint64_t number = ++last_query_;
+        pending_queries_[number] = {p, partner, net_.now()};
         ++out_.messages;
         net_.send(p, 1, {Message::Kind::Query, number, partner});
         after(Duration{1000}, [this, number] {
-            auto found = asked_.find(number);
-            if (found == asked_.end()) return;
-            PendingQuery asked = found->second;
-            asked_.erase(found);
+            auto found = pending_queries_.find(number);
+            if (found == pending_queries_.end()) return;
+            PendingQuery query = found->second;
+            pending_queries_.erase(found);
             out_.waits.push_back(1000);
-            if (baseline_ == Baseline::OneCounterOpen && net_.up(asked.node) && !net_.stopped(asked.node))
-                let(asked.node, asked.partner);
+            if (baseline_ == Baseline::SingleCounterFailOpen && net_.up(query.node) &&
+                !net_.stopped(query.node))
+                admit(query.node, query.partner);
         });
     }
-    void woken(std::size_t p, TimePoint own) {
+    void on_timer(std::size_t p, TimePoint own) {
         net_.wake_at(p, own + Duration{200});
-        if (baseline_ != Baseline::Gossip || !all_[p].node) return;
+        if (baseline_ != Baseline::GossipedCounters || !processes_[p].node) return;
         for (int i = 0; i < 3; ++i) {
             ++out_.messages;
             net_.send(p, nodes_[std::size_t(uniform() * double(nodes_.size()))],
-                      {Message::Kind::Sums, 0, 0, all_[p].sums});
+                      {Message::Kind::AdmittedSums, 0, 0, processes_[p].admitted_sums});
         }
     }
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
         if (m.kind == Message::Kind::Query) {
-            bool yes = all_[p].buckets[m.partner].take(own, double(kUnit));
+            bool admits = processes_[p].buckets[m.partner].take(own, double(kUnit));
             ++out_.messages;
-            net_.send(p, from, {yes ? Message::Kind::Yes : Message::Kind::No, m.number, m.partner});
-        } else if (m.kind == Message::Kind::Sums) {
-            for (std::size_t i = 0; i < m.sums.size(); ++i) {
-                double more = m.sums[i] - all_[p].sums[i];
+            net_.send(p, from, {admits ? Message::Kind::Admit : Message::Kind::Reject, m.number, m.partner});
+        } else if (m.kind == Message::Kind::AdmittedSums) {
+            for (std::size_t i = 0; i < m.admitted_sums.size(); ++i) {
+                double more = m.admitted_sums[i] - processes_[p].admitted_sums[i];
                 if (more <= 0) continue;
-                all_[p].sums[i] = m.sums[i];
-                Bucket& bucket = all_[p].buckets[i % settings_.budgets.size()];
-                bucket.grow(own);
+                processes_[p].admitted_sums[i] = m.admitted_sums[i];
+                Bucket& bucket = processes_[p].buckets[i % settings_.budgets.size()];
+                bucket.refill(own);
                 bucket.level -= more;
             }
         } else {
-            auto found = asked_.find(m.number);
-            if (found == asked_.end()) return;
+            auto found = pending_queries_.find(m.number);
+            if (found == pending_queries_.end()) return;
             out_.waits.push_back((net_.now() - found->second.at).count());
-            if (m.kind == Message::Kind::Yes) let(p, m.partner);
-            asked_.erase(found);
+            if (m.kind == Message::Kind::Admit) admit(p, m.partner);
+            pending_queries_.erase(found);
         }
     }
 
@@ -227,13 +229,13 @@
     QuotaSimulationSettings settings_;
     Net<Message> net_;
     boost::random::taus88 random_;
-    std::vector<Process> all_;
+    std::vector<Process> processes_;
     std::vector<std::size_t> nodes_;
     std::vector<double> weights_;
-    double sum_ = 0;
-    std::multimap<TimePoint, std::function<void()>> due_;
-    std::map<std::uint64_t, PendingQuery> asked_;
-    std::uint64_t numbers_ = 0;
+    double total_weight_ = 0;
+    std::multimap<TimePoint, std::function<void()>> scheduled_;
+    std::map<std::uint64_t, PendingQuery> pending_queries_;
+    std::uint64_t last_query_ = 0;
     BaselineResult out_;
 };
 
@@ -243,7 +245,7 @@
     if (baseline != Baseline::Leases) return BaselineSimulation(baseline, settings).run();
     QuotaSimulationResult result = run(settings);
     BaselineResult out;
-    out.admitted = std::move(result.admitted), out.messages = result.messages, out.asked = result.asked;
+    out.admitted = std::move(result.admitted), out.messages = result.messages, out.requests = result.requests;
     return out;
 }
 
--- a/lab/quota/fault_injection.h
+++ b/lab/quota/fault_injection.h
@@ -12,13 +12,13 @@
 void inject_fault(const QuotaFault& f, const QuotaSimulationSettings& settings, Net<Message>& net,
                   Host& host) {
     using Kind = QuotaFault::Kind;
-    std::size_t all = net.size(), p = f.which % all, site = 1 + f.which % settings.sites;
-    auto each = [all](auto which, auto what) {
+    std::size_t all = net.size(), p = f.target % all, site = 1 + f.target % settings.sites;
+    auto for_each_process = [all](auto matches, auto action) {
         for (std::size_t q = 0; q < all; ++q)
-            if (which(q)) what(q);
+            if (matches(q)) action(q);
     };
     auto others = [p](std::size_t q) { return q != p; };
-    auto mended = [&net, &host, &settings](std::size_t a, std::size_t b) {
+    auto restore_delay = [&net, &host, &settings](std::size_t a, std::size_t b) {
         net.delay(a, b, host.group_of(a) == host.group_of(b) ? Duration{0} : settings.site_delay);
     };
     switch (f.kind) {
@@ -33,7 +33,7 @@
                     }
             };
             cut(true);
-            host.after(f.length, [cut] { cut(false); });
+            host.after(f.duration, [cut] { cut(false); });
             break;
         }
         case Kind::CutNode: {
@@ -42,55 +42,58 @@
                     if (q != p) net.cut(p, q, on), net.cut(q, p, on);
             };
             cut(true);
-            host.after(f.length, [cut] { cut(false); });
+            host.after(f.duration, [cut] { cut(false); });
             break;
         }
         case Kind::CutLink: {
-            std::size_t q = std::size_t(f.much);
+            std::size_t q = std::size_t(f.magnitude);
             net.cut(p, q), net.cut(q, p);
-            host.after(f.length, [&net, p, q] { net.cut(p, q, false), net.cut(q, p, false); });
+            host.after(f.duration, [&net, p, q] { net.cut(p, q, false), net.cut(q, p, false); });
             break;
         }
         case Kind::Pause:
-            host.stop(p, f.length);
+            host.stop(p, f.duration);
             break;
         case Kind::Crash:
-            host.crash(p, f.length);
+            host.crash(p, f.duration);
             break;
-        case Kind::AllNodes:
-            each([&](std::size_t q) { return host.serves(q); },
-                 [&](std::size_t q) { host.crash(q, f.length); });
+        case Kind::CrashAllNodes:
+            for_each_process([&](std::size_t q) { return host.is_node(q); },
+                             [&](std::size_t q) { host.crash(q, f.duration); });
             break;
-        case Kind::LoseSite:
-            each([&](std::size_t q) { return host.group_of(q) == site; },
-                 [&](std::size_t q) { net.crash(q); });
+        case Kind::SiteLost:
+            for_each_process([&](std::size_t q) { return host.group_of(q) == site; },
+                             [&](std::size_t q) { net.crash(q); });
             break;
-        case Kind::Clock:
-            net.clock(p, 0.99 + 0.02 * f.much);
+        case Kind::ClockRate:
+            net.clock(p, 0.99 + 0.02 * f.magnitude);
             break;
-        case Kind::Late:
-            each(others, [&](std::size_t q) {
-                net.delay(p, q, Duration{f.much}), net.delay(q, p, Duration{f.much});
+        case Kind::ExtraDelay:
+            for_each_process(others, [&](std::size_t q) {
+                net.delay(p, q, Duration{f.magnitude}), net.delay(q, p, Duration{f.magnitude});
+            });
+            host.after(f.duration, [=] {
+                for_each_process(others, [&](std::size_t q) { restore_delay(p, q), restore_delay(q, p); });
             });
-            host.after(f.length, [=] { each(others, [&](std::size_t q) { mended(p, q), mended(q, p); }); });
             break;
-        case Kind::LateAnswers: {
+        case Kind::DelayedResponses: {
             auto owners = [&host, p](std::size_t q) {
-                return host.lends(q) && host.group_of(q) == host.group_of(p);
+                return host.is_allocator(q) && host.group_of(q) == host.group_of(p);
             };
-            each(owners, [&](std::size_t q) { net.delay(q, p, Duration{f.much}); });
-            host.after(f.length, [=] { each(owners, [&](std::size_t q) { mended(q, p); }); });
+            for_each_process(owners, [&](std::size_t q) { net.delay(q, p, Duration{f.magnitude}); });
+            host.after(f.duration,
+                       [=] { for_each_process(owners, [&](std::size_t q) { restore_delay(q, p); }); });
             break;
         }
-        case Kind::Loss:
-            net.loss(f.much);
-            host.after(f.length, [&net, &settings] { net.loss(settings.loss); });
+        case Kind::MessageLoss:
+            net.loss(f.magnitude);
+            host.after(f.duration, [&net, &settings] { net.loss(settings.loss); });
             break;
-        case Kind::Doubled:
-            net.doubled(f.much);
-            host.after(f.length, [&net, &settings] { net.doubled(settings.doubled); });
+        case Kind::MessageDuplication:
+            net.doubled(f.magnitude);
+            host.after(f.duration, [&net, &settings] { net.doubled(settings.duplication); });
             break;
-        case Kind::Budgets:
+        case Kind::ChangeBudgets:
             break;
     }
 }
--- a/lab/quota/invariant_checker.h
+++ b/lab/quota/invariant_checker.h
@@ -13,7 +13,7 @@
     TimePoint at;  ///< the world's
     std::size_t partner = 0, site = 0, node = 0;
     quota::Amount cost = 0;
-    bool given_back = false;  ///< it never ran, and counts for nothing
+    bool refunded = false;  ///< it never ran, and counts for nothing
 };
 
 struct ExcessWindow {
@@ -31,7 +31,7 @@
     long double held = 0;
     TimePoint begun{}, last{};
     for (const AdmittedRequest& r : records) {
-        if (r.partner != partner || r.given_back || r.at < from || r.at > to) continue;
+        if (r.partner != partner || r.refunded || r.at < from || r.at > to) continue;
         held -= (long double)rate * (long double)(r.at - last).count() / 1000;
         if (held <= 0) held = 0, begun = r.at;
         held += (long double)r.cost;
@@ -45,7 +45,7 @@
                               TimePoint from, TimePoint to, int site = -1) {
     quota::Amount sum = 0;
     for (const AdmittedRequest& r : records)
-        if (r.partner == partner && !r.given_back && r.at >= from && r.at < to &&
+        if (r.partner == partner && !r.refunded && r.at >= from && r.at < to &&
             (site < 0 || r.site == std::size_t(site)))
             sum += r.cost;
     return sum;
--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -50,14 +50,14 @@
                 };
             }
             settings.faults = random_faults(seed, settings, 12);
-            settings.loss = settings.doubled = 0.01;
+            settings.loss = settings.duplication = 0.01;
             QuotaSimulationResult result = run(settings);
             double w = worst_excess(settings, result),
                    u = budget_use(settings, result, 0, settings.length - Duration{3000}, settings.length);
             std::unique_lock hold(lock);
             most = std::max(most, w), over += w > 0;
             if (seed % 3 != 0) ++calm, tail += u, least = std::min(least, u);
-            requests += result.asked, messages += result.messages;
+            requests += result.requests, messages += result.messages;
         });
         std::printf(
             "%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window is %.1f "
@@ -130,7 +130,7 @@
         QuotaSimulationSettings settings = steady_workload(5, 40, seed);
         settings.budgets = {plain_budget("dealers", 2000, 2400, 5, 0, 0)};
         settings.demand = [](std::size_t, std::size_t site, Duration) { return site == 1 ? 1600.0 : 600.0; };
-        settings.faults = {{QuotaFault::Kind::LoseSite, Duration{8000}, Duration{0}, 1, 0}};
+        settings.faults = {{QuotaFault::Kind::SiteLost, Duration{8000}, Duration{0}, 1, 0}};
         QuotaSimulationResult result = run(settings);
         double at = 8000;
         while (at < 20'000 && budget_use(settings, result, 0, Duration{at}, Duration{at + 500}) < 0.93)
@@ -145,7 +145,7 @@
         times[times.size() / 2], times.size(), times.back());
 }
 
-void ways(std::uint64_t count) {
+void baselines(std::uint64_t count) {
     for (int faults : {0, 12})
         for (int baseline = 0; baseline <= int(Baseline::Leases); ++baseline) {
             std::mutex lock;
@@ -156,7 +156,7 @@
                 QuotaSimulationSettings settings = swinging_workload(2, 5, seed);
                 auto base = settings.demand;
                 if (faults)
-                    settings.loss = settings.doubled = 0.01,
+                    settings.loss = settings.duplication = 0.01,
                     settings.faults = random_faults(seed, settings, std::size_t(faults));
                 // Idle, then all at once: where too much shows. What is used is counted in the steady part.
                 settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
@@ -176,7 +176,7 @@
                            (double(settings.budgets[0].rate) * 12);
                 std::unique_lock hold(lock);
                 most = std::max(most, w), over += w > 0, share += u / double(count);
-                messages += double(result.messages) / double(std::max<std::uint64_t>(1, result.asked)) /
+                messages += double(result.messages) / double(std::max<std::uint64_t>(1, result.requests)) /
                             double(count);
                 waits.insert(waits.end(), result.waits.begin(), result.waits.end());
             });
@@ -193,8 +193,8 @@
         }
 }
 
-void saboteurs(std::uint64_t count) {
-    for (int s = 1; s <= int(QuotaMutant::MintsPastCap); ++s) {
+void mutants(std::uint64_t count) {
+    for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
         int found = 0;
         double most = -1e18, honest = -1e18;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
@@ -213,15 +213,16 @@
 /// Each process crashes, and stops, at each event of a short day.
 void events(std::uint64_t stride) {
     QuotaSimulationSettings settings = small_workload();
-    std::uint64_t happened = run(settings).happened, runs = 0, over = 0;
+    std::uint64_t happened = run(settings).event_count, runs = 0, over = 0;
     double most = -1e18;
     std::mutex lock;
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
     each_seed(happened / stride, [&](std::uint64_t n) {
         for (std::size_t p = 0; p < processes; ++p)
-            for (bool stops : {false, true}) {
+            for (bool pauses : {false, true}) {
                 QuotaSimulationSettings hit = settings;
-                hit.at = QuotaSimulationSettings::At{n * stride, p, stops, Duration{stops ? 1500.0 : 50.0}};
+                hit.fault_at_event = QuotaSimulationSettings::FaultAtEvent{n * stride, p, pauses,
+                                                                           Duration{pauses ? 1500.0 : 50.0}};
                 double w = worst_excess(hit, run(hit));
                 std::unique_lock hold(lock);
                 ++runs, over += w > 0, most = std::max(most, w);
@@ -238,12 +239,12 @@
     using Clock = std::chrono::steady_clock;
     quota::QuotaLimiterSettings settings;
     settings.instance = 1;
-    quota::QuotaLimiter charger(settings);
+    quota::QuotaLimiter limiter(settings);
     std::vector<quota::Budget> budgets;
     for (int i = 0; i < 10'000; ++i)
         budgets.push_back(
             plain_budget(std::string("partner").append(std::to_string(i)), 1000, 1000, 0, 0, 0));
-    charger.configure(budgets);
+    limiter.configure(budgets);
     boost::random::taus88 random(1);
     std::vector<double> took;
     took.reserve(count);
@@ -255,24 +256,24 @@
     std::thread asker([&] {
         while (!done) {
             TimePoint now = TimePoint{} + Duration{double(Clock::now().time_since_epoch().count()) / 1e6};
-            quota::BorrowRequest ask = charger.ask(now);
-            quota::BorrowResponse answer{ask.instance, ask.seq, {}};
-            for (const quota::BorrowRequestLine& l : ask.lines)
-                answer.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000,
-                                        1000 * kUnit, false, false});
-            charger.answered(now, answer);
+            quota::BorrowRequest request = limiter.next_request(now);
+            quota::BorrowResponse response{request.instance, request.seq, {}};
+            for (const quota::BorrowRequestLine& l : request.lines)
+                response.lines.push_back({l.account, 1, l.spent + l.returned + 100'000 * kUnit, 3'000'000,
+                                          1000 * kUnit, false, false});
+            limiter.handle_response(now, response);
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         }
     });
     std::vector<std::uint32_t> numbers;
-    for (const std::string& name : names) numbers.push_back(*charger.find(name));
+    for (const std::string& name : names) numbers.push_back(*limiter.find(name));
     std::uint64_t allowed = 0;
     auto measured = [&](const char* text, auto which) {
         took.clear();
         for (std::uint64_t i = 0; i < count; ++i) {
             auto begun = Clock::now();
             auto result =
-                charger.charge(TimePoint{} + Duration{double(begun.time_since_epoch().count()) / 1e6},
+                limiter.charge(TimePoint{} + Duration{double(begun.time_since_epoch().count()) / 1e6},
                                which(i % names.size()), kNone);
             auto ended = Clock::now();
             took.push_back(std::chrono::duration<double, std::nano>(ended - begun).count());
@@ -284,7 +285,7 @@
             text, took[count / 2], took[count * 99 / 100], took[count * 999 / 1000]);
     };
     measured("charge by a tenant's number", [&](std::size_t i) { return numbers[i]; });
-    measured("charge by a key's text", [&](std::size_t i) { return *charger.find(names[i]); });
+    measured("charge by a key's text", [&](std::size_t i) { return *limiter.find(names[i]); });
     took.clear();
     for (std::uint64_t i = 0; i < count; ++i) {
         auto begun = Clock::now();
@@ -306,8 +307,8 @@
     if (what == "used") return used_shares(count ? count : 5), 0;
     if (what == "cut") return cut(count ? count : 5), 0;
     if (what == "lost") return lost(count ? count : 20), 0;
-    if (what == "ways") return ways(count ? count : 100), 0;
-    if (what == "saboteurs") return saboteurs(count ? count : 20), 0;
+    if (what == "ways") return baselines(count ? count : 100), 0;
+    if (what == "saboteurs") return mutants(count ? count : 20), 0;
     if (what == "events") return events(count ? count : 1), 0;
     if (what == "charge") return charge(count ? count : 1'000'000), 0;
     std::fprintf(stderr, "quota_measure seeds|used|cut|lost|ways|saboteurs|events|charge [COUNT]\n");
--- a/lab/quota/simulation.cpp
+++ b/lab/quota/simulation.cpp
@@ -55,185 +55,192 @@
 public:
     explicit QuotaSimulation(const QuotaSimulationSettings& settings)
         : settings_(settings),
-          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.doubled, false, settings.seed},
-               {[this](std::size_t p, TimePoint own) { woken(p, own); },
+          net_({0, Duration{0.2}, Duration{2}, settings.loss, settings.duplication, false, settings.seed},
+               {[this](std::size_t p, TimePoint own) { on_timer(p, own); },
                 [this](std::size_t p, std::size_t from, TimePoint own, const Message& m) {
                     received(p, from, own, m);
                 }}),
           random_(unsigned(settings.seed * 40503u + 7)) {
         for (std::size_t group = 0; group <= settings.sites; ++group) {
-            add(Role::Keeper, group);
-            add(Role::Owner, group);
-            add(Role::Owner, group);
-            for (std::size_t n = 0; group > 0 && n < settings.nodes; ++n) add(Role::Node, group);
+            add_process(Role::Coordinator, group);
+            add_process(Role::Owner, group);
+            add_process(Role::Owner, group);
+            for (std::size_t n = 0; group > 0 && n < settings.nodes; ++n) add_process(Role::Node, group);
         }
-        for (std::size_t p = 0; p < all_.size(); ++p) {
-            if (settings.clocks) net_.clock(p, 0.99 + 0.02 * uniform());
-            if (all_[p].role != Role::Keeper) {
-                for (std::size_t q = 0; q < all_.size(); ++q)
-                    if (all_[p].group != all_[q].group) distant(p, q);
+        for (std::size_t p = 0; p < processes_.size(); ++p) {
+            if (settings.clock_rates_vary) net_.clock(p, 0.99 + 0.02 * uniform());
+            if (processes_[p].role != Role::Coordinator) {
+                for (std::size_t q = 0; q < processes_.size(); ++q)
+                    if (processes_[p].group != processes_[q].group) add_site_delay(p, q);
             } else {
-                keeper(p).apply({0, command_set(0, settings_.budgets)});
+                state_machine_of(p).apply({0, command_set(0, settings_.budgets)});
             }
             start(p);
         }
-        out_.asked_for.resize(settings.budgets.size());
+        out_.offered.resize(settings.budgets.size());
     }
 
     QuotaSimulationResult run() {
         std::stable_sort(settings_.faults.begin(), settings_.faults.end(),
                          [](const auto& a, const auto& b) { return a.at < b.at; });
-        for (const QuotaFault& f : settings_.faults) plan(f);
+        for (const QuotaFault& f : settings_.faults) schedule_fault(f);
         next_arrival_ = TimePoint{} + Duration{1};
         while (true) {
-            TimePoint next = std::min(next_arrival_, due_.empty() ? TimePoint::max() : due_.begin()->first);
+            TimePoint next =
+                std::min(next_arrival_, scheduled_.empty() ? TimePoint::max() : scheduled_.begin()->first);
             if (next > TimePoint{} + settings_.length) break;
-            if (settings_.at && !struck_) {
-                while (!struck_ && net_.happened() < settings_.at->event && stepped_before(next)) {
+            if (settings_.fault_at_event && !injected_at_event_) {
+                while (!injected_at_event_ && net_.happened() < settings_.fault_at_event->event &&
+                       step_before(next)) {
                 }
-                if (net_.happened() >= settings_.at->event) strike();
+                if (net_.happened() >= settings_.fault_at_event->event) inject_at_event();
             }
             net_.run_to(next);
-            if (!due_.empty() && due_.begin()->first <= next) {
-                auto what = std::move(due_.begin()->second);
-                due_.erase(due_.begin());
+            if (!scheduled_.empty() && scheduled_.begin()->first <= next) {
+                auto what = std::move(scheduled_.begin()->second);
+                scheduled_.erase(scheduled_.begin());
                 what();
             } else {
-                arrive();
+                generate_arrival();
             }
         }
         net_.run_to(TimePoint{} + settings_.length);
         std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
                          [](const AdmittedRequest& a, const AdmittedRequest& b) { return a.at < b.at; });
-        out_.happened = net_.happened();
+        out_.event_count = net_.happened();
         return std::move(out_);
     }
 
 private:
-    enum class Role : std::uint8_t { Keeper, Owner, Node };
-    struct KeeperSession {
+    enum class Role : std::uint8_t { Coordinator, Owner, Node };
+    struct CoordinatorSession {
         std::uint64_t instance = 0;
-        TimePoint ends{};
-        std::uint64_t last = 0;
+        TimePoint expires_at{};
+        std::uint64_t last_command = 0;
         std::string reply;
     };
-    struct Told {
+    struct ReportedSums {
         std::uint64_t lease = 0;
-        Amount spent = 0, returned = 0, kept = 0;
+        Amount spent = 0, returned = 0, kept_anyway = 0;
     };
     struct Process {
         Role role{};
         std::size_t group = 0, number = 0;
         std::uint64_t instance = 0;
         // keeper
-        std::unique_ptr<QuotaStateMachine> machine;
-        std::map<std::uint64_t, KeeperSession> sessions;
+        std::unique_ptr<QuotaStateMachine> state_machine;
+        std::map<std::uint64_t, CoordinatorSession> sessions;
         std::uint64_t next_session = 1;
         // owner
-        std::unique_ptr<QuotaAllocator> lender;
+        std::unique_ptr<QuotaAllocator> allocator;
         std::uint64_t session = 0, epoch = 0, version = 0, renewals = 0, commands = 0;
-        TimePoint until{}, renew_at{}, lender_at{}, resend_at{};
-        std::map<std::uint64_t, TimePoint> renewed;
+        TimePoint until{}, renew_at{}, allocator_timer_at{}, resend_at{};
+        std::map<std::uint64_t, TimePoint> renewal_sent_at;
         std::optional<std::pair<std::uint64_t, std::string>> command;  // that is not answered yet
         std::optional<std::uint64_t> recording;
         // node, and the owner of a site
-        std::unique_ptr<QuotaLimiter> charger;
-        int target = 0;
-        TimePoint heard{}, asks_at{}, early_at{}, before_pause{};
-        std::map<std::uint64_t, TimePoint> asked;
+        std::unique_ptr<QuotaLimiter> limiter;
+        int allocator_index = 0;
+        TimePoint last_response_at{}, next_request_at{}, last_early_request_at{}, paused_at{};
+        std::map<std::uint64_t, TimePoint> request_sent_at;
         std::vector<std::pair<std::size_t, Amount>> waiting;  // requests of clients while it was stopped
-        std::map<Account, BorrowResponseLine> known;          // for saboteurs
-        std::map<Account, Amount> extra;
-        std::map<Account, Told> said;
+        std::map<Account, BorrowResponseLine> last_lines;     // for saboteurs
+        std::map<Account, Amount> extra_grant;
+        std::map<Account, ReportedSums> reported_sums;
     };
 
     // ---- Who is there
 
-    void add(Role role, std::size_t group) {
+    void add_process(Role role, std::size_t group) {
         std::size_t p = net_.add();
-        Process& one = all_.emplace_back();
-        one.role = role, one.group = group;
-        one.number = p - group_begin(group);
-        if (role == Role::Keeper) {
+        Process& process = processes_.emplace_back();
+        process.role = role, process.group = group;
+        process.number = p - group_begin(group);
+        if (role == Role::Coordinator) {
             std::vector<std::string> sites;
             for (std::size_t s = 0; s < settings_.sites; ++s) sites.push_back(site_name(s));
-            one.machine = std::make_unique<QuotaStateMachine>(sites, settings_.timing);
+            process.state_machine = std::make_unique<QuotaStateMachine>(sites, settings_.timing);
         }
     }
     std::size_t group_begin(std::size_t group) const {
         return group == 0 ? 0 : 3 + (group - 1) * (3 + settings_.nodes);
     }
-    std::size_t process(std::size_t group, std::size_t number) const { return group_begin(group) + number; }
-    std::size_t node(std::size_t site, std::size_t n) const { return process(site + 1, 3 + n); }
-    QuotaStateMachine& keeper(std::size_t p) { return *all_[process(all_[p].group, 0)].machine; }
+    std::size_t process_id(std::size_t group, std::size_t number) const {
+        return group_begin(group) + number;
+    }
+    std::size_t node(std::size_t site, std::size_t n) const { return process_id(site + 1, 3 + n); }
+    QuotaStateMachine& state_machine_of(std::size_t p) {
+        return *processes_[process_id(processes_[p].group, 0)].state_machine;
+    }
     std::string child_name(std::size_t p) const {
-        if (all_[p].role == Role::Owner) return site_name(all_[p].group - 1);
-        return std::string("node").append(std::to_string(all_[p].number - 3));
+        if (processes_[p].role == Role::Owner) return site_name(processes_[p].group - 1);
+        return std::string("node").append(std::to_string(processes_[p].number - 3));
     }
-    void distant(std::size_t a, std::size_t b) {
+    void add_site_delay(std::size_t a, std::size_t b) {
         net_.delay(a, b, settings_.site_delay), net_.delay(b, a, settings_.site_delay);
     }
     double uniform() { return double(random_()) * 0x1p-32; }
     std::uint64_t draw() { return (std::uint64_t(random_()) << 32 | random_()) | 1; }
 
     void start(std::size_t p) {
-        Process& one = all_[p];
+        Process& process = processes_[p];
         TimePoint own = net_.own(p);
-        one.instance = draw();
-        one.heard = own;
-        if (one.role == Role::Owner) {
-            one.lender = std::make_unique<QuotaAllocator>(
-                QuotaAllocatorSettings{one.group == 0 ? "" : site_name(one.group - 1), one.instance,
-                                       one.group == 0 ? 2 : 1, settings_.timing});
-            one.session = one.epoch = one.version = 0;
-            one.until = {}, one.renew_at = own, one.lender_at = own + Duration{1};
-            one.command.reset(), one.recording.reset(), one.renewed.clear();
-            one.asked.clear();
+        process.instance = draw();
+        process.last_response_at = own;
+        if (process.role == Role::Owner) {
+            process.allocator = std::make_unique<QuotaAllocator>(
+                QuotaAllocatorSettings{process.group == 0 ? "" : site_name(process.group - 1),
+                                       process.instance, process.group == 0 ? 2 : 1, settings_.timing});
+            process.session = process.epoch = process.version = 0;
+            process.until = {}, process.renew_at = own, process.allocator_timer_at = own + Duration{1};
+            process.command.reset(), process.recording.reset(), process.renewal_sent_at.clear();
+            process.request_sent_at.clear();
         }
-        if (one.role == Role::Node) {
+        if (process.role == Role::Node) {
             QuotaLimiterSettings settings;
-            settings.instance = one.instance, settings.timing = settings_.timing;
-            one.charger = std::make_unique<QuotaLimiter>(settings);
-            one.charger->configure(settings_.budgets);
-            one.asks_at = own + settings_.timing.ask * uniform();
-            one.waiting.clear();
-            one.asked.clear();
+            settings.instance = process.instance, settings.timing = settings_.timing;
+            process.limiter = std::make_unique<QuotaLimiter>(settings);
+            process.limiter->configure(settings_.budgets);
+            process.next_request_at = own + settings_.timing.request_interval * uniform();
+            process.waiting.clear();
+            process.request_sent_at.clear();
         }
         net_.wake_at(p, own);
     }
 
-    bool stepped_before(TimePoint next) {
+    bool step_before(TimePoint next) {
         if (net_.now() >= next) return false;
         std::uint64_t before = net_.happened();
         return net_.step() && (net_.happened() != before || net_.now() < next);
     }
-    void strike() {
-        struck_ = true;
-        settings_.at->stops ? stop(settings_.at->process, settings_.at->length)
-                            : crash(settings_.at->process, settings_.at->length);
+    void inject_at_event() {
+        injected_at_event_ = true;
+        settings_.fault_at_event->pauses
+            ? stop(settings_.fault_at_event->process, settings_.fault_at_event->length)
+            : crash(settings_.fault_at_event->process, settings_.fault_at_event->length);
     }
 
-    void plan(const QuotaFault& f) {
-        due_.emplace(TimePoint{} + f.at, [this, f] { begin(f); });
+    void schedule_fault(const QuotaFault& f) {
+        scheduled_.emplace(TimePoint{} + f.at, [this, f] { start_fault(f); });
     }
-    void begin(const QuotaFault& f) {
-        if (f.kind != QuotaFault::Kind::Budgets) return inject_fault(f, settings_, net_, *this);
+    void start_fault(const QuotaFault& f) {
+        if (f.kind != QuotaFault::Kind::ChangeBudgets) return inject_fault(f, settings_, net_, *this);
         for (std::size_t group = 0; group <= settings_.sites; ++group) {
-            QuotaStateMachine& machine = *all_[process(group, 0)].machine;
-            auto reply = decode_command_response(machine.apply({0, command_get()}));
-            machine.apply({0, command_set(reply->version, settings_.later)});
+            QuotaStateMachine& state_machine = *processes_[process_id(group, 0)].state_machine;
+            auto reply = decode_command_response(state_machine.apply({0, command_get()}));
+            state_machine.apply({0, command_set(reply->version, settings_.changed_budgets)});
         }
-        changed_ = true;
+        budgets_changed_ = true;
     }
 
 public:  // for `inject_fault`
-    std::size_t group_of(std::size_t p) const { return all_[p].group; }
-    bool lends(std::size_t p) const { return all_[p].role == Role::Owner; }
-    bool serves(std::size_t p) const { return all_[p].role == Role::Node; }
-    void crash(std::size_t p, Duration back) {
-        if (all_[p].role == Role::Keeper || !net_.up(p)) return;
+    std::size_t group_of(std::size_t p) const { return processes_[p].group; }
+    bool is_allocator(std::size_t p) const { return processes_[p].role == Role::Owner; }
+    bool is_node(std::size_t p) const { return processes_[p].role == Role::Node; }
+    void crash(std::size_t p, Duration restart_after) {
+        if (processes_[p].role == Role::Coordinator || !net_.up(p)) return;
         net_.crash(p);
-        after(back, [this, p] {
+        after(restart_after, [this, p] {
             if (net_.up(p)) return;
             net_.start(p);
             start(p);
@@ -241,65 +248,69 @@
     }
     void stop(std::size_t p, Duration length) {
         if (!net_.up(p) || net_.stopped(p)) return;
-        all_[p].before_pause = net_.own(p);
+        processes_[p].paused_at = net_.own(p);
         net_.stop(p);
         after(length, [this, p] {
             if (!net_.stopped(p)) return;
             net_.go_on(p);
-            Process& one = all_[p];
+            Process& process = processes_[p];
             // What clients sent meanwhile is worked off behind what others have sent.
-            std::uint64_t life = one.instance;
+            std::uint64_t instance = process.instance;
             auto work_off = [this, p](TimePoint own) {
-                for (auto [partner, cost] : std::exchange(all_[p].waiting, {}))
+                for (auto [partner, cost] : std::exchange(processes_[p].waiting, {}))
                     request(p, partner, cost, own);
             };
-            if (settings_.mutant == QuotaMutant::StaleClock) return work_off(one.before_pause);
-            after(Duration{0.5}, [this, p, life, work_off] {
-                if (all_[p].instance == life && net_.up(p) && !net_.stopped(p)) work_off(net_.own(p));
+            if (settings_.mutant == QuotaMutant::StaleClock) return work_off(process.paused_at);
+            after(Duration{0.5}, [this, p, instance, work_off] {
+                if (processes_[p].instance == instance && net_.up(p) && !net_.stopped(p))
+                    work_off(net_.own(p));
             });
         });
     }
     void after(Duration wait, std::function<void()> what) {
-        due_.emplace(net_.now() + wait, std::move(what));
+        scheduled_.emplace(net_.now() + wait, std::move(what));
     }
 
 private:
     // ---- What arrives
 
-    void woken(std::size_t p, TimePoint own) {
-        Process& one = all_[p];
-        if (one.role == Role::Keeper) {
-            for (auto it = one.sessions.begin(); it != one.sessions.end();) {
-                if (it->second.ends <= own) {
-                    one.machine->session_ended(it->first);
-                    it = one.sessions.erase(it);
+    void on_timer(std::size_t p, TimePoint own) {
+        Process& process = processes_[p];
+        if (process.role == Role::Coordinator) {
+            for (auto it = process.sessions.begin(); it != process.sessions.end();) {
+                if (it->second.expires_at <= own) {
+                    process.state_machine->session_ended(it->first);
+                    it = process.sessions.erase(it);
                 } else {
                     ++it;
                 }
             }
             return wake(p, own, own + Duration{100});
         }
-        if (one.role == Role::Owner) {
-            if (own >= one.renew_at) {
-                one.renew_at = own + settings_.session / 3;
-                one.renewed[++one.renewals] = own;
-                if (one.renewed.size() > 8) one.renewed.erase(one.renewed.begin());
-                send(p, process(one.group, 0),
-                     {Message::Kind::Renew, one.instance, one.renewals, std::to_string(one.session)});
+        if (process.role == Role::Owner) {
+            if (own >= process.renew_at) {
+                process.renew_at = own + settings_.session_duration / 3;
+                process.renewal_sent_at[++process.renewals] = own;
+                if (process.renewal_sent_at.size() > 8)
+                    process.renewal_sent_at.erase(process.renewal_sent_at.begin());
+                send(p, process_id(process.group, 0),
+                     {Message::Kind::Renew, process.instance, process.renewals,
+                      std::to_string(process.session)});
             }
-            if (one.command && own >= one.resend_at) say(p, own);
-            if (own >= one.lender_at) {
-                one.lender_at = own + settings_.timing.ask;
-                lender(p, own, quota::TimerFired{});
+            if (process.command && own >= process.resend_at) send_command(p, own);
+            if (own >= process.allocator_timer_at) {
+                process.allocator_timer_at = own + settings_.timing.request_interval;
+                handle_allocator(p, own, quota::TimerFired{});
             }
             return wake(p, own,
-                        std::min({one.renew_at, one.lender_at, one.command ? one.resend_at : one.renew_at}));
+                        std::min({process.renew_at, process.allocator_timer_at,
+                                  process.command ? process.resend_at : process.renew_at}));
         }
-        if (own >= one.asks_at) {
-            one.asks_at = own + settings_.timing.ask;
-            ask(p, own, true);
+        if (own >= process.next_request_at) {
+            process.next_request_at = own + settings_.timing.request_interval;
+            send_borrow_request(p, own, true);
         }
-        wake(p, own, one.asks_at);
+        wake(p, own, process.next_request_at);
     }
     /// A clock that is off does not reach a moment to the last bit.
     void wake(std::size_t p, TimePoint own, TimePoint at) {
@@ -307,29 +318,30 @@
     }
 
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
-        Process& one = all_[p];
+        Process& process = processes_[p];
         switch (m.kind) {
             case Message::Kind::Renew:
                 return renew(p, from, own, m);
             case Message::Kind::Command:
                 return command(p, from, m);
             case Message::Kind::Renewed:
-                return renewed(p, own, m);
+                return on_renewed(p, own, m);
             case Message::Kind::Done:
-                return done(p, own, m);
+                return on_command_response(p, own, m);
             case Message::Kind::BorrowRequest: {
-                auto ask = decode_borrow_request(m.body);
-                if (!ask || !one.lender) return;
-                return lender(p, own, RequestReceived{child_name(from), std::move(*ask)});
+                auto request = decode_borrow_request(m.body);
+                if (!request || !process.allocator) return;
+                return handle_allocator(p, own, RequestReceived{child_name(from), std::move(*request)});
             }
             case Message::Kind::BorrowResponse: {
-                auto answer = decode_borrow_response(m.body);
-                if (!answer) return;
-                one.heard = own;
-                if (one.role == Role::Owner) return lender(p, own, ResponseReceived{std::move(*answer)});
-                if (answer->instance != one.instance) return;
-                meddle(one, own, *answer);
-                one.charger->answered(own, *answer);
+                auto response = decode_borrow_response(m.body);
+                if (!response) return;
+                process.last_response_at = own;
+                if (process.role == Role::Owner)
+                    return handle_allocator(p, own, ResponseReceived{std::move(*response)});
+                if (response->instance != process.instance) return;
+                apply_mutant(process, own, *response);
+                process.limiter->handle_response(own, *response);
                 return;
             }
         }
@@ -338,34 +350,35 @@
     // ---- Keepers
 
     void renew(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
-        Process& one = all_[p];
+        Process& process = processes_[p];
         std::uint64_t session = std::stoull(m.body);
-        auto found = one.sessions.find(session);
-        if (found == one.sessions.end() || found->second.instance != m.a) {
-            for (const auto& [id, s] : one.sessions)
-                if (s.instance == m.a) session = id, found = one.sessions.find(id);
-            if (found == one.sessions.end() || found->second.instance != m.a) {
-                session = one.next_session++;
-                one.sessions[session].instance = m.a;
-                one.machine->session_opened(session, child(from), "");
+        auto found = process.sessions.find(session);
+        if (found == process.sessions.end() || found->second.instance != m.a) {
+            for (const auto& [id, s] : process.sessions)
+                if (s.instance == m.a) session = id, found = process.sessions.find(id);
+            if (found == process.sessions.end() || found->second.instance != m.a) {
+                session = process.next_session++;
+                process.sessions[session].instance = m.a;
+                process.state_machine->session_opened(session, child(from), "");
             }
         }
-        one.sessions[session].ends = own + settings_.session;
-        send(p, from, {Message::Kind::Renewed, session, m.b, one.machine->session_update(session)});
+        process.sessions[session].expires_at = own + settings_.session_duration;
+        send(p, from, {Message::Kind::Renewed, session, m.b, process.state_machine->session_update(session)});
     }
     std::string child(std::size_t p) const { return std::string("process").append(std::to_string(p)); }
     void command(std::size_t p, std::size_t from, const Message& m) {
-        Process& one = all_[p];
-        auto found = one.sessions.find(m.a);
-        if (found == one.sessions.end() && settings_.mutant != QuotaMutant::IgnoresEpochs) return;
+        Process& process = processes_[p];
+        auto found = process.sessions.find(m.a);
+        if (found == process.sessions.end() && settings_.mutant != QuotaMutant::IgnoresEpochs) return;
         std::string reply;
-        if (found != one.sessions.end() && m.b < found->second.last) return;
-        if (found != one.sessions.end() && m.b == found->second.last) {
+        if (found != process.sessions.end() && m.b < found->second.last_command) return;
+        if (found != process.sessions.end() && m.b == found->second.last_command) {
             reply = found->second.reply;
         } else {
-            reply = one.machine->apply({m.a, m.body});
+            reply = process.state_machine->apply({m.a, m.body});
             ++out_.records;
-            if (found != one.sessions.end()) found->second.last = m.b, found->second.reply = reply;
+            if (found != process.sessions.end())
+                found->second.last_command = m.b, found->second.reply = reply;
         }
         if (settings_.mutant == QuotaMutant::IgnoresEpochs && m.more == "record") reply.clear();
         send(p, from, {Message::Kind::Done, m.a, m.b, reply});
@@ -373,116 +386,119 @@
 
     // ---- Owners
 
-    void renewed(std::size_t p, TimePoint own, const Message& m) {
-        Process& one = all_[p];
-        auto asked = one.renewed.find(m.b);
-        auto news = decode_session_update(m.body);
-        if (asked == one.renewed.end() || !news) return;
-        if (m.a < one.session) return;
-        if (m.a != one.session) {
-            one.session = m.a, one.epoch = 0, one.command.reset();
-            queued_.erase(p);
-            auto recording = std::exchange(one.recording, std::nullopt);
+    void on_renewed(std::size_t p, TimePoint own, const Message& m) {
+        Process& process = processes_[p];
+        auto sent = process.renewal_sent_at.find(m.b);
+        auto update = decode_session_update(m.body);
+        if (sent == process.renewal_sent_at.end() || !update) return;
+        if (m.a < process.session) return;
+        if (m.a != process.session) {
+            process.session = m.a, process.epoch = 0, process.command.reset();
+            queued_records_.erase(p);
+            auto recording = std::exchange(process.recording, std::nullopt);
             if (settings_.mutant != QuotaMutant::IgnoresEpochs)
-                lender(p, own, OwnershipLost{});
+                handle_allocator(p, own, OwnershipLost{});
             else if (recording)
-                lender(p, own, LeasesRecorded{*recording});
+                handle_allocator(p, own, LeasesRecorded{*recording});
         }
-        TimePoint until =
-            borrower_expiry(asked->second, std::int64_t(settings_.session.count() * 1000), settings_.timing);
+        TimePoint until = borrower_expiry(
+            sent->second, std::int64_t(settings_.session_duration.count() * 1000), settings_.timing);
         if (settings_.mutant == QuotaMutant::IgnoresEpochs) until = own + Duration{1e9};
-        one.until = std::max(one.until, until);
-        if (news->owner && one.epoch != 0) {
-            lender(p, own, OwnershipConfirmed{one.until, std::nullopt, true});
-            if (news->version != one.version) propose(p, own, command_get());
-        } else if (!one.command) {
+        process.until = std::max(process.until, until);
+        if (update->owner && process.epoch != 0) {
+            handle_allocator(p, own, OwnershipConfirmed{process.until, std::nullopt, true});
+            if (update->version != process.version) propose(p, own, command_get());
+        } else if (!process.command) {
             propose(p, own, command_own());
         }
     }
     void propose(std::size_t p, TimePoint own, std::string body) {
-        Process& one = all_[p];
-        if (one.command) return;
-        one.command = {++one.commands, std::move(body)};
-        say(p, own);
-    }
-    void say(std::size_t p, TimePoint own) {
-        Process& one = all_[p];
-        one.resend_at = own + Duration{200};
-        send(p, process(one.group, 0),
-             {Message::Kind::Command, one.session, one.command->first, one.command->second,
-              one.recording ? "record" : ""});
-    }
-    void done(std::size_t p, TimePoint own, const Message& m) {
-        Process& one = all_[p];
-        if (!one.command || m.b != one.command->first || m.a != one.session) return;
-        bool was_record = one.recording.has_value();
-        std::uint64_t number = one.recording.value_or(0);
-        one.command.reset(), one.recording.reset();
+        Process& process = processes_[p];
+        if (process.command) return;
+        process.command = {++process.commands, std::move(body)};
+        send_command(p, own);
+    }
+    void send_command(std::size_t p, TimePoint own) {
+        Process& process = processes_[p];
+        process.resend_at = own + Duration{200};
+        send(p, process_id(process.group, 0),
+             {Message::Kind::Command, process.session, process.command->first, process.command->second,
+              process.recording ? "record" : ""});
+    }
+    void on_command_response(std::size_t p, TimePoint own, const Message& m) {
+        Process& process = processes_[p];
+        if (!process.command || m.b != process.command->first || m.a != process.session) return;
+        bool was_record = process.recording.has_value();
+        std::uint64_t number = process.recording.value_or(0);
+        process.command.reset(), process.recording.reset();
         auto reply = decode_command_response(m.body);
         if (was_record) {
             if (reply && reply->error) {
-                one.epoch = 0;
-                lender(p, own, OwnershipLost{});
+                process.epoch = 0;
+                handle_allocator(p, own, OwnershipLost{});
             } else {
-                lender(p, own, LeasesRecorded{number});
+                handle_allocator(p, own, LeasesRecorded{number});
             }
         } else if (reply && reply->state) {
-            one.version = reply->version;
+            process.version = reply->version;
             std::vector<Budget> budgets = reply->state->budgets;
-            if (one.group == 0 && settings_.mutant == QuotaMutant::LendsFloorsTwice)
+            if (process.group == 0 && settings_.mutant == QuotaMutant::LendsFloorsTwice)
                 for (Budget& b : budgets) b.floors.clear();
-            if (settings_.mutant == QuotaMutant::MintsPastCap)
+            if (settings_.mutant == QuotaMutant::MintsAboveCap)
                 for (Budget& b : budgets) b.burst *= 3;
-            lender(p, own, BudgetsConfigured{budgets});
-            if (one.epoch == 0 && reply->state->owner == one.session) {
-                one.epoch = reply->epoch;
-                auto books = reply->state->books;
-                if (settings_.mutant == QuotaMutant::ForgetsAtRestart) books.clear();
-                lender(p, own, OwnershipConfirmed{one.until, std::move(books), false});
-                if (settings_.mutant == QuotaMutant::ForgetsAtRestart) begin_full(p, own);
+            handle_allocator(p, own, BudgetsConfigured{budgets});
+            if (process.epoch == 0 && reply->state->owner == process.session) {
+                process.epoch = reply->epoch;
+                auto leases = reply->state->leases;
+                if (settings_.mutant == QuotaMutant::ForgetsLeasesAtRestart) leases.clear();
+                handle_allocator(p, own, OwnershipConfirmed{process.until, std::move(leases), false});
+                if (settings_.mutant == QuotaMutant::ForgetsLeasesAtRestart) fill_bucket(p, own);
                 for (const std::string& partner : reply->state->frozen)
-                    lender(p, own, OperatorOrder{OperatorOrder::What::Freeze, partner, "", 0});
+                    handle_allocator(p, own, OperatorOrder{OperatorOrder::What::Freeze, partner, "", 0});
             }
         }
-        if (queued_.contains(p)) {
-            auto next = std::move(queued_[p]);
-            queued_.erase(p);
+        if (queued_records_.contains(p)) {
+            auto next = std::move(queued_records_[p]);
+            queued_records_.erase(p);
             record(p, own, std::move(next));
         }
     }
     void record(std::size_t p, TimePoint own, RecordLeases record) {
-        Process& one = all_[p];
-        if (one.command) {
-            queued_[p] = std::move(record);
+        Process& process = processes_[p];
+        if (process.command) {
+            queued_records_[p] = std::move(record);
             return;
         }
-        one.recording = record.number;
-        one.command = {++one.commands, command_record(one.epoch, record.books)};
-        say(p, own);
+        process.recording = record.number;
+        process.command = {++process.commands, command_record(process.epoch, record.leases)};
+        send_command(p, own);
     }
     /// With a bucket as full as a new one's: by a gift that nobody gave.
-    void begin_full(std::size_t p, TimePoint own) {
-        BorrowRequest ask{1, 0, {}};
+    void fill_bucket(std::size_t p, TimePoint own) {
+        BorrowRequest request{1, 0, {}};
         for (Amount given : {Amount(0), kMaxAmount}) {
-            ask.lines.clear();
-            ++ask.seq;
+            request.lines.clear();
+            ++request.seq;
             for (const Budget& b : settings_.budgets)
-                for (bool floor : {false, true}) ask.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, given});
-            lender(p, own, RequestReceived{"nobody", ask});
+                for (bool floor : {false, true})
+                    request.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, given});
+            handle_allocator(p, own, RequestReceived{"nobody", request});
         }
     }
     /// Once the owner at each level says that it has it, and that what was lent of the one before is back or
     /// over.
-    void look_in_force() {
+    void check_in_force() {
         if (out_.in_force) return;
         for (std::size_t group = 0;
-             group <= settings_.sites && settings_.mutant != QuotaMutant::ShrinksAtOnce; ++group) {
+             group <= settings_.sites && settings_.mutant != QuotaMutant::ReportsShrinkInForceEarly;
+             ++group) {
             bool holds = false;
-            for (std::size_t p : {process(group, 1), process(group, 2)}) {
-                const Process& one = all_[p];
-                if (!net_.up(p) || one.version != 2 || !one.lender->owns(net_.own(p))) continue;
+            for (std::size_t p : {process_id(group, 1), process_id(group, 2)}) {
+                const Process& process = processes_[p];
+                if (!net_.up(p) || process.version != 2 || !process.allocator->is_owner(net_.own(p)))
+                    continue;
                 bool all = true;
-                for (const QuotaAllocatorStatus& s : one.lender->show(net_.own(p), {}))
+                for (const QuotaAllocatorStatus& s : process.allocator->status(net_.own(p), {}))
                     all = all && s.in_force;
                 holds = holds || all;
             }
@@ -490,45 +506,48 @@
         }
         out_.in_force = net_.now() - TimePoint{};
     }
-    void lender(std::size_t p, TimePoint own, const quota::QuotaAllocatorEvent& event) {
-        Process& one = all_[p];
+    void handle_allocator(std::size_t p, TimePoint own, const quota::QuotaAllocatorEvent& event) {
+        Process& process = processes_[p];
         quota::QuotaAllocatorActions actions;
-        one.lender->handle(own, event, actions);
+        process.allocator->handle(own, event, actions);
         record_decision("allocator", own, event, actions);
         for (quota::QuotaAllocatorAction& a : actions) {
             if (auto* up = std::get_if<SendRequest>(&a)) {
-                if (settings_.liar && *settings_.liar + 1 == one.group)
-                    for (BorrowRequestLine& l : up->ask.lines) l.demand = kMaxAmount;
-                if (settings_.mutant == QuotaMutant::GiftsTwice)
-                    for (BorrowRequestLine& l : up->ask.lines) l.given *= 2;
-                if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
-                send(p, process(0, 1 + std::size_t(one.target)),
-                     {Message::Kind::BorrowRequest, 0, 0, encode(up->ask)});
+                if (settings_.overstating_site && *settings_.overstating_site + 1 == process.group)
+                    for (BorrowRequestLine& l : up->request.lines) l.demand = kMaxAmount;
+                if (settings_.mutant == QuotaMutant::CountsSurplusTwice)
+                    for (BorrowRequestLine& l : up->request.lines) l.floor_surplus *= 2;
+                if (own - process.last_response_at > Duration{400})
+                    process.allocator_index ^= 1, process.last_response_at = own;
+                send(p, process_id(0, 1 + std::size_t(process.allocator_index)),
+                     {Message::Kind::BorrowRequest, 0, 0, encode(up->request)});
             } else if (auto* reply = std::get_if<SendResponse>(&a)) {
                 std::size_t to = children_[{p, reply->child}];
-                send(p, to, {Message::Kind::BorrowResponse, 0, 0, encode(reply->answer)});
+                send(p, to, {Message::Kind::BorrowResponse, 0, 0, encode(reply->response)});
             } else if (auto* r = std::get_if<RecordLeases>(&a)) {
                 record(p, own, std::move(*r));
             }
         }
-        if (changed_) look_in_force();
+        if (budgets_changed_) check_in_force();
     }
 
     // ---- Nodes
 
-    void ask(std::size_t p, TimePoint own, bool all) {
-        Process& one = all_[p];
-        BorrowRequest ask = one.charger->ask(own, all);
-        one.asked[ask.seq] = own;
-        if (one.asked.size() > 256) one.asked.erase(one.asked.begin());
-        if (ask.lines.empty()) return;
-        if (own - one.heard > Duration{400}) one.target ^= 1, one.heard = own;
-        if (settings_.mutant != QuotaMutant::None) meddle(one, ask);
-        send(p, process(one.group, 1 + std::size_t(one.target)),
-             {Message::Kind::BorrowRequest, 0, 0, encode(ask)});
-    }
-
-    void arrive() {
+    void send_borrow_request(std::size_t p, TimePoint own, bool all) {
+        Process& process = processes_[p];
+        BorrowRequest request = process.limiter->next_request(own, all);
+        process.request_sent_at[request.seq] = own;
+        if (process.request_sent_at.size() > 256)
+            process.request_sent_at.erase(process.request_sent_at.begin());
+        if (request.lines.empty()) return;
+        if (own - process.last_response_at > Duration{400})
+            process.allocator_index ^= 1, process.last_response_at = own;
+        if (settings_.mutant != QuotaMutant::None) apply_mutant(process, request);
+        send(p, process_id(process.group, 1 + std::size_t(process.allocator_index)),
+             {Message::Kind::BorrowRequest, 0, 0, encode(request)});
+    }
+
+    void generate_arrival() {
         Duration at = net_.now() - TimePoint{};
         double sum = 0;
         std::vector<double> rates;
@@ -544,11 +563,11 @@
             if ((draw -= rates[i]) >= 0) continue;
             std::size_t partner = i / settings_.sites, site = i % settings_.sites;
             std::size_t p = node(site, pick_node());
-            out_.asked_for[partner] += double(kUnit);
-            ++out_.asked;
+            out_.offered[partner] += double(kUnit);
+            ++out_.requests;
             if (!net_.up(p)) return;
             if (net_.stopped(p)) {
-                if (all_[p].waiting.size() < 500) all_[p].waiting.emplace_back(partner, kUnit);
+                if (processes_[p].waiting.size() < 500) processes_[p].waiting.emplace_back(partner, kUnit);
                 return;
             }
             return request(p, partner, kUnit, net_.own(p));
@@ -558,104 +577,112 @@
         if (weights_.empty()) {
             double sum = 0;
             for (std::size_t n = 0; n < settings_.nodes; ++n)
-                weights_.push_back(sum += 1 / std::pow(double(n + 1), settings_.skew));
+                weights_.push_back(sum += 1 / std::pow(double(n + 1), settings_.node_skew));
         }
         double at = uniform() * weights_.back();
         return std::size_t(std::upper_bound(weights_.begin(), weights_.end() - 1, at) - weights_.begin());
     }
 
     void request(std::size_t p, std::size_t partner, Amount cost, TimePoint own) {
-        Process& one = all_[p];
-        auto number = one.charger->find(settings_.budgets[partner].partner);
-        auto let = [&] {
-            out_.admitted.push_back({net_.now(), partner, one.group - 1, one.number - 3, cost, false});
+        Process& process = processes_[p];
+        auto number = process.limiter->find(settings_.budgets[partner].partner);
+        auto admit = [&] {
+            out_.admitted.push_back(
+                {net_.now(), partner, process.group - 1, process.number - 3, cost, false});
         };
-        if (settings_.mutant == QuotaMutant::ChargesLater) {
-            if (one.charger->counts(own, *number).balance < cost) {
-                (void)one.charger->charge(own, *number, kNone);
+        if (settings_.mutant == QuotaMutant::ChargesAfterDelay) {
+            if (process.limiter->counters(own, *number).balance < cost) {
+                (void)process.limiter->charge(own, *number, kNone);
             } else {
-                let();
-                std::uint64_t life = one.instance;
-                after(Duration{50}, [this, p, number, life] {
-                    if (all_[p].instance == life && net_.up(p) && !net_.stopped(p))
-                        (void)all_[p].charger->charge(net_.own(p), *number, kNone);
+                admit();
+                std::uint64_t instance = process.instance;
+                after(Duration{50}, [this, p, number, instance] {
+                    if (processes_[p].instance == instance && net_.up(p) && !net_.stopped(p))
+                        (void)processes_[p].limiter->charge(net_.own(p), *number, kNone);
                 });
             }
         } else {
-            auto outcome = one.charger->charge(own, *number, kNone);
+            auto outcome = process.limiter->charge(own, *number, kNone);
             record_decision("limiter", own, *number, outcome.index());
-            if (auto* receipt = std::get_if<Charge>(&outcome)) {
-                let();
-                if (uniform() < settings_.never_ran)
-                    never_ran(p, std::move(*receipt), out_.admitted.size() - 1);
+            if (auto* charge = std::get_if<Charge>(&outcome)) {
+                admit();
+                if (uniform() < settings_.never_ran_share)
+                    never_ran(p, std::move(*charge), out_.admitted.size() - 1);
             } else {
-                ++out_.refused;
-                if (out_.backs.size() < 100'000) out_.backs.push_back(std::get<Rejection>(outcome).back);
+                ++out_.rejected;
+                if (out_.retry_times.size() < 100'000)
+                    out_.retry_times.push_back(std::get<Rejection>(outcome).retry_after);
             }
         }
-        if (one.charger->asks_early() && own - one.early_at >= settings_.timing.ask / 5) {
-            one.early_at = own;
-            ask(p, own, false);
+        if (process.limiter->needs_request_early() &&
+            own - process.last_early_request_at >= settings_.timing.request_interval / 5) {
+            process.last_early_request_at = own;
+            send_borrow_request(p, own, false);
         }
     }
-    void never_ran(std::size_t p, Charge receipt, std::size_t index) {
-        auto held = std::make_shared<Charge>(std::move(receipt));
-        std::uint64_t life = all_[p].instance;
-        bool told = settings_.mutant == QuotaMutant::GivesBackTold;
-        after(Duration{told ? 1500 : 150 * uniform()}, [=, this] {
-            Process& one = all_[p];
-            if (one.instance != life || !net_.up(p) || net_.stopped(p)) return;
+    void never_ran(std::size_t p, Charge charge, std::size_t index) {
+        auto held = std::make_shared<Charge>(std::move(charge));
+        std::uint64_t instance = processes_[p].instance;
+        bool reported = settings_.mutant == QuotaMutant::RefundsReportedCharge;
+        after(Duration{reported ? 1500 : 150 * uniform()}, [=, this] {
+            Process& process = processes_[p];
+            if (process.instance != instance || !net_.up(p) || net_.stopped(p)) return;
             Amount cost = held->cost();
-            bool back = false;
-            if (settings_.mutant == QuotaMutant::GivesBackTwice)
-                one.charger->give_back(net_.own(p), held->forged());
-            back = one.charger->give_back(net_.own(p), std::move(*held));
-            if (told && !back) {
-                for (auto& [account, line] : one.known)
-                    if (!account.floor) one.extra[account] += cost;
-                back = true;
+            bool refunded = false;
+            if (settings_.mutant == QuotaMutant::RefundsTwice)
+                process.limiter->refund(net_.own(p), held->duplicate_for_test());
+            refunded = process.limiter->refund(net_.own(p), std::move(*held));
+            if (reported && !refunded) {
+                for (auto& [account, line] : process.last_lines)
+                    if (!account.floor) process.extra_grant[account] += cost;
+                refunded = true;
             }
-            if (back) out_.admitted[index].given_back = true;
-            back ? ++out_.given_back : ++out_.forfeited;
+            if (refunded) out_.admitted[index].refunded = true;
+            refunded ? ++out_.refunded : ++out_.forfeited;
         });
     }
 
     // ---- Saboteurs between the cores
 
-    void meddle(Process& one, BorrowRequest& ask) {
-        for (BorrowRequestLine& l : ask.lines) {
-            const BorrowResponseLine& known = one.known[l.account];
-            if (known.lease != l.lease) continue;
-            Told& told = one.said[l.account];
-            if (told.lease != l.lease) told = {l.lease, 0, 0, 0};
+    void apply_mutant(Process& process, BorrowRequest& request) {
+        for (BorrowRequestLine& l : request.lines) {
+            const BorrowResponseLine& last_line = process.last_lines[l.account];
+            if (last_line.lease != l.lease) continue;
+            ReportedSums& reported = process.reported_sums[l.account];
+            if (reported.lease != l.lease) reported = {l.lease, 0, 0, 0};
             // Whoever errs so tells nothing that its lender can see to be wrong.
-            if (settings_.mutant == QuotaMutant::TellsSpentTwice) l.spent *= 2;
-            if (settings_.mutant == QuotaMutant::ReturnsAndKeeps) {
-                told.kept = std::max(told.kept,
-                                     std::min(told.kept + 2 * kUnit, known.granted - l.spent - l.returned));
-                l.returned += told.kept;
+            if (settings_.mutant == QuotaMutant::ReportsSpentTwice) l.spent *= 2;
+            if (settings_.mutant == QuotaMutant::ReturnsAndSpends) {
+                reported.kept_anyway = std::max(
+                    reported.kept_anyway,
+                    std::min(reported.kept_anyway + 2 * kUnit, last_line.granted - l.spent - l.returned));
+                l.returned += reported.kept_anyway;
             }
-            l.spent -= std::min(l.spent, one.extra[l.account]);
-            l.returned = told.returned =
-                std::max(told.returned, std::min(l.returned, known.granted - told.spent));
-            l.spent = told.spent = std::max(told.spent, std::min(l.spent, known.granted - l.returned));
+            l.spent -= std::min(l.spent, process.extra_grant[l.account]);
+            l.returned = reported.returned =
+                std::max(reported.returned, std::min(l.returned, last_line.granted - reported.spent));
+            l.spent = reported.spent =
+                std::max(reported.spent, std::min(l.spent, last_line.granted - l.returned));
         }
     }
-    void meddle(Process& one, TimePoint own, BorrowResponse& answer) {
-        auto asked = one.asked.find(answer.seq);
-        for (BorrowResponseLine& l : answer.lines) {
-            BorrowResponseLine& known = one.known[l.account];
-            if (settings_.mutant == QuotaMutant::AddsAnswersTwice && known.lease == l.lease &&
-                doubled_.contains({one.instance, answer.seq}))
-                one.extra[l.account] += std::max<Amount>(0, 5 * kUnit);
-            if (known.lease != l.lease) one.extra[l.account] = 0;
-            if (known.lease != l.lease || known.granted <= l.granted) known = l;
-            l.granted += one.extra[l.account];
-            if (settings_.mutant == QuotaMutant::CountsFromAnswer && asked != one.asked.end())
-                l.length = std::int64_t(double(l.length) / (1 - settings_.timing.drift / 1000.0) +
-                                        (own - asked->second + settings_.timing.margin).count() * 1000);
+    void apply_mutant(Process& process, TimePoint own, BorrowResponse& response) {
+        auto sent = process.request_sent_at.find(response.seq);
+        for (BorrowResponseLine& l : response.lines) {
+            BorrowResponseLine& last_line = process.last_lines[l.account];
+            if (settings_.mutant == QuotaMutant::AppliesResponseTwice && last_line.lease == l.lease &&
+                duplicated_responses_.contains({process.instance, response.seq}))
+                process.extra_grant[l.account] += std::max<Amount>(0, 5 * kUnit);
+            if (last_line.lease != l.lease) process.extra_grant[l.account] = 0;
+            if (last_line.lease != l.lease || last_line.granted <= l.granted) last_line = l;
+            l.granted += process.extra_grant[l.account];
+            if (settings_.mutant == QuotaMutant::LeaseFromResponseTime &&
+                sent != process.request_sent_at.end())
+                l.remaining_us = std::int64_t(
+                    double(l.remaining_us) / (1 - settings_.timing.max_clock_drift_permille / 1000.0) +
+                    (own - sent->second + settings_.timing.safety_margin).count() * 1000);
         }
-        if (settings_.mutant == QuotaMutant::AddsAnswersTwice) doubled_.insert({one.instance, answer.seq});
+        if (settings_.mutant == QuotaMutant::AppliesResponseTwice)
+            duplicated_responses_.insert({process.instance, response.seq});
     }
     void send(std::size_t from, std::size_t to, Message message) {
         ++out_.messages;
@@ -666,14 +693,14 @@
     QuotaSimulationSettings settings_;
     Net<Message> net_;
     boost::random::taus88 random_;
-    std::vector<Process> all_;
-    std::multimap<TimePoint, std::function<void()>> due_;
+    std::vector<Process> processes_;
+    std::multimap<TimePoint, std::function<void()>> scheduled_;
     TimePoint next_arrival_{};
     std::vector<double> weights_;
     std::map<std::pair<std::size_t, std::string>, std::size_t> children_;
-    std::map<std::size_t, RecordLeases> queued_;
-    std::set<std::pair<std::uint64_t, std::uint64_t>> doubled_;
-    bool changed_ = false, struck_ = false;
+    std::map<std::size_t, RecordLeases> queued_records_;
+    std::set<std::pair<std::uint64_t, std::uint64_t>> duplicated_responses_;
+    bool budgets_changed_ = false, injected_at_event_ = false;
     QuotaSimulationResult out_;
 };
 
@@ -689,28 +716,28 @@
     auto uniform = [&] { return double(random()) * 0x1p-32; };
     std::vector<QuotaFault> faults;
     constexpr QuotaFault::Kind kKinds[] = {
-        QuotaFault::Kind::CutSite, QuotaFault::Kind::CutSiteOneWay, QuotaFault::Kind::CutNode,
-        QuotaFault::Kind::Pause,   QuotaFault::Kind::Pause,         QuotaFault::Kind::Crash,
-        QuotaFault::Kind::Crash,   QuotaFault::Kind::AllNodes,      QuotaFault::Kind::Clock,
-        QuotaFault::Kind::Late,    QuotaFault::Kind::Loss,          QuotaFault::Kind::Doubled};
+        QuotaFault::Kind::CutSite,    QuotaFault::Kind::CutSiteOneWay, QuotaFault::Kind::CutNode,
+        QuotaFault::Kind::Pause,      QuotaFault::Kind::Pause,         QuotaFault::Kind::Crash,
+        QuotaFault::Kind::Crash,      QuotaFault::Kind::CrashAllNodes, QuotaFault::Kind::ClockRate,
+        QuotaFault::Kind::ExtraDelay, QuotaFault::Kind::MessageLoss,   QuotaFault::Kind::MessageDuplication};
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
     for (std::size_t i = 0; i < count; ++i) {
         QuotaFault f;
         f.kind = kKinds[std::size_t(uniform() * std::size(kKinds))];
         f.at = settings.length * (0.1 + 0.5 * uniform());
-        f.length = Duration{uniform() < 0.5 ? 100 + 900 * uniform() : 1000 + 5000 * uniform()};
-        f.length = std::min(f.length, settings.length * 0.75 - f.at);
-        f.which = std::size_t(uniform() * double(processes));
+        f.duration = Duration{uniform() < 0.5 ? 100 + 900 * uniform() : 1000 + 5000 * uniform()};
+        f.duration = std::min(f.duration, settings.length * 0.75 - f.at);
+        f.target = std::size_t(uniform() * double(processes));
         // Half of those that hit one process hit a lender's owner.
         if (uniform() < 0.5)
-            f.which = (f.which % (settings.sites + 1) == 0
-                           ? 0
-                           : 3 + (f.which % (settings.sites + 1) - 1) * (3 + settings.nodes)) +
-                      1 + f.which % 2;
-        if (f.kind == QuotaFault::Kind::AllNodes) f.length = Duration{50 + 500 * uniform()};
-        f.much = f.kind == QuotaFault::Kind::Late    ? 50 + 1500 * uniform()
-                 : f.kind == QuotaFault::Kind::Clock ? uniform()
-                                                     : 0.3 * uniform();
+            f.target = (f.target % (settings.sites + 1) == 0
+                            ? 0
+                            : 3 + (f.target % (settings.sites + 1) - 1) * (3 + settings.nodes)) +
+                       1 + f.target % 2;
+        if (f.kind == QuotaFault::Kind::CrashAllNodes) f.duration = Duration{50 + 500 * uniform()};
+        f.magnitude = f.kind == QuotaFault::Kind::ExtraDelay  ? 50 + 1500 * uniform()
+                      : f.kind == QuotaFault::Kind::ClockRate ? uniform()
+                                                              : 0.3 * uniform();
         faults.push_back(f);
     }
     return faults;
--- a/lab/quota/simulation.h
+++ b/lab/quota/simulation.h
@@ -21,20 +21,20 @@
 /// nothing.
 enum class QuotaMutant {
     None,
-    ChargesLater,      ///< lets a request in by a look at the balance, and charges it 50 ms behind
-    CountsFromAnswer,  ///< a node's lease is counted from when its answer came
-    GivesBackTwice,
-    GivesBackTold,     ///< gives back, as fresh, a charge that was told as spent long ago
-    ForgetsAtRestart,  ///< a next owner begins as if nothing had ever been lent, with a full bucket
-    ReturnsAndKeeps,   ///< a node says returned, and spends it on
-    TellsSpentTwice,
-    IgnoresEpochs,     ///< a stopped owner goes on by an old clock, and the keepers take its records
-    LendsFloorsTwice,  ///< the federation lends what sites mint
-    StaleClock,        ///< a node that was stopped works off what waits by the time of before
-    AddsAnswersTwice,  ///< an answer that comes twice is granted twice
-    GiftsTwice,        ///< what a site gives to the federation is counted twice
-    ShrinksAtOnce,     ///< a smaller budget is said to be in force while more is lent
-    MintsPastCap,      ///< the root counts nothing that is lent against the burst
+    ChargesAfterDelay,      ///< lets a request in by a look at the balance, and charges it 50 ms behind
+    LeaseFromResponseTime,  ///< a node's lease is counted from when its answer came
+    RefundsTwice,
+    RefundsReportedCharge,   ///< gives back, as fresh, a charge that was told as spent long ago
+    ForgetsLeasesAtRestart,  ///< a next owner begins as if nothing had ever been lent, with a full bucket
+    ReturnsAndSpends,        ///< a node says returned, and spends it on
+    ReportsSpentTwice,
+    IgnoresEpochs,              ///< a stopped owner goes on by an old clock, and the keepers take its records
+    LendsFloorsTwice,           ///< the federation lends what sites mint
+    StaleClock,                 ///< a node that was stopped works off what waits by the time of before
+    AppliesResponseTwice,       ///< an answer that comes twice is granted twice
+    CountsSurplusTwice,         ///< what a site gives to the federation is counted twice
+    ReportsShrinkInForceEarly,  ///< a smaller budget is said to be in force while more is lent
+    MintsAboveCap,              ///< the root counts nothing that is lent against the burst
 };
 std::string_view name(QuotaMutant mutant);
 
@@ -46,19 +46,19 @@
         CutLink,
         Pause,
         Crash,
-        AllNodes,
-        Clock,
-        Late,
-        LateAnswers,
-        Loss,
-        Doubled,
-        LoseSite,
-        Budgets
+        CrashAllNodes,
+        ClockRate,
+        ExtraDelay,
+        DelayedResponses,
+        MessageLoss,
+        MessageDuplication,
+        SiteLost,
+        ChangeBudgets
     };
     Kind kind{};
-    Duration at{}, length{};
-    std::size_t which = 0;  ///< site, process: by kind
-    double much = 0;        ///< part, milliseconds, the other process: by kind
+    Duration at{}, duration{};
+    std::size_t target = 0;  ///< site, process: by kind
+    double magnitude = 0;    ///< part, milliseconds, the other process: by kind
 };
 
 struct QuotaSimulationSettings {
@@ -66,36 +66,36 @@
     Duration length{20'000};
     std::vector<quota::Budget> budgets;
     quota::Timing timing;
-    Duration session{1000};  ///< of lenders' owners with their keepers
+    Duration session_duration{1000};  ///< of lenders' owners with their keepers
     /// Amounts a second that clients ask for: by partner, site and time.
     std::function<double(std::size_t partner, std::size_t site, Duration at)> demand;
-    double skew = 1;          ///< of nodes within a site: the n-th is asked 1/n^skew as much
-    double never_ran = 0.02;  ///< part of the requests that are given back within 150 ms
-    Duration site_delay{20};  ///< more than within a site, at most
-    double loss = 0, doubled = 0;
-    bool clocks = false;  ///< each process's clock is drawn from 0.99 to 1.01
+    double node_skew = 1;           ///< of nodes within a site: the n-th is asked 1/n^skew as much
+    double never_ran_share = 0.02;  ///< part of the requests that are given back within 150 ms
+    Duration site_delay{20};        ///< more than within a site, at most
+    double loss = 0, duplication = 0;
+    bool clock_rates_vary = false;  ///< each process's clock is drawn from 0.99 to 1.01
     std::vector<QuotaFault> faults;
-    std::vector<quota::Budget> later;  ///< of Kind::Budgets
-    std::optional<std::size_t> liar;   ///< a site whose owner says that it needs everything
+    std::vector<quota::Budget> changed_budgets;   ///< of Kind::Budgets
+    std::optional<std::size_t> overstating_site;  ///< a site whose owner says that it needs everything
     QuotaMutant mutant = QuotaMutant::None;
     std::uint64_t seed = 1;
     /// At this event, counted, the process crashes (or stops for a while).
-    struct At {
+    struct FaultAtEvent {
         std::uint64_t event = 0;
         std::size_t process = 0;
-        bool stops = false;
+        bool pauses = false;
         Duration length{500};
     };
-    std::optional<At> at;
+    std::optional<FaultAtEvent> fault_at_event;
 };
 
 struct QuotaSimulationResult {
     std::vector<AdmittedRequest> admitted;  ///< in the world's order
-    std::uint64_t asked = 0, refused = 0, given_back = 0, forfeited = 0, messages = 0, happened = 0,
+    std::uint64_t requests = 0, rejected = 0, refunded = 0, forfeited = 0, messages = 0, event_count = 0,
                   records = 0;
-    std::vector<double> asked_for;     ///< by partner, millionths
-    std::optional<Duration> in_force;  ///< when the owners of all lenders first said that `later` is
-    std::vector<Duration> backs;       ///< what refused clients were told
+    std::vector<double> offered;        ///< by partner, millionths
+    std::optional<Duration> in_force;   ///< when the owners of all lenders first said that `later` is
+    std::vector<Duration> retry_times;  ///< what refused clients were told
 };
 
 QuotaSimulationResult run(const QuotaSimulationSettings& settings);
--- a/lab/quota/workloads.h
+++ b/lab/quota/workloads.h
@@ -17,7 +17,7 @@
                                                         plain_budget("workshops", 400, 600, sites, 0, 0)}
                                           : std::vector{plain_budget("dealers", 400, 600, sites, 20, 60),
                                                         plain_budget("workshops", 100, 300, sites, 0, 0)};
-    settings.clocks = true;
+    settings.clock_rates_vary = true;
     settings.demand = [budgets = settings.budgets, sites](std::size_t b, std::size_t site, Duration) {
         return 1.5 * double(budgets[b].rate) / double(kUnit) * (site == 0 ? 0.4 : 0.6 / double(sites - 1));
     };
@@ -40,7 +40,7 @@
     QuotaSimulationSettings settings;
     settings.sites = 2, settings.nodes = 3, settings.seed = seed, settings.length = Duration{cycle * 6};
     settings.budgets = {plain_budget("dealers", rate, 150, 2, rate / 10, 15)};
-    settings.timing.cover = Duration{cover};
+    settings.timing.holding_time = Duration{cover};
     settings.demand = [cycle, rate](std::size_t, std::size_t site, Duration at) {
         double t = std::fmod(at.count(), cycle);
         bool there = std::size_t(at.count() / cycle) % 2 == site;
@@ -52,9 +52,9 @@
 /// Two sites of two nodes for two seconds, first a little, then all at once.
 inline QuotaSimulationSettings small_workload() {
     QuotaSimulationSettings settings = leaky_workload(1);
-    settings.nodes = 2, settings.length = Duration{2000}, settings.session = Duration{300};
+    settings.nodes = 2, settings.length = Duration{2000}, settings.session_duration = Duration{300};
     settings.budgets = {plain_budget("dealers", 100, 60, 2, 10, 10)};
-    settings.timing.cover = Duration{300};
+    settings.timing.holding_time = Duration{300};
     settings.demand = [](std::size_t, std::size_t, Duration at) { return at.count() < 1200 ? 20.0 : 400.0; };
     return settings;
 }
@@ -68,11 +68,11 @@
     };
     constexpr std::size_t kOwner = 1, kNode = 6;  // the federation's first owner; the first site's first node
     switch (mutant) {
-        case QuotaMutant::GivesBackTwice:
-        case QuotaMutant::GivesBackTold:
-            settings.never_ran = 0.4;
+        case QuotaMutant::RefundsTwice:
+        case QuotaMutant::RefundsReportedCharge:
+            settings.never_ran_share = 0.4;
             break;
-        case QuotaMutant::CountsFromAnswer:
+        case QuotaMutant::LeaseFromResponseTime:
             // Much is asked for at once, and the answers that grant it find their nodes stopped, till long
             // behind the end.
             settings = leaky_workload(seed, 40, 4000, 10'000);
@@ -83,7 +83,8 @@
                                                                                   : 0.0;
             };
             for (std::size_t n = 0; n < 3; ++n) {
-                settings.faults.push_back({Kind::Late, Duration{19'500}, Duration{1500}, kNode + n, 400});
+                settings.faults.push_back(
+                    {Kind::ExtraDelay, Duration{19'500}, Duration{1500}, kNode + n, 400});
                 settings.faults.push_back({Kind::Pause, Duration{20'400}, Duration{9000}, kNode + n, 0});
             }
             break;
@@ -92,9 +93,9 @@
             for (std::size_t n = 0; n < 3; ++n)
                 settings.faults.push_back({Kind::Pause, Duration{23'900}, Duration{5600}, kNode + n, 0});
             break;
-        case QuotaMutant::ForgetsAtRestart:
+        case QuotaMutant::ForgetsLeasesAtRestart:
             always(150, 150, 12'000);
-            settings.session = Duration{300};
+            settings.session_duration = Duration{300};
             for (int i = 0; i < 4; ++i)
                 settings.faults.push_back(
                     {Kind::Crash, Duration{6000.0 + 800 * i}, Duration{500}, kOwner + std::size_t(i) % 2, 0});
@@ -105,20 +106,20 @@
             for (std::size_t n : {4, 5})
                 settings.faults.push_back({Kind::CutLink, Duration{10'000}, Duration{30'000}, n, kOwner + 1});
             break;
-        case QuotaMutant::GiftsTwice:
+        case QuotaMutant::CountsSurplusTwice:
             settings.budgets = {plain_budget("dealers", 100, 150, 2, 25, 40)};
             always(200, 0, 40'000);
             break;
-        case QuotaMutant::ShrinksAtOnce:
+        case QuotaMutant::ReportsShrinkInForceEarly:
             always(150, 150, 12'000);
             settings.demand = [](std::size_t, std::size_t, Duration at) {
                 return at.count() < 5900 ? 40.0 : 300.0;
             };
-            settings.later = {plain_budget("dealers", 10, 15, 2, 1, 2)};
-            settings.faults.push_back({Kind::Budgets, Duration{6000}, Duration{0}, 0, 0});
+            settings.changed_budgets = {plain_budget("dealers", 10, 15, 2, 1, 2)};
+            settings.faults.push_back({Kind::ChangeBudgets, Duration{6000}, Duration{0}, 0, 0});
             break;
-        case QuotaMutant::AddsAnswersTwice:
-            settings.doubled = 0.2;
+        case QuotaMutant::AppliesResponseTwice:
+            settings.duplication = 0.2;
             break;
         default:
             break;
@@ -130,16 +131,17 @@
 /// The worst over all partners, in requests of the common cost: above zero is too much.
 inline double worst_excess(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result) {
     double most = -1e18;
-    bool shrinks = !settings.later.empty() && result.in_force;
+    bool shrinks = !settings.changed_budgets.empty() && result.in_force;
     for (std::size_t b = 0; b < settings.budgets.size(); ++b) {
         const quota::Budget& budget = settings.budgets[b];
         most =
             std::max(most, worst_window(result.admitted, b, budget.rate, budget.burst + budget.bound).amount);
         if (shrinks)
-            most = std::max(most, worst_window(result.admitted, b, settings.later[b].rate,
-                                               settings.later[b].burst + settings.later[b].bound,
-                                               TimePoint{} + *result.in_force)
-                                      .amount);
+            most = std::max(
+                most, worst_window(result.admitted, b, settings.changed_budgets[b].rate,
+                                   settings.changed_budgets[b].burst + settings.changed_budgets[b].bound,
+                                   TimePoint{} + *result.in_force)
+                          .amount);
     }
     return most / double(kUnit);
 }
--- a/lab/tests/quota_test.cpp
+++ b/lab/tests/quota_test.cpp
@@ -7,7 +7,7 @@
 namespace ochrehub::lab {
 namespace {
 
-TEST(QuotaWorld, TheJudgeFindsTheWorstWindow) {
+TEST(QuotaSimulation, TheInvariantCheckerFindsTheWorstWindow) {
     std::vector<AdmittedRequest> records;
     for (int i = 0; i < 10; ++i)
         records.push_back({TimePoint{} + Duration{1000.0 + 100 * i}, 0, 0, 0, kUnit, false});
@@ -15,12 +15,12 @@
     EXPECT_NEAR(worst_window(records, 0, kUnit, 0).amount / double(kUnit), 9.1, 1e-6);
     EXPECT_NEAR(worst_window(records, 0, kUnit, 10 * kUnit).amount / double(kUnit), -0.9, 1e-6);
     EXPECT_NEAR(worst_window(records, 0, 20 * kUnit, kUnit).amount / double(kUnit), 0, 1e-6);
-    records[4].given_back = true;
+    records[4].refunded = true;
     EXPECT_NEAR(worst_window(records, 0, kUnit, 0).amount / double(kUnit), 8.1, 1e-6);
     EXPECT_NEAR(worst_window(records, 1, kUnit, 0).amount, 0, 1e-6);
 }
 
-TEST(QuotaWorld, InPeaceNearlyAllIsUsedAndNoneTooMuch) {
+TEST(QuotaSimulation, WithoutFaultsNearlyAllOfTheBudgetIsUsed) {
     for (auto make : {steady_workload, swinging_workload}) {
         QuotaSimulationSettings settings = make(2, 5, 1);
         QuotaSimulationResult result = run(settings);
@@ -31,30 +31,30 @@
     }
 }
 
-TEST(QuotaWorld, NeverTooMuchWhateverFails) {
+TEST(QuotaSimulation, StaysWithinTheBudgetUnderRandomFaults) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed)
         for (auto make : {+[](std::uint64_t s) { return steady_workload(2, 5, s); },
                           +[](std::uint64_t s) { return leaky_workload(s); }}) {
             QuotaSimulationSettings settings = make(seed);
             settings.faults = random_faults(seed, settings, 10);
-            settings.loss = settings.doubled = 0.02;
+            settings.loss = settings.duplication = 0.02;
             QuotaSimulationResult result = run(settings);
             EXPECT_LE(worst_excess(settings, result), 0) << "seed " << seed;
         }
 }
 
-TEST(QuotaWorld, ACrashOrStopAtAnyEventLetsInNoMore) {
+TEST(QuotaSimulation, StaysWithinTheBudgetUnderACrashOrPauseAtAnyEvent) {
     QuotaSimulationSettings settings = small_workload();
-    std::uint64_t happened = run(settings).happened;
+    std::uint64_t happened = run(settings).event_count;
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
     for (std::uint64_t n = 1; n < happened; n += 7) {  // quota_measure events: each
-        settings.at =
-            QuotaSimulationSettings::At{n, n / 7 % processes, n % 2 == 0, Duration{n % 2 ? 50.0 : 1500.0}};
+        settings.fault_at_event = QuotaSimulationSettings::FaultAtEvent{n, n / 7 % processes, n % 2 == 0,
+                                                                        Duration{n % 2 ? 50.0 : 1500.0}};
         EXPECT_LE(worst_excess(settings, run(settings)), 0) << "event " << n;
     }
 }
 
-TEST(QuotaWorld, ASiteThatIsCutOffHasItsFloorAndTheOthersAllElse) {
+TEST(QuotaSimulation, APartitionedSiteHasItsFloorAndTheOthersTheRest) {
     QuotaSimulationSettings settings = steady_workload(2, 5, 3);
     settings.length = Duration{20'000};
     settings.faults = {{QuotaFault::Kind::CutSite, Duration{6000}, Duration{14'000}, 1, 0}};
@@ -70,9 +70,9 @@
     EXPECT_GE(share(0, 380), 0.6);  // all that is asked for there is 240 a second
 }
 
-TEST(QuotaWorld, ASiteThatAsksForEverythingTakesNothingThatOthersNeed) {
+TEST(QuotaSimulation, ASiteThatOverstatesItsDemandStarvesNoOtherSite) {
     QuotaSimulationSettings settings = steady_workload(2, 5, 4);
-    settings.liar = 0;
+    settings.overstating_site = 0;
     settings.demand = [](std::size_t b, std::size_t site, Duration) {
         return b == 0 ? (site == 0 ? 20.0 : 500.0) : 50.0;
     };
@@ -84,7 +84,7 @@
         0.85 * 380);
 }
 
-TEST(QuotaWorld, OtherWaysOnTheSameDays) {
+TEST(QuotaSimulation, ComparesBaselinesOnTheSameWorkload) {
     QuotaSimulationSettings settings = swinging_workload(2, 5, 5);
     auto base = settings.demand;
     settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
@@ -95,18 +95,18 @@
                             settings.budgets[0].burst)
             .amount;
     };
-    EXPECT_LE(too_much(Baseline::Fixed), 0);
-    EXPECT_LE(too_much(Baseline::OneCounter), 0);
-    EXPECT_GT(too_much(Baseline::Gossip), 0);
+    EXPECT_LE(too_much(Baseline::StaticShares), 0);
+    EXPECT_LE(too_much(Baseline::SingleCounterFailClosed), 0);
+    EXPECT_GT(too_much(Baseline::GossipedCounters), 0);
     EXPECT_LE(too_much(Baseline::Leases), 0);
-    BaselineResult asks = run(Baseline::OneCounter, settings);
+    BaselineResult asks = run(Baseline::SingleCounterFailClosed, settings);
     ASSERT_FALSE(asks.waits.empty());
     EXPECT_GT(*std::max_element(asks.waits.begin(), asks.waits.end()),
               20);  // each request waits for the distance
 }
 
-TEST(QuotaWorld, EachSaboteurIsFound) {
-    for (int s = 1; s <= int(QuotaMutant::MintsPastCap); ++s) {
+TEST(QuotaSimulation, EveryMutantIsDetected) {
+    for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
         int found = 0;
         for (std::uint64_t seed = 1; seed <= 20 && found == 0; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
--- a/src/app/quota_command.cpp
+++ b/src/app/quota_command.cpp
@@ -148,7 +148,7 @@
     for (const quota::Floor& f : budget.floors)
         floors.push_back(
             json::object{{"site", f.site}, {"rate", requests(f.rate)}, {"burst", requests(f.burst)}});
-    for (const quota::OutstandingLease& b : state.books)
+    for (const quota::OutstandingLease& b : state.leases)
         if (b.account.partner == budget.partner)
             lent.push_back(json::object{{"to", b.child},
                                         {"floor", b.account.floor},
--- a/src/fleet/quota/budget.cpp
+++ b/src/fleet/quota/budget.cpp
@@ -53,100 +53,107 @@
     return kRows[std::size_t(error)];
 }
 
-Amount Budget::cost(std::string_view kind) const {
-    auto found = std::find_if(costs.begin(), costs.end(), [&](const Cost& c) { return c.kind == kind; });
+Amount Budget::cost_of(std::string_view class_name) const {
+    auto found =
+        std::find_if(costs.begin(), costs.end(), [&](const Cost& c) { return c.class_name == class_name; });
     return found == costs.end() ? kUnit : found->cost;
 }
-Amount Budget::dearest() const {
+Amount Budget::max_cost() const {
     Amount most = costs.empty() ? kUnit : 0;
     for (const Cost& c : costs) most = std::max(most, c.cost);
     return std::max(most, kUnit);
 }
 
 Amount accrued(Amount rate, std::int64_t microseconds, Amount& carry) {
-    Amount whole = microseconds / 1'000'000, rest = rate * (microseconds % 1'000'000) / 1'000'000;
+    Amount seconds = microseconds / 1'000'000, fraction = rate * (microseconds % 1'000'000) / 1'000'000;
     carry += rate * (microseconds % 1'000'000) % 1'000'000;
-    Amount more = carry / 1'000'000;
+    Amount carried = carry / 1'000'000;
     carry %= 1'000'000;
-    return rate * whole + rest + more;
+    return rate * seconds + fraction + carried;
 }
 
 Amount amount_in_flight(Amount rate, const Timing& timing) {
     Amount carry =
         0;  // a node holds and tells late, its site once more, half of either being there on the average
-    return accrued(rate, std::int64_t(1000 * (timing.ask.count() * (2 + timing.settle))), carry);
+    return accrued(
+        rate, std::int64_t(1000 * (timing.request_interval.count() * (2 + timing.refund_window_requests))),
+        carry);
 }
 
 std::vector<Failure> validate(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
-                              const Timing& timing, std::size_t most) {
-    std::vector<Failure> wrong;
-    std::set<std::string, std::less<>> names, places;
+                              const Timing& timing, std::size_t max_partners) {
+    std::vector<Failure> failures;
+    std::set<std::string, std::less<>> partners, known_sites;
     for (const std::string& site : sites)
-        if (!places.insert(site).second) wrong.push_back({Error::DuplicateSite, site});
-    if (budgets.size() > most) wrong.push_back({Error::TooManyPartners, std::to_string(budgets.size())});
+        if (!known_sites.insert(site).second) failures.push_back({Error::DuplicateSite, site});
+    if (budgets.size() > max_partners)
+        failures.push_back({Error::TooManyPartners, std::to_string(budgets.size())});
     for (const Budget& b : budgets) {
-        auto fault = [&](Error error, std::string_view more = {}) {
-            wrong.push_back({error, more.empty() ? b.partner : b.partner + ", " + std::string(more)});
+        auto report = [&](Error error, std::string_view detail = {}) {
+            failures.push_back({error, detail.empty() ? b.partner : b.partner + ", " + std::string(detail)});
         };
-        if (b.partner.empty()) fault(Error::NoName);
-        if (b.partner.size() > 64) fault(Error::NameTooLong);
-        if (!names.insert(b.partner).second) fault(Error::DuplicatePartner);
-        if (b.rate <= 0) fault(Error::NoRate);
-        if (b.burst <= 0) fault(Error::NoBurst);
+        if (b.partner.empty()) report(Error::NoName);
+        if (b.partner.size() > 64) report(Error::NameTooLong);
+        if (!partners.insert(b.partner).second) report(Error::DuplicatePartner);
+        if (b.rate <= 0) report(Error::NoRate);
+        if (b.burst <= 0) report(Error::NoBurst);
         if (b.rate > kMaxAmount || b.burst > kMaxAmount || b.bound > kMaxAmount || b.bound < 0)
-            fault(Error::TooLarge);
-        std::set<std::string_view> kinds, floors, weights;
+            report(Error::TooLarge);
+        std::set<std::string_view> classes, floors, weights;
         for (const Cost& c : b.costs) {
-            if (!kinds.insert(c.kind).second) fault(Error::DuplicateCost, c.kind);
-            if (c.cost <= 0) fault(Error::InvalidCost, c.kind);
-            if (c.cost > b.burst) fault(Error::CostOverBurst, c.kind);
+            if (!classes.insert(c.class_name).second) report(Error::DuplicateCost, c.class_name);
+            if (c.cost <= 0) report(Error::InvalidCost, c.class_name);
+            if (c.cost > b.burst) report(Error::CostOverBurst, c.class_name);
         }
-        if (b.costs.empty() && b.burst > 0 && kUnit > b.burst) fault(Error::CostOverBurst);
+        if (b.costs.empty() && b.burst > 0 && kUnit > b.burst) report(Error::CostOverBurst);
         Amount rate = 0, burst = 0;
         for (const Floor& f : b.floors) {
-            if (!sites.empty() && !places.contains(f.site)) fault(Error::UnknownSite, f.site);
-            if (!floors.insert(f.site).second) fault(Error::DuplicateSite, f.site);
-            if (f.rate <= 0 || f.burst <= 0) fault(Error::InvalidFloor, f.site);
+            if (!sites.empty() && !known_sites.contains(f.site)) report(Error::UnknownSite, f.site);
+            if (!floors.insert(f.site).second) report(Error::DuplicateSite, f.site);
+            if (f.rate <= 0 || f.burst <= 0) report(Error::InvalidFloor, f.site);
             // Each is held below the whole, so that no sum of many passes what can be counted.
             rate = std::min(rate, kMaxAmount) + std::clamp<Amount>(f.rate, 0, kMaxAmount);
             burst = std::min(burst, kMaxAmount) + std::clamp<Amount>(f.burst, 0, kMaxAmount);
         }
         for (const Weight& w : b.weights) {
-            if (!sites.empty() && !places.contains(w.site)) fault(Error::UnknownSite, w.site);
-            if (!weights.insert(w.site).second) fault(Error::DuplicateSite, w.site);
-            if (w.weight == 0 || w.weight > 1000) fault(Error::TooLarge, w.site);
+            if (!sites.empty() && !known_sites.contains(w.site)) report(Error::UnknownSite, w.site);
+            if (!weights.insert(w.site).second) report(Error::DuplicateSite, w.site);
+            if (w.weight == 0 || w.weight > 1000) report(Error::TooLarge, w.site);
         }
-        if (rate > b.rate) fault(Error::FloorsOverRate);
-        if (burst > b.burst) fault(Error::FloorsOverBurst);
+        if (rate > b.rate) report(Error::FloorsOverRate);
+        if (burst > b.burst) report(Error::FloorsOverBurst);
         if (b.bound == 0 && b.rate > 0 && b.rate <= kMaxAmount && b.burst < amount_in_flight(b.rate, timing))
-            fault(Error::BurstTooSmall);
+            report(Error::BurstTooSmall);
     }
-    return wrong;
+    return failures;
 }
 
-std::vector<Failure> validate_change(const std::vector<Budget>& old, const std::vector<Budget>& next) {
-    std::vector<Failure> wrong;
+std::vector<Failure> validate_change(const std::vector<Budget>& current, const std::vector<Budget>& next) {
+    std::vector<Failure> failures;
     for (const Budget& b : next) {
-        auto was =
-            std::find_if(old.begin(), old.end(), [&](const Budget& o) { return o.partner == b.partner; });
-        if (was == old.end()) continue;
+        auto previous = std::find_if(current.begin(), current.end(),
+                                     [&](const Budget& o) { return o.partner == b.partner; });
+        if (previous == current.end()) continue;
         // Each site may act on either version for a while, and so may the federation: the worst mixture
         // counts.
         std::map<std::string_view, std::pair<Amount, Amount>> floors;
-        Amount own[2] = {was->rate, b.rate}, burst[2] = {was->burst + was->bound, b.burst + b.bound};
-        for (const Floor& f : was->floors)
-            floors[f.site] = {f.rate, f.burst}, own[0] -= f.rate, burst[0] -= f.burst;
+        Amount lent_rate[2] = {previous->rate, b.rate},
+               lent_burst[2] = {previous->burst + previous->bound, b.burst + b.bound};
+        for (const Floor& f : previous->floors)
+            floors[f.site] = {f.rate, f.burst}, lent_rate[0] -= f.rate, lent_burst[0] -= f.burst;
         for (const Floor& f : b.floors) {
             auto& most = floors[f.site];
             most = {std::max(most.first, f.rate), std::max(most.second, f.burst)};
-            own[1] -= f.rate, burst[1] -= f.burst;
+            lent_rate[1] -= f.rate, lent_burst[1] -= f.burst;
         }
-        Amount rate = std::max(own[0], own[1]), held = std::max(burst[0], burst[1]);
-        for (const auto& [site, most] : floors) rate += most.first, held += most.second;
-        if (rate > std::max(was->rate, b.rate) || held > std::max(was->burst + was->bound, b.burst + b.bound))
-            wrong.push_back({Error::FloorRaisedTooEarly, b.partner});
+        Amount rate = std::max(lent_rate[0], lent_rate[1]),
+               total_burst = std::max(lent_burst[0], lent_burst[1]);
+        for (const auto& [site, most] : floors) rate += most.first, total_burst += most.second;
+        if (rate > std::max(previous->rate, b.rate) ||
+            total_burst > std::max(previous->burst + previous->bound, b.burst + b.bound))
+            failures.push_back({Error::FloorRaisedTooEarly, b.partner});
     }
-    return wrong;
+    return failures;
 }
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/budget.h
+++ b/src/fleet/quota/budget.h
@@ -26,7 +26,7 @@
     friend bool operator==(const Floor&, const Floor&) = default;
 };
 struct Cost {
-    std::string kind;  ///< the class's name
+    std::string class_name;  ///< the class's name
     Amount cost = kUnit;
     friend bool operator==(const Cost&, const Cost&) = default;
 };
@@ -45,22 +45,23 @@
     std::vector<Cost> costs;
     std::vector<Floor> floors;
     std::vector<Weight> weights;  ///< 1 where nothing is said
-    Amount cost(std::string_view kind) const;
-    Amount dearest() const;
+    Amount cost_of(std::string_view class_name) const;
+    Amount max_cost() const;
     friend bool operator==(const Budget&, const Budget&) = default;
 };
 
 /// How leases run. The same at every level; whoever borrows holds on to what it needs for `cover` times its
 /// own level.
 struct Timing {
-    Duration ask{100};     ///< one asks this often, and earlier where it runs dry
-    Duration lease{3000};  ///< of what is lent, by the lender's clock, from its answer on
-    Duration margin{20};   ///< a borrower stops so long before, and `drift` of the lease
-    int drift = 20;  ///< thousandths: how far two clocks are apart at most, with each at most half of it from
-                     ///< true time
-    int settle = 1;  ///< asks that a charge waits before it is told as spent: so long it can be given back
-    Duration cover{300};  ///< what a node holds for, spent and untold included; a site twice as much
-    Duration linger{
+    Duration request_interval{100};     ///< one asks this often, and earlier where it runs dry
+    Duration lease_duration{3000};      ///< of what is lent, by the lender's clock, from its answer on
+    Duration safety_margin{20};         ///< a borrower stops so long before, and `drift` of the lease
+    int max_clock_drift_permille = 20;  ///< thousandths: how far two clocks are apart at most, with each at
+                                        ///< most half of it from true time
+    int refund_window_requests =
+        1;  ///< asks that a charge waits before it is told as spent: so long it can be given back
+    Duration holding_time{300};  ///< what a node holds for, spent and untold included; a site twice as much
+    Duration idle_timeout{
         10000};  ///< so long behind its last request a partner finds one request's worth at a node
 };
 
@@ -96,10 +97,10 @@
 /// Everything that is wrong, in the order of the budgets. Empty: they can be held to. `sites`: the
 /// federation's; none: any name is one.
 std::vector<Failure> validate(const std::vector<Budget>& budgets, const std::vector<std::string>& sites,
-                              const Timing& timing, std::size_t most = 10'000);
+                              const Timing& timing, std::size_t max_partners = 10'000);
 /// What is wrong with going from one to the other in a single version: at no time may the federation's part
 /// and the floors be more than the larger budget.
-std::vector<Failure> validate_change(const std::vector<Budget>& old, const std::vector<Budget>& next);
+std::vector<Failure> validate_change(const std::vector<Budget>& current, const std::vector<Budget>& next);
 /// Unspent or untold amounts that a rate needs under way with these times.
 Amount amount_in_flight(Amount rate, const Timing& timing);
 
--- a/src/fleet/quota/message.h
+++ b/src/fleet/quota/message.h
@@ -25,7 +25,7 @@
     std::uint64_t lease = 0;  ///< that the sums are of; zero: none yet
     Amount spent = 0, returned = 0;
     Amount demand = 0;  ///< a second, refused requests included
-    Amount given =
+    Amount floor_surplus =
         0;  ///< of a floor that its site does not need, to the federation: a sum since the instance began
     friend bool operator==(const BorrowRequestLine&, const BorrowRequestLine&) = default;
 };
@@ -40,9 +40,9 @@
     Account account;
     std::uint64_t lease = 0;
     Amount granted = 0;
-    std::int64_t length = 0;  ///< microseconds, counted by the borrower from before it asked
-    Amount share = 0;         ///< a second: what it may reckon with
-    bool recalled = false;    ///< what is unspent is to be given back now
+    std::int64_t remaining_us = 0;  ///< microseconds, counted by the borrower from before it asked
+    Amount share = 0;               ///< a second: what it may reckon with
+    bool recalled = false;          ///< what is unspent is to be given back now
     bool frozen = false;
     friend bool operator==(const BorrowResponseLine&, const BorrowResponseLine&) = default;
 };
@@ -53,11 +53,11 @@
 };
 
 /// As protobuf (proto/quota.proto).
-std::string encode(const BorrowRequest& ask);
-std::string encode(const BorrowResponse& answer);
+std::string encode(const BorrowRequest& request);
+std::string encode(const BorrowResponse& response);
 /// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMaxAmount` lines
 /// or amounts).
-std::optional<BorrowRequest> decode_borrow_request(std::string_view octets);
-std::optional<BorrowResponse> decode_borrow_response(std::string_view octets);
+std::optional<BorrowRequest> decode_borrow_request(std::string_view bytes);
+std::optional<BorrowResponse> decode_borrow_response(std::string_view bytes);
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -48,10 +48,10 @@
 struct TimerFired {};
 struct RequestReceived {
     std::string child;  ///< as the channel knows it
-    BorrowRequest ask;
+    BorrowRequest request;
 };
 struct ResponseReceived {
-    BorrowResponse answer;
+    BorrowResponse response;
 };
 struct LeasesRecorded {  ///< all Records up to this one last
     std::uint64_t number = 0;
@@ -61,7 +61,7 @@
 /// longest lease before it lends.
 struct OwnershipConfirmed {
     TimePoint until;
-    std::optional<std::vector<OutstandingLease>> books;
+    std::optional<std::vector<OutstandingLease>> leases;
     bool fresh = false;  ///< nobody has ever lent anything
 };
 struct OwnershipLost {};
@@ -80,15 +80,15 @@
 
 // ---- What is to be done about it
 struct SendRequest {
-    BorrowRequest ask;
+    BorrowRequest request;
 };
 struct SendResponse {
     std::string child;
-    BorrowResponse answer;
+    BorrowResponse response;
 };
 struct RecordLeases {
     std::uint64_t number = 0;
-    std::vector<OutstandingLease> books;
+    std::vector<OutstandingLease> leases;
 };
 struct SetTimer {
     TimePoint at;
@@ -100,10 +100,10 @@
     Account account;
     bool root = false, frozen = false;
     bool in_force = true;  ///< a budget that has shrunk is, once what was lent of the larger one is back
-    Amount rate = 0, cap = 0, here = 0, lent = 0, lost = 0;
+    Amount rate = 0, cap = 0, available = 0, lent = 0, lost = 0;
     struct Child {
         std::string name;
-        Amount lent = 0, demand = 0, believed = 0, share = 0, spent = 0;
+        Amount lent = 0, demand = 0, accepted_demand = 0, share = 0, spent = 0;
     };
     std::vector<Child> children;
 };
@@ -114,89 +114,92 @@
 
     void handle(TimePoint now, const QuotaAllocatorEvent& event, QuotaAllocatorActions& actions);
 
-    std::vector<QuotaAllocatorStatus> show(TimePoint now, std::string_view partner) const;
-    bool owns(TimePoint now) const { return now < owned_until_; }
-    std::uint64_t refused() const { return refused_; }  ///< lines that said what cannot be
+    std::vector<QuotaAllocatorStatus> status(TimePoint now, std::string_view partner) const;
+    bool is_owner(TimePoint now) const { return now < ownership_until_; }
+    std::uint64_t rejected_lines() const { return rejected_lines_; }  ///< lines that said what cannot be
 
 private:
     struct Child {
         std::uint64_t instance = 0, seq = 0, lease = 0;
         Amount granted = 0, spent = 0, returned = 0;
-        TimePoint ends{}, asked{};
-        Amount demand = 0, used = 0, believed = 0, share = 0, credit = 0, credit_carry = 0;
+        TimePoint expires_at{}, last_request_at{};
+        Amount demand = 0, observed_rate = 0, accepted_demand = 0, share = 0, credit = 0,
+               credit_remainder = 0;
         std::uint32_t weight = 1;
         bool recalled = false;
         Amount lent() const { return granted - spent - returned; }
     };
-    struct Lost {
+    struct LostLease {
         std::string child;
         std::uint64_t instance = 0, lease = 0;
         Amount amount = 0;
-        TimePoint ends{};
+        TimePoint expires_at{};
     };
-    struct Given {
+    struct DonorProgress {
         std::uint64_t instance = 0;
-        Amount seen = 0;
+        Amount donated_seen = 0;
     };
-    struct Tree {
+    struct AccountState {
         bool root = false, frozen = false, recalling = false;
         Amount rate = 0, cap = 0;  // of a root
-        Amount dearest = kUnit, cheapest = kUnit;
-        Amount here = 0;  // of a root, unlent
-        Amount carry = 0;
-        std::int64_t minted = 0;  // up to then, microseconds
-        BorrowedBudget pot;       // else
-        Amount given = 0;         // of this floor to the federation, ever
+        Amount max_cost = kUnit, min_cost = kUnit;
+        Amount available = 0;  // of a root, unlent
+        Amount remainder = 0;
+        std::int64_t minted_until_us = 0;  // up to then, microseconds
+        BorrowedBudget borrowed;           // else
+        Amount donated_total = 0;          // of this floor to the federation, ever
         std::map<std::string, Child> children;
-        std::vector<Lost> lost;
-        std::map<std::string, Given> gifts;
+        std::vector<LostLease> lost_leases;
+        std::map<std::string, DonorProgress> donors;
         std::map<std::string, std::uint32_t> weights;
-        TimePoint shared{};
-        Amount lent_sum = 0, lost_sum = 0;
+        TimePoint shares_updated_at{};
+        Amount total_lent = 0, total_lost = 0;
     };
 
     void on(TimePoint now, const TimerFired&, QuotaAllocatorActions& actions);
-    void on(TimePoint now, const RequestReceived& asked, QuotaAllocatorActions& actions);
-    void on(TimePoint now, const ResponseReceived& answered, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const RequestReceived& received, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const ResponseReceived& received, QuotaAllocatorActions& actions);
     void on(TimePoint now, const LeasesRecorded& recorded, QuotaAllocatorActions& actions);
     void on(TimePoint now, const OwnershipConfirmed& owned, QuotaAllocatorActions& actions);
     void on(TimePoint now, const OwnershipLost&, QuotaAllocatorActions& actions);
     void on(TimePoint now, const BudgetsConfigured& configured, QuotaAllocatorActions& actions);
-    void on(TimePoint now, const OperatorOrder& ordered, QuotaAllocatorActions& actions);
-
-    void shape(Tree& tree, TimePoint now, bool root, Amount rate, Amount cap, const Budget& budget);
-    void tick(TimePoint now, const Account& account, Tree& tree);
-    void mint(TimePoint now, Tree& tree);
-    Amount here(TimePoint now, const Tree& tree) const;
-    void bring(Tree& tree, Amount amount);
-    void lose(const Account& account, Tree& tree, const std::string& name, Child& child);
-    void forget(const Account& account, Tree& tree, const std::string& name, std::uint64_t instance,
-                std::uint64_t lease);
-    bool heard(Tree& tree, Child& child, const BorrowRequestLine& line, TimePoint now);
-    void share_out(TimePoint now, Tree& tree);
-    void lend(TimePoint now, const Account& account, Tree& tree, const std::string& name, Child& child);
-    Amount wanted(const Tree& tree, const Child& child) const;
-    Duration cover() const { return set_.timing.cover * set_.levels; }
-    void note(const Account& account, const std::string& name, const Child& child);
-    void ask_up(TimePoint now, QuotaAllocatorActions& actions);
+    void on(TimePoint now, const OperatorOrder& order, QuotaAllocatorActions& actions);
+
+    void configure_account(AccountState& state, TimePoint now, bool root, Amount rate, Amount cap,
+                           const Budget& budget);
+    void expire_leases(TimePoint now, const Account& account, AccountState& state);
+    void mint(TimePoint now, AccountState& state);
+    Amount available(TimePoint now, const AccountState& state) const;
+    void add_returned(AccountState& state, Amount amount);
+    void mark_lost(const Account& account, AccountState& state, const std::string& name, Child& child);
+    void close_lease(const Account& account, AccountState& state, const std::string& name,
+                     std::uint64_t instance, std::uint64_t lease);
+    bool apply_report(AccountState& state, Child& child, const BorrowRequestLine& line, TimePoint now);
+    void update_shares(TimePoint now, AccountState& state);
+    void lend(TimePoint now, const Account& account, AccountState& state, const std::string& name,
+              Child& child);
+    Amount shortfall(const AccountState& state, const Child& child) const;
+    Duration holding_time() const { return settings_.timing.holding_time * settings_.levels; }
+    void queue_record(const Account& account, const std::string& name, const Child& child);
+    void request_from_parent(TimePoint now, QuotaAllocatorActions& actions);
     void flush(QuotaAllocatorActions& actions);
-    bool durable(const Tree& tree) const { return tree.root; }
-
-    QuotaAllocatorSettings set_;
-    std::map<Account, Tree> trees_;
-    TimePoint owned_until_{}, waits_until_{}, asks_at_{};
-    bool owned_ = false;  // since when it last was not
-    std::uint64_t leases_ = 0, seq_ = 0, refused_ = 0;
-    std::map<std::uint64_t, TimePoint> asked_;  // the asks that may yet be answered
-    TimePoint answered_{};
+    bool is_durable(const AccountState& state) const { return state.root; }
+
+    QuotaAllocatorSettings settings_;
+    std::map<Account, AccountState> accounts_;
+    TimePoint ownership_until_{}, no_lending_until_{}, next_request_at_{};
+    bool ownership_confirmed_ = false;  // since when it last was not
+    std::uint64_t last_lease_ = 0, seq_ = 0, rejected_lines_ = 0;
+    std::map<std::uint64_t, TimePoint> request_sent_at_;  // the asks that may yet be answered
+    TimePoint last_response_at_{};
     std::map<std::pair<Account, std::string>, OutstandingLease> to_record_;
-    std::vector<OutstandingLease> closed_;
-    std::uint64_t recorded_ = 0, recording_ = 0;
-    struct Waiting {
-        std::uint64_t behind = 0;
-        SendResponse reply;
+    std::vector<OutstandingLease> closed_leases_;
+    std::uint64_t last_recorded_ = 0, last_record_sent_ = 0;
+    struct PendingResponse {
+        std::uint64_t after_record = 0;
+        SendResponse send;
     };
-    std::vector<Waiting> waiting_;
+    std::vector<PendingResponse> pending_responses_;
 };
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/quota_limiter.cpp
+++ b/src/fleet/quota/quota_limiter.cpp
@@ -6,233 +6,250 @@
 namespace ochrehub::quota {
 namespace {
 
-std::int64_t micros(Duration length) {
+std::int64_t to_microseconds(Duration length) {
     return std::int64_t(std::floor(length.count() * 1000));
 }
-Amount over(Amount rate, Duration length) {
+Amount accrued_over(Amount rate, Duration length) {
     Amount carry = 0;
-    return accrued(rate, micros(length), carry);
+    return accrued(rate, to_microseconds(length), carry);
 }
-constexpr Duration kUp{150}, kDown{600};  // how fast what is measured follows what is asked for
-constexpr Amount kLeast = kUnit / 1000;   // of a demand that is any
+constexpr Duration kDemandRiseTime{150};
+constexpr Duration kDemandFallTime{600};     // how fast what is measured follows what is asked for
+constexpr Amount kMinDemand = kUnit / 1000;  // of a demand that is any
 
 }  // namespace
 
 QuotaLimiter::QuotaLimiter(const QuotaLimiterSettings& settings)
-    : set_(settings), shards_(new Shard[kShards]) {
-    set_.timing.settle = std::clamp(set_.timing.settle, 0, int(kTurns) - 1);
+    : settings_(settings), stripes_(new LockStripe[kLockStripes]) {
+    settings_.timing.refund_window_requests =
+        std::clamp(settings_.timing.refund_window_requests, 0, int(kReportRounds) - 1);
 }
 
 void QuotaLimiter::configure(const std::vector<Budget>& budgets) {
-    for (Entry& entry : entries_) entry.gone = true;
+    for (PartnerEntry& entry : entries_) entry.removed = true;
     for (const Budget& b : budgets) {
-        auto [at, fresh] = names_.try_emplace(b.partner, std::uint32_t(entries_.size()));
-        if (fresh) entries_.emplace_back();
-        Entry& entry = entries_[at->second];
-        entry.partner = b.partner, entry.gone = false, entry.dearest = b.dearest();
-        entry.floors = !b.floors.empty();
+        auto [at, is_new] = partner_indexes_.try_emplace(b.partner, std::uint32_t(entries_.size()));
+        if (is_new) entries_.emplace_back();
+        PartnerEntry& entry = entries_[at->second];
+        entry.partner = b.partner, entry.removed = false, entry.max_cost = b.max_cost();
+        entry.has_floors = !b.floors.empty();
         entry.costs.clear();
-        for (const std::string& kind : set_.kinds) entry.costs.push_back(b.cost(kind));
+        for (const std::string& class_name : settings_.class_names)
+            entry.costs.push_back(b.cost_of(class_name));
     }
     std::size_t size = 16;
     while (size < entries_.size() * 2) size *= 2;
-    slots_.assign(size, {});
+    index_slots_.assign(size, {});
     for (std::uint32_t i = 0; i < entries_.size(); ++i) {
         std::size_t hash = Hash()(entries_[i].partner), at = hash;
-        while (slots_[at & (size - 1)].number != 0) ++at;
-        slots_[at & (size - 1)] = {hash, i + 1};
+        while (index_slots_[at & (size - 1)].partner_plus_one != 0) ++at;
+        index_slots_[at & (size - 1)] = {hash, i + 1};
     }
 }
 
 /// Of a partner that was not here for a while nothing is in the caches: all of it is fetched at once, not
 /// line by line.
-void QuotaLimiter::fetch(const Entry& entry) {
-    for (std::size_t line = 0; line < sizeof(Entry); line += 64)
+void QuotaLimiter::prefetch(const PartnerEntry& entry) {
+    for (std::size_t line = 0; line < sizeof(PartnerEntry); line += 64)
         __builtin_prefetch(reinterpret_cast<const char*>(&entry) + line);
 }
 
 std::optional<std::uint32_t> QuotaLimiter::find(std::string_view partner) const {
-    if (slots_.empty()) return std::nullopt;
-    std::size_t hash = Hash()(partner), mask = slots_.size() - 1;
-    for (std::size_t at = hash; slots_[at & mask].number != 0; ++at) {
-        const Slot& slot = slots_[at & mask];
+    if (index_slots_.empty()) return std::nullopt;
+    std::size_t hash = Hash()(partner), mask = index_slots_.size() - 1;
+    for (std::size_t at = hash; index_slots_[at & mask].partner_plus_one != 0; ++at) {
+        const IndexSlot& slot = index_slots_[at & mask];
         if (slot.hash != hash) continue;
-        const Entry& entry = entries_[slot.number - 1];
-        fetch(entry);
-        if (entry.partner == partner) return entry.gone ? std::nullopt : std::optional(slot.number - 1);
+        const PartnerEntry& entry = entries_[slot.partner_plus_one - 1];
+        prefetch(entry);
+        if (entry.partner == partner)
+            return entry.removed ? std::nullopt : std::optional(slot.partner_plus_one - 1);
     }
     return std::nullopt;
 }
 
-bool QuotaLimiter::spend(TimePoint now, Purse& purse, Amount cost, Charge& receipt) {
-    if (!purse.pot.take(now, cost)) return false;
-    purse.pot.count_spent(cost);
-    purse.untold[purse.turn % kTurns] += cost;
-    receipt.lease_ = purse.pot.lease(), receipt.turn_ = purse.turn, receipt.cost_ = cost;
+bool QuotaLimiter::try_spend(TimePoint now, LimiterAccount& account, Amount cost, Charge& charge) {
+    if (!account.borrowed.take(now, cost)) return false;
+    account.borrowed.add_spent(cost);
+    account.unreported[account.report_round % kReportRounds] += cost;
+    charge.lease_ = account.borrowed.lease(), charge.report_round_ = account.report_round,
+    charge.cost_ = cost;
     return true;
 }
 
-QuotaLimiter::Outcome QuotaLimiter::charge(TimePoint now, std::uint32_t partner, int kind) {
-    Entry& entry = entries_[partner];
-    fetch(entry);
-    auto lock = locked(partner);
-    Amount cost =
-        kind >= 0 && std::size_t(kind) < entry.costs.size() ? entry.costs[std::size_t(kind)] : kUnit;
-    entry.offered += cost;
-    entry.last = now;
-    bool frozen = entry.shared.pot.frozen();
-    Charge receipt;
-    receipt.partner_ = partner;
-    receipt.floor_ = entry.floors && !frozen && spend(now, entry.floor, cost, receipt);
-    bool allowed = receipt.floor_ || (!frozen && spend(now, entry.shared, cost, receipt));
+QuotaLimiter::Outcome QuotaLimiter::charge(TimePoint now, std::uint32_t partner, int class_index) {
+    PartnerEntry& entry = entries_[partner];
+    prefetch(entry);
+    auto lock = lock_partner(partner);
+    Amount cost = class_index >= 0 && std::size_t(class_index) < entry.costs.size()
+                      ? entry.costs[std::size_t(class_index)]
+                      : kUnit;
+    entry.offered_cost += cost;
+    entry.last_request_at = now;
+    bool frozen = entry.shared.borrowed.frozen();
+    Charge charge;
+    charge.partner_ = partner;
+    charge.floor_ = entry.has_floors && !frozen && try_spend(now, entry.floor, cost, charge);
+    bool allowed = charge.floor_ || (!frozen && try_spend(now, entry.shared, cost, charge));
     // By its use, what is left does not last until an ask from now would be answered.
-    Amount left = entry.shared.pot.balance(now) + (entry.floors ? entry.floor.pot.balance(now) : 0);
-    bool dries = !entry.dry && !frozen && (!allowed || left < over(entry.demand, set_.timing.ask / 2)) &&
-                 now - entry.asked >= set_.timing.ask / 5;
-    entry.dry = entry.dry || dries;
-    ++(allowed ? entry.counts.allowed : entry.counts.refused);
-    Duration back = allowed ? Duration{} : slot(now, entry, cost);
+    Amount left =
+        entry.shared.borrowed.balance(now) + (entry.has_floors ? entry.floor.borrowed.balance(now) : 0);
+    bool runs_out = !entry.exhausted && !frozen &&
+                    (!allowed || left < accrued_over(entry.demand, settings_.timing.request_interval / 2)) &&
+                    now - entry.last_reported_at >= settings_.timing.request_interval / 5;
+    entry.exhausted = entry.exhausted || runs_out;
+    ++(allowed ? entry.counters.allowed : entry.counters.rejected);
+    Duration retry_after = allowed ? Duration{} : next_retry_after(now, entry, cost);
     lock.unlock();
-    if (dries) {
-        std::unique_lock asks(asks_);
-        dry_.push_back(partner);
-        early_.store(true, std::memory_order_relaxed);
+    if (runs_out) {
+        std::unique_lock lock_requests(requests_lock_);
+        exhausted_partners_.push_back(partner);
+        needs_request_early_.store(true, std::memory_order_relaxed);
     }
-    if (allowed) return receipt;
-    return Rejection{frozen ? Error::Frozen : Error::Exhausted, back};
+    if (allowed) return charge;
+    return Rejection{frozen ? Error::Frozen : Error::Exhausted, retry_after};
 }
 
 /// Each that is refused is told a moment of its own, as far apart as this node's part lets them in. More than
 /// fit before the last moment are strewn over the later half, each where the gaps are widest.
-Duration QuotaLimiter::slot(TimePoint now, Entry& entry, Amount cost) {
-    Amount share = entry.floor.pot.share() + entry.shared.pot.share();
-    Duration apart = share > 0 ? Duration{double(cost) / double(share) * 1000} : set_.back_least;
-    TimePoint at = std::max(entry.next_slot, now + set_.back_least);
-    if (at + apart <= now + set_.back_most) {
-        entry.next_slot = at + apart;
+Duration QuotaLimiter::next_retry_after(TimePoint now, PartnerEntry& entry, Amount cost) {
+    Amount share = entry.floor.borrowed.share() + entry.shared.borrowed.share();
+    Duration interval = share > 0 ? Duration{double(cost) / double(share) * 1000} : settings_.min_retry_after;
+    TimePoint at = std::max(entry.next_retry_at, now + settings_.min_retry_after);
+    if (at + interval <= now + settings_.max_retry_after) {
+        entry.next_retry_at = at + interval;
         return at - now;
     }
-    entry.strewn += 0x9e3779b97f4a7c15;  // the golden part of all there is
-    return set_.back_most * (0.5 + 0.5 * double(entry.strewn >> 11) * 0x1p-53);
-}
-
-bool QuotaLimiter::give_back(TimePoint now, Charge receipt) {
-    if (!receipt) return false;
-    auto lock = locked(receipt.partner_);
-    Entry& entry = entries_[receipt.partner_];
-    Purse& purse = receipt.floor_ ? entry.floor : entry.shared;
-    Amount& untold = purse.untold[receipt.turn_ % kTurns];
-    if (purse.pot.lease() != receipt.lease_ ||
-        receipt.turn_ + std::uint64_t(set_.timing.settle) < purse.turn || untold < receipt.cost_ ||
-        !purse.pot.live(now)) {
-        ++entry.counts.forfeited;
+    entry.retry_spread += 0x9e3779b97f4a7c15;  // the golden part of all there is
+    return settings_.max_retry_after * (0.5 + 0.5 * double(entry.retry_spread >> 11) * 0x1p-53);
+}
+
+bool QuotaLimiter::refund(TimePoint now, Charge charge) {
+    if (!charge) return false;
+    auto lock = lock_partner(charge.partner_);
+    PartnerEntry& entry = entries_[charge.partner_];
+    LimiterAccount& account = charge.floor_ ? entry.floor : entry.shared;
+    Amount& unreported = account.unreported[charge.report_round_ % kReportRounds];
+    if (account.borrowed.lease() != charge.lease_ ||
+        charge.report_round_ + std::uint64_t(settings_.timing.refund_window_requests) <
+            account.report_round ||
+        unreported < charge.cost_ || !account.borrowed.is_active(now)) {
+        ++entry.counters.forfeited;
         return false;
     }
-    untold -= receipt.cost_;
-    purse.pot.count_spent(-receipt.cost_);
-    purse.pot.put_back(receipt.cost_);
-    ++entry.counts.given_back;
+    unreported -= charge.cost_;
+    account.borrowed.add_spent(-charge.cost_);
+    account.borrowed.put_back(charge.cost_);
+    ++entry.counters.refunded;
     return true;
 }
 
-void QuotaLimiter::measure(TimePoint now, Entry& entry) {
-    Duration passed = now - entry.measured;
-    if (passed < set_.timing.ask / 5) return;
-    std::int64_t length = std::max<std::int64_t>(1, micros(std::min(passed, Duration{10'000})));
-    Amount rate = std::min(kMaxAmount,
-                           entry.offered / length * 1'000'000 + entry.offered % length * 1'000'000 / length);
-    std::int64_t follows = micros(rate > entry.demand ? kUp : kDown);
-    entry.demand +=
-        std::int64_t(double(rate - entry.demand) * double(std::min(length, follows)) / double(follows));
-    entry.offered = 0, entry.measured = now;
-    if (now - entry.last > set_.timing.linger || entry.last == TimePoint{})
+void QuotaLimiter::update_demand(TimePoint now, PartnerEntry& entry) {
+    Duration elapsed = now - entry.demand_measured_at;
+    if (elapsed < settings_.timing.request_interval / 5) return;
+    std::int64_t elapsed_us = std::max<std::int64_t>(1, to_microseconds(std::min(elapsed, Duration{10'000})));
+    Amount rate = std::min(kMaxAmount, entry.offered_cost / elapsed_us * 1'000'000 +
+                                           entry.offered_cost % elapsed_us * 1'000'000 / elapsed_us);
+    std::int64_t adjustment_us = to_microseconds(rate > entry.demand ? kDemandRiseTime : kDemandFallTime);
+    entry.demand += std::int64_t(double(rate - entry.demand) * double(std::min(elapsed_us, adjustment_us)) /
+                                 double(adjustment_us));
+    entry.offered_cost = 0, entry.demand_measured_at = now;
+    if (now - entry.last_request_at > settings_.timing.idle_timeout || entry.last_request_at == TimePoint{})
         entry.demand = 0;
     else
-        entry.demand = std::max(entry.demand, kLeast);
+        entry.demand = std::max(entry.demand, kMinDemand);
 }
 
-void QuotaLimiter::line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
-                        std::vector<BorrowRequestLine>& lines) {
-    purse.pot.look(now);
+void QuotaLimiter::append_line(TimePoint now, const PartnerEntry& entry, LimiterAccount& account, bool floor,
+                               bool next_round, std::vector<BorrowRequestLine>& lines) {
+    account.borrowed.expire(now);
     Amount demand = entry.demand;
-    if (!floor && entry.floors) demand = std::max<Amount>(0, demand - entry.floor.pot.share());
-    Amount keeps = demand == 0 ? 0 : over(demand, set_.timing.cover) + 2 * entry.dearest;
-    if (purse.pot.recalled() || purse.pot.frozen()) keeps = 0;
-    purse.pot.give_up(purse.pot.balance(now) - keeps);
-    if (turns) purse.untold[++purse.turn % kTurns] = 0;
+    if (!floor && entry.has_floors) demand = std::max<Amount>(0, demand - entry.floor.borrowed.share());
+    Amount kept_balance =
+        demand == 0 ? 0 : accrued_over(demand, settings_.timing.holding_time) + 2 * entry.max_cost;
+    if (account.borrowed.recalled() || account.borrowed.frozen()) kept_balance = 0;
+    account.borrowed.return_unspent(account.borrowed.balance(now) - kept_balance);
+    if (next_round) account.unreported[++account.report_round % kReportRounds] = 0;
     // Charges of older turns than may be given back count as spent from here on.
-    for (std::uint64_t back = std::uint64_t(set_.timing.settle) + 1; back < kTurns && back <= purse.turn;
-         ++back)
-        purse.untold[(purse.turn - back) % kTurns] = 0;
-    bool idle = demand == 0 && purse.pot.balance(now) == 0 && purse.told() == purse.pot.spent();
-    purse.idle = idle ? purse.idle + 1 : 0;
-    if (idle && (purse.pot.lease() == 0 || purse.idle > 3)) return;
-    lines.push_back(
-        {{entry.partner, floor}, purse.pot.lease(), purse.told(), purse.pot.returned(), demand, 0});
-}
-
-BorrowRequest QuotaLimiter::ask(TimePoint now, bool all) {
-    BorrowRequest ask{set_.instance, 0, {}};
-    std::vector<std::uint32_t> dry;
+    for (std::uint64_t age = std::uint64_t(settings_.timing.refund_window_requests) + 1;
+         age < kReportRounds && age <= account.report_round; ++age)
+        account.unreported[(account.report_round - age) % kReportRounds] = 0;
+    bool idle =
+        demand == 0 && account.borrowed.balance(now) == 0 && account.reported() == account.borrowed.spent();
+    account.idle = idle ? account.idle + 1 : 0;
+    if (idle && (account.borrowed.lease() == 0 || account.idle > 3)) return;
+    lines.push_back({{entry.partner, floor},
+                     account.borrowed.lease(),
+                     account.reported(),
+                     account.borrowed.returned(),
+                     demand,
+                     0});
+}
+
+BorrowRequest QuotaLimiter::next_request(TimePoint now, bool all) {
+    BorrowRequest request{settings_.instance, 0, {}};
+    std::vector<std::uint32_t> exhausted;
     {
-        std::unique_lock lock(asks_);
-        early_.store(false, std::memory_order_relaxed);
-        dry.swap(dry_);
-        ask.seq = ++seq_;
-        asked_[ask.seq] = now;
-        while (asked_.size() > 256) asked_.erase(asked_.begin());
+        std::unique_lock lock(requests_lock_);
+        needs_request_early_.store(false, std::memory_order_relaxed);
+        exhausted.swap(exhausted_partners_);
+        request.seq = ++seq_;
+        request_sent_at_[request.seq] = now;
+        while (request_sent_at_.size() > 256) request_sent_at_.erase(request_sent_at_.begin());
     }
-    auto add = [&](std::uint32_t partner) {
-        auto lock = locked(partner);
-        Entry& entry = entries_[partner];
-        if (entry.last == TimePoint{}) return;  // never asked for here
-        measure(now, entry);
-        entry.dry = false;
-        entry.asked = now;
-        if (entry.floors) line(now, entry, entry.floor, true, all, ask.lines);
-        line(now, entry, entry.shared, false, all, ask.lines);
+    auto add_lines = [&](std::uint32_t partner) {
+        auto lock = lock_partner(partner);
+        PartnerEntry& entry = entries_[partner];
+        if (entry.last_request_at == TimePoint{}) return;  // never asked for here
+        update_demand(now, entry);
+        entry.exhausted = false;
+        entry.last_reported_at = now;
+        if (entry.has_floors) append_line(now, entry, entry.floor, true, all, request.lines);
+        append_line(now, entry, entry.shared, false, all, request.lines);
     };
     if (all)
-        for (std::uint32_t i = 0; i < entries_.size(); ++i) add(i);
+        for (std::uint32_t i = 0; i < entries_.size(); ++i) add_lines(i);
     else
-        for (std::uint32_t i : dry) add(i);
-    return ask;
+        for (std::uint32_t i : exhausted) add_lines(i);
+    return request;
 }
 
-void QuotaLimiter::answered(TimePoint now, const BorrowResponse& answer) {
-    if (answer.instance != set_.instance) return;
-    TimePoint asked;
+void QuotaLimiter::handle_response(TimePoint now, const BorrowResponse& response) {
+    if (response.instance != settings_.instance) return;
+    TimePoint requested_at;
     {
-        std::unique_lock lock(asks_);
-        auto found = asked_.find(answer.seq);
-        if (found == asked_.end()) return;
-        asked = found->second;
+        std::unique_lock lock(requests_lock_);
+        auto found = request_sent_at_.find(response.seq);
+        if (found == request_sent_at_.end()) return;
+        requested_at = found->second;
     }
-    for (const BorrowResponseLine& l : answer.lines) {
-        auto named = names_.find(l.account.partner);
-        if (named == names_.end()) continue;
-        auto lock = locked(named->second);
-        Purse& purse = l.account.floor ? entries_[named->second].floor : entries_[named->second].shared;
-        if (purse.pot.answered(now, asked, answer.seq, l, set_.timing) == BorrowedBudget::Taken::Anew)
-            purse.untold.fill(0);
+    for (const BorrowResponseLine& line : response.lines) {
+        auto found = partner_indexes_.find(line.account.partner);
+        if (found == partner_indexes_.end()) continue;
+        auto lock = lock_partner(found->second);
+        LimiterAccount& account =
+            line.account.floor ? entries_[found->second].floor : entries_[found->second].shared;
+        if (account.borrowed.apply_response(now, requested_at, response.seq, line, settings_.timing) ==
+            BorrowedBudget::ResponseResult::NewLease)
+            account.unreported.fill(0);
     }
 }
 
-PartnerCounters QuotaLimiter::counts(TimePoint now, std::uint32_t partner) const {
-    auto lock = locked(partner);
-    const Entry& entry = entries_[partner];
-    PartnerCounters counts = entry.counts;
-    counts.spent = entry.floor.pot.spent() + entry.shared.pot.spent();
-    counts.balance = entry.floor.pot.balance(now) + entry.shared.pot.balance(now);
-    counts.share = entry.floor.pot.share() + entry.shared.pot.share();
-    counts.demand = entry.demand;
-    return counts;
+PartnerCounters QuotaLimiter::counters(TimePoint now, std::uint32_t partner) const {
+    auto lock = lock_partner(partner);
+    const PartnerEntry& entry = entries_[partner];
+    PartnerCounters counters = entry.counters;
+    counters.spent = entry.floor.borrowed.spent() + entry.shared.borrowed.spent();
+    counters.balance = entry.floor.borrowed.balance(now) + entry.shared.borrowed.balance(now);
+    counters.share = entry.floor.borrowed.share() + entry.shared.borrowed.share();
+    counters.demand = entry.demand;
+    return counters;
 }
 
 std::vector<std::string> QuotaLimiter::partners() const {
     std::vector<std::string> names;
-    for (const Entry& entry : entries_)
-        if (!entry.gone) names.push_back(entry.partner);
+    for (const PartnerEntry& entry : entries_)
+        if (!entry.removed) names.push_back(entry.partner);
     return names;
 }
 
--- a/src/fleet/quota/quota_limiter.h
+++ b/src/fleet/quota/quota_limiter.h
@@ -27,30 +27,31 @@
 namespace ochrehub::quota {
 
 struct QuotaLimiterSettings {
-    std::uint64_t instance = 0;      ///< drawn at each start, never zero
-    std::vector<std::string> kinds;  ///< the classes' names, by their index
+    std::uint64_t instance = 0;            ///< drawn at each start, never zero
+    std::vector<std::string> class_names;  ///< the classes' names, by their index
     Timing timing;
-    Duration back_least{250};    ///< what a refused client is told, at least ...
-    Duration back_most{30'000};  ///< ... and at most
+    Duration min_retry_after{250};     ///< what a refused client is told, at least ...
+    Duration max_retry_after{30'000};  ///< ... and at most
 };
 
 /// One charge, which may be given back once: move it there.
 class Charge {
 public:
     Charge() = default;
-    Charge(Charge&& o) noexcept { *this = std::move(o); }
-    Charge& operator=(Charge&& o) noexcept {
-        partner_ = o.partner_, floor_ = o.floor_, lease_ = o.lease_, turn_ = o.turn_;
-        cost_ = std::exchange(o.cost_, 0);
+    Charge(Charge&& other) noexcept { *this = std::move(other); }
+    Charge& operator=(Charge&& other) noexcept {
+        partner_ = other.partner_, floor_ = other.floor_, lease_ = other.lease_,
+        report_round_ = other.report_round_;
+        cost_ = std::exchange(other.cost_, 0);
         return *this;
     }
     explicit operator bool() const { return cost_ != 0; }
     Amount cost() const { return cost_; }
     /// For saboteurs alone: a charge that is given back twice.
-    Charge forged() const {
+    Charge duplicate_for_test() const {
         Charge copy;
-        copy.partner_ = partner_, copy.floor_ = floor_, copy.lease_ = lease_, copy.turn_ = turn_,
-        copy.cost_ = cost_;
+        copy.partner_ = partner_, copy.floor_ = floor_, copy.lease_ = lease_,
+        copy.report_round_ = report_round_, copy.cost_ = cost_;
         return copy;
     }
 
@@ -58,17 +59,18 @@
     friend class QuotaLimiter;
     std::uint32_t partner_ = 0;
     bool floor_ = false;
-    std::uint64_t lease_ = 0, turn_ = 0;
+    std::uint64_t lease_ = 0, report_round_ = 0;
     Amount cost_ = 0;
 };
 
 struct Rejection {
-    Error error{};    ///< Exhausted or Frozen
-    Duration back{};  ///< when to come back: one slot a request at the rate that this node may reckon with
+    Error error{};  ///< Exhausted or Frozen
+    Duration
+        retry_after{};  ///< when to come back: one slot a request at the rate that this node may reckon with
 };
 
 struct PartnerCounters {
-    std::uint64_t allowed = 0, refused = 0, given_back = 0,
+    std::uint64_t allowed = 0, rejected = 0, refunded = 0,
                   forfeited = 0;  ///< forfeited: given back when it was told as spent
     Amount spent = 0, balance = 0, share = 0, demand = 0;
 };
@@ -85,46 +87,46 @@
     using Outcome = std::variant<Charge, Rejection>;
     /// One request, once: its retries and hedges are not charged again. `kind`: the class's index; kNone: a
     /// unit.
-    Outcome charge(TimePoint now, std::uint32_t partner, int kind);
+    Outcome charge(TimePoint now, std::uint32_t partner, int class_index);
     /// Of a request that never ran. False: nothing came back, since the charge has been told as spent, its
     /// lease is over, or it was given back before.
-    bool give_back(TimePoint now, Charge receipt);
+    bool refund(TimePoint now, Charge charge);
 
     /// Something runs dry before the next ask would be answered.
-    bool asks_early() const { return early_.load(std::memory_order_relaxed); }
+    bool needs_request_early() const { return needs_request_early_.load(std::memory_order_relaxed); }
     /// What is to be sent to the site's lender now. `all` false: of those alone that run dry.
-    BorrowRequest ask(TimePoint now, bool all = true);
-    void answered(TimePoint now, const BorrowResponse& answer);
+    BorrowRequest next_request(TimePoint now, bool all = true);
+    void handle_response(TimePoint now, const BorrowResponse& response);
 
-    PartnerCounters counts(TimePoint now, std::uint32_t partner) const;
+    PartnerCounters counters(TimePoint now, std::uint32_t partner) const;
     std::vector<std::string> partners() const;
 
 private:
-    static constexpr std::size_t kShards = 64, kTurns = 4;
-    struct Purse {
-        BorrowedBudget pot;
-        std::array<Amount, kTurns> untold{};  // charged in this turn and the ones before it
-        std::uint64_t turn = 0;
+    static constexpr std::size_t kLockStripes = 64, kReportRounds = 4;
+    struct LimiterAccount {
+        BorrowedBudget borrowed;
+        std::array<Amount, kReportRounds> unreported{};  // charged in this turn and the ones before it
+        std::uint64_t report_round = 0;
         int idle = 0;
-        Amount told() const {
-            Amount sum = pot.spent();
-            for (Amount a : untold) sum -= a;
+        Amount reported() const {
+            Amount sum = borrowed.spent();
+            for (Amount a : unreported) sum -= a;
             return sum;
         }
     };
-    struct Entry {  // what a charge touches stands first
-        bool dry = false, gone = false, floors = false;
-        Amount offered = 0, demand = 0;
-        TimePoint last{}, asked{}, next_slot{}, measured{};
-        Purse shared;
-        PartnerCounters counts;
-        Purse floor;
+    struct PartnerEntry {  // what a charge touches stands first
+        bool exhausted = false, removed = false, has_floors = false;
+        Amount offered_cost = 0, demand = 0;
+        TimePoint last_request_at{}, last_reported_at{}, next_retry_at{}, demand_measured_at{};
+        LimiterAccount shared;
+        PartnerCounters counters;
+        LimiterAccount floor;
         std::vector<Amount> costs;  // by class
-        Amount dearest = kUnit;
-        std::uint64_t strewn = 0;
+        Amount max_cost = kUnit;
+        std::uint64_t retry_spread = 0;
         std::string partner;
     };
-    struct alignas(64) Shard {
+    struct alignas(64) LockStripe {
         mutable std::mutex lock;
     };
     struct Hash {
@@ -132,30 +134,31 @@
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
     };
 
-    std::unique_lock<std::mutex> locked(std::uint32_t partner) const {
-        return std::unique_lock(shards_[partner % kShards].lock);
+    std::unique_lock<std::mutex> lock_partner(std::uint32_t partner) const {
+        return std::unique_lock(stripes_[partner % kLockStripes].lock);
     }
-    static void fetch(const Entry& entry);
-    bool spend(TimePoint now, Purse& purse, Amount cost, Charge& receipt);
-    Duration slot(TimePoint now, Entry& entry, Amount cost);
-    void measure(TimePoint now, Entry& entry);
-    void line(TimePoint now, const Entry& entry, Purse& purse, bool floor, bool turns,
-              std::vector<BorrowRequestLine>& lines);
-
-    QuotaLimiterSettings set_;
-    std::deque<Entry> entries_;  // none ever moves
-    std::unordered_map<std::string, std::uint32_t, Hash, std::equal_to<>> names_;
-    struct Slot {
+    static void prefetch(const PartnerEntry& entry);
+    bool try_spend(TimePoint now, LimiterAccount& account, Amount cost, Charge& charge);
+    Duration next_retry_after(TimePoint now, PartnerEntry& entry, Amount cost);
+    void update_demand(TimePoint now, PartnerEntry& entry);
+    void append_line(TimePoint now, const PartnerEntry& entry, LimiterAccount& account, bool floor,
+                     bool next_round, std::vector<BorrowRequestLine>& lines);
+
+    QuotaLimiterSettings settings_;
+    std::deque<PartnerEntry> entries_;  // none ever moves
+    std::unordered_map<std::string, std::uint32_t, Hash, std::equal_to<>> partner_indexes_;
+    struct IndexSlot {
         std::size_t hash = 0;
-        std::uint32_t number = 0;  // from 1 on; zero: free
+        std::uint32_t partner_plus_one = 0;  // from 1 on; zero: free
     };
-    std::vector<Slot> slots_;  // by hash, half of it free: a look at one line finds whom `names_` has
-    std::unique_ptr<Shard[]> shards_;
-    std::atomic<bool> early_{false};
-    std::mutex asks_;  // of what follows
+    std::vector<IndexSlot>
+        index_slots_;  // by hash, half of it free: a look at one line finds whom `names_` has
+    std::unique_ptr<LockStripe[]> stripes_;
+    std::atomic<bool> needs_request_early_{false};
+    std::mutex requests_lock_;  // of what follows
     std::uint64_t seq_ = 0;
-    std::vector<std::uint32_t> dry_;
-    std::map<std::uint64_t, TimePoint> asked_;
+    std::vector<std::uint32_t> exhausted_partners_;
+    std::map<std::uint64_t, TimePoint> request_sent_at_;
 };
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/quota_state_machine.cpp
+++ b/src/fleet/quota/quota_state_machine.cpp
@@ -7,30 +7,30 @@
 namespace ochrehub::quota {
 namespace {
 
-constexpr Amount kSum = std::int64_t(1) << 62;
+constexpr Amount kMaxSum = std::int64_t(1) << 62;
 
-void put(const OutstandingLease& book, wire::Book& to) {
-    to.mutable_account()->set_partner(book.account.partner),
-        to.mutable_account()->set_floor(book.account.floor);
-    to.set_child(book.child), to.set_instance(book.instance), to.set_lease(book.lease);
-    to.set_granted(book.granted), to.set_spent(book.spent), to.set_returned(book.returned),
-        to.set_closed(book.closed);
+void put(const OutstandingLease& lease, wire::Book& to) {
+    to.mutable_account()->set_partner(lease.account.partner),
+        to.mutable_account()->set_floor(lease.account.floor);
+    to.set_child(lease.child), to.set_instance(lease.instance), to.set_lease(lease.lease);
+    to.set_granted(lease.granted), to.set_spent(lease.spent), to.set_returned(lease.returned),
+        to.set_closed(lease.closed);
 }
 std::optional<OutstandingLease> get(const wire::Book& from) {
-    OutstandingLease book{{from.account().partner(), from.account().floor()},
-                          from.child(),
-                          from.instance(),
-                          from.lease(),
-                          from.granted(),
-                          from.spent(),
-                          from.returned(),
-                          from.closed()};
-    auto sound = [](Amount a) { return a >= 0 && a <= kSum; };
-    if (!sound(book.granted) || !sound(book.spent) || !sound(book.returned) || book.lease == 0 ||
-        book.granted - book.spent < book.returned || book.account.partner.size() > 64 ||
-        book.child.size() > 256)
+    OutstandingLease lease{{from.account().partner(), from.account().floor()},
+                           from.child(),
+                           from.instance(),
+                           from.lease(),
+                           from.granted(),
+                           from.spent(),
+                           from.returned(),
+                           from.closed()};
+    auto is_valid = [](Amount a) { return a >= 0 && a <= kMaxSum; };
+    if (!is_valid(lease.granted) || !is_valid(lease.spent) || !is_valid(lease.returned) || lease.lease == 0 ||
+        lease.granted - lease.spent < lease.returned || lease.account.partner.size() > 64 ||
+        lease.child.size() > 256)
         return std::nullopt;
-    return book;
+    return lease;
 }
 
 template <class Budgets>
@@ -41,7 +41,7 @@
             budget.set_bound(b.bound);
         for (const Cost& c : b.costs) {
             wire::Cost& cost = *budget.add_costs();
-            cost.set_kind(c.kind), cost.set_cost(c.cost);
+            cost.set_kind(c.class_name), cost.set_cost(c.cost);
         }
         for (const Floor& f : b.floors) {
             wire::Floor& floor = *budget.add_floors();
@@ -89,9 +89,9 @@
                 {},
                 {}};
     for (const wire::Book& b : from.books())
-        if (auto book = get(b)) state.books.push_back(*book);
+        if (auto lease = get(b)) state.leases.push_back(*lease);
     for (const std::string& partner : from.frozen()) state.frozen.push_back(partner);
-    for (const wire::Order& o : from.last()) state.last.push_back({o.number(), get(o.operate())});
+    for (const wire::Order& o : from.last()) state.recent_orders.push_back({o.number(), get(o.operate())});
     return state;
 }
 
@@ -107,10 +107,10 @@
     command.mutable_get();
     return command.SerializeAsString();
 }
-std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& books) {
+std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& leases) {
     wire::Command command;
     command.mutable_record()->set_epoch(epoch);
-    for (const OutstandingLease& book : books) put(book, *command.mutable_record()->add_books());
+    for (const OutstandingLease& lease : leases) put(lease, *command.mutable_record()->add_books());
     return command.SerializeAsString();
 }
 std::string command_set(std::uint64_t version, const std::vector<Budget>& budgets) {
@@ -124,22 +124,22 @@
     put(order, *command.mutable_operate());
     return command.SerializeAsString();
 }
-std::optional<CommandResponse> decode_command_response(std::string_view octets) {
+std::optional<CommandResponse> decode_command_response(std::string_view bytes) {
     wire::Reply from;
-    if (!from.ParseFromArray(octets.data(), int(octets.size())) || from.error() > unsigned(Error::Frozen) + 1)
+    if (!from.ParseFromArray(bytes.data(), int(bytes.size())) || from.error() > unsigned(Error::Frozen) + 1)
         return std::nullopt;
-    CommandResponse reply{std::nullopt, from.about(), from.epoch(), from.version(), std::nullopt};
-    if (from.error() > 0) reply.error = Error(from.error() - 1);
-    if (from.has_state()) reply.state = state_of(from.state());
-    return reply;
+    CommandResponse response{std::nullopt, from.about(), from.epoch(), from.version(), std::nullopt};
+    if (from.error() > 0) response.error = Error(from.error() - 1);
+    if (from.has_state()) response.state = state_of(from.state());
+    return response;
 }
-std::optional<SessionUpdate> decode_session_update(std::string_view octets) {
+std::optional<SessionUpdate> decode_session_update(std::string_view bytes) {
     wire::News from;
-    if (!from.ParseFromArray(octets.data(), int(octets.size()))) return std::nullopt;
-    SessionUpdate news{from.epoch(), from.version(), from.orders(), from.owner(), {}, {}};
-    for (const std::string& partner : from.frozen()) news.frozen.push_back(partner);
-    for (const wire::Order& o : from.last()) news.last.push_back({o.number(), get(o.operate())});
-    return news;
+    if (!from.ParseFromArray(bytes.data(), int(bytes.size()))) return std::nullopt;
+    SessionUpdate update{from.epoch(), from.version(), from.orders(), from.owner(), {}, {}};
+    for (const std::string& partner : from.frozen()) update.frozen.push_back(partner);
+    for (const wire::Order& o : from.last()) update.recent_orders.push_back({o.number(), get(o.operate())});
+    return update;
 }
 
 QuotaStateMachine::QuotaStateMachine(std::vector<std::string> sites, const Timing& timing)
@@ -147,83 +147,83 @@
 
 std::string QuotaStateMachine::apply(const coordinator::Command& command) {
     wire::Command from;
-    wire::Reply reply;
-    auto answer = [&](std::optional<Error> error = std::nullopt, std::string about = {}) {
-        if (error) reply.set_error(unsigned(*error) + 1);
-        reply.set_about(std::move(about));
-        reply.set_epoch(epoch_), reply.set_version(version_);
-        return reply.SerializeAsString();
+    wire::Reply response;
+    auto respond = [&](std::optional<Error> error = std::nullopt, std::string about = {}) {
+        if (error) response.set_error(unsigned(*error) + 1);
+        response.set_about(std::move(about));
+        response.set_epoch(epoch_), response.set_version(version_);
+        return response.SerializeAsString();
     };
-    if (!from.ParseFromArray(command.body.data(), int(command.body.size()))) return answer(Error::Malformed);
+    if (!from.ParseFromArray(command.body.data(), int(command.body.size()))) return respond(Error::Malformed);
     switch (from.what_case()) {
         case wire::Command::kOwn:
             if (command.session == 0 || !sessions_.contains(command.session))
-                return answer(Error::NotOwner, "no session");
-            if (owner_ != 0 && owner_ != command.session) return answer(Error::NotOwner, sessions_[owner_]);
+                return respond(Error::NotOwner, "no session");
+            if (owner_ != 0 && owner_ != command.session) return respond(Error::NotOwner, sessions_[owner_]);
             if (owner_ != command.session) ++epoch_;  // else it asks again, not having heard
             owner_ = command.session;
-            reply.mutable_state()->ParseFromString(snapshot());
-            return answer();
+            response.mutable_state()->ParseFromString(snapshot());
+            return respond();
         case wire::Command::kGet:
-            reply.mutable_state()->ParseFromString(snapshot());
-            return answer();
+            response.mutable_state()->ParseFromString(snapshot());
+            return respond();
         case wire::Command::kRecord: {
-            if (command.session != owner_ || owner_ == 0) return answer(Error::NotOwner);
-            if (from.record().epoch() != epoch_) return answer(Error::Stale);
-            std::vector<OutstandingLease> books;
+            if (command.session != owner_ || owner_ == 0) return respond(Error::NotOwner);
+            if (from.record().epoch() != epoch_) return respond(Error::Stale);
+            std::vector<OutstandingLease> leases;
             for (const wire::Book& b : from.record().books()) {
-                auto book = get(b);
-                if (!book) return answer(Error::Malformed, b.child());
-                books.push_back(std::move(*book));
+                auto lease = get(b);
+                if (!lease) return respond(Error::Malformed, b.child());
+                leases.push_back(std::move(*lease));
             }
-            for (OutstandingLease& book : books) {
-                Key key{book.account, book.child, book.lease};
-                if (book.closed)
-                    books_.erase(key);
+            for (OutstandingLease& lease : leases) {
+                LeaseKey key{lease.account, lease.child, lease.lease};
+                if (lease.closed)
+                    leases_.erase(key);
                 else
-                    books_.insert_or_assign(std::move(key), std::move(book));
+                    leases_.insert_or_assign(std::move(key), std::move(lease));
             }
-            return answer();
+            return respond();
         }
         case wire::Command::kSet: {
             if (from.set().version() != version_)
-                return answer(Error::Stale, "version " + std::to_string(version_));
+                return respond(Error::Stale, "version " + std::to_string(version_));
             std::vector<Budget> next = get_budgets(from.set());
-            std::vector<Failure> wrong = validate(next, sites_, timing_);
-            if (wrong.empty()) wrong = validate_change(budgets_, next);
-            if (!wrong.empty()) return answer(wrong[0].error, wrong[0].about);
+            std::vector<Failure> failures = validate(next, sites_, timing_);
+            if (failures.empty()) failures = validate_change(budgets_, next);
+            if (!failures.empty()) return respond(failures[0].error, failures[0].about);
             budgets_ = std::move(next);
             ++version_;
-            return answer();
+            return respond();
         }
         case wire::Command::kOperate: {
             OperatorOrder order = get(from.operate());
             if (!wire::Operate::What_IsValid(from.operate().what()) || order.amount < 0 ||
                 order.amount > kMaxAmount)
-                return answer(Error::Malformed);
+                return respond(Error::Malformed);
             if (std::none_of(budgets_.begin(), budgets_.end(),
                              [&](const Budget& b) { return b.partner == order.partner; }))
-                return answer(Error::UnknownPartner, order.partner);
+                return respond(Error::UnknownPartner, order.partner);
             if (order.what == OperatorOrder::What::Freeze) frozen_.insert(order.partner);
             if (order.what == OperatorOrder::What::Thaw) frozen_.erase(order.partner);
-            last_.push_back({++orders_, std::move(order)});
-            while (last_.size() > kOrders) last_.pop_front();
-            return answer();
+            recent_orders_.push_back({++last_order_, std::move(order)});
+            while (recent_orders_.size() > kMaxRecentOrders) recent_orders_.pop_front();
+            return respond();
         }
         default:
-            return answer(Error::Malformed);
+            return respond(Error::Malformed);
     }
 }
 
 std::string QuotaStateMachine::query(std::string_view question) const {
     wire::Command from;
-    wire::Reply reply;
-    reply.set_epoch(epoch_), reply.set_version(version_);
+    wire::Reply response;
+    response.set_epoch(epoch_), response.set_version(version_);
     if (from.ParseFromArray(question.data(), int(question.size())) && from.has_get())
-        reply.mutable_state()->ParseFromString(snapshot());
+        response.mutable_state()->ParseFromString(snapshot());
     else
-        reply.set_error(unsigned(Error::Malformed) + 1);
-    return reply.SerializeAsString();
+        response.set_error(unsigned(Error::Malformed) + 1);
+    return response.SerializeAsString();
 }
 
 void QuotaStateMachine::session_opened(coordinator::SessionId session, std::string_view name,
@@ -236,25 +236,25 @@
 }
 
 std::string QuotaStateMachine::session_update(coordinator::SessionId session) const {
-    wire::News news;
-    news.set_epoch(epoch_), news.set_version(version_), news.set_orders(orders_);
-    news.set_owner(session != 0 && session == owner_);
-    for (const std::string& partner : frozen_) news.add_frozen(partner);
-    if (news.owner())
-        for (const NumberedOrder& order : last_) put(order, *news.add_last());
-    return news.SerializeAsString();
+    wire::News update;
+    update.set_epoch(epoch_), update.set_version(version_), update.set_orders(last_order_);
+    update.set_owner(session != 0 && session == owner_);
+    for (const std::string& partner : frozen_) update.add_frozen(partner);
+    if (update.owner())
+        for (const NumberedOrder& order : recent_orders_) put(order, *update.add_last());
+    return update.SerializeAsString();
 }
 
 std::string QuotaStateMachine::snapshot() const {
     wire::Snapshot to;
-    to.set_epoch(epoch_), to.set_owner(owner_), to.set_orders(orders_);
+    to.set_epoch(epoch_), to.set_owner(owner_), to.set_orders(last_order_);
     auto name = sessions_.find(owner_);
     if (name != sessions_.end()) to.set_owner_name(name->second);
     to.mutable_budgets()->set_version(version_);
     put(budgets_, *to.mutable_budgets());
-    for (const auto& [key, book] : books_) put(book, *to.add_books());
+    for (const auto& [key, lease] : leases_) put(lease, *to.add_books());
     for (const std::string& partner : frozen_) to.add_frozen(partner);
-    for (const NumberedOrder& order : last_) put(order, *to.add_last());
+    for (const NumberedOrder& order : recent_orders_) put(order, *to.add_last());
     for (const auto& [id, named] : sessions_) {
         wire::Session& session = *to.add_sessions();
         session.set_id(id), session.set_name(named);
@@ -266,16 +266,16 @@
     wire::Snapshot from;
     if (schema != 1 || !from.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
     State state = state_of(from);
-    if (state.books.size() != std::size_t(from.books_size())) return false;
-    epoch_ = state.epoch, version_ = state.version, orders_ = state.orders, owner_ = state.owner;
+    if (state.leases.size() != std::size_t(from.books_size())) return false;
+    epoch_ = state.epoch, version_ = state.version, last_order_ = state.last_order, owner_ = state.owner;
     sessions_.clear();
     for (const wire::Session& s : from.sessions()) sessions_[s.id()] = s.name();
     budgets_ = std::move(state.budgets);
-    books_.clear();
-    for (OutstandingLease& book : state.books)
-        books_.insert_or_assign(Key{book.account, book.child, book.lease}, book);
+    leases_.clear();
+    for (OutstandingLease& lease : state.leases)
+        leases_.insert_or_assign(LeaseKey{lease.account, lease.child, lease.lease}, lease);
     frozen_ = {state.frozen.begin(), state.frozen.end()};
-    last_ = {state.last.begin(), state.last.end()};
+    recent_orders_ = {state.recent_orders.begin(), state.recent_orders.end()};
     return true;
 }
 
--- a/src/fleet/quota/quota_state_machine.h
+++ b/src/fleet/quota/quota_state_machine.h
@@ -25,7 +25,7 @@
 /// Commands, for whoever proposes them.
 std::string command_own();
 std::string command_get();
-std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& books);
+std::string command_record(std::uint64_t epoch, const std::vector<OutstandingLease>& leases);
 std::string command_set(std::uint64_t version, const std::vector<Budget>& budgets);
 std::string command_order(const OperatorOrder& order);
 
@@ -35,13 +35,13 @@
 };
 /// All that a machine holds.
 struct State {
-    std::uint64_t epoch = 0, version = 0, orders = 0;
+    std::uint64_t epoch = 0, version = 0, last_order = 0;
     coordinator::SessionId owner = 0;
     std::string owner_name;
     std::vector<Budget> budgets;
-    std::vector<OutstandingLease> books;
+    std::vector<OutstandingLease> leases;
     std::vector<std::string> frozen;
-    std::vector<NumberedOrder> last;
+    std::vector<NumberedOrder> recent_orders;
 };
 struct CommandResponse {
     std::optional<Error> error;
@@ -49,14 +49,14 @@
     std::uint64_t epoch = 0, version = 0;
     std::optional<State> state;  ///< to command_own and command_get
 };
-std::optional<CommandResponse> decode_command_response(std::string_view octets);
+std::optional<CommandResponse> decode_command_response(std::string_view bytes);
 struct SessionUpdate {
-    std::uint64_t epoch = 0, version = 0, orders = 0;
+    std::uint64_t epoch = 0, version = 0, last_order = 0;
     bool owner = false;  ///< the session that is told
     std::vector<std::string> frozen;
-    std::vector<NumberedOrder> last;
+    std::vector<NumberedOrder> recent_orders;
 };
-std::optional<SessionUpdate> decode_session_update(std::string_view octets);
+std::optional<SessionUpdate> decode_session_update(std::string_view bytes);
 
 class QuotaStateMachine : public coordinator::StateMachine {
 public:
@@ -77,21 +77,21 @@
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    std::size_t books() const { return books_.size(); }
+    std::size_t lease_count() const { return leases_.size(); }
 
 private:
-    using Key = std::tuple<Account, std::string, std::uint64_t>;  // account, child, lease
-    static constexpr std::size_t kOrders = 64;
+    using LeaseKey = std::tuple<Account, std::string, std::uint64_t>;  // account, child, lease
+    static constexpr std::size_t kMaxRecentOrders = 64;
 
     std::vector<std::string> sites_;
     Timing timing_;
-    std::uint64_t epoch_ = 0, version_ = 0, orders_ = 0;
+    std::uint64_t epoch_ = 0, version_ = 0, last_order_ = 0;
     coordinator::SessionId owner_ = 0;
     std::map<coordinator::SessionId, std::string> sessions_;
     std::vector<Budget> budgets_;
-    std::map<Key, OutstandingLease> books_;
+    std::map<LeaseKey, OutstandingLease> leases_;
     std::set<std::string> frozen_;
-    std::deque<NumberedOrder> last_;
+    std::deque<NumberedOrder> recent_orders_;
 };
 
 }  // namespace ochrehub::quota
