--- a/src/fleet/quota/borrowed_budget.h
+++ b/src/fleet/quota/borrowed_budget.h
@@ -1,6 +1,6 @@
-// What a borrower holds of one account: the same at a node and at a lender that has itself borrowed. Every
-// millionth that came in is in one place: balance, spent, returned, or (at a lender) lent on; `granted` is
-// their sum.
+// What a borrower holds of one account, at a node as well as at an allocator that has itself borrowed.
+// Invariant: every millionth that was granted is counted in exactly one place: balance, spent, returned, or
+// (at an allocator) lent on; `granted` is their sum.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 namespace ochrehub::quota {
 
-/// A lender's instant by the borrower's clock: what it lent is over for the borrower so much earlier.
+/// When the borrower stops using a lease, by its own clock: before the lease expires by the lender's clock,
+/// whatever the drift between the two clocks.
 inline TimePoint borrower_expiry(TimePoint requested_at, std::int64_t remaining_us, const Timing& timing) {
     Duration length{double(remaining_us) / 1000};
     return requested_at + length * (1 - timing.max_clock_drift_permille / 1000.0) - timing.safety_margin;
@@ -28,7 +29,7 @@
     bool is_active(TimePoint now) const { return now < expires_at_; }
     Amount balance(TimePoint now) const { return is_active(now) ? balance_ : 0; }
 
-    /// Out of the balance: to be spent here, or lent on.
+    /// Removes an amount from the balance, to be spent here or lent on. False: the balance is too small.
     bool take(TimePoint now, Amount amount) {
         if (balance(now) < amount) return false;
         balance_ -= amount;
@@ -36,19 +37,19 @@
     }
     void put_back(Amount amount) { balance_ += amount; }
     void add_spent(Amount amount) { spent_ += amount; }
-    /// Of what is unspent, to whoever lent it.
+    /// Returns up to this amount of the balance to the lender.
     void return_unspent(Amount amount) {
         amount = std::clamp<Amount>(amount, 0, balance_);
         balance_ -= amount, returned_ += amount;
     }
-    /// What is over is no longer there to be spent, whenever that is looked at.
+    /// After the lease has expired, its balance can no longer be spent, however late this is called.
     void expire(TimePoint now) {
         if (!is_active(now)) return_unspent(balance_);
     }
 
+    /// NewLease: another lease began, and the amounts of the previous one no longer count.
     enum class ResponseResult { Stale, Expired, SameLease, NewLease };
-    /// `asked`: when the ask that this answers was sent, by the borrower's clock. Anew: another lease began,
-    /// and nothing of the one before counts any more.
+    /// `requested_at`: when the request of this response was sent, by the borrower's clock.
     ResponseResult apply_response(TimePoint now, TimePoint requested_at, std::uint64_t seq,
                                   const BorrowResponseLine& line, const Timing& timing) {
         if (seq <= seq_) return ResponseResult::Stale;
@@ -56,8 +57,8 @@
         share_ = line.share, recalled_ = line.recalled, frozen_ = line.frozen;
         expire(now);
         TimePoint expires_at = borrower_expiry(requested_at, line.remaining_us, timing);
-        if (expires_at <= now)
-            return ResponseResult::Expired;  // what it granted comes with a later one, or is never spent
+        // What this response granted comes with a later one, or is never spent.
+        if (expires_at <= now) return ResponseResult::Expired;
         bool is_new_lease = line.lease != lease_;
         if (is_new_lease) {
             lease_ = line.lease;
@@ -70,10 +71,16 @@
     }
 
 private:
-    std::uint64_t lease_ = 0, seq_ = 0;
-    Amount balance_ = 0, granted_ = 0, spent_ = 0, returned_ = 0, share_ = 0;
+    std::uint64_t lease_ = 0;  ///< zero: none yet
+    std::uint64_t seq_ = 0;    ///< of the last response that was applied
+    Amount balance_ = 0;
+    Amount granted_ = 0;
+    Amount spent_ = 0;
+    Amount returned_ = 0;
+    Amount share_ = 0;  ///< per second
     TimePoint expires_at_{};
-    bool recalled_ = false, frozen_ = false;
+    bool recalled_ = false;
+    bool frozen_ = false;
 };
 
 }  // namespace ochrehub::quota
--- a/src/fleet/quota/budget.cpp
+++ b/src/fleet/quota/budget.cpp
@@ -9,45 +9,47 @@
 
 const fleet::ErrorRow& row(Error error) {
     static const fleet::ErrorRow kRows[] = {
-        {"quota.no-name", "a partner has no name", false, "name it as requests do"},
-        {"quota.name-too-long", "a partner's name is longer than 64 octets", false, "shorten it"},
-        {"quota.twice-named", "two budgets are for one partner", false, "leave one of them"},
+        {"quota.no-name", "a partner has no name", false, "use the name that requests carry"},
+        {"quota.name-too-long", "a partner's name is longer than 64 bytes", false, "shorten it"},
+        {"quota.twice-named", "two budgets are for the same partner", false, "remove one of them"},
         {"quota.too-many", "there are more partners than a gateway holds", false,
-         "name fewer, or raise the most"},
-        {"quota.no-rate", "its rate is not above zero", false,
-         "set a rate, or freeze the partner to let nothing in"},
-        {"quota.no-burst", "its burst is not above zero", false,
-         "set a burst of at least one request of its dearest class"},
-        {"quota.too-large", "an amount is larger than can be counted", false,
-         "stay at or below 1000000 a second"},
-        {"quota.cost-wrong", "a class costs less than a millionth", false,
-         "let it cost something, or leave it out"},
-        {"quota.cost-over-burst", "a request of a class costs more than the burst: none could ever enter",
-         false, "raise the burst or lower the cost"},
-        {"quota.kind-twice", "a class has two costs", false, "leave one of them"},
-        {"quota.site-unknown", "it names a site that is none of the federation", false,
-         "use a name of the list of sites"},
-        {"quota.site-twice", "a site is named twice", false, "leave one of them"},
-        {"quota.floor-wrong", "a floor needs a rate and a burst, both above zero", false,
-         "set both, or leave the floor out"},
-        {"quota.floors-over-rate", "its floors' rates are together above its rate", false,
+         "configure fewer partners, or raise the limit"},
+        {"quota.no-rate", "its rate is not greater than zero", false,
+         "set a rate, or freeze the partner to reject all its requests"},
+        {"quota.no-burst", "its burst is not greater than zero", false,
+         "set a burst of at least one request of its most expensive class"},
+        {"quota.too-large", "an amount is above the limit", false, "use at most 1000000 requests per second"},
+        {"quota.cost-wrong", "a class costs less than a millionth of a request", false,
+         "set a cost above zero, or remove the entry"},
+        {"quota.cost-over-burst",
+         "a request of a class costs more than the burst: none could ever be admitted", false,
+         "raise the burst or lower the cost"},
+        {"quota.kind-twice", "a class has two costs", false, "remove one of them"},
+        {"quota.site-unknown", "it names a site that is not part of the federation", false,
+         "use a name from the list of sites"},
+        {"quota.site-twice", "a site is named twice", false, "remove one of them"},
+        {"quota.floor-wrong", "a floor needs a rate and a burst, both greater than zero", false,
+         "set both, or remove the floor"},
+        {"quota.floors-over-rate", "the sum of its floors' rates is above its rate", false,
          "lower floors or raise the rate"},
-        {"quota.floors-over-burst", "its floors' bursts are together above its burst", false,
+        {"quota.floors-over-burst", "the sum of its floors' bursts is above its burst", false,
          "lower floors or raise the burst"},
         {"quota.burst-too-small",
-         "it is hard, and its burst is less than what is under way between levels: part of its rate "
+         "it has no bound, and its burst is less than the amount in flight between levels: part of its rate "
          "can never be used",
-         false, "raise the burst, state a bound, or let leases be asked for more often"},
-        {"quota.floor-raised-at-once", "a floor rises while what the federation lends does not shrink first",
-         false, "propose the shrunk budget, wait until it is in force, then raise the floor"},
-        {"quota.unknown", "there is no such partner", false, "look at `ochrehub fleet quota show`"},
-        {"quota.not-owner", "whoever asks does not own the lender", true, "nothing: the owner asks again"},
-        {"quota.stale", "a newer owner has taken over", true, "nothing: the older one stops by itself"},
-        {"quota.malformed", "it cannot be read, or says what cannot be", false,
-         "look at who sent it, and its release"},
-        {"quota.dry", "the partner's budget is used up here", true, "nothing, or a larger budget"},
+         false, "raise the burst, set a bound, or shorten the request interval"},
+        {"quota.floor-raised-at-once",
+         "a floor is raised before the part that the federation lends has shrunk", false,
+         "set the reduced budget first, wait until it is in force, then raise the floor"},
+        {"quota.unknown", "the partner has no budget", false,
+         "list the partners with `ochrehub fleet quota show`"},
+        {"quota.not-owner", "the sender does not own the allocator", true, "nothing: the owner retries"},
+        {"quota.stale", "a newer owner has taken over", true, "nothing: the previous owner stops by itself"},
+        {"quota.malformed", "it cannot be parsed, or holds an impossible value", false,
+         "check the sender and its release"},
+        {"quota.dry", "the partner's budget is exhausted at this node", true, "nothing, or raise the budget"},
         {"quota.frozen", "an operator has frozen the partner", false,
-         "let it go on with `ochrehub fleet quota freeze --off`"},
+         "unfreeze it with `ochrehub fleet quota freeze --off`"},
     };
     static_assert(std::size(kRows) == std::size_t(Error::Frozen) + 1);
     return kRows[std::size_t(error)];
@@ -73,8 +75,9 @@
 }
 
 Amount amount_in_flight(Amount rate, const Timing& timing) {
-    Amount carry =
-        0;  // a node holds and tells late, its site once more, half of either being there on the average
+    // A node holds amounts and reports them late, its site does the same once more; on average half of either
+    // is in flight.
+    Amount carry = 0;
     return accrued(
         rate, std::int64_t(1000 * (timing.request_interval.count() * (2 + timing.refund_window_requests))),
         carry);
@@ -111,7 +114,7 @@
             if (!sites.empty() && !known_sites.contains(f.site)) report(Error::UnknownSite, f.site);
             if (!floors.insert(f.site).second) report(Error::DuplicateSite, f.site);
             if (f.rate <= 0 || f.burst <= 0) report(Error::InvalidFloor, f.site);
-            // Each is held below the whole, so that no sum of many passes what can be counted.
+            // Each term is clamped, so that a sum of many does not overflow.
             rate = std::min(rate, kMaxAmount) + std::clamp<Amount>(f.rate, 0, kMaxAmount);
             burst = std::min(burst, kMaxAmount) + std::clamp<Amount>(f.burst, 0, kMaxAmount);
         }
@@ -134,8 +137,8 @@
         auto previous = std::find_if(current.begin(), current.end(),
                                      [&](const Budget& o) { return o.partner == b.partner; });
         if (previous == current.end()) continue;
-        // Each site may act on either version for a while, and so may the federation: the worst mixture
-        // counts.
+        // Each site, and the federation, may use either version for a while: the worst combination is
+        // checked.
         std::map<std::string_view, std::pair<Amount, Amount>> floors;
         Amount lent_rate[2] = {previous->rate, b.rate},
                lent_burst[2] = {previous->burst + previous->bound, b.burst + b.bound};
--- a/src/fleet/quota/message.cpp
+++ b/src/fleet/quota/message.cpp
@@ -5,8 +5,10 @@
 namespace ochrehub::quota {
 namespace {
 
+/// Limit of the lines in a message.
 constexpr int kMaxLines = 20'000;
-constexpr Amount kMaxSum = std::int64_t(1) << 62;  // of a lease since it began
+/// Limit of a lease's sums since it began.
+constexpr Amount kMaxSum = std::int64_t(1) << 62;
 bool is_within(Amount amount, Amount max) {
     return amount >= 0 && amount <= max;
 }
--- a/src/fleet/quota/message.h
+++ b/src/fleet/quota/message.h
@@ -1,5 +1,5 @@
-// What borrower and lender say to each other. All amounts of a lease are sums since it began, so that a
-// message that is lost, late, doubled or out of order changes nothing that the next one does not put right.
+// The messages between a borrower and its lender. All amounts of a lease are sums since the lease began, so
+// that a message that is lost, late, duplicated or out of order is made good by the next one.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +22,18 @@
 
 struct BorrowRequestLine {
     Account account;
-    std::uint64_t lease = 0;  ///< that the sums are of; zero: none yet
-    Amount spent = 0, returned = 0;
-    Amount demand = 0;  ///< a second, refused requests included
-    Amount floor_surplus =
-        0;  ///< of a floor that its site does not need, to the federation: a sum since the instance began
+    std::uint64_t lease = 0;  ///< the lease that the sums belong to; zero: none yet
+    Amount spent = 0;
+    Amount returned = 0;
+    Amount demand = 0;  ///< per second, rejected requests included
+    /// What a site has passed from its floor to the federation because it did not need it: a sum since the
+    /// instance started.
+    Amount floor_surplus = 0;
     friend bool operator==(const BorrowRequestLine&, const BorrowRequestLine&) = default;
 };
 struct BorrowRequest {
-    std::uint64_t instance = 0;  ///< drawn at each start of the borrower
-    std::uint64_t seq = 0;       ///< rises with each
+    std::uint64_t instance = 0;  ///< random id of the borrower's process
+    std::uint64_t seq = 0;       ///< increases with each request of the instance
     std::vector<BorrowRequestLine> lines;
     friend bool operator==(const BorrowRequest&, const BorrowRequest&) = default;
 };
@@ -40,14 +42,15 @@
     Account account;
     std::uint64_t lease = 0;
     Amount granted = 0;
-    std::int64_t remaining_us = 0;  ///< microseconds, counted by the borrower from before it asked
-    Amount share = 0;               ///< a second: what it may reckon with
-    bool recalled = false;          ///< what is unspent is to be given back now
+    std::int64_t remaining_us = 0;  ///< of the lease; the borrower counts it from before it sent the request
+    Amount share = 0;               ///< per second: the rate that the borrower can expect
+    bool recalled = false;          ///< the borrower is to return what is unspent now
     bool frozen = false;
     friend bool operator==(const BorrowResponseLine&, const BorrowResponseLine&) = default;
 };
 struct BorrowResponse {
-    std::uint64_t instance = 0, seq = 0;
+    std::uint64_t instance = 0;  ///< BorrowRequest::instance
+    std::uint64_t seq = 0;       ///< BorrowRequest::seq
     std::vector<BorrowResponseLine> lines;
     friend bool operator==(const BorrowResponse&, const BorrowResponse&) = default;
 };
@@ -55,8 +58,8 @@
 /// As protobuf (proto/quota.proto).
 std::string encode(const BorrowRequest& request);
 std::string encode(const BorrowResponse& response);
-/// Nothing where the octets are none, or say what cannot be (negative amounts, more than `kMaxAmount` lines
-/// or amounts).
+/// Empty where the bytes cannot be parsed or hold an impossible value: a negative amount, or an amount or a
+/// number of lines above its limit.
 std::optional<BorrowRequest> decode_borrow_request(std::string_view bytes);
 std::optional<BorrowResponse> decode_borrow_response(std::string_view bytes);
 
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -15,17 +15,18 @@
     Amount remainder = 0;
     return accrued(rate, to_microseconds(length), remainder);
 }
-/// Lengths of clocks that are too fast mint less than they say.
+/// The rate to mint at: lowered so that a clock that runs too fast mints no more than the configured rate.
 Amount slowed_for_drift(Amount rate, const Timing& timing) {
     return rate - rate / 2000 * timing.max_clock_drift_permille;
 }
-/// Numbers that are not given twice by different instances.
+/// A lease id from a counter: different instances don't produce the same one.
 std::uint64_t mixed_id(std::uint64_t x) {
     x += 0x9e3779b97f4a7c15;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
     x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
     return (x ^ (x >> 31)) | 1;
 }
+/// Shares are computed at most this often.
 constexpr Duration kShareUpdateInterval{50};
 
 }  // namespace
@@ -33,19 +34,19 @@
 QuotaAllocator::QuotaAllocator(const QuotaAllocatorSettings& settings) : settings_(settings) {}
 
 void QuotaAllocator::handle(TimePoint now, const QuotaAllocatorEvent& event, QuotaAllocatorActions& actions) {
-    // Before anything else: what has ended meanwhile has ended, however late this is looked at.
+    // Before anything else: ownership that has expired meanwhile is lost, however late the event comes.
     if (ownership_confirmed_ && !is_owner(now)) on(now, OwnershipLost{}, actions);
     std::visit([&](const auto& e) { on(now, e, actions); }, event);
     flush(actions);
 }
 
-// ---- What is here
+// Minting, returns and expiry
 
 Amount QuotaAllocator::available(TimePoint now, const AccountState& state) const {
     return state.root ? state.available : state.borrowed.balance(now);
 }
 
-/// What comes back; of a budget that has shrunk only what it still has room for.
+/// Adds what a child returned; for a root whose budget was reduced only up to the cap.
 void QuotaAllocator::add_returned(AccountState& state, Amount amount) {
     if (state.root)
         state.available +=
@@ -57,7 +58,7 @@
 void QuotaAllocator::mint(TimePoint now, AccountState& state) {
     std::int64_t at = to_microseconds(now);
     if (at <= state.minted_until_us) return;
-    // Longer than it takes to fill all of it makes no difference, and would not fit a number.
+    // An hour: longer makes no difference, since the cap is reached before, and the product would overflow.
     std::int64_t elapsed = std::min<std::int64_t>(at - state.minted_until_us, 3'600'000'000);
     state.minted_until_us = at;
     Amount capacity = state.cap - state.available - state.total_lent - state.total_lost;
@@ -88,7 +89,7 @@
 
 void QuotaAllocator::expire_leases(TimePoint now, const Account& account, AccountState& state) {
     if (!state.root && !state.borrowed.is_active(now)) {
-        // Nothing below outlives this; whatever was not told as spent is counted so.
+        // No lease to a child outlives the borrowed one; what was not reported as spent counts as spent.
         state.borrowed.add_spent(state.total_lent + state.total_lost);
         state.borrowed.expire(now);
         for (auto& [name, child] : state.children)
@@ -117,10 +118,10 @@
         state.recalling = false;
 }
 
-// ---- Who gets how much
+// Shares and lending
 
-/// Weighted max-min of what comes in over what children are believed to need; what is left over by weight, so
-/// that who grows need not ask first.
+/// Divides the income by weighted max-min fairness over the children's accepted demand. The rest is divided
+/// by weight, so that a child whose demand grows does not have to request first.
 void QuotaAllocator::update_shares(TimePoint now, AccountState& state) {
     Duration elapsed = now - state.shares_updated_at;
     if (elapsed < kShareUpdateInterval) return;
@@ -138,8 +139,8 @@
         weights += child.weight;
         open.push_back(&child);
     }
-    // Where there is not enough for all, who asks for more than its fair part is believed four times what it
-    // uses: it neither takes what others need by saying so, nor is it kept from growing.
+    // If there is not enough for all, a child that requests more than its fair part is accepted at four times
+    // what it uses: overstating its demand takes nothing that others need, and it can still grow.
     for (Child* child : open) {
         Amount fair = weights ? Amount(income / Amount(weights) * child->weight) : 0;
         child->accepted_demand =
@@ -168,7 +169,7 @@
     }
 }
 
-/// What it is short of.
+/// The amount by which the child holds less than its accepted demand needs.
 Amount QuotaAllocator::shortfall(const AccountState& state, const Child& child) const {
     if (child.demand == 0 || child.recalled) return 0;
     Amount target = accrued_over(child.accepted_demand, holding_time()) + state.max_cost;
@@ -203,7 +204,7 @@
                                    child.granted, child.spent, child.returned, false};
 }
 
-// ---- What happens
+// Event handlers
 
 void QuotaAllocator::on(TimePoint now, const TimerFired&, QuotaAllocatorActions& actions) {
     for (auto& [account, state] : accounts_) expire_leases(now, account, state);
@@ -223,7 +224,7 @@
         for (const auto& [name, child] : state.children)
             if (now - child.last_request_at <= settings_.timing.lease_duration) demand += child.demand;
         demand = std::min(demand, kMaxAmount);
-        // What is more than the children may ask for soon goes back.
+        // Return what exceeds what the children may request soon.
         if (state.borrowed.recalled() || state.borrowed.frozen()) {
             state.borrowed.return_unspent(state.borrowed.balance(now));
         } else {
@@ -231,7 +232,7 @@
                 accrued_over(demand, holding_time()) + (demand > 0 ? 2 * state.max_cost : 0);
             state.borrowed.return_unspent(state.borrowed.balance(now) - kept_balance);
         }
-        // A floor that is not needed is lent to the others, as long as they hear of it.
+        // A floor that is not needed is passed to the federation, while the parent is reachable.
         auto floor = accounts_.find({account.partner, true});
         if (floor != accounts_.end() && floor->second.root &&
             now - last_response_at_ < 5 * settings_.timing.request_interval) {
@@ -262,7 +263,7 @@
         if (state.borrowed.apply_response(now, sent->second, received.response.seq, line, settings_.timing) !=
             BorrowedBudget::ResponseResult::NewLease)
             continue;
-        // Whatever was lent on of the lease before is not of this one.
+        // What was lent on under the previous lease does not count against this one.
         for (auto& [name, child] : state.children)
             child.granted = child.spent = child.returned = 0, child.lease = 0;
         state.lost_leases.clear();
@@ -270,7 +271,7 @@
     }
 }
 
-/// What a child says of its lease. False: that cannot be.
+/// Applies a child's report of its lease. False: its sums are impossible.
 bool QuotaAllocator::apply_report(AccountState& state, Child& child, const BorrowRequestLine& line,
                                   TimePoint now) {
     Amount spent = line.spent - child.spent, returned = line.returned - child.returned;
@@ -301,7 +302,7 @@
             if (std::any_of(state.lost_leases.begin(), state.lost_leases.end(), [&](const LostLease& l) {
                     return l.child == received.child && l.instance == request.instance;
                 }))
-                continue;  // from before its next start, and late
+                continue;  // a late message from before the child restarted
             mark_lost(line.account, state, received.child, child);
             child = {};
             child.instance = request.instance;
@@ -319,12 +320,13 @@
         if (child.recalled && line.lease == child.lease && child.lent() == 0) child.recalled = false;
         DonorProgress& donor = state.donors[received.child];
         if (donor.instance != request.instance)
-            donor = {request.instance, line.floor_surplus};  // what was given before is not known to be new
+            donor = {request.instance,
+                     line.floor_surplus};  // an earlier surplus may have been counted already
         else if (state.root && line.floor_surplus > donor.donated_seen)
             add_returned(state, line.floor_surplus - std::exchange(donor.donated_seen, line.floor_surplus));
         update_shares(now, state);
-        // Its end is told to the child with what is left of this one's own, from before it asked: it ends
-        // before.
+        // A child's lease is limited to what remains of the borrowed one, and the child counts it from before
+        // its request: so it expires before the borrowed one.
         Duration length = settings_.timing.lease_duration;
         if (!state.root) length = std::min(length, std::max(Duration{0}, state.borrowed.expires_at() - now));
         if (length <= 2 * settings_.timing.safety_margin) length = Duration{0};
@@ -344,7 +346,7 @@
     pending_responses_.push_back({after_record, {received.child, std::move(response)}});
 }
 
-/// One RecordLeases at a time; what comes meanwhile goes with the next.
+/// Sends one RecordLeases at a time; changes made meanwhile go with the next.
 void QuotaAllocator::flush(QuotaAllocatorActions& actions) {
     if (last_recorded_ == last_record_sent_ && (!to_record_.empty() || !closed_leases_.empty())) {
         RecordLeases record{++last_record_sent_, std::move(closed_leases_)};
@@ -377,7 +379,7 @@
                 child = {};
                 child.instance = lease.instance, child.lease = lease.lease;
                 child.granted = lease.granted, child.spent = lease.spent, child.returned = lease.returned;
-                // Whatever the owner before it answered last was asked for before now.
+                // The last request that the previous owner responded to was sent before now.
                 child.expires_at = now + settings_.timing.lease_duration, child.last_request_at = now;
                 state.total_lent += child.lent();
             }
@@ -392,7 +394,7 @@
     ownership_until_ = std::max(ownership_until_, owned.until);
 }
 
-/// Somebody else may lend from here on: nothing of what was held may be used again.
+/// Another owner may lend from here on: nothing that was held may be used again.
 void QuotaAllocator::on(TimePoint, const OwnershipLost&, QuotaAllocatorActions&) {
     ownership_confirmed_ = false;
     ownership_until_ = {};
@@ -403,7 +405,7 @@
         state.available = state.total_lent = state.total_lost = state.donated_total = 0;
         state.borrowed = {};
     }
-    // As after a restart: whoever is above knows this one by another name from here on.
+    // As after a restart: the parent sees a new instance from here on.
     settings_.instance = mixed_id(settings_.instance);
 }
 
@@ -417,7 +419,8 @@
     state.root = root, state.rate = rate, state.cap = cap;
     state.max_cost = budget.max_cost(), state.min_cost = kUnit;
     for (const Cost& c : budget.costs) state.min_cost = std::min(state.min_cost, c.cost);
-    // A smaller budget takes at once what is here, and the rest as leases come back or end.
+    // A smaller budget takes effect at once on what is not lent, and on the rest as leases are returned or
+    // expire.
     if (root) {
         state.available =
             std::clamp<Amount>(state.cap - state.total_lent - state.total_lost, 0, state.available);
@@ -444,7 +447,7 @@
         configure_account(accounts_[{b.partner, false}], now, settings_.site.empty(), rate, burst, b);
         named.insert({b.partner, false});
     }
-    // One that is gone lends no more; what it lent is still counted, should it come back soon.
+    // A removed account lends no more; what it has lent still counts if it is configured again soon.
     for (auto& [account, state] : accounts_)
         if (!named.contains(account) && state.root)
             state.rate = state.cap = state.available = 0, state.recalling = state.total_lent > 0;
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -1,18 +1,18 @@
-// One level of the tree that a budget is lent down: federation, site. A core without I/O. For each account it
-// mints (as root) or borrows (of whoever is above), and lends amounts on to children, each under a lease with
-// an end.
+// One level of the tree in which a budget is lent: the federation, or a site. A core without I/O. For each
+// account it mints amounts (as the root) or borrows them (from its parent), and lends amounts to its
+// children, each under a lease that expires.
 //
-// What it holds to: for each account, what is here unspent and what is lent and neither told as spent nor
-// given back is together never more than the cap (as root) or what was granted (else). What was lent to one
-// that is lost stays lent until its lease is over by this clock; then it counts as spent. So in any window
-// all that is let in is at most what was unspent at its beginning (the cap) and what was minted in it.
-// docs/design/quota.md has the proof.
+// Invariant: for each account, the sum of what is unspent here and of what is lent and neither reported as
+// spent nor returned never exceeds the cap (as the root) or what was granted (otherwise). What was lent to a
+// child that is lost stays lent until its lease has expired by this clock; then it counts as spent. So in any
+// window everything that is admitted is at most what was unspent at its beginning (the cap) plus what was
+// minted in it. docs/design/quota.md has the proof.
 //
-// A root's leases are written down (RecordLeases) before they are answered, and whoever takes over goes on
-// with them (OwnershipConfirmed): nobody is lent again what is lent already. One that borrows writes nothing:
-// restarted, it is another borrower, and whoever is above waits out the lease of the old one.
+// A root's leases are recorded (RecordLeases) before it responds, and the next owner resumes them
+// (OwnershipConfirmed): what is already lent is not lent again. An allocator that borrows records nothing:
+// after a restart it is a new borrower, and its parent waits until the lease of the old one has expired.
 //
-// Threads: one. Nothing is drawn, and no clock is read; the same events give the same actions.
+// Deterministic: no randomness, and no clock is read; the same events give the same actions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -28,57 +28,69 @@
 namespace ochrehub::quota {
 
 struct QuotaAllocatorSettings {
-    std::string site;  ///< whose floors are minted here; empty: the federation's, whose root all else has
-    std::uint64_t instance = 0;  ///< drawn at each start, never zero
-    int levels = 1;              ///< that lie below: 1 a site with nodes, 2 a federation of sites
+    /// The site whose floors are minted here. Empty: the federation's allocator, the root of all other
+    /// accounts.
+    std::string site;
+    std::uint64_t instance = 0;  ///< random at each start, never zero
+    int levels = 1;              ///< below this one: 1 for a site with nodes, 2 for a federation of sites
     Timing timing;
 };
 
-/// A lease that is open, as it lasts.
+/// A lease that has not ended, as the state machine stores it.
 struct OutstandingLease {
     Account account;
     std::string child;
-    std::uint64_t instance = 0, lease = 0;
-    Amount granted = 0, spent = 0, returned = 0;
-    bool closed = false;  ///< in a RecordLeases: it is over
+    std::uint64_t instance = 0;  ///< of the child
+    std::uint64_t lease = 0;
+    Amount granted = 0;
+    Amount spent = 0;
+    Amount returned = 0;
+    bool closed = false;  ///< in RecordLeases: the lease has ended and is to be erased
     friend bool operator==(const OutstandingLease&, const OutstandingLease&) = default;
 };
 
-// ---- What happens
+// Events
+
+/// The time of the last SetTimer was reached.
 struct TimerFired {};
 struct RequestReceived {
-    std::string child;  ///< as the channel knows it
+    std::string child;  ///< its name, as the channel authenticated it
     BorrowRequest request;
 };
 struct ResponseReceived {
     BorrowResponse response;
 };
-struct LeasesRecorded {  ///< all Records up to this one last
+/// Every RecordLeases up to this number is durable.
+struct LeasesRecorded {
     std::uint64_t number = 0;
 };
-/// This process owns the lender until then, by its own clock, or for longer by a later one. `books`, the
-/// first time: what the owners before it have recorded. Without them and with `fresh` false it waits out the
-/// longest lease before it lends.
+/// This process owns the allocator until this time, by its own clock; a later event extends the time.
 struct OwnershipConfirmed {
     TimePoint until;
+    /// In the first event: what the previous owners recorded. Without it, and with `fresh` false, the
+    /// allocator waits for the longest lease to expire before it lends.
     std::optional<std::vector<OutstandingLease>> leases;
-    bool fresh = false;  ///< nobody has ever lent anything
+    bool fresh = false;  ///< nothing has ever been lent
 };
 struct OwnershipLost {};
 struct BudgetsConfigured {
     std::vector<Budget> budgets;
 };
-/// By operators. Recall: of one child, or of all. Lend: so much to one child, as soon as it is there.
+/// An operator's order.
 struct OperatorOrder {
+    /// Recall: from one child, or from all. Lend: an amount to one child, as soon as it is available.
     enum class What { Freeze, Thaw, Recall, Lend };
     What what{};
-    std::string partner, child;
-    Amount amount = 0;
+    std::string partner;
+    std::string child;  ///< empty: all children
+    Amount amount = 0;  ///< to lend
 };
 using QuotaAllocatorEvent = std::variant<TimerFired, RequestReceived, ResponseReceived, LeasesRecorded,
                                          OwnershipConfirmed, OwnershipLost, BudgetsConfigured, OperatorOrder>;
 
-// ---- What is to be done about it
+// Actions
+
+/// Send to the parent.
 struct SendRequest {
     BorrowRequest request;
 };
@@ -86,24 +98,37 @@
     std::string child;
     BorrowResponse response;
 };
+/// Write to the state machine, then LeasesRecorded.
 struct RecordLeases {
     std::uint64_t number = 0;
     std::vector<OutstandingLease> leases;
 };
+/// Replaces the previous timer.
 struct SetTimer {
     TimePoint at;
 };
 using QuotaAllocatorAction = std::variant<SendRequest, SendResponse, RecordLeases, SetTimer>;
 using QuotaAllocatorActions = std::vector<QuotaAllocatorAction>;
 
+/// One account, for operators and tests.
 struct QuotaAllocatorStatus {
     Account account;
-    bool root = false, frozen = false;
-    bool in_force = true;  ///< a budget that has shrunk is, once what was lent of the larger one is back
-    Amount rate = 0, cap = 0, available = 0, lent = 0, lost = 0;
+    bool root = false;
+    bool frozen = false;
+    /// False: the budget was reduced, and what was lent of the larger one has not all come back.
+    bool in_force = true;
+    Amount rate = 0;  ///< per second
+    Amount cap = 0;
+    Amount available = 0;
+    Amount lent = 0;
+    Amount lost = 0;  ///< lent to children that are lost, until their leases expire
     struct Child {
         std::string name;
-        Amount lent = 0, demand = 0, accepted_demand = 0, share = 0, spent = 0;
+        Amount lent = 0;
+        Amount demand = 0;           ///< per second, as the child reports it
+        Amount accepted_demand = 0;  ///< per second
+        Amount share = 0;            ///< per second
+        Amount spent = 0;
     };
     std::vector<Child> children;
 };
@@ -114,46 +139,64 @@
 
     void handle(TimePoint now, const QuotaAllocatorEvent& event, QuotaAllocatorActions& actions);
 
+    /// The accounts of this partner; empty: of all partners.
     std::vector<QuotaAllocatorStatus> status(TimePoint now, std::string_view partner) const;
     bool is_owner(TimePoint now) const { return now < ownership_until_; }
-    std::uint64_t rejected_lines() const { return rejected_lines_; }  ///< lines that said what cannot be
+    /// Request lines that were rejected because their sums are impossible.
+    std::uint64_t rejected_lines() const { return rejected_lines_; }
 
 private:
     struct Child {
-        std::uint64_t instance = 0, seq = 0, lease = 0;
-        Amount granted = 0, spent = 0, returned = 0;
-        TimePoint expires_at{}, last_request_at{};
-        Amount demand = 0, observed_rate = 0, accepted_demand = 0, share = 0, credit = 0,
-               credit_remainder = 0;
+        std::uint64_t instance = 0;
+        std::uint64_t seq = 0;    ///< of its last request
+        std::uint64_t lease = 0;  ///< zero: none
+        Amount granted = 0;
+        Amount spent = 0;
+        Amount returned = 0;
+        TimePoint expires_at{};
+        TimePoint last_request_at{};
+        Amount demand = 0;            ///< per second, as the child reports it
+        Amount observed_rate = 0;     ///< per second: a decaying maximum of what it spends
+        Amount accepted_demand = 0;   ///< per second: the part of `demand` that shares are based on
+        Amount share = 0;             ///< per second
+        Amount credit = 0;            ///< what its share has accrued and it has not yet borrowed
+        Amount credit_remainder = 0;  ///< rounded off from `credit`
         std::uint32_t weight = 1;
         bool recalled = false;
         Amount lent() const { return granted - spent - returned; }
     };
     struct LostLease {
         std::string child;
-        std::uint64_t instance = 0, lease = 0;
+        std::uint64_t instance = 0;
+        std::uint64_t lease = 0;
         Amount amount = 0;
         TimePoint expires_at{};
     };
+    /// What a child has passed on from its floor.
     struct DonorProgress {
         std::uint64_t instance = 0;
-        Amount donated_seen = 0;
+        Amount donated_seen = 0;  ///< the sum of this instance that has been added here
     };
     struct AccountState {
-        bool root = false, frozen = false, recalling = false;
-        Amount rate = 0, cap = 0;  // of a root
-        Amount max_cost = kUnit, min_cost = kUnit;
-        Amount available = 0;  // of a root, unlent
-        Amount remainder = 0;
-        std::int64_t minted_until_us = 0;  // up to then, microseconds
-        BorrowedBudget borrowed;           // else
-        Amount donated_total = 0;          // of this floor to the federation, ever
+        bool root = false;
+        bool frozen = false;
+        bool recalling = false;  ///< more is lent than a reduced budget allows
+        Amount rate = 0;         ///< per second; of a root
+        Amount cap = 0;          ///< of a root
+        Amount max_cost = kUnit;
+        Amount min_cost = kUnit;
+        Amount available = 0;              ///< of a root: what is not lent
+        Amount remainder = 0;              ///< rounded off in minting
+        std::int64_t minted_until_us = 0;  ///< of a root
+        BorrowedBudget borrowed;           ///< of an account that is not a root
+        Amount donated_total = 0;          ///< passed from this floor to the federation since the start
         std::map<std::string, Child> children;
         std::vector<LostLease> lost_leases;
         std::map<std::string, DonorProgress> donors;
         std::map<std::string, std::uint32_t> weights;
         TimePoint shares_updated_at{};
-        Amount total_lent = 0, total_lost = 0;
+        Amount total_lent = 0;
+        Amount total_lost = 0;
     };
 
     void on(TimePoint now, const TimerFired&, QuotaAllocatorActions& actions);
@@ -187,16 +230,22 @@
 
     QuotaAllocatorSettings settings_;
     std::map<Account, AccountState> accounts_;
-    TimePoint ownership_until_{}, no_lending_until_{}, next_request_at_{};
-    bool ownership_confirmed_ = false;  // since when it last was not
-    std::uint64_t last_lease_ = 0, seq_ = 0, rejected_lines_ = 0;
-    std::map<std::uint64_t, TimePoint> request_sent_at_;  // the asks that may yet be answered
+    TimePoint ownership_until_{};
+    TimePoint no_lending_until_{};  ///< leases of an unknown previous owner may last until then
+    TimePoint next_request_at_{};
+    bool ownership_confirmed_ = false;  ///< since ownership was last lost
+    std::uint64_t last_lease_ = 0;      ///< how many leases this instance has granted
+    std::uint64_t seq_ = 0;             ///< of the last request to the parent
+    std::uint64_t rejected_lines_ = 0;
+    std::map<std::uint64_t, TimePoint> request_sent_at_;  ///< by seq, of the latest requests
     TimePoint last_response_at_{};
     std::map<std::pair<Account, std::string>, OutstandingLease> to_record_;
     std::vector<OutstandingLease> closed_leases_;
-    std::uint64_t last_recorded_ = 0, last_record_sent_ = 0;
+    std::uint64_t last_recorded_ = 0;     ///< the last RecordLeases that is durable
+    std::uint64_t last_record_sent_ = 0;  ///< the last RecordLeases
+    /// A response that is held back until the leases it grants are durable.
     struct PendingResponse {
-        std::uint64_t after_record = 0;
+        std::uint64_t after_record = 0;  ///< RecordLeases::number
         SendResponse send;
     };
     std::vector<PendingResponse> pending_responses_;
--- a/src/fleet/quota/quota_limiter.cpp
+++ b/src/fleet/quota/quota_limiter.cpp
@@ -13,9 +13,12 @@
     Amount carry = 0;
     return accrued(rate, to_microseconds(length), carry);
 }
+/// The measured demand follows a rise of the offered load within this time.
 constexpr Duration kDemandRiseTime{150};
-constexpr Duration kDemandFallTime{600};     // how fast what is measured follows what is asked for
-constexpr Amount kMinDemand = kUnit / 1000;  // of a demand that is any
+/// The measured demand follows a fall of the offered load within this time.
+constexpr Duration kDemandFallTime{600};
+/// The lowest demand that is not zero.
+constexpr Amount kMinDemand = kUnit / 1000;
 
 }  // namespace
 
@@ -47,8 +50,8 @@
     }
 }
 
-/// Of a partner that was not here for a while nothing is in the caches: all of it is fetched at once, not
-/// line by line.
+/// The entry of a partner without recent requests is in no CPU cache: fetches all its cache lines at once
+/// instead of one after the other.
 void QuotaLimiter::prefetch(const PartnerEntry& entry) {
     for (std::size_t line = 0; line < sizeof(PartnerEntry); line += 64)
         __builtin_prefetch(reinterpret_cast<const char*>(&entry) + line);
@@ -91,7 +94,7 @@
     charge.partner_ = partner;
     charge.floor_ = entry.has_floors && !frozen && try_spend(now, entry.floor, cost, charge);
     bool allowed = charge.floor_ || (!frozen && try_spend(now, entry.shared, cost, charge));
-    // By its use, what is left does not last until an ask from now would be answered.
+    // At the current demand, what is left does not last until a request sent now would be completed.
     Amount left =
         entry.shared.borrowed.balance(now) + (entry.has_floors ? entry.floor.borrowed.balance(now) : 0);
     bool runs_out = !entry.exhausted && !frozen &&
@@ -110,8 +113,9 @@
     return Rejection{frozen ? Error::Frozen : Error::Exhausted, retry_after};
 }
 
-/// Each that is refused is told a moment of its own, as far apart as this node's part lets them in. More than
-/// fit before the last moment are strewn over the later half, each where the gaps are widest.
+/// Gives each rejected request a retry time of its own, as far apart as this node's share admits requests.
+/// Those that do not fit within max_retry_after are spread over the later half of that time, each into one of
+/// the widest gaps.
 Duration QuotaLimiter::next_retry_after(TimePoint now, PartnerEntry& entry, Amount cost) {
     Amount share = entry.floor.borrowed.share() + entry.shared.borrowed.share();
     Duration interval = share > 0 ? Duration{double(cost) / double(share) * 1000} : settings_.min_retry_after;
@@ -120,7 +124,7 @@
         entry.next_retry_at = at + interval;
         return at - now;
     }
-    entry.retry_spread += 0x9e3779b97f4a7c15;  // the golden part of all there is
+    entry.retry_spread += 0x9e3779b97f4a7c15;  // 2^64 divided by the golden ratio: a low-discrepancy sequence
     return settings_.max_retry_after * (0.5 + 0.5 * double(entry.retry_spread >> 11) * 0x1p-53);
 }
 
@@ -170,7 +174,7 @@
     if (account.borrowed.recalled() || account.borrowed.frozen()) kept_balance = 0;
     account.borrowed.return_unspent(account.borrowed.balance(now) - kept_balance);
     if (next_round) account.unreported[++account.report_round % kReportRounds] = 0;
-    // Charges of older turns than may be given back count as spent from here on.
+    // Charges of rounds that are past the refund window count as spent from here on.
     for (std::uint64_t age = std::uint64_t(settings_.timing.refund_window_requests) + 1;
          age < kReportRounds && age <= account.report_round; ++age)
         account.unreported[(account.report_round - age) % kReportRounds] = 0;
@@ -200,7 +204,7 @@
     auto add_lines = [&](std::uint32_t partner) {
         auto lock = lock_partner(partner);
         PartnerEntry& entry = entries_[partner];
-        if (entry.last_request_at == TimePoint{}) return;  // never asked for here
+        if (entry.last_request_at == TimePoint{}) return;  // no client has sent a request for it to this node
         update_demand(now, entry);
         entry.exhausted = false;
         entry.last_reported_at = now;
--- a/src/fleet/quota/quota_state_machine.cpp
+++ b/src/fleet/quota/quota_state_machine.cpp
@@ -7,6 +7,7 @@
 namespace ochrehub::quota {
 namespace {
 
+/// Limit of a lease's sums; the difference of two valid sums still fits an Amount.
 constexpr Amount kMaxSum = std::int64_t(1) << 62;
 
 void put(const OutstandingLease& lease, wire::Book& to) {
@@ -160,7 +161,8 @@
             if (command.session == 0 || !sessions_.contains(command.session))
                 return respond(Error::NotOwner, "no session");
             if (owner_ != 0 && owner_ != command.session) return respond(Error::NotOwner, sessions_[owner_]);
-            if (owner_ != command.session) ++epoch_;  // else it asks again, not having heard
+            if (owner_ != command.session)
+                ++epoch_;  // otherwise a retry: the owner missed the first response
             owner_ = command.session;
             response.mutable_state()->ParseFromString(snapshot());
             return respond();
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -1,4 +1,4 @@
-// The common quota's cores by hand; all of them together on a bad network are lab/tests/quota_test.cpp.
+// Unit tests of the quota's cores. lab/tests/quota_test.cpp runs all of them together on a faulty network.
 #include <gtest/gtest.h>
 
 #include <boost/random/taus88.hpp>
@@ -80,7 +80,7 @@
     EXPECT_EQ(sum, 999'999);
 }
 
-/// A root (or a site below one) and nodes, where each message arrives at once.
+/// A root allocator, or a site's, and its nodes. Each message arrives at once.
 struct AllocatorAndNodes {
     QuotaAllocator allocator;
     std::vector<std::unique_ptr<QuotaLimiter>> nodes;
@@ -88,7 +88,7 @@
     std::vector<Budget> budgets;
     double now = 1;
     std::uint64_t records = 0;
-    std::vector<OutstandingLease> leases;  // as a machine would keep them
+    std::vector<OutstandingLease> leases;  // as the state machine would store them
 
     explicit AllocatorAndNodes(std::vector<Budget> all, std::size_t count,
                                QuotaAllocatorSettings settings = {"", 77, 1, {}})
@@ -142,7 +142,7 @@
 TEST(QuotaAllocator, UnreportedSpendingOfCrashedNodesIsNotLentAgain) {
     AllocatorAndNodes cluster({budget("p", 50, 60)}, 4);
     cluster.now = 2000;
-    // All of it is let in, then every node dies before it says so and is back at once, again and again.
+    // Everything is admitted, then all nodes crash before they report it and restart at once, repeatedly.
     Amount admitted = 0;
     double first_charge_at = 0;
     for (int restart = 0; restart < 20; ++restart) {
@@ -156,7 +156,7 @@
     }
     EXPECT_LE(admitted, 60 * kUnit + Amount(50 * kUnit / 1000.0 * (cluster.now - first_charge_at)));
     EXPECT_GE(admitted, 40 * kUnit);
-    // Their leases over, it is free again.
+    // Once their leases have expired, it is available again.
     cluster.now += 3001;
     cluster.handle(TimerFired{});
     EXPECT_EQ(cluster.status("p").lost, 0);
@@ -179,7 +179,7 @@
     std::vector<Budget> cut{budget("p", 10, 10)};
     cluster.handle(BudgetsConfigured{cut});
     EXPECT_FALSE(cluster.status("p").in_force);
-    // Four say what is left; the fifth never answers again.
+    // Four nodes report and return what is left; the fifth is never seen again.
     for (int i = 0; i < 5; ++i) {
         cluster.now += 100;
         for (std::size_t n = 0; n < 4; ++n) cluster.send_request(n);
@@ -212,11 +212,11 @@
         cluster.now += 1;
         if (i % 100 == 0)
             for (std::size_t n = 0; n < 3; ++n) cluster.send_request(n);
-        for (int r = 0; r < 2; ++r) {  // 2000 a second each
+        for (int r = 0; r < 2; ++r) {  // 2000 per second each
             large += cluster.charge(random() % 3, 0) && i >= 1000 ? kUnit : 0;
             std::uint32_t other = 1 + random() % 9'999;
             bool admitted = cluster.charge(random() % 3, other);
-            // Who was not heard of for long finds nothing at a node, and has it there when it comes back.
+            // A partner that was idle for long finds no balance at a node, but does so at its retry.
             if (!admitted) cluster.now += 0.01, admitted = cluster.charge(random() % 3, other), ++rejected;
             others += admitted ? kUnit : 0;
             ++attempts;
@@ -236,7 +236,7 @@
     BorrowRequest request{9, 1, {{{"p", false}, 0, 0, 0, 100 * kUnit, 0}}};
     actions.clear();
     first.handle(at(1001), RequestReceived{"n", request}, actions);
-    // Nothing is answered before it is written down.
+    // No response is sent before the lease is recorded.
     ASSERT_EQ(actions.size(), 1u);
     RecordLeases record = std::get<RecordLeases>(actions[0]);
     actions.clear();
@@ -244,7 +244,7 @@
     ASSERT_EQ(actions.size(), 1u);
     Amount granted = std::get<SendResponse>(actions[0]).response.lines.at(0).granted;
     EXPECT_GT(granted, 0);
-    // An owner whose time is over answers nothing, whatever it held.
+    // An owner whose ownership has expired sends no response, whatever it held.
     actions.clear();
     request.seq = 2;
     first.handle(at(5001), RequestReceived{"n", request}, actions);
@@ -262,7 +262,7 @@
     request.lines[0] = {{"p", false}, record.leases[0].lease, granted, 0, 0, 0};
     second.handle(at(500), RequestReceived{"n", request}, actions);
     EXPECT_EQ(second.status(at(500), "p").at(0).lent, 0);
-    // One that knows of no leases waits out the longest.
+    // An owner that knows of no leases waits for the longest one to expire.
     QuotaAllocator third(settings);
     actions.clear();
     third.handle(at(1), BudgetsConfigured{{budget("p", 100, 100)}}, actions);
@@ -300,7 +300,7 @@
         cluster.now += 100, cluster.send_request(0);
         least = std::min(least, cluster.status("p").children.at(0).lent);
     }
-    EXPECT_LT(least, before);  // and then it may have some again
+    EXPECT_LT(least, before);  // it may borrow again afterwards
     cluster.handle(OperatorOrder{OperatorOrder::What::Freeze, "p", "", 0});
     for (int i = 0; i < 4; ++i) cluster.now += 100, cluster.send_request(0), cluster.send_request(1);
     auto outcome = cluster.nodes[0]->charge(at(cluster.now), 0, kNone);
@@ -324,10 +324,10 @@
               BorrowedBudget::ResponseResult::SameLease);
     EXPECT_EQ(budget.apply_response(at(21), at(11), 2, line, timing), BorrowedBudget::ResponseResult::Stale);
     EXPECT_EQ(budget.balance(at(21)), 15);
-    // It ends by what is counted from before it was asked for, less the margins.
+    // The lease expires counted from before the request was sent, less drift and margin.
     EXPECT_TRUE(budget.is_active(at(2931)));
     EXPECT_EQ(budget.balance(at(2933)), 0);
-    // ... and a grant that comes behind that is none, till a later answer bears it.
+    // A grant that arrives after that does not count until a later response repeats it.
     line.granted = 20;
     EXPECT_EQ(budget.apply_response(at(3000), at(13), 4, line, timing),
               BorrowedBudget::ResponseResult::Expired);
@@ -351,7 +351,7 @@
     EXPECT_TRUE(node.refund(at(cluster.now), std::move(charge)));
     EXPECT_FALSE(node.refund(at(cluster.now), std::move(charge)));
     EXPECT_EQ(node.counters(at(cluster.now), 0).balance, before);
-    // Told as spent, it stays so.
+    // A charge that was reported as spent is not refunded.
     auto late = node.charge(at(cluster.now), 0, kNone);
     for (int i = 0; i < 2; ++i) cluster.now += 100, cluster.send_request(0);
     Charge reported = std::move(std::get<Charge>(late));
@@ -374,10 +374,10 @@
         }
     }
     ASSERT_GT(retry_times.size(), 20u);
-    // About as far apart as ten a second let them in.
+    // About as far apart as a rate of ten per second admits them.
     for (std::size_t i = 1; i < retry_times.size(); ++i)
         EXPECT_NEAR(retry_times[i] - retry_times[i - 1], 100, 15);
-    // Of more than that no two hundred are told one second.
+    // The rest is spread: no second gets more than 220 of 3000.
     std::map<int, int> seconds;
     for (int i = 0; i < 3000; ++i)
         ++seconds[int(
