--- a/lab/equivalence/quota.cpp
+++ b/lab/equivalence/quota.cpp
@@ -1,4 +1,4 @@
-// Decisions of the quota's allocators and limiters under drawn faults.
+// Decisions of the quota's allocators and limiters under random faults.
 #include "lab/equivalence/runner.h"
 #include "lab/quota/simulation.h"
 #include "lab/quota/workloads.h"
--- a/lab/quota/baselines.cpp
+++ b/lab/quota/baselines.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// A token bucket by its owner's clock. May be overdrawn by what is heard of later.
+/// A token bucket by its process's clock. Gossiped counts may overdraw it.
 struct Bucket {
     double rate = 0, burst = 0, level = 0;
     TimePoint at{};
@@ -38,7 +38,7 @@
     enum class Kind : std::uint8_t { Query, Admit, Reject, AdmittedSums } kind{};
     std::uint64_t number = 0;
     std::size_t partner = 0;
-    std::vector<double> admitted_sums{};  // by node and partner, ever
+    std::vector<double> admitted_sums{};  // by node and partner, since the start
 };
 
 class BaselineSimulation {
@@ -52,7 +52,7 @@
                     received(p, from, own, m);
                 }}),
           random_(unsigned(settings.seed * 40503u + 7)) {
-        // The same processes as with leases, so that the same faults hit the same ones.
+        // The same processes as in the simulation of leases, so that a fault hits the same process in both.
         for (std::size_t group = 0; group <= settings.sites; ++group)
             for (std::size_t i = 0; i < 3 + (group > 0 ? settings.nodes : 0); ++i) {
                 std::size_t p = net_.add();
@@ -93,7 +93,7 @@
         return std::move(out_);
     }
 
-    // for `inject_fault`
+    // Host of inject_fault.
     std::size_t group_of(std::size_t p) const { return processes_[p].group; }
     bool is_allocator(std::size_t p) const { return !processes_[p].node; }
     bool is_node(std::size_t p) const { return processes_[p].node; }
@@ -104,7 +104,7 @@
         after(restart_after, [this, p] {
             if (net_.up(p)) return;
             net_.start(p);
-            if (processes_[p].node) begin(p);  // a counter that is asked has its state on a disk
+            if (processes_[p].node) begin(p);  // a counter's state is durable
             net_.wake_at(p, net_.own(p) + Duration{1});
         });
     }
--- a/lab/quota/fault_injection.h
+++ b/lab/quota/fault_injection.h
@@ -1,13 +1,12 @@
-// Carries out a fault on a virtual network, whoever's cores are on it: federations by leases, and by other
-// ways.
+// Injects a fault into a virtual network, for the simulation of leases as well as for those of the baselines.
 #pragma once
 
 #include "lab/quota/simulation.h"
 
 namespace ochrehub::lab {
 
-/// `Host`: group_of(process), lends(process), serves(process), crash(process, back), stop(process, length),
-/// after(wait, what). Groups: 0 the federation's, then a site each.
+/// `Host` provides group_of(process), is_allocator(process), is_node(process), crash(process, restart_after),
+/// stop(process, length) and after(wait, action). Group 0 is the federation's; each further group is a site.
 template <class Message, class Host>
 void inject_fault(const QuotaFault& f, const QuotaSimulationSettings& settings, Net<Message>& net,
                   Host& host) {
--- a/lab/quota/invariant_checker.h
+++ b/lab/quota/invariant_checker.h
@@ -1,5 +1,5 @@
-// What clients got, beside what a partner's budget allows: from the gateways' records in the world's time
-// alone.
+// Compares what was admitted with what a partner's budget allows, by the gateways' records in the
+// simulation's time alone.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +10,20 @@
 namespace ochrehub::lab {
 
 struct AdmittedRequest {
-    TimePoint at;  ///< the world's
+    TimePoint at;  ///< in the simulation's time
     std::size_t partner = 0, site = 0, node = 0;
     quota::Amount cost = 0;
-    bool refunded = false;  ///< it never ran, and counts for nothing
+    bool refunded = false;  ///< the request never ran, and does not count
 };
 
 struct ExcessWindow {
-    double amount = 0;  ///< millionths above rate * w + burst in the worst window; zero or less: none
+    double amount = 0;  ///< millionths above rate * window + burst in the worst window; zero or less: none
     TimePoint from, to;
 };
 
-/// Over all windows, exactly: the worst one that ends with each request is the worst before it, less what the
-/// time between allows, or begins with it. `records` in the order of their times.
+/// The worst of all windows, exactly: the worst window that ends with a request is either the worst one that
+/// ends with the request before it, less what the budget allows in the time between, or one that begins with
+/// the request. `records`: ordered by time.
 inline ExcessWindow worst_window(const std::vector<AdmittedRequest>& records, std::size_t partner,
                                  quota::Amount rate, quota::Amount burst, TimePoint from = TimePoint{},
                                  TimePoint to = TimePoint::max()) {
--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -1,4 +1,4 @@
-// What docs/design/quota.md says was measured: quota_measure seeds|used|cut|lost|ways|saboteurs|events|charge
+// The measurements of docs/design/quota.md: quota_measure seeds|used|cut|lost|ways|saboteurs|events|charge
 // [COUNT]
 #include <algorithm>
 #include <atomic>
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// `one(seed)` for each, by a few threads.
+/// Calls `one(seed)` for each seed from 1 to `count`, on a few threads.
 template <class F>
 void each_seed(std::uint64_t count, F one) {
     std::atomic<std::uint64_t> next{1};
@@ -33,7 +33,7 @@
 };
 constexpr Shape kShapes[] = {{2, 5}, {5, 40}};
 
-/// By turns demand that is steady, that swings, and that comes all at once behind nothing.
+/// By turns: a steady load, one that moves between sites, and one that comes in bursts after idle times.
 void seeds(std::uint64_t count) {
     for (Shape shape : kShapes) {
         std::mutex lock;
@@ -107,7 +107,7 @@
             QuotaSimulationSettings settings = steady_workload(shape.sites, shape.nodes, seed);
             settings.length = Duration{40'000};
             settings.faults = {
-                {QuotaFault::Kind::CutSite, Duration{10'000}, Duration{20'000}, 1, 0}};  // the second
+                {QuotaFault::Kind::CutSite, Duration{10'000}, Duration{20'000}, 1, 0}};  // the second site
             QuotaSimulationResult result = run(settings);
             double floor = double(settings.budgets[0].floors[1].rate);
             double in = double(admitted(result.admitted, 0, TimePoint{} + Duration{14'000},
@@ -158,7 +158,8 @@
                 if (faults)
                     settings.loss = settings.duplication = 0.01,
                     settings.faults = random_faults(seed, settings, std::size_t(faults));
-                // Idle, then all at once: where too much shows. What is used is counted in the steady part.
+                // An idle time, then a burst, which shows any excess. The use is measured before, in the
+                // steady part.
                 settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
                     return at < Duration{15'000}   ? base(b, s, at)
                            : at < Duration{17'000} ? 0.0
@@ -210,7 +211,7 @@
     }
 }
 
-/// Each process crashes, and stops, at each event of a short day.
+/// Each process crashes, and pauses, at each event of a short run.
 void events(std::uint64_t stride) {
     QuotaSimulationSettings settings = small_workload();
     std::uint64_t happened = run(settings).event_count, runs = 0, over = 0;
@@ -252,7 +253,7 @@
     for (int i = 0; i < 10'000; ++i)
         names.push_back(std::string("partner").append(std::to_string(i % 2 ? 0 : random() % 10'000)));
     std::atomic<bool> done{false};
-    // Beside it, as in a node, somebody asks and is answered ten times a second.
+    // As in a node, requests are sent and responses applied ten times a second meanwhile.
     std::thread asker([&] {
         while (!done) {
             TimePoint now = TimePoint{} + Duration{double(Clock::now().time_since_epoch().count()) / 1e6};
--- a/lab/quota/simulation.cpp
+++ b/lab/quota/simulation.cpp
@@ -12,20 +12,20 @@
 
 std::string_view name(QuotaMutant mutant) {
     constexpr std::string_view kNames[] = {"none",
-                                           "charges later",
-                                           "counts from the answer",
-                                           "gives back twice",
-                                           "gives back what was told",
-                                           "forgets at a restart",
-                                           "returns and keeps",
-                                           "tells spent twice",
+                                           "charges after a delay",
+                                           "counts from the response",
+                                           "refunds twice",
+                                           "refunds a reported charge",
+                                           "forgets leases at restart",
+                                           "returns and spends",
+                                           "reports spent twice",
                                            "ignores epochs",
                                            "lends floors twice",
                                            "stale clock",
-                                           "adds answers twice",
-                                           "counts gifts twice",
-                                           "shrinks at once",
-                                           "mints past the cap"};
+                                           "applies a response twice",
+                                           "counts surplus twice",
+                                           "in force too early",
+                                           "mints above the cap"};
     return kNames[std::size_t(mutant)];
 }
 
@@ -46,7 +46,7 @@
 
 struct Message {
     enum class Kind : std::uint8_t { BorrowRequest, BorrowResponse, Renew, Renewed, Command, Done } kind{};
-    std::uint64_t a = 0, b = 0;  // by kind: instance, session, number
+    std::uint64_t a = 0, b = 0;  // by kind: instance, session, sequence number
     std::string body{};
     std::string more{};
 };
@@ -127,29 +127,29 @@
         Role role{};
         std::size_t group = 0, number = 0;
         std::uint64_t instance = 0;
-        // keeper
+        // Of a coordinator.
         std::unique_ptr<QuotaStateMachine> state_machine;
         std::map<std::uint64_t, CoordinatorSession> sessions;
         std::uint64_t next_session = 1;
-        // owner
+        // Of an allocator's owner.
         std::unique_ptr<QuotaAllocator> allocator;
         std::uint64_t session = 0, epoch = 0, version = 0, renewals = 0, commands = 0;
         TimePoint until{}, renew_at{}, allocator_timer_at{}, resend_at{};
         std::map<std::uint64_t, TimePoint> renewal_sent_at;
-        std::optional<std::pair<std::uint64_t, std::string>> command;  // that is not answered yet
+        std::optional<std::pair<std::uint64_t, std::string>> command;  // without a response yet
         std::optional<std::uint64_t> recording;
-        // node, and the owner of a site
+        // Of a node, and of the owner of a site's allocator.
         std::unique_ptr<QuotaLimiter> limiter;
         int allocator_index = 0;
         TimePoint last_response_at{}, next_request_at{}, last_early_request_at{}, paused_at{};
         std::map<std::uint64_t, TimePoint> request_sent_at;
-        std::vector<std::pair<std::size_t, Amount>> waiting;  // requests of clients while it was stopped
-        std::map<Account, BorrowResponseLine> last_lines;     // for saboteurs
+        std::vector<std::pair<std::size_t, Amount>> waiting;  // requests that came during a pause
+        std::map<Account, BorrowResponseLine> last_lines;     // for mutants
         std::map<Account, Amount> extra_grant;
         std::map<Account, ReportedSums> reported_sums;
     };
 
-    // ---- Who is there
+    // Processes
 
     void add_process(Role role, std::size_t group) {
         std::size_t p = net_.add();
@@ -233,7 +233,7 @@
         budgets_changed_ = true;
     }
 
-public:  // for `inject_fault`
+public:  // Host of inject_fault.
     std::size_t group_of(std::size_t p) const { return processes_[p].group; }
     bool is_allocator(std::size_t p) const { return processes_[p].role == Role::Owner; }
     bool is_node(std::size_t p) const { return processes_[p].role == Role::Node; }
@@ -254,7 +254,7 @@
             if (!net_.stopped(p)) return;
             net_.go_on(p);
             Process& process = processes_[p];
-            // What clients sent meanwhile is worked off behind what others have sent.
+            // Client requests of the pause are handled after the messages of other processes.
             std::uint64_t instance = process.instance;
             auto work_off = [this, p](TimePoint own) {
                 for (auto [partner, cost] : std::exchange(processes_[p].waiting, {}))
@@ -272,7 +272,7 @@
     }
 
 private:
-    // ---- What arrives
+    // Timers and messages
 
     void on_timer(std::size_t p, TimePoint own) {
         Process& process = processes_[p];
@@ -312,7 +312,8 @@
         }
         wake(p, own, process.next_request_at);
     }
-    /// A clock that is off does not reach a moment to the last bit.
+    /// At least 0.05 ms ahead: with a drifting clock the timer may fire slightly before `at` by the own
+    /// clock.
     void wake(std::size_t p, TimePoint own, TimePoint at) {
         net_.wake_at(p, std::max(at, own + Duration{0.05}));
     }
@@ -347,7 +348,7 @@
         }
     }
 
-    // ---- Keepers
+    // Coordinators
 
     void renew(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
         Process& process = processes_[p];
@@ -384,7 +385,7 @@
         send(p, from, {Message::Kind::Done, m.a, m.b, reply});
     }
 
-    // ---- Owners
+    // Allocator owners
 
     void on_renewed(std::size_t p, TimePoint own, const Message& m) {
         Process& process = processes_[p];
@@ -473,7 +474,7 @@
         process.command = {++process.commands, command_record(process.epoch, record.leases)};
         send_command(p, own);
     }
-    /// With a bucket as full as a new one's: by a gift that nobody gave.
+    /// Fills the new owner's bucket, by a floor surplus that no site passed on.
     void fill_bucket(std::size_t p, TimePoint own) {
         BorrowRequest request{1, 0, {}};
         for (Amount given : {Amount(0), kMaxAmount}) {
@@ -485,8 +486,8 @@
             handle_allocator(p, own, RequestReceived{"nobody", request});
         }
     }
-    /// Once the owner at each level says that it has it, and that what was lent of the one before is back or
-    /// over.
+    /// Sets `in_force` once the owner at each level has the changed budgets and reports that all leases of
+    /// the previous ones are returned or expired.
     void check_in_force() {
         if (out_.in_force) return;
         for (std::size_t group = 0;
@@ -531,7 +532,7 @@
         if (budgets_changed_) check_in_force();
     }
 
-    // ---- Nodes
+    // Nodes
 
     void send_borrow_request(std::size_t p, TimePoint own, bool all) {
         Process& process = processes_[p];
@@ -554,7 +555,8 @@
         for (std::size_t b = 0; b < settings_.budgets.size(); ++b)
             for (std::size_t s = 0; s < settings_.sites; ++s)
                 rates.push_back(settings_.demand(b, s, at)), sum += rates.back();
-        // A look at least each 20 ms, since what is asked for moves; an arrival has no memory.
+        // Sampled again after 20 ms, since the load changes; arrivals are memoryless, so this does not bias
+        // them.
         Duration gap{sum > 0 ? -std::log(1 - uniform()) / sum * 1000 : 1e9};
         next_arrival_ = net_.now() + std::min(gap, Duration{20});
         if (gap > Duration{20}) return;
@@ -642,7 +644,7 @@
         });
     }
 
-    // ---- Saboteurs between the cores
+    // Mutants that act between the cores
 
     void apply_mutant(Process& process, BorrowRequest& request) {
         for (BorrowRequestLine& l : request.lines) {
@@ -650,7 +652,7 @@
             if (last_line.lease != l.lease) continue;
             ReportedSums& reported = process.reported_sums[l.account];
             if (reported.lease != l.lease) reported = {l.lease, 0, 0, 0};
-            // Whoever errs so tells nothing that its lender can see to be wrong.
+            // The mutated sums stay plausible, so that the allocator does not reject them.
             if (settings_.mutant == QuotaMutant::ReportsSpentTwice) l.spent *= 2;
             if (settings_.mutant == QuotaMutant::ReturnsAndSpends) {
                 reported.kept_anyway = std::max(
@@ -728,7 +730,7 @@
         f.duration = Duration{uniform() < 0.5 ? 100 + 900 * uniform() : 1000 + 5000 * uniform()};
         f.duration = std::min(f.duration, settings.length * 0.75 - f.at);
         f.target = std::size_t(uniform() * double(processes));
-        // Half of those that hit one process hit a lender's owner.
+        // Half of the faults on a single process hit an allocator's owner.
         if (uniform() < 0.5)
             f.target = (f.target % (settings.sites + 1) == 0
                             ? 0
--- a/lab/quota/workloads.h
+++ b/lab/quota/workloads.h
@@ -1,4 +1,4 @@
-// Days for the judge of the common quota: common ones, and for each saboteur the one that shows it.
+// Workloads for the quota simulation: common ones, and for each mutant one that exposes it.
 #pragma once
 
 #include <cmath>
@@ -9,7 +9,7 @@
 
 using quota::kUnit;
 
-/// 1.5 times the rate, more of it at the first site.
+/// 1.5 times the budget's rate, 0.4 of it at the first site.
 inline QuotaSimulationSettings steady_workload(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
     QuotaSimulationSettings settings;
     settings.sites = sites, settings.nodes = nodes, settings.seed = seed;
@@ -23,7 +23,7 @@
     };
     return settings;
 }
-/// Four fifths of it at one site, which changes every 10 s.
+/// 1.5 times the budget's rate, four fifths of it at one site, which changes every 10 s.
 inline QuotaSimulationSettings swinging_workload(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
     QuotaSimulationSettings settings = steady_workload(sites, nodes, seed);
     settings.demand = [budgets = settings.budgets, sites](std::size_t b, std::size_t site, Duration at) {
@@ -32,9 +32,9 @@
     };
     return settings;
 }
-/// Small, with much lent, much idle and all of it asked for at once, where what leaks shows. Cycles of
-/// `cycle` ms: for 4 s nine tenths of the rate, at one site or the other, then nothing, then eight times the
-/// rate for the last second.
+/// A small federation in which much is lent, much is idle, and all of it is then requested at once, so that
+/// any leak of budget shows. Cycles of `cycle` ms: for 4 s nine tenths of the rate, mostly at one site or the
+/// other, then nothing, then a burst far above the rate for the last second.
 inline QuotaSimulationSettings leaky_workload(std::uint64_t seed, std::int64_t rate = 100,
                                               double cover = 1000, double cycle = 7000) {
     QuotaSimulationSettings settings;
@@ -49,7 +49,7 @@
     return settings;
 }
 
-/// Two sites of two nodes for two seconds, first a little, then all at once.
+/// Two sites of two nodes for two seconds: a low load, then a burst.
 inline QuotaSimulationSettings small_workload() {
     QuotaSimulationSettings settings = leaky_workload(1);
     settings.nodes = 2, settings.length = Duration{2000}, settings.session_duration = Duration{300};
@@ -66,15 +66,16 @@
         settings.demand = [=](std::size_t, std::size_t site, Duration) { return site == 0 ? first : second; };
         settings.length = Duration{ms};
     };
-    constexpr std::size_t kOwner = 1, kNode = 6;  // the federation's first owner; the first site's first node
+    constexpr std::size_t kOwner = 1;  // the federation's first owner
+    constexpr std::size_t kNode = 6;   // the first site's first node
     switch (mutant) {
         case QuotaMutant::RefundsTwice:
         case QuotaMutant::RefundsReportedCharge:
             settings.never_ran_share = 0.4;
             break;
         case QuotaMutant::LeaseFromResponseTime:
-            // Much is asked for at once, and the answers that grant it find their nodes stopped, till long
-            // behind the end.
+            // A burst is requested, and the nodes are paused when the responses that grant it arrive, until
+            // long after the leases have expired.
             settings = leaky_workload(seed, 40, 4000, 10'000);
             settings.length = Duration{30'000};
             settings.demand = [](std::size_t, std::size_t site, Duration at) {
@@ -128,7 +129,7 @@
     return settings;
 }
 
-/// The worst over all partners, in requests of the common cost: above zero is too much.
+/// The worst excess over all partners' budgets, in requests of the default cost. Above zero: a violation.
 inline double worst_excess(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result) {
     double most = -1e18;
     bool shrinks = !settings.changed_budgets.empty() && result.in_force;
@@ -145,7 +146,7 @@
     }
     return most / double(kUnit);
 }
-/// Of the budget, from `from` to `to`.
+/// The share of the budget that was used between `from` and `to`.
 inline double budget_use(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result,
                          std::size_t partner, Duration from, Duration to) {
     return double(admitted(result.admitted, partner, TimePoint{} + from, TimePoint{} + to)) /
--- a/lab/tests/quota_test.cpp
+++ b/lab/tests/quota_test.cpp
@@ -1,4 +1,4 @@
-// The common quota's cores together, on a network that does everything wrong, judged by what gateways let in.
+// The quota's cores together on a faulty simulated network: admitted requests never exceed the budget.
 #include <gtest/gtest.h>
 
 #include "lab/quota/baselines.h"
@@ -11,7 +11,7 @@
     std::vector<AdmittedRequest> records;
     for (int i = 0; i < 10; ++i)
         records.push_back({TimePoint{} + Duration{1000.0 + 100 * i}, 0, 0, 0, kUnit, false});
-    // Ten within 900 ms: at one a second, 10 - 0.9 of burst are needed.
+    // Ten requests within 900 ms: at one per second a burst of 10 - 0.9 is needed.
     EXPECT_NEAR(worst_window(records, 0, kUnit, 0).amount / double(kUnit), 9.1, 1e-6);
     EXPECT_NEAR(worst_window(records, 0, kUnit, 10 * kUnit).amount / double(kUnit), -0.9, 1e-6);
     EXPECT_NEAR(worst_window(records, 0, 20 * kUnit, kUnit).amount / double(kUnit), 0, 1e-6);
@@ -47,7 +47,7 @@
     QuotaSimulationSettings settings = small_workload();
     std::uint64_t happened = run(settings).event_count;
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
-    for (std::uint64_t n = 1; n < happened; n += 7) {  // quota_measure events: each
+    for (std::uint64_t n = 1; n < happened; n += 7) {  // every event: quota_measure events
         settings.fault_at_event = QuotaSimulationSettings::FaultAtEvent{n, n / 7 % processes, n % 2 == 0,
                                                                         Duration{n % 2 ? 50.0 : 1500.0}};
         EXPECT_LE(worst_excess(settings, run(settings)), 0) << "event " << n;
@@ -67,7 +67,7 @@
     };
     EXPECT_GE(share(1, 20), 0.95);
     EXPECT_LE(share(1, 20), 1.02);
-    EXPECT_GE(share(0, 380), 0.6);  // all that is asked for there is 240 a second
+    EXPECT_GE(share(0, 380), 0.6);  // the whole load there is 240 per second
 }
 
 TEST(QuotaSimulation, ASiteThatOverstatesItsDemandStarvesNoOtherSite) {
@@ -102,7 +102,7 @@
     BaselineResult asks = run(Baseline::SingleCounterFailClosed, settings);
     ASSERT_FALSE(asks.waits.empty());
     EXPECT_GT(*std::max_element(asks.waits.begin(), asks.waits.end()),
-              20);  // each request waits for the distance
+              20);  // each request waits for a round trip between sites
 }
 
 TEST(QuotaSimulation, EveryMutantIsDetected) {
@@ -111,7 +111,7 @@
         for (std::uint64_t seed = 1; seed <= 20 && found == 0; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
             found += worst_excess(settings, run(settings)) > 0;
-            // It is the saboteur's doing: the same day without it keeps to the budget.
+            // The mutant is the cause: without it the same workload stays within the budget.
             settings.mutant = QuotaMutant::None;
             EXPECT_LE(worst_excess(settings, run(settings)), 0) << name(QuotaMutant(s));
         }
