--- a/lab/quota/baselines.cpp
+++ b/lab/quota/baselines.cpp
@@ -81,16 +81,16 @@
             if (at > end) break;
             net_.run_to(at);
             if (!scheduled_.empty() && scheduled_.begin()->first <= at) {
-                auto what = std::move(scheduled_.begin()->second);
+                auto action = std::move(scheduled_.begin()->second);
                 scheduled_.erase(scheduled_.begin());
-                what();
+                action();
             } else {
                 next = at + generate_arrival();
             }
         }
-        std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
+        std::stable_sort(result_.admitted.begin(), result_.admitted.end(),
                          [](const AdmittedRequest& a, const AdmittedRequest& b) { return a.at < b.at; });
-        return std::move(out_);
+        return std::move(result_);
     }
 
     // Host of inject_fault.
@@ -116,8 +116,8 @@
             for (std::size_t partner : std::exchange(processes_[p].waiting, {})) request(p, partner);
         });
     }
-    void after(Duration wait, std::function<void()> what) {
-        scheduled_.emplace(net_.now() + wait, std::move(what));
+    void after(Duration wait, std::function<void()> action) {
+        scheduled_.emplace(net_.now() + wait, std::move(action));
     }
 
 private:
@@ -154,7 +154,7 @@
                 std::upper_bound(weights_.begin(), weights_.end() - 1, uniform() * total_weight_) -
                 weights_.begin());
             std::size_t p = nodes_[i % settings_.sites * settings_.nodes + n];
-            ++out_.requests;
+            ++result_.requests;
             if (!net_.up(p)) break;
             if (net_.stopped(p)) {
                 if (processes_[p].waiting.size() < 500) processes_[p].waiting.push_back(i / settings_.sites);
@@ -166,7 +166,7 @@
         return gap;
     }
     void admit(std::size_t p, std::size_t partner) {
-        out_.admitted.push_back({net_.now(), partner, processes_[p].group - 1, 0, kUnit, false});
+        result_.admitted.push_back({net_.now(), partner, processes_[p].group - 1, 0, kUnit, false});
     }
     void request(std::size_t p, std::size_t partner) {
         if (baseline_ == Baseline::StaticShares || baseline_ == Baseline::GossipedCounters) {
@@ -176,14 +176,14 @@
         }
         std::uint64_t number = ++last_query_;
         pending_queries_[number] = {p, partner, net_.now()};
-        ++out_.messages;
+        ++result_.messages;
         net_.send(p, 1, {Message::Kind::Query, number, partner});
         after(Duration{1000}, [this, number] {
             auto found = pending_queries_.find(number);
             if (found == pending_queries_.end()) return;
             PendingQuery query = found->second;
             pending_queries_.erase(found);
-            out_.waits.push_back(1000);
+            result_.waits.push_back(1000);
             if (baseline_ == Baseline::SingleCounterFailOpen && net_.up(query.node) &&
                 !net_.stopped(query.node))
                 admit(query.node, query.partner);
@@ -193,7 +193,7 @@
         net_.wake_at(p, own + Duration{200});
         if (baseline_ != Baseline::GossipedCounters || !processes_[p].node) return;
         for (int i = 0; i < 3; ++i) {
-            ++out_.messages;
+            ++result_.messages;
             net_.send(p, nodes_[std::size_t(uniform() * double(nodes_.size()))],
                       {Message::Kind::AdmittedSums, 0, 0, processes_[p].admitted_sums});
         }
@@ -201,21 +201,21 @@
     void received(std::size_t p, std::size_t from, TimePoint own, const Message& m) {
         if (m.kind == Message::Kind::Query) {
             bool admits = processes_[p].buckets[m.partner].take(own, double(kUnit));
-            ++out_.messages;
+            ++result_.messages;
             net_.send(p, from, {admits ? Message::Kind::Admit : Message::Kind::Reject, m.number, m.partner});
         } else if (m.kind == Message::Kind::AdmittedSums) {
             for (std::size_t i = 0; i < m.admitted_sums.size(); ++i) {
-                double more = m.admitted_sums[i] - processes_[p].admitted_sums[i];
-                if (more <= 0) continue;
+                double increase = m.admitted_sums[i] - processes_[p].admitted_sums[i];
+                if (increase <= 0) continue;
                 processes_[p].admitted_sums[i] = m.admitted_sums[i];
                 Bucket& bucket = processes_[p].buckets[i % settings_.budgets.size()];
                 bucket.refill(own);
-                bucket.level -= more;
+                bucket.level -= increase;
             }
         } else {
             auto found = pending_queries_.find(m.number);
             if (found == pending_queries_.end()) return;
-            out_.waits.push_back((net_.now() - found->second.at).count());
+            result_.waits.push_back((net_.now() - found->second.at).count());
             if (m.kind == Message::Kind::Admit) admit(p, m.partner);
             pending_queries_.erase(found);
         }
@@ -236,7 +236,7 @@
     std::multimap<TimePoint, std::function<void()>> scheduled_;
     std::map<std::uint64_t, PendingQuery> pending_queries_;
     std::uint64_t last_query_ = 0;
-    BaselineResult out_;
+    BaselineResult result_;
 };
 
 }  // namespace
@@ -244,9 +244,10 @@
 BaselineResult run(Baseline baseline, const QuotaSimulationSettings& settings) {
     if (baseline != Baseline::Leases) return BaselineSimulation(baseline, settings).run();
     QuotaSimulationResult result = run(settings);
-    BaselineResult out;
-    out.admitted = std::move(result.admitted), out.messages = result.messages, out.requests = result.requests;
-    return out;
+    BaselineResult baseline_result;
+    baseline_result.admitted = std::move(result.admitted), baseline_result.messages = result.messages,
+    baseline_result.requests = result.requests;
+    return baseline_result;
 }
 
 }  // namespace ochrehub::lab
--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -37,8 +37,8 @@
 void seeds(std::uint64_t count) {
     for (Shape shape : kShapes) {
         std::mutex lock;
-        double most = -1e18, tail = 0, least = 1e18;
-        std::uint64_t over = 0, requests = 0, messages = 0, calm = 0;
+        double max_excess = -1e18, tail = 0, min_use = 1e18;
+        std::uint64_t violations = 0, requests = 0, messages = 0, calm = 0;
         each_seed(count, [&](std::uint64_t seed) {
             QuotaSimulationSettings settings = seed % 3 == 1
                                                    ? steady_workload(shape.sites, shape.nodes, seed)
@@ -55,16 +55,16 @@
             double w = worst_excess(settings, result),
                    u = budget_use(settings, result, 0, settings.length - Duration{3000}, settings.length);
             std::unique_lock hold(lock);
-            most = std::max(most, w), over += w > 0;
-            if (seed % 3 != 0) ++calm, tail += u, least = std::min(least, u);
+            max_excess = std::max(max_excess, w), violations += w > 0;
+            if (seed % 3 != 0) ++calm, tail += u, min_use = std::min(min_use, u);
             requests += result.requests, messages += result.messages;
         });
         std::printf(
-            "%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window is %.1f "
-            "requests from it; used in the "
-            "last 3 s %.3f (least %.3f); %.1f million requests, %.1f million messages\n",
-            shape.sites, shape.nodes, (unsigned long long)count, (unsigned long long)over, most,
-            tail / double(std::max<std::uint64_t>(1, calm)), least, double(requests) / 1e6,
+            "%zu x %zu, 12 faults in 20 s: %llu seeds, %llu over the budget; the worst window exceeds it by "
+            "%.1f requests; used in the "
+            "last 3 s %.3f (minimum %.3f); %.1f million requests, %.1f million messages\n",
+            shape.sites, shape.nodes, (unsigned long long)count, (unsigned long long)violations, max_excess,
+            tail / double(std::max<std::uint64_t>(1, calm)), min_use, double(requests) / 1e6,
             double(messages) / 1e6);
         std::fflush(stdout);
     }
@@ -73,7 +73,7 @@
 void used_shares(std::uint64_t count) {
     for (Shape shape : kShapes)
         for (auto make : {steady_workload, swinging_workload}) {
-            double least[2] = {9, 9}, sum[2] = {};
+            double min_use[2] = {9, 9}, sum[2] = {};
             std::uint64_t messages = 0;
             for (std::uint64_t seed = 1; seed <= count; ++seed) {
                 QuotaSimulationSettings settings = make(shape.sites, shape.nodes, seed);
@@ -81,15 +81,16 @@
                 QuotaSimulationResult result = run(settings);
                 for (std::size_t b = 0; b < 2; ++b) {
                     double u = budget_use(settings, result, b, Duration{3000}, settings.length);
-                    least[b] = std::min(least[b], u), sum[b] += u / double(count);
+                    min_use[b] = std::min(min_use[b], u), sum[b] += u / double(count);
                 }
                 messages += result.messages;
             }
             std::printf(
-                "%zu x %zu, %s: dealers %.3f (least %.3f), workshops %.3f (least %.3f); %.0f messages a "
+                "%zu x %zu, %s: dealers %.3f (minimum %.3f), workshops %.3f (minimum %.3f); %.0f messages "
+                "per "
                 "second\n",
                 shape.sites, shape.nodes, make == steady_workload ? "steady" : "swinging every 10 s", sum[0],
-                least[0], sum[1], least[1], double(messages) / double(count) / 60);
+                min_use[0], sum[1], min_use[1], double(messages) / double(count) / 60);
         }
     for (double part : {0.35, 0.5, 0.75, 1.0, 1.5}) {
         QuotaSimulationSettings settings = steady_workload(5, 40, 1);
@@ -102,7 +103,7 @@
 
 void cut(std::uint64_t count) {
     for (Shape shape : kShapes) {
-        double least = 9, most_used = 0, back = 0;
+        double min_use = 9, most_used = 0, use_after_heal = 0;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
             QuotaSimulationSettings settings = steady_workload(shape.sites, shape.nodes, seed);
             settings.length = Duration{40'000};
@@ -113,14 +114,16 @@
             double in = double(admitted(result.admitted, 0, TimePoint{} + Duration{14'000},
                                         TimePoint{} + Duration{30'000}, 1)) /
                         16;
-            least = std::min(least, in / floor), most_used = std::max(most_used, in / floor);
-            back += budget_use(settings, result, 0, Duration{31'000}, Duration{34'000}) / double(count);
+            min_use = std::min(min_use, in / floor), most_used = std::max(most_used, in / floor);
+            use_after_heal +=
+                budget_use(settings, result, 0, Duration{31'000}, Duration{34'000}) / double(count);
         }
         std::printf(
-            "%zu x %zu, a site cut off for 20 s: it let in %.3f of its floor at least, %.3f at most; all "
-            "sites, 1 to 4 s behind "
-            "the cut: %.3f of the budget\n",
-            shape.sites, shape.nodes, least, most_used, back);
+            "%zu x %zu, a site partitioned for 20 s: it admitted at least %.3f and at most %.3f of its "
+            "floor; all "
+            "sites, 1 to 4 s after "
+            "the partition: %.3f of the budget\n",
+            shape.sites, shape.nodes, min_use, most_used, use_after_heal);
     }
 }
 
@@ -149,8 +152,8 @@
     for (int faults : {0, 12})
         for (int baseline = 0; baseline <= int(Baseline::Leases); ++baseline) {
             std::mutex lock;
-            double most = -1e18, share = 0, messages = 0;
-            std::uint64_t over = 0;
+            double max_excess = -1e18, share = 0, messages = 0;
+            std::uint64_t violations = 0;
             std::vector<double> waits;
             each_seed(count, [&](std::uint64_t seed) {
                 QuotaSimulationSettings settings = swinging_workload(2, 5, seed);
@@ -176,7 +179,7 @@
                                            TimePoint{} + Duration{15'000})) /
                            (double(settings.budgets[0].rate) * 12);
                 std::unique_lock hold(lock);
-                most = std::max(most, w), over += w > 0, share += u / double(count);
+                max_excess = std::max(max_excess, w), violations += w > 0, share += u / double(count);
                 messages += double(result.messages) / double(std::max<std::uint64_t>(1, result.requests)) /
                             double(count);
                 waits.insert(waits.end(), result.waits.begin(), result.waits.end());
@@ -186,39 +189,40 @@
                 return waits.empty() ? 0.0 : waits[std::size_t(part * double(waits.size() - 1))];
             };
             std::printf(
-                "%2d faults  %-20s over in %llu of %llu days, by %.0f requests at most; used %.3f; a request "
-                "waits %.1f ms, p99 %.0f; "
-                "%.2f messages a request\n",
-                faults, std::string(name(Baseline(baseline))).c_str(), (unsigned long long)over,
-                (unsigned long long)count, std::max(0.0, most), share, at(0.5), at(0.99), messages);
+                "%2d faults  %-20s over the budget in %llu of %llu runs, by at most %.0f requests; used "
+                "%.3f; a "
+                "request waits %.1f ms, p99 %.0f; "
+                "%.2f messages per request\n",
+                faults, std::string(name(Baseline(baseline))).c_str(), (unsigned long long)violations,
+                (unsigned long long)count, std::max(0.0, max_excess), share, at(0.5), at(0.99), messages);
         }
 }
 
 void mutants(std::uint64_t count) {
     for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
-        int found = 0;
-        double most = -1e18, honest = -1e18;
+        int detected = 0;
+        double max_excess = -1e18, unmutated = -1e18;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
             double w = worst_excess(settings, run(settings));
-            found += w > 0, most = std::max(most, w);
+            detected += w > 0, max_excess = std::max(max_excess, w);
             settings.mutant = QuotaMutant::None;
-            honest = std::max(honest, worst_excess(settings, run(settings)));
+            unmutated = std::max(unmutated, worst_excess(settings, run(settings)));
         }
-        std::printf("%-26s found in %d of %llu days, by %.1f; without it %.1f\n",
-                    std::string(name(QuotaMutant(s))).c_str(), found, (unsigned long long)count, most,
-                    honest);
+        std::printf("%-26s detected in %d of %llu runs, worst excess %.1f; without it %.1f\n",
+                    std::string(name(QuotaMutant(s))).c_str(), detected, (unsigned long long)count,
+                    max_excess, unmutated);
     }
 }
 
 /// Each process crashes, and pauses, at each event of a short run.
 void events(std::uint64_t stride) {
     QuotaSimulationSettings settings = small_workload();
-    std::uint64_t happened = run(settings).event_count, runs = 0, over = 0;
-    double most = -1e18;
+    std::uint64_t event_count = run(settings).event_count, runs = 0, violations = 0;
+    double max_excess = -1e18;
     std::mutex lock;
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
-    each_seed(happened / stride, [&](std::uint64_t n) {
+    each_seed(event_count / stride, [&](std::uint64_t n) {
         for (std::size_t p = 0; p < processes; ++p)
             for (bool pauses : {false, true}) {
                 QuotaSimulationSettings hit = settings;
@@ -226,14 +230,15 @@
                                                                            Duration{pauses ? 1500.0 : 50.0}};
                 double w = worst_excess(hit, run(hit));
                 std::unique_lock hold(lock);
-                ++runs, over += w > 0, most = std::max(most, w);
+                ++runs, violations += w > 0, max_excess = std::max(max_excess, w);
             }
     });
     std::printf(
-        "crash and stop of each of %zu processes at each of %llu events (every %llu): %llu runs, %llu over, "
+        "crash and pause of each of %zu processes at each of %llu events (every %llu): %llu runs, %llu over "
+        "the budget, "
         "worst %.1f\n",
-        processes, (unsigned long long)happened, (unsigned long long)stride, (unsigned long long)runs,
-        (unsigned long long)over, most);
+        processes, (unsigned long long)event_count, (unsigned long long)stride, (unsigned long long)runs,
+        (unsigned long long)violations, max_excess);
 }
 
 void charge(std::uint64_t count) {
@@ -293,7 +298,7 @@
         took.push_back(std::chrono::duration<double, std::nano>(Clock::now() - begun).count());
     }
     std::sort(took.begin(), took.end());
-    std::printf("of that two looks at the clock: median %.0f ns, p99 %.0f ns; %.3f were let in\n",
+    std::printf("of that, two clock reads: median %.0f ns, p99 %.0f ns; %.3f were admitted\n",
                 took[count / 2], took[count * 99 / 100], double(allowed) / double(2 * count));
     done = true;
     asker.join();
--- a/lab/quota/simulation.cpp
+++ b/lab/quota/simulation.cpp
@@ -45,10 +45,17 @@
 namespace {
 
 struct Message {
-    enum class Kind : std::uint8_t { BorrowRequest, BorrowResponse, Renew, Renewed, Command, Done } kind{};
+    enum class Kind : std::uint8_t {
+        BorrowRequest,
+        BorrowResponse,
+        Renew,
+        Renewed,
+        Command,
+        CommandCompleted
+    } kind{};
     std::uint64_t a = 0, b = 0;  // by kind: instance, session, sequence number
     std::string body{};
-    std::string more{};
+    std::string command_kind{};
 };
 
 class QuotaSimulation {
@@ -77,7 +84,7 @@
             }
             start(p);
         }
-        out_.offered.resize(settings.budgets.size());
+        result_.offered.resize(settings.budgets.size());
     }
 
     QuotaSimulationResult run() {
@@ -97,18 +104,18 @@
             }
             net_.run_to(next);
             if (!scheduled_.empty() && scheduled_.begin()->first <= next) {
-                auto what = std::move(scheduled_.begin()->second);
+                auto action = std::move(scheduled_.begin()->second);
                 scheduled_.erase(scheduled_.begin());
-                what();
+                action();
             } else {
                 generate_arrival();
             }
         }
         net_.run_to(TimePoint{} + settings_.length);
-        std::stable_sort(out_.admitted.begin(), out_.admitted.end(),
+        std::stable_sort(result_.admitted.begin(), result_.admitted.end(),
                          [](const AdmittedRequest& a, const AdmittedRequest& b) { return a.at < b.at; });
-        out_.event_count = net_.happened();
-        return std::move(out_);
+        result_.event_count = net_.happened();
+        return std::move(result_);
     }
 
 private:
@@ -117,7 +124,7 @@
         std::uint64_t instance = 0;
         TimePoint expires_at{};
         std::uint64_t last_command = 0;
-        std::string reply;
+        std::string response;
     };
     struct ReportedSums {
         std::uint64_t lease = 0;
@@ -134,10 +141,10 @@
         // Of an allocator's owner.
         std::unique_ptr<QuotaAllocator> allocator;
         std::uint64_t session = 0, epoch = 0, version = 0, renewals = 0, commands = 0;
-        TimePoint until{}, renew_at{}, allocator_timer_at{}, resend_at{};
+        TimePoint ownership_until{}, renew_at{}, allocator_timer_at{}, resend_at{};
         std::map<std::uint64_t, TimePoint> renewal_sent_at;
         std::optional<std::pair<std::uint64_t, std::string>> command;  // without a response yet
-        std::optional<std::uint64_t> recording;
+        std::optional<std::uint64_t> record_number;
         // Of a node, and of the owner of a site's allocator.
         std::unique_ptr<QuotaLimiter> limiter;
         int allocator_index = 0;
@@ -180,20 +187,21 @@
         net_.delay(a, b, settings_.site_delay), net_.delay(b, a, settings_.site_delay);
     }
     double uniform() { return double(random_()) * 0x1p-32; }
-    std::uint64_t draw() { return (std::uint64_t(random_()) << 32 | random_()) | 1; }
+    std::uint64_t random_id() { return (std::uint64_t(random_()) << 32 | random_()) | 1; }
 
     void start(std::size_t p) {
         Process& process = processes_[p];
         TimePoint own = net_.own(p);
-        process.instance = draw();
+        process.instance = random_id();
         process.last_response_at = own;
         if (process.role == Role::Owner) {
             process.allocator = std::make_unique<QuotaAllocator>(
                 QuotaAllocatorSettings{process.group == 0 ? "" : site_name(process.group - 1),
                                        process.instance, process.group == 0 ? 2 : 1, settings_.timing});
             process.session = process.epoch = process.version = 0;
-            process.until = {}, process.renew_at = own, process.allocator_timer_at = own + Duration{1};
-            process.command.reset(), process.recording.reset(), process.renewal_sent_at.clear();
+            process.ownership_until = {}, process.renew_at = own,
+            process.allocator_timer_at = own + Duration{1};
+            process.command.reset(), process.record_number.reset(), process.renewal_sent_at.clear();
             process.request_sent_at.clear();
         }
         if (process.role == Role::Node) {
@@ -227,8 +235,8 @@
         if (f.kind != QuotaFault::Kind::ChangeBudgets) return inject_fault(f, settings_, net_, *this);
         for (std::size_t group = 0; group <= settings_.sites; ++group) {
             QuotaStateMachine& state_machine = *processes_[process_id(group, 0)].state_machine;
-            auto reply = decode_command_response(state_machine.apply({0, command_get()}));
-            state_machine.apply({0, command_set(reply->version, settings_.changed_budgets)});
+            auto response = decode_command_response(state_machine.apply({0, command_get()}));
+            state_machine.apply({0, command_set(response->version, settings_.changed_budgets)});
         }
         budgets_changed_ = true;
     }
@@ -256,19 +264,19 @@
             Process& process = processes_[p];
             // Client requests of the pause are handled after the messages of other processes.
             std::uint64_t instance = process.instance;
-            auto work_off = [this, p](TimePoint own) {
+            auto handle_waiting = [this, p](TimePoint own) {
                 for (auto [partner, cost] : std::exchange(processes_[p].waiting, {}))
                     request(p, partner, cost, own);
             };
-            if (settings_.mutant == QuotaMutant::StaleClock) return work_off(process.paused_at);
-            after(Duration{0.5}, [this, p, instance, work_off] {
+            if (settings_.mutant == QuotaMutant::StaleClock) return handle_waiting(process.paused_at);
+            after(Duration{0.5}, [this, p, instance, handle_waiting] {
                 if (processes_[p].instance == instance && net_.up(p) && !net_.stopped(p))
-                    work_off(net_.own(p));
+                    handle_waiting(net_.own(p));
             });
         });
     }
-    void after(Duration wait, std::function<void()> what) {
-        scheduled_.emplace(net_.now() + wait, std::move(what));
+    void after(Duration wait, std::function<void()> action) {
+        scheduled_.emplace(net_.now() + wait, std::move(action));
     }
 
 private:
@@ -327,7 +335,7 @@
                 return command(p, from, m);
             case Message::Kind::Renewed:
                 return on_renewed(p, own, m);
-            case Message::Kind::Done:
+            case Message::Kind::CommandCompleted:
                 return on_command_response(p, own, m);
             case Message::Kind::BorrowRequest: {
                 auto request = decode_borrow_request(m.body);
@@ -371,18 +379,18 @@
         Process& process = processes_[p];
         auto found = process.sessions.find(m.a);
         if (found == process.sessions.end() && settings_.mutant != QuotaMutant::IgnoresEpochs) return;
-        std::string reply;
+        std::string response;
         if (found != process.sessions.end() && m.b < found->second.last_command) return;
         if (found != process.sessions.end() && m.b == found->second.last_command) {
-            reply = found->second.reply;
+            response = found->second.response;
         } else {
-            reply = process.state_machine->apply({m.a, m.body});
-            ++out_.records;
+            response = process.state_machine->apply({m.a, m.body});
+            ++result_.records;
             if (found != process.sessions.end())
-                found->second.last_command = m.b, found->second.reply = reply;
+                found->second.last_command = m.b, found->second.response = response;
         }
-        if (settings_.mutant == QuotaMutant::IgnoresEpochs && m.more == "record") reply.clear();
-        send(p, from, {Message::Kind::Done, m.a, m.b, reply});
+        if (settings_.mutant == QuotaMutant::IgnoresEpochs && m.command_kind == "record") response.clear();
+        send(p, from, {Message::Kind::CommandCompleted, m.a, m.b, response});
     }
 
     // Allocator owners
@@ -396,18 +404,18 @@
         if (m.a != process.session) {
             process.session = m.a, process.epoch = 0, process.command.reset();
             queued_records_.erase(p);
-            auto recording = std::exchange(process.recording, std::nullopt);
+            auto record_number = std::exchange(process.record_number, std::nullopt);
             if (settings_.mutant != QuotaMutant::IgnoresEpochs)
                 handle_allocator(p, own, OwnershipLost{});
-            else if (recording)
-                handle_allocator(p, own, LeasesRecorded{*recording});
+            else if (record_number)
+                handle_allocator(p, own, LeasesRecorded{*record_number});
         }
         TimePoint until = borrower_expiry(
             sent->second, std::int64_t(settings_.session_duration.count() * 1000), settings_.timing);
         if (settings_.mutant == QuotaMutant::IgnoresEpochs) until = own + Duration{1e9};
-        process.until = std::max(process.until, until);
+        process.ownership_until = std::max(process.ownership_until, until);
         if (update->owner && process.epoch != 0) {
-            handle_allocator(p, own, OwnershipConfirmed{process.until, std::nullopt, true});
+            handle_allocator(p, own, OwnershipConfirmed{process.ownership_until, std::nullopt, true});
             if (update->version != process.version) propose(p, own, command_get());
         } else if (!process.command) {
             propose(p, own, command_own());
@@ -424,37 +432,38 @@
         process.resend_at = own + Duration{200};
         send(p, process_id(process.group, 0),
              {Message::Kind::Command, process.session, process.command->first, process.command->second,
-              process.recording ? "record" : ""});
+              process.record_number ? "record" : ""});
     }
     void on_command_response(std::size_t p, TimePoint own, const Message& m) {
         Process& process = processes_[p];
         if (!process.command || m.b != process.command->first || m.a != process.session) return;
-        bool was_record = process.recording.has_value();
-        std::uint64_t number = process.recording.value_or(0);
-        process.command.reset(), process.recording.reset();
-        auto reply = decode_command_response(m.body);
+        bool was_record = process.record_number.has_value();
+        std::uint64_t number = process.record_number.value_or(0);
+        process.command.reset(), process.record_number.reset();
+        auto response = decode_command_response(m.body);
         if (was_record) {
-            if (reply && reply->error) {
+            if (response && response->error) {
                 process.epoch = 0;
                 handle_allocator(p, own, OwnershipLost{});
             } else {
                 handle_allocator(p, own, LeasesRecorded{number});
             }
-        } else if (reply && reply->state) {
-            process.version = reply->version;
-            std::vector<Budget> budgets = reply->state->budgets;
+        } else if (response && response->state) {
+            process.version = response->version;
+            std::vector<Budget> budgets = response->state->budgets;
             if (process.group == 0 && settings_.mutant == QuotaMutant::LendsFloorsTwice)
                 for (Budget& b : budgets) b.floors.clear();
             if (settings_.mutant == QuotaMutant::MintsAboveCap)
                 for (Budget& b : budgets) b.burst *= 3;
             handle_allocator(p, own, BudgetsConfigured{budgets});
-            if (process.epoch == 0 && reply->state->owner == process.session) {
-                process.epoch = reply->epoch;
-                auto leases = reply->state->leases;
+            if (process.epoch == 0 && response->state->owner == process.session) {
+                process.epoch = response->epoch;
+                auto leases = response->state->leases;
                 if (settings_.mutant == QuotaMutant::ForgetsLeasesAtRestart) leases.clear();
-                handle_allocator(p, own, OwnershipConfirmed{process.until, std::move(leases), false});
+                handle_allocator(p, own,
+                                 OwnershipConfirmed{process.ownership_until, std::move(leases), false});
                 if (settings_.mutant == QuotaMutant::ForgetsLeasesAtRestart) fill_bucket(p, own);
-                for (const std::string& partner : reply->state->frozen)
+                for (const std::string& partner : response->state->frozen)
                     handle_allocator(p, own, OperatorOrder{OperatorOrder::What::Freeze, partner, "", 0});
             }
         }
@@ -470,26 +479,26 @@
             queued_records_[p] = std::move(record);
             return;
         }
-        process.recording = record.number;
+        process.record_number = record.number;
         process.command = {++process.commands, command_record(process.epoch, record.leases)};
         send_command(p, own);
     }
     /// Fills the new owner's bucket, by a floor surplus that no site passed on.
     void fill_bucket(std::size_t p, TimePoint own) {
         BorrowRequest request{1, 0, {}};
-        for (Amount given : {Amount(0), kMaxAmount}) {
+        for (Amount surplus : {Amount(0), kMaxAmount}) {
             request.lines.clear();
             ++request.seq;
             for (const Budget& b : settings_.budgets)
                 for (bool floor : {false, true})
-                    request.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, given});
+                    request.lines.push_back({{b.partner, floor}, 0, 0, 0, 0, surplus});
             handle_allocator(p, own, RequestReceived{"nobody", request});
         }
     }
     /// Sets `in_force` once the owner at each level has the changed budgets and reports that all leases of
     /// the previous ones are returned or expired.
     void check_in_force() {
-        if (out_.in_force) return;
+        if (result_.in_force) return;
         for (std::size_t group = 0;
              group <= settings_.sites && settings_.mutant != QuotaMutant::ReportsShrinkInForceEarly;
              ++group) {
@@ -505,7 +514,7 @@
             }
             if (!holds) return;
         }
-        out_.in_force = net_.now() - TimePoint{};
+        result_.in_force = net_.now() - TimePoint{};
     }
     void handle_allocator(std::size_t p, TimePoint own, const quota::QuotaAllocatorEvent& event) {
         Process& process = processes_[p];
@@ -522,9 +531,9 @@
                     process.allocator_index ^= 1, process.last_response_at = own;
                 send(p, process_id(0, 1 + std::size_t(process.allocator_index)),
                      {Message::Kind::BorrowRequest, 0, 0, encode(up->request)});
-            } else if (auto* reply = std::get_if<SendResponse>(&a)) {
-                std::size_t to = children_[{p, reply->child}];
-                send(p, to, {Message::Kind::BorrowResponse, 0, 0, encode(reply->response)});
+            } else if (auto* response = std::get_if<SendResponse>(&a)) {
+                std::size_t to = children_[{p, response->child}];
+                send(p, to, {Message::Kind::BorrowResponse, 0, 0, encode(response->response)});
             } else if (auto* r = std::get_if<RecordLeases>(&a)) {
                 record(p, own, std::move(*r));
             }
@@ -565,8 +574,8 @@
             if ((draw -= rates[i]) >= 0) continue;
             std::size_t partner = i / settings_.sites, site = i % settings_.sites;
             std::size_t p = node(site, pick_node());
-            out_.offered[partner] += double(kUnit);
-            ++out_.requests;
+            result_.offered[partner] += double(kUnit);
+            ++result_.requests;
             if (!net_.up(p)) return;
             if (net_.stopped(p)) {
                 if (processes_[p].waiting.size() < 500) processes_[p].waiting.emplace_back(partner, kUnit);
@@ -589,7 +598,7 @@
         Process& process = processes_[p];
         auto number = process.limiter->find(settings_.budgets[partner].partner);
         auto admit = [&] {
-            out_.admitted.push_back(
+            result_.admitted.push_back(
                 {net_.now(), partner, process.group - 1, process.number - 3, cost, false});
         };
         if (settings_.mutant == QuotaMutant::ChargesAfterDelay) {
@@ -609,11 +618,11 @@
             if (auto* charge = std::get_if<Charge>(&outcome)) {
                 admit();
                 if (uniform() < settings_.never_ran_share)
-                    never_ran(p, std::move(*charge), out_.admitted.size() - 1);
+                    never_ran(p, std::move(*charge), result_.admitted.size() - 1);
             } else {
-                ++out_.rejected;
-                if (out_.retry_times.size() < 100'000)
-                    out_.retry_times.push_back(std::get<Rejection>(outcome).retry_after);
+                ++result_.rejected;
+                if (result_.retry_times.size() < 100'000)
+                    result_.retry_times.push_back(std::get<Rejection>(outcome).retry_after);
             }
         }
         if (process.limiter->needs_request_early() &&
@@ -639,8 +648,8 @@
                     if (!account.floor) process.extra_grant[account] += cost;
                 refunded = true;
             }
-            if (refunded) out_.admitted[index].refunded = true;
-            refunded ? ++out_.refunded : ++out_.forfeited;
+            if (refunded) result_.admitted[index].refunded = true;
+            refunded ? ++result_.refunded : ++result_.forfeited;
         });
     }
 
@@ -687,7 +696,7 @@
             duplicated_responses_.insert({process.instance, response.seq});
     }
     void send(std::size_t from, std::size_t to, Message message) {
-        ++out_.messages;
+        ++result_.messages;
         if (message.kind == Message::Kind::BorrowRequest) children_[{to, child_name(from)}] = from;
         net_.send(from, to, std::move(message));
     }
@@ -703,7 +712,7 @@
     std::map<std::size_t, RecordLeases> queued_records_;
     std::set<std::pair<std::uint64_t, std::uint64_t>> duplicated_responses_;
     bool budgets_changed_ = false, injected_at_event_ = false;
-    QuotaSimulationResult out_;
+    QuotaSimulationResult result_;
 };
 
 }  // namespace
--- a/lab/tests/quota_test.cpp
+++ b/lab/tests/quota_test.cpp
@@ -45,9 +45,9 @@
 
 TEST(QuotaSimulation, StaysWithinTheBudgetUnderACrashOrPauseAtAnyEvent) {
     QuotaSimulationSettings settings = small_workload();
-    std::uint64_t happened = run(settings).event_count;
+    std::uint64_t event_count = run(settings).event_count;
     std::size_t processes = 3 + settings.sites * (3 + settings.nodes);
-    for (std::uint64_t n = 1; n < happened; n += 7) {  // every event: quota_measure events
+    for (std::uint64_t n = 1; n < event_count; n += 7) {  // every event: quota_measure events
         settings.fault_at_event = QuotaSimulationSettings::FaultAtEvent{n, n / 7 % processes, n % 2 == 0,
                                                                         Duration{n % 2 ? 50.0 : 1500.0}};
         EXPECT_LE(worst_excess(settings, run(settings)), 0) << "event " << n;
@@ -90,32 +90,32 @@
     settings.demand = [base](std::size_t b, std::size_t s, Duration at) {
         return at.count() < 9000 ? base(b, s, at) : at.count() < 12'000 ? 0.0 : 4 * base(b, s, at);
     };
-    auto too_much = [&](Baseline baseline) {
+    auto excess = [&](Baseline baseline) {
         return worst_window(run(baseline, settings).admitted, 0, settings.budgets[0].rate,
                             settings.budgets[0].burst)
             .amount;
     };
-    EXPECT_LE(too_much(Baseline::StaticShares), 0);
-    EXPECT_LE(too_much(Baseline::SingleCounterFailClosed), 0);
-    EXPECT_GT(too_much(Baseline::GossipedCounters), 0);
-    EXPECT_LE(too_much(Baseline::Leases), 0);
-    BaselineResult asks = run(Baseline::SingleCounterFailClosed, settings);
-    ASSERT_FALSE(asks.waits.empty());
-    EXPECT_GT(*std::max_element(asks.waits.begin(), asks.waits.end()),
+    EXPECT_LE(excess(Baseline::StaticShares), 0);
+    EXPECT_LE(excess(Baseline::SingleCounterFailClosed), 0);
+    EXPECT_GT(excess(Baseline::GossipedCounters), 0);
+    EXPECT_LE(excess(Baseline::Leases), 0);
+    BaselineResult queried = run(Baseline::SingleCounterFailClosed, settings);
+    ASSERT_FALSE(queried.waits.empty());
+    EXPECT_GT(*std::max_element(queried.waits.begin(), queried.waits.end()),
               20);  // each request waits for a round trip between sites
 }
 
 TEST(QuotaSimulation, EveryMutantIsDetected) {
     for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
-        int found = 0;
-        for (std::uint64_t seed = 1; seed <= 20 && found == 0; ++seed) {
+        int detected = 0;
+        for (std::uint64_t seed = 1; seed <= 20 && detected == 0; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
-            found += worst_excess(settings, run(settings)) > 0;
+            detected += worst_excess(settings, run(settings)) > 0;
             // The mutant is the cause: without it the same workload stays within the budget.
             settings.mutant = QuotaMutant::None;
             EXPECT_LE(worst_excess(settings, run(settings)), 0) << name(QuotaMutant(s));
         }
-        EXPECT_GT(found, 0) << name(QuotaMutant(s));
+        EXPECT_GT(detected, 0) << name(QuotaMutant(s));
     }
 }
 
