--- a/lab/quota/measure.cpp
+++ b/lab/quota/measure.cpp
@@ -200,17 +200,17 @@
 
 void mutants(std::uint64_t count) {
     for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
-        int detected = 0;
+        int detections = 0;
         double max_excess = -1e18, unmutated = -1e18;
         for (std::uint64_t seed = 1; seed <= count; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
             double w = worst_excess(settings, run(settings));
-            detected += w > 0, max_excess = std::max(max_excess, w);
+            detections += w > 0, max_excess = std::max(max_excess, w);
             settings.mutant = QuotaMutant::None;
             unmutated = std::max(unmutated, worst_excess(settings, run(settings)));
         }
         std::printf("%-26s detected in %d of %llu runs, worst excess %.1f; without it %.1f\n",
-                    std::string(name(QuotaMutant(s))).c_str(), detected, (unsigned long long)count,
+                    std::string(name(QuotaMutant(s))).c_str(), detections, (unsigned long long)count,
                     max_excess, unmutated);
     }
 }
--- a/lab/quota/workloads.h
+++ b/lab/quota/workloads.h
@@ -131,20 +131,21 @@
 
 /// The worst excess over all partners' budgets, in requests of the default cost. Above zero: a violation.
 inline double worst_excess(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result) {
-    double most = -1e18;
+    double max_excess = -1e18;
     bool shrinks = !settings.changed_budgets.empty() && result.in_force;
     for (std::size_t b = 0; b < settings.budgets.size(); ++b) {
         const quota::Budget& budget = settings.budgets[b];
-        most =
-            std::max(most, worst_window(result.admitted, b, budget.rate, budget.burst + budget.bound).amount);
+        max_excess = std::max(
+            max_excess, worst_window(result.admitted, b, budget.rate, budget.burst + budget.bound).amount);
         if (shrinks)
-            most = std::max(
-                most, worst_window(result.admitted, b, settings.changed_budgets[b].rate,
-                                   settings.changed_budgets[b].burst + settings.changed_budgets[b].bound,
-                                   TimePoint{} + *result.in_force)
-                          .amount);
+            max_excess =
+                std::max(max_excess,
+                         worst_window(result.admitted, b, settings.changed_budgets[b].rate,
+                                      settings.changed_budgets[b].burst + settings.changed_budgets[b].bound,
+                                      TimePoint{} + *result.in_force)
+                             .amount);
     }
-    return most / double(kUnit);
+    return max_excess / double(kUnit);
 }
 /// The share of the budget that was used between `from` and `to`.
 inline double budget_use(const QuotaSimulationSettings& settings, const QuotaSimulationResult& result,
--- a/lab/tests/quota_test.cpp
+++ b/lab/tests/quota_test.cpp
@@ -107,15 +107,15 @@
 
 TEST(QuotaSimulation, EveryMutantIsDetected) {
     for (int s = 1; s <= int(QuotaMutant::MintsAboveCap); ++s) {
-        int detected = 0;
-        for (std::uint64_t seed = 1; seed <= 20 && detected == 0; ++seed) {
+        int detections = 0;
+        for (std::uint64_t seed = 1; seed <= 20 && detections == 0; ++seed) {
             QuotaSimulationSettings settings = mutant_workload(QuotaMutant(s), seed);
-            detected += worst_excess(settings, run(settings)) > 0;
+            detections += worst_excess(settings, run(settings)) > 0;
             // The mutant is the cause: without it the same workload stays within the budget.
             settings.mutant = QuotaMutant::None;
             EXPECT_LE(worst_excess(settings, run(settings)), 0) << name(QuotaMutant(s));
         }
-        EXPECT_GT(detected, 0) << name(QuotaMutant(s));
+        EXPECT_GT(detections, 0) << name(QuotaMutant(s));
     }
 }
 
--- a/src/fleet/quota/budget.cpp
+++ b/src/fleet/quota/budget.cpp
@@ -61,9 +61,9 @@
     return found == costs.end() ? kUnit : found->cost;
 }
 Amount Budget::max_cost() const {
-    Amount most = costs.empty() ? kUnit : 0;
-    for (const Cost& c : costs) most = std::max(most, c.cost);
-    return std::max(most, kUnit);
+    Amount highest = costs.empty() ? kUnit : 0;
+    for (const Cost& c : costs) highest = std::max(highest, c.cost);
+    return std::max(highest, kUnit);
 }
 
 Amount accrued(Amount rate, std::int64_t microseconds, Amount& carry) {
@@ -145,13 +145,13 @@
         for (const Floor& f : previous->floors)
             floors[f.site] = {f.rate, f.burst}, lent_rate[0] -= f.rate, lent_burst[0] -= f.burst;
         for (const Floor& f : b.floors) {
-            auto& most = floors[f.site];
-            most = {std::max(most.first, f.rate), std::max(most.second, f.burst)};
+            auto& max_floor = floors[f.site];
+            max_floor = {std::max(max_floor.first, f.rate), std::max(max_floor.second, f.burst)};
             lent_rate[1] -= f.rate, lent_burst[1] -= f.burst;
         }
         Amount rate = std::max(lent_rate[0], lent_rate[1]),
                total_burst = std::max(lent_burst[0], lent_burst[1]);
-        for (const auto& [site, most] : floors) rate += most.first, total_burst += most.second;
+        for (const auto& [site, max_floor] : floors) rate += max_floor.first, total_burst += max_floor.second;
         if (rate > std::max(previous->rate, b.rate) ||
             total_burst > std::max(previous->burst + previous->bound, b.burst + b.bound))
             failures.push_back({Error::FloorRaisedTooEarly, b.partner});
--- a/tests/fleet/quota_test.cpp
+++ b/tests/fleet/quota_test.cpp
@@ -26,22 +26,24 @@
 
 TEST(QuotaBudgets, ValidateReportsEveryInvalidBudget) {
     const std::vector<std::string> sites{"north", "south"};
-    auto wrong = [&](Budget b, std::size_t most = 10) { return errors(validate({b}, sites, {}, most)); };
-    Budget good = budget("p", 100, 100);
-    EXPECT_EQ(wrong(good), Errors{});
-    EXPECT_EQ(errors(validate({good, good}, sites, {})), Errors{Error::DuplicatePartner});
-    EXPECT_EQ(wrong(good, 0), Errors{Error::TooManyPartners});
+    auto errors_of = [&](Budget b, std::size_t max_partners = 10) {
+        return errors(validate({b}, sites, {}, max_partners));
+    };
+    Budget valid = budget("p", 100, 100);
+    EXPECT_EQ(errors_of(valid), Errors{});
+    EXPECT_EQ(errors(validate({valid, valid}, sites, {})), Errors{Error::DuplicatePartner});
+    EXPECT_EQ(errors_of(valid, 0), Errors{Error::TooManyPartners});
     EXPECT_EQ(errors(validate({}, {"a", "a"}, {})), Errors{Error::DuplicateSite});
-    EXPECT_EQ(wrong(budget("", 100, 100)), Errors{Error::NoName});
-    EXPECT_EQ(wrong(budget(std::string(65, 'p'), 100, 100)), Errors{Error::NameTooLong});
-    EXPECT_EQ(wrong(budget("p", 0, 100)), Errors{Error::NoRate});
-    EXPECT_EQ(wrong(budget("p", 1, 0)), (Errors{Error::NoBurst, Error::BurstTooSmall}));
-    EXPECT_EQ(wrong(budget("p", 2'000'000, 1)), Errors{Error::TooLarge});
-    EXPECT_EQ(wrong(budget("p", 100, 2)), Errors{Error::BurstTooSmall});
+    EXPECT_EQ(errors_of(budget("", 100, 100)), Errors{Error::NoName});
+    EXPECT_EQ(errors_of(budget(std::string(65, 'p'), 100, 100)), Errors{Error::NameTooLong});
+    EXPECT_EQ(errors_of(budget("p", 0, 100)), Errors{Error::NoRate});
+    EXPECT_EQ(errors_of(budget("p", 1, 0)), (Errors{Error::NoBurst, Error::BurstTooSmall}));
+    EXPECT_EQ(errors_of(budget("p", 2'000'000, 1)), Errors{Error::TooLarge});
+    EXPECT_EQ(errors_of(budget("p", 100, 2)), Errors{Error::BurstTooSmall});
     auto with = [&](auto change) {
-        Budget b = good;
+        Budget b = valid;
         change(b);
-        return wrong(b);
+        return errors_of(b);
     };
     EXPECT_EQ(with([](Budget& b) { b.burst = 2 * kUnit, b.bound = 100 * kUnit; }), Errors{});
     EXPECT_EQ(with([](Budget& b) { b.costs = {{"order", 0}}; }), Errors{Error::InvalidCost});
@@ -294,13 +296,13 @@
         if (i % 10 == 0) cluster.send_request(0), cluster.send_request(1);
     }
     cluster.handle(OperatorOrder{OperatorOrder::What::Recall, "p", "n0", 0});
-    Amount before = cluster.status("p").children.at(0).lent, least = before;
+    Amount before = cluster.status("p").children.at(0).lent, lowest = before;
     EXPECT_GE(before, 10 * kUnit);
     for (int i = 0; i < 4; ++i) {
         cluster.now += 100, cluster.send_request(0);
-        least = std::min(least, cluster.status("p").children.at(0).lent);
+        lowest = std::min(lowest, cluster.status("p").children.at(0).lent);
     }
-    EXPECT_LT(least, before);  // it may borrow again afterwards
+    EXPECT_LT(lowest, before);  // it may borrow again afterwards
     cluster.handle(OperatorOrder{OperatorOrder::What::Freeze, "p", "", 0});
     for (int i = 0; i < 4; ++i) cluster.now += 100, cluster.send_request(0), cluster.send_request(1);
     auto outcome = cluster.nodes[0]->charge(at(cluster.now), 0, kNone);
