--- a/lab/quota/invariant_checker.h
+++ b/lab/quota/invariant_checker.h
@@ -29,15 +29,16 @@
                                  TimePoint to = TimePoint::max()) {
     ExcessWindow worst;
     worst.amount = -double(burst);
-    long double held = 0;
-    TimePoint begun{}, last{};
+    long double excess = 0;
+    TimePoint window_start{}, previous{};
     for (const AdmittedRequest& r : records) {
         if (r.partner != partner || r.refunded || r.at < from || r.at > to) continue;
-        held -= (long double)rate * (long double)(r.at - last).count() / 1000;
-        if (held <= 0) held = 0, begun = r.at;
-        held += (long double)r.cost;
-        last = r.at;
-        if (double(held) - double(burst) > worst.amount) worst = {double(held) - double(burst), begun, r.at};
+        excess -= (long double)rate * (long double)(r.at - previous).count() / 1000;
+        if (excess <= 0) excess = 0, window_start = r.at;
+        excess += (long double)r.cost;
+        previous = r.at;
+        if (double(excess) - double(burst) > worst.amount)
+            worst = {double(excess) - double(burst), window_start, r.at};
     }
     return worst;
 }
--- a/lab/quota/simulation.cpp
+++ b/lab/quota/simulation.cpp
@@ -320,8 +320,8 @@
         }
         wake(p, own, process.next_request_at);
     }
-    /// At least 0.05 ms ahead: with a drifting clock the timer may fire slightly before `at` by the own
-    /// clock.
+    /// At least 0.05 ms ahead: times are rounded when a clock runs at another rate, so that the timer may
+    /// fire slightly before `at` by the process's own clock.
     void wake(std::size_t p, TimePoint own, TimePoint at) {
         net_.wake_at(p, std::max(at, own + Duration{0.05}));
     }
--- a/lab/quota/workloads.h
+++ b/lab/quota/workloads.h
@@ -27,24 +27,25 @@
 inline QuotaSimulationSettings swinging_workload(std::size_t sites, std::size_t nodes, std::uint64_t seed) {
     QuotaSimulationSettings settings = steady_workload(sites, nodes, seed);
     settings.demand = [budgets = settings.budgets, sites](std::size_t b, std::size_t site, Duration at) {
-        bool hot = std::size_t(at.count() / 10'000) % sites == site;
-        return 1.5 * double(budgets[b].rate) / double(kUnit) * (hot ? 0.8 : 0.2 / double(sites - 1));
+        bool is_main_site = std::size_t(at.count() / 10'000) % sites == site;
+        return 1.5 * double(budgets[b].rate) / double(kUnit) * (is_main_site ? 0.8 : 0.2 / double(sites - 1));
     };
     return settings;
 }
 /// A small federation in which much is lent, much is idle, and all of it is then requested at once, so that
-/// any leak of budget shows. Cycles of `cycle` ms: for 4 s nine tenths of the rate, mostly at one site or the
-/// other, then nothing, then a burst far above the rate for the last second.
+/// any leak of budget shows. Cycles of `cycle_ms`: for 4 s nine tenths of the rate, most of it at one site,
+/// by turns; then nothing; for the last second 400 requests per second at each site, together eight times the
+/// default rate.
 inline QuotaSimulationSettings leaky_workload(std::uint64_t seed, std::int64_t rate = 100,
-                                              double cover = 1000, double cycle = 7000) {
+                                              double holding_time_ms = 1000, double cycle_ms = 7000) {
     QuotaSimulationSettings settings;
-    settings.sites = 2, settings.nodes = 3, settings.seed = seed, settings.length = Duration{cycle * 6};
+    settings.sites = 2, settings.nodes = 3, settings.seed = seed, settings.length = Duration{cycle_ms * 6};
     settings.budgets = {plain_budget("dealers", rate, 150, 2, rate / 10, 15)};
-    settings.timing.holding_time = Duration{cover};
-    settings.demand = [cycle, rate](std::size_t, std::size_t site, Duration at) {
-        double t = std::fmod(at.count(), cycle);
-        bool there = std::size_t(at.count() / cycle) % 2 == site;
-        return t < 4000 ? double(rate) * (there ? 0.7 : 0.2) : t < cycle - 1000 ? 0.0 : 400.0;
+    settings.timing.holding_time = Duration{holding_time_ms};
+    settings.demand = [cycle_ms, rate](std::size_t, std::size_t site, Duration at) {
+        double t = std::fmod(at.count(), cycle_ms);
+        bool is_main_site = std::size_t(at.count() / cycle_ms) % 2 == site;
+        return t < 4000 ? double(rate) * (is_main_site ? 0.7 : 0.2) : t < cycle_ms - 1000 ? 0.0 : 400.0;
     };
     return settings;
 }
@@ -62,8 +63,10 @@
 inline QuotaSimulationSettings mutant_workload(QuotaMutant mutant, std::uint64_t seed) {
     using Kind = QuotaFault::Kind;
     QuotaSimulationSettings settings = leaky_workload(seed);
-    auto always = [&](double first, double second, double ms) {
-        settings.demand = [=](std::size_t, std::size_t site, Duration) { return site == 0 ? first : second; };
+    auto set_constant_load = [&](double first_site, double second_site, double ms) {
+        settings.demand = [=](std::size_t, std::size_t site, Duration) {
+            return site == 0 ? first_site : second_site;
+        };
         settings.length = Duration{ms};
     };
     constexpr std::size_t kOwner = 1;  // the federation's first owner
@@ -95,24 +98,24 @@
                 settings.faults.push_back({Kind::Pause, Duration{23'900}, Duration{5600}, kNode + n, 0});
             break;
         case QuotaMutant::ForgetsLeasesAtRestart:
-            always(150, 150, 12'000);
+            set_constant_load(150, 150, 12'000);
             settings.session_duration = Duration{300};
             for (int i = 0; i < 4; ++i)
                 settings.faults.push_back(
                     {Kind::Crash, Duration{6000.0 + 800 * i}, Duration{500}, kOwner + std::size_t(i) % 2, 0});
             break;
         case QuotaMutant::IgnoresEpochs:
-            always(150, 150, 40'000);
+            set_constant_load(150, 150, 40'000);
             settings.faults.push_back({Kind::Pause, Duration{6000}, Duration{3000}, kOwner, 0});
             for (std::size_t n : {4, 5})
                 settings.faults.push_back({Kind::CutLink, Duration{10'000}, Duration{30'000}, n, kOwner + 1});
             break;
         case QuotaMutant::CountsSurplusTwice:
             settings.budgets = {plain_budget("dealers", 100, 150, 2, 25, 40)};
-            always(200, 0, 40'000);
+            set_constant_load(200, 0, 40'000);
             break;
         case QuotaMutant::ReportsShrinkInForceEarly:
-            always(150, 150, 12'000);
+            set_constant_load(150, 150, 12'000);
             settings.demand = [](std::size_t, std::size_t, Duration at) {
                 return at.count() < 5900 ? 40.0 : 300.0;
             };
