--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -337,7 +337,7 @@
             double& first = into.first[std::size_t(change.to)];
             if (first < 0) first = std::max(0.0, at - cause);
             if (!changes) return;
-            const ochrehub::LoadState::Signs& why = change.why;
+            const ochrehub::LoadState::OverloadSignals& signals = change.signals;
             char line[400];
             std::snprintf(
                 line, sizeof line,
@@ -345,9 +345,12 @@
                 "%.2f late %.2f served %.0f of %.0f slow %.2f opened %.0f (usual %.0f) leaving %d new %d "
                 "tenant %d grew %.1f\n",
                 static_cast<unsigned long long>(seed), node, at / 1000, (at - cause) / 1000,
-                ochrehub::LoadState::name(change.to), ochrehub::LoadState::name(change.from), why.tries,
-                why.usual_first, why.repeats, why.refused, why.late, why.served, why.capacity, why.slow,
-                why.opened, why.usual_opened, why.draining, why.fresh, why.tenant, why.grew);
+                ochrehub::LoadState::name(change.to), ochrehub::LoadState::name(change.from),
+                signals.requests_per_s, signals.usual_first_attempts_per_s, signals.retry_fraction,
+                signals.rejected_fraction, signals.late_fraction, signals.served_per_s,
+                signals.peak_served_per_s, signals.slowdown, signals.connections_per_s,
+                signals.usual_connections_per_s, signals.draining_servers, signals.new_servers,
+                signals.tenant, signals.tenant_growth);
             into.lines += line;
         };
         simulate(day, options);
