--- a/lab/bench/shards_bench.cpp
+++ b/lab/bench/shards_bench.cpp
@@ -40,12 +40,12 @@
 /// One in five is a write, of 64 octets, by compare and swap or not. Each 16th is timed.
 Figures run(std::size_t shards, unsigned threads, double seconds) {
     ochrehub::shards::TableSettings set;
-    set.shards = shards;
+    set.shard_count = shards;
     Table table(set);
     std::vector<std::string> keys;
     for (std::size_t i = 0; i < kKeys; ++i) keys.push_back("tenant/client" + std::to_string(i));
     Write w;
-    w.record.kind = 1, w.record.partner = 1, w.record.life = Duration(1e7),
+    w.record.kind = 1, w.record.partner = 1, w.record.lifetime = Duration(1e7),
     w.record.payload = std::string(64, 'x');
     for (const std::string& key : keys) {
         w.record.key = key;
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -50,12 +50,12 @@
 
 int main(int argc, char** argv) {
     CLI::App app("a process of the shards' runs");
-    std::vector<std::string> keepers;
+    std::vector<std::string> coordinators;
     std::string name, zone, listen, advertise, event_log_path;
     std::uint64_t instance = 0;
     double lease = 1500;
     unsigned keys = 16, workers = 3, threads = 2;
-    app.add_option("--keeper", keepers)->required();
+    app.add_option("--keeper", coordinators)->required();
     app.add_option("--name", name)->required();
     app.add_option("--zone", zone)->required();
     app.add_option("--listen", listen)->required();
@@ -71,24 +71,24 @@
 
     Clock clock;
     coordinator::SessionThreadSettings session;
-    session.session.coordinators = keepers, session.session.name = name, session.session.zone = zone;
+    session.session.coordinators = coordinators, session.session.name = name, session.session.zone = zone;
     session.session.instance = instance, session.session.seed = instance + 1,
     session.session.lease = Duration(lease);
     session.cluster = "rig";
     fleet_shards::ShardServiceSettings set;
-    set.threads = threads;
+    set.worker_threads = threads;
     set.holder.address = advertise;
-    set.holder.page = 8;
+    set.holder.page_records = 8;
     set.mesh.channel.self.name = name, set.mesh.channel.self.zone = zone,
     set.mesh.channel.self.instance = instance;
     set.mesh.channel.cluster = fleet::fingerprint("rig");
     set.mesh.channel.idle = Duration(300), set.mesh.channel.dead = Duration(900);
     set.mesh.dial.first = Duration(30), set.mesh.dial.most = Duration(300);
     set.listen = *channel::Mesh::endpoint(listen);
-    auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
-    fleet_shards::ShardService side(set, clock, *keeping);
-    side.start();
-    keeping->start();
+    auto session_thread = std::make_unique<coordinator::SessionThread>(session, clock);
+    fleet_shards::ShardService service(set, clock, *session_thread);
+    service.start();
+    session_thread->start();
 
     EventLog event_log(event_log_path);
     std::atomic<std::uint64_t> next{0};
@@ -103,9 +103,9 @@
                 fleet_shards::Write write;
                 write.record.kind = 9, write.record.key = "key" + std::to_string(key),
                 write.record.partner = 1;
-                write.record.life = Duration(600'000), write.record.payload = std::to_string(value);
+                write.record.lifetime = Duration(600'000), write.record.payload = std::to_string(value);
                 bool writes = kind >= 5, swaps = kind >= 8;
-                if (swaps) write.expect = seen[key].first;
+                if (swaps) write.expected_version = seen[key].first;
                 event_log.line("c %llu %llu %c %llu %llu %lld\n", static_cast<unsigned long long>(id),
                                static_cast<unsigned long long>(key),
                                !writes ? 'r'
@@ -115,7 +115,7 @@
                                static_cast<unsigned long long>(seen[key].second), now_ns());
                 auto answered = std::make_shared<std::promise<fleet_shards::ShardClient::Completed>>();
                 auto future = answered->get_future();
-                side.ask(
+                service.request(
                     writes, write, Duration(2500),
                     [answered](const fleet_shards::ShardClient::Completed& d) { answered->set_value(d); });
                 if (future.wait_for(std::chrono::seconds(20)) != std::future_status::ready) break;
@@ -124,7 +124,7 @@
                 event_log.line("e %llu %d %llu %llu %llu %llu %lld\n", static_cast<unsigned long long>(id),
                                done.error ? int(*done.error) : 0, static_cast<unsigned long long>(found),
                                static_cast<unsigned long long>(
-                                   fleet_shards::shard_of(9, write.record.key, set.table.shards)),
+                                   fleet_shards::shard_of(9, write.record.key, set.table.shard_count)),
                                static_cast<unsigned long long>(done.view),
                                static_cast<unsigned long long>(done.holder), now_ns());
                 if (!done.error || done.error == fleet_shards::Error::Changed)
@@ -135,5 +135,5 @@
             }
         });
     for (std::thread& one : all) one.join();
-    keeping.reset();
+    session_thread.reset();
 }
--- a/lab/shards/simulation.cpp
+++ b/lab/shards/simulation.cpp
@@ -122,7 +122,7 @@
                                         holders[at[from - kCoordinators].second].is_muted);
                            }});
         ShardMapPlanner::Settings v;
-        v.shards = set.shards;
+        v.shard_count = set.shards;
         machine = std::make_unique<ShardMapPlanner>(v);
         histories.resize(set.keys), dropped.resize(set.keys);
         for (std::size_t k = 0; k < kCoordinators; ++k)
@@ -157,12 +157,12 @@
     }
     void fresh(HolderProcess& h) {
         fleet::TableSettings t;
-        t.shards = set.shards;
-        t.life = Duration(3'600'000);
+        t.shard_count = set.shards;
+        t.max_lifetime = Duration(3'600'000);
         h.table = std::make_unique<fleet::Table>(t);
         ShardHolder::Settings s;
         s.address = h.name;
-        s.page = set.page;
+        s.page_records = set.page;
         h.core = std::make_unique<ShardHolder>(s, *h.table);
         h.asked.clear();
         h.last = h.next_renewal = h.next_core = net->own(h.process);
@@ -174,7 +174,7 @@
         n.zone = "zone" + std::to_string((nodes.size() - 1) % set.zones);
         n.workers.resize(set.workers);
         ShardClient::Settings c;
-        c.shards = set.shards;
+        c.shard_count = set.shards;
         c.instance = set.seed * 1000 + nodes.size();
         n.core = std::make_unique<ShardClient>(c);
     }
@@ -524,7 +524,7 @@
         o.sure = false;
         fleet::Write w;
         w.record.kind = 1, w.record.key = key_name(key), w.record.partner = 1,
-        w.record.life = Duration(3'600'000);
+        w.record.lifetime = Duration(3'600'000);
         bool writes = kind >= 0.45;
         if (writes) {
             o.what = kind < 0.7 ? Operation::What::Write : Operation::What::Swap;
@@ -533,7 +533,7 @@
             w.record.payload = std::to_string(o.value);
             if (o.what == Operation::What::Swap) {
                 auto [version, value] = n.seen[key];
-                w.expect = version;
+                w.expected_version = version;
                 o.expected = value;
             }
         }
@@ -555,7 +555,7 @@
         };
         if (d.error == Error::Unknown) {
             ++figures.unknown;
-            if (is_mutant(Mutant::RetriesBlindly) && !w.expect && !simulation.clients_stopped_) {
+            if (is_mutant(Mutant::RetriesBlindly) && !w.expected_version && !simulation.clients_stopped_) {
                 ask(n, net->own(n.process), true, w,
                     [this, &n, key, index, worker, w](const ShardClient::Completed& again) {
                         done(n, key, index, worker, w, again);
@@ -721,7 +721,7 @@
             std::vector<fleet::Record> records;
             TimePoint own = impl_->net->own(impl_->holders[h].process);
             for (std::optional<std::size_t> from = 0; from;)
-                from = impl_->holders[h].table->for_shard(n, 100, *from, own, records);
+                from = impl_->holders[h].table->scan(n, 100, *from, own, records);
             for (const fleet::Record& r : records)
                 contents[side][r.key] = std::to_string(r.version) + " " + r.payload;
         }
--- a/src/fleet/shards/session_records.cpp
+++ b/src/fleet/shards/session_records.cpp
@@ -5,12 +5,12 @@
 namespace ochrehub::shards {
 namespace {
 
-Write of(std::uint16_t kind, std::string_view tenant, std::string key, Duration life) {
+Write make_write(std::uint16_t kind, std::string_view tenant, std::string key, Duration lifetime) {
     Write w;
     w.record.kind = kind;
     w.record.schema = kSessionSchema;
-    w.record.partner = partner(tenant);
-    w.record.life = life;
+    w.record.partner = partner_id(tenant);
+    w.record.lifetime = lifetime;
     w.record.key = std::move(key);
     return w;
 }
@@ -48,12 +48,13 @@
 }
 
 Write read_session_binding(std::string_view tenant, std::string_view client) {
-    return of(kSessionBindingKind, tenant, session_binding_key(tenant, client), {});
+    return make_write(kSessionBindingKind, tenant, session_binding_key(tenant, client), {});
 }
 
-Write bind_session(const SessionBinding& basket, const Record* over, Duration life) {
-    Write w = of(kSessionBindingKind, basket.tenant, session_binding_key(basket.tenant, basket.client), life);
-    w.expect = over ? over->version : 0;
+Write bind_session(const SessionBinding& basket, const Record* replaces, Duration lifetime) {
+    Write w = make_write(kSessionBindingKind, basket.tenant,
+                         session_binding_key(basket.tenant, basket.client), lifetime);
+    w.expected_version = replaces ? replaces->version : 0;
     wire::Basket out;
     out.set_tenant(basket.tenant);
     out.set_client(basket.client);
@@ -65,17 +66,17 @@
 }
 
 Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
-                  const Order& order, Duration life, const Record* over) {
-    Write w = of(kOrderKind, tenant, order_key(tenant, client, request), life);
-    w.expect = over ? over->version : 0;
+                  const Order& order, Duration lifetime, const Record* replaces) {
+    Write w = make_write(kOrderKind, tenant, order_key(tenant, client, request), lifetime);
+    w.expected_version = replaces ? replaces->version : 0;
     w.record.payload = encode(order);
     return w;
 }
 
 Write finish_order(std::string_view tenant, std::string_view client, std::string_view request,
-                   const Order& order, Duration life, std::uint64_t version) {
-    Write w = of(kOrderKind, tenant, order_key(tenant, client, request), life);
-    w.expect = version;
+                   const Order& order, Duration lifetime, std::uint64_t version) {
+    Write w = make_write(kOrderKind, tenant, order_key(tenant, client, request), lifetime);
+    w.expected_version = version;
     w.record.payload = encode(order);
     return w;
 }
--- a/src/fleet/shards/session_records.h
+++ b/src/fleet/shards/session_records.h
@@ -42,14 +42,14 @@
 Write read_session_binding(std::string_view tenant, std::string_view client);
 /// `over`: the binding that it takes the place of, as it was read. Changed means that another node has bound
 /// it meanwhile: that binding, which comes with the answer, is the one to use.
-Write bind_session(const SessionBinding& basket, const Record* over, Duration life);
+Write bind_session(const SessionBinding& basket, const Record* replaces, Duration lifetime);
 
 /// `over`: one that never ran, as `begun` gave it.
 Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
-                  const Order& order, Duration life, const Record* over = nullptr);
+                  const Order& order, Duration lifetime, const Record* replaces = nullptr);
 /// How it ended, by who was told Go, at the version that Go came with.
 Write finish_order(std::string_view tenant, std::string_view client, std::string_view request,
-                   const Order& order, Duration life, std::uint64_t version);
+                   const Order& order, Duration lifetime, std::uint64_t version);
 
 struct OrderClaim {
     enum class Status : std::uint8_t {
@@ -66,8 +66,8 @@
 };
 /// `lives`: whether the node of this session does, as far as is known; a wrong word changes between UnderWay
 /// and Unknown alone.
-template <class Lives>
-OrderClaim claim_result(const ShardClient::Completed& done, Lives&& lives) {
+template <class IsAlive>
+OrderClaim claim_result(const ShardClient::Completed& done, IsAlive&& is_alive) {
     OrderClaim b;
     b.version = done.version;
     if (!done.error) {
@@ -79,8 +79,9 @@
         b.status = !order                                   ? OrderClaim::Status::Unknown
                    : order->state == Order::State::Done     ? OrderClaim::Status::Done
                    : order->state == Order::State::NeverRan ? OrderClaim::Status::NeverExecuted
-                   : order->state == Order::State::Begun && lives(order->by) ? OrderClaim::Status::InProgress
-                                                                             : OrderClaim::Status::Unknown;
+                   : order->state == Order::State::Begun && is_alive(order->by)
+                       ? OrderClaim::Status::InProgress
+                       : OrderClaim::Status::Unknown;
     } else if (*done.error == Error::BothHoldersLost) {
         b.status = OrderClaim::Status::Unknown;
     }
--- a/src/fleet/shards/shard_client.cpp
+++ b/src/fleet/shards/shard_client.cpp
@@ -18,7 +18,7 @@
 
 ShardClient::ShardClient(const Settings& settings)
     : set_(settings), random_(unsigned(mixed(settings.instance)) | 64u) {
-    map_.entries.resize(set_.shards);
+    map_.entries.resize(set_.shard_count);
 }
 
 void ShardClient::handle(TimePoint now, const Event& event, Actions& actions) {
@@ -26,18 +26,18 @@
         [&](const auto& e) {
             using E = std::decay_t<decltype(e)>;
             if constexpr (std::is_same_v<E, Request>) {
-                if (open_.contains(e.id) || open_.size() >= set_.open) {
+                if (open_.contains(e.id) || open_.size() >= set_.max_open_requests) {
                     Completed done;
                     done.id = e.id, done.error = Error::Busy;
                     actions.push_back(std::move(done));
                     return;
                 }
                 auto& open = *open_.try_emplace(e.id).first;
-                open.second.ask = e;
-                open.second.ask.write.record.request =
+                open.second.request = e;
+                open.second.request.write.record.request =
                     mixed(set_.instance + ++number_ * 0x9e3779b97f4a7c15ull);
                 open.second.shard =
-                    std::uint32_t(shard_of(e.write.record.kind, e.write.record.key, set_.shards));
+                    std::uint32_t(shard_of(e.write.record.kind, e.write.record.key, set_.shard_count));
                 route(now, open, actions);
             } else if constexpr (std::is_same_v<E, MessageReceived>) {
                 received(now, e.body, actions);
@@ -49,44 +49,44 @@
                     std::vector<ShardAssignment> known = std::move(map_.entries);
                     map_ = std::move(map);
                     // Holders may have told of newer ones than the keepers' news.
-                    for (std::uint32_t n = 0; n < known.size(); ++n) take(n, known[n]);
+                    for (std::uint32_t n = 0; n < known.size(); ++n) adopt(n, known[n]);
                 }
             }
         },
         event);
-    wake(now, actions);
+    fire_timers(now, actions);
 }
 
-void ShardClient::take(std::uint32_t shard, const ShardAssignment& entry) {
+void ShardClient::adopt(std::uint32_t shard, const ShardAssignment& entry) {
     if (entry.view > map_.entries[shard].view) map_.entries[shard] = entry;
 }
 
-void ShardClient::due(Opens::value_type& open, TimePoint at) {
+void ShardClient::set_due(OpenRequests::value_type& open, TimePoint at) {
     due_.erase({open.second.due, open.first});
-    open.second.due = std::min(at, open.second.ask.deadline);
+    open.second.due = std::min(at, open.second.request.deadline);
     due_.emplace(open.second.due, open.first);
 }
 
-void ShardClient::route(TimePoint now, Opens::value_type& open, Actions& actions) {
-    SessionId first = map_.entries[open.second.shard].primary;
-    if (first == 0) return later(now, open);
+void ShardClient::route(TimePoint now, OpenRequests::value_type& open, Actions& actions) {
+    SessionId primary = map_.entries[open.second.shard].primary;
+    if (primary == 0) return retry_later(now, open);
     open.second.state = State::Queued;
-    std::vector<std::uint64_t>& queue = queued_[first];
+    std::vector<std::uint64_t>& queue = queued_[primary];
     queue.push_back(open.first);
-    due(open, open.second.ask.deadline);
-    if (queue.size() >= set_.batch)
-        flush(now, first, actions);
+    set_due(open, open.second.request.deadline);
+    if (queue.size() >= set_.max_batch)
+        flush(now, primary, actions);
     else if (!flush_at_)
-        flush_at_ = now + set_.linger;
+        flush_at_ = now + set_.batch_delay;
 }
 
-void ShardClient::later(TimePoint now, Opens::value_type& open) {
+void ShardClient::retry_later(TimePoint now, OpenRequests::value_type& open) {
     open.second.state = State::AwaitingRetry;
-    numbers_.erase(std::exchange(open.second.number, 0));
-    Duration back_off =
-        std::min(set_.back_off * double(1 << std::min(open.second.tries++, 10)), set_.back_off_most);
-    due(open, now + back_off * (0.5 + 0.5 * double(random_()) * 0x1p-32));
-    ++counts_.again;
+    id_by_number_.erase(std::exchange(open.second.number, 0));
+    Duration backoff =
+        std::min(set_.initial_backoff * double(1 << std::min(open.second.attempts++, 10)), set_.max_backoff);
+    set_due(open, now + backoff * (0.5 + 0.5 * double(random_()) * 0x1p-32));
+    ++counts_.retries;
 }
 
 void ShardClient::flush(TimePoint now, SessionId to, Actions& actions) {
@@ -95,23 +95,23 @@
     for (std::uint64_t id : queue->second) {
         auto found = open_.find(id);
         if (found == open_.end() || found->second.state != State::Queued) continue;
-        Open& open = found->second;
+        OpenRequest& open = found->second;
         open.state = State::Sent;
         open.number = ++number_;
-        numbers_[open.number] = id;
+        id_by_number_[open.number] = id;
         wire::Ask& ask = *message.add_asks();
         ask.set_id(open.number);
         ask.set_shard(open.shard);
         ask.set_view(map_.entries[open.shard].view);
-        to_wire(open.ask.write.record, *ask.mutable_record());
-        ask.set_writes(open.ask.writes);
-        ask.set_erases(open.ask.write.erase);
-        if (open.ask.write.expect) ask.set_expect(*open.ask.write.expect);
+        to_wire(open.request.write.record, *ask.mutable_record());
+        ask.set_writes(open.request.writes);
+        ask.set_erases(open.request.write.erase);
+        if (open.request.write.expected_version) ask.set_expect(*open.request.write.expected_version);
         // Any other write is sent once, and waits for its answer to the end.
-        bool repeats = !open.ask.writes || open.ask.write.expect.value_or(0) != 0 ||
-                       (open.ask.write.expect && open.ask.stays);
-        due(*found, repeats ? now + set_.patience : open.ask.deadline);
-        ++counts_.asks;
+        bool is_repeatable = !open.request.writes || open.request.write.expected_version.value_or(0) != 0 ||
+                             (open.request.write.expected_version && open.request.never_erased);
+        set_due(*found, is_repeatable ? now + set_.response_timeout : open.request.deadline);
+        ++counts_.requests;
     }
     queued_.erase(queue);
     if (message.asks_size() == 0) return;
@@ -119,8 +119,8 @@
     actions.push_back(SendMessage{to, message.SerializeAsString()});
 }
 
-void ShardClient::finish(Opens::iterator open, Completed done, Actions& actions) {
-    numbers_.erase(open->second.number);
+void ShardClient::finish(OpenRequests::iterator open, Completed done, Actions& actions) {
+    id_by_number_.erase(open->second.number);
     due_.erase({open->second.due, open->first});
     open_.erase(open);
     actions.push_back(std::move(done));
@@ -134,11 +134,11 @@
     }
     for (const wire::Answer& a : message.answers()) {
         if (a.has_entry() && a.entry().shard() < map_.entries.size())
-            take(a.entry().shard(), from_wire(a.entry()));
-        auto number = numbers_.find(a.id());
-        if (number == numbers_.end()) continue;
+            adopt(a.entry().shard(), from_wire(a.entry()));
+        auto number = id_by_number_.find(a.id());
+        if (number == id_by_number_.end()) continue;
         auto it = open_.find(number->second);
-        Open& open = it->second;
+        OpenRequest& open = it->second;
         Completed done;
         done.id = it->first, done.version = a.version(), done.view = a.view(), done.holder = a.holder();
         if (a.error() > std::uint32_t(kErrors)) {
@@ -156,38 +156,38 @@
             case Error::NewerView:
             case Error::SessionExpired:
             case Error::Busy:  // it was not written; an earlier one of the same may have been
-                later(now, *it);
+                retry_later(now, *it);
                 continue;
             case Error::Changed:
                 // What it finds instead may be its own of before.
-                if (done.record && done.record->request == open.ask.write.record.request) {
+                if (done.record && done.record->request == open.request.write.record.request) {
                     done.error.reset();
                     done.version = done.record->version;
                     done.record.reset();
-                } else if (open.may_have_run) {
+                } else if (open.may_have_executed) {
                     done.error = Error::Unknown;
                 }
                 break;
             default:
-                if (done.error && open.may_have_run) done.error = Error::Unknown;
+                if (done.error && open.may_have_executed) done.error = Error::Unknown;
         }
         finish(it, std::move(done), actions);
     }
 }
 
-void ShardClient::wake(TimePoint now, Actions& actions) {
+void ShardClient::fire_timers(TimePoint now, Actions& actions) {
     while (!due_.empty() && due_.begin()->first <= now) {
         auto it = open_.find(due_.begin()->second);
-        Open& open = it->second;
-        bool out = open.state == State::Sent && open.ask.writes;
-        if (now >= open.ask.deadline) {
+        OpenRequest& open = it->second;
+        bool was_sent_write = open.state == State::Sent && open.request.writes;
+        if (now >= open.request.deadline) {
             Completed done;
             done.id = it->first;
-            done.error = open.may_have_run || out ? Error::Unknown : Error::Unavailable;
+            done.error = open.may_have_executed || was_sent_write ? Error::Unknown : Error::Unavailable;
             finish(it, std::move(done), actions);
         } else if (open.state == State::Sent) {
-            open.may_have_run |= out;
-            later(now, *it);
+            open.may_have_executed |= was_sent_write;
+            retry_later(now, *it);
         } else {
             route(now, *it, actions);
         }
--- a/src/fleet/shards/shard_client.h
+++ b/src/fleet/shards/shard_client.h
@@ -27,15 +27,15 @@
 class ShardClient {
 public:
     struct Settings {
-        std::size_t shards = 256;  ///< as in the map
-        Duration patience{
+        std::size_t shard_count = 256;  ///< as in the map
+        Duration response_timeout{
             300};  ///< for an answer, before a read or a write that expects a version is sent again
-        Duration back_off{20};  ///< after a refusal; twice as long each time, to `back_off_most`
-        Duration back_off_most{400};
-        Duration linger{0.2};        ///< that an ask waits for others to the same holder
-        std::size_t batch = 64;      ///< ... or until there are so many
-        std::size_t open = 10'000;   ///< asks at a time; more are refused
-        std::uint64_t instance = 0;  ///< drawn at each start of a process
+        Duration initial_backoff{20};  ///< after a refusal; twice as long each time, to `back_off_most`
+        Duration max_backoff{400};
+        Duration batch_delay{0.2};               ///< that an ask waits for others to the same holder
+        std::size_t max_batch = 64;              ///< ... or until there are so many
+        std::size_t max_open_requests = 10'000;  ///< asks at a time; more are refused
+        std::uint64_t instance = 0;              ///< drawn at each start of a process
     };
 
     // ---- What happens
@@ -44,7 +44,7 @@
         bool writes = false;
         Write write;  ///< to read: kind and key
         TimePoint deadline{};
-        bool stays = false;  ///< nobody erases such a record: what expects none may be sent again
+        bool never_erased = false;  ///< nobody erases such a record: what expects none may be sent again
     };
     struct MessageReceived {
         std::string_view body;
@@ -81,35 +81,35 @@
     const ShardMap& map() const { return map_; }
     std::size_t open() const { return open_.size(); }
     struct Counts {
-        std::uint64_t messages = 0, asks = 0, again = 0, malformed = 0;
+        std::uint64_t messages = 0, requests = 0, retries = 0, malformed = 0;
     };
     const Counts& counts() const { return counts_; }
 
 private:
     enum class State : std::uint8_t { AwaitingRetry, Queued, Sent };
-    struct Open {
-        Request ask;
+    struct OpenRequest {
+        Request request;
         std::uint32_t shard = 0;
         State state = State::AwaitingRetry;
-        bool may_have_run = false;
-        int tries = 0;
+        bool may_have_executed = false;
+        int attempts = 0;
         std::uint64_t number = 0;  // of the ask that is out; answers to others count for nothing
         TimePoint due{};
     };
-    using Opens = std::map<std::uint64_t, Open>;  // by the asker's id
-    void take(std::uint32_t shard, const ShardAssignment& entry);
-    void due(Opens::value_type& open, TimePoint at);
-    void route(TimePoint now, Opens::value_type& open, Actions& actions);
-    void later(TimePoint now, Opens::value_type& open);
-    void finish(Opens::iterator open, Completed done, Actions& actions);
+    using OpenRequests = std::map<std::uint64_t, OpenRequest>;  // by the asker's id
+    void adopt(std::uint32_t shard, const ShardAssignment& entry);
+    void set_due(OpenRequests::value_type& open, TimePoint at);
+    void route(TimePoint now, OpenRequests::value_type& open, Actions& actions);
+    void retry_later(TimePoint now, OpenRequests::value_type& open);
+    void finish(OpenRequests::iterator open, Completed done, Actions& actions);
     void flush(TimePoint now, SessionId to, Actions& actions);
     void received(TimePoint now, std::string_view body, Actions& actions);
-    void wake(TimePoint now, Actions& actions);
+    void fire_timers(TimePoint now, Actions& actions);
 
     Settings set_;
     ShardMap map_;
-    Opens open_;
-    std::map<std::uint64_t, std::uint64_t> numbers_;  // of what is out, to the asker's id
+    OpenRequests open_;
+    std::map<std::uint64_t, std::uint64_t> id_by_number_;  // of what is out, to the asker's id
     std::map<SessionId, std::vector<std::uint64_t>> queued_;
     std::set<std::pair<TimePoint, std::uint64_t>> due_;
     std::optional<TimePoint> flush_at_;
--- a/src/fleet/shards/shard_holder.cpp
+++ b/src/fleet/shards/shard_holder.cpp
@@ -14,65 +14,65 @@
 
 struct ShardHolder::ClientRequest {
     RequesterId from = 0;
-    wire::Ask ask;
+    wire::Ask message;
 };
 // A write that has its version and waits until all who must have it do.
 struct ShardHolder::PendingWrite {
     Prepared prepared;
-    ClientRequest asked;
+    ClientRequest request;
     TimePoint prepared_at{};
     std::vector<std::pair<SessionId, std::uint64_t>> needs;  // step of a stream
 };
 // A stream to the second holder, or to the one that is being filled.
 struct ShardHolder::CopyStream {
-    SessionId who = 0;
-    std::uint64_t since = 0;  // as the map has it
+    SessionId receiver = 0;
+    std::uint64_t assigned_view = 0;  // as the map has it
     std::uint64_t stream = 0, version = 0;
-    bool keeps = false;
+    bool keeps_contents = false;
     std::deque<wire::Step> steps;  // those behind `acked`
     std::uint64_t acked = 0, sent = 0;
-    std::optional<std::size_t> page = 0;  // where the next one begins; nothing: there is none
-    std::uint64_t page_end = 0;           // step that ends the last one
-    bool synced = false;                  // has all that was there: every write waits for it from now on
-    std::uint64_t synced_at = 0;          // the last step that no write has waited for
-    TimePoint resend{}, proposed{};
+    std::optional<std::size_t> next_page_from = 0;  // where the next one begins; nothing: there is none
+    std::uint64_t page_end = 0;                     // step that ends the last one
+    bool synced = false;          // has all that was there: every write waits for it from now on
+    std::uint64_t synced_at = 0;  // the last step that no write has waited for
+    TimePoint resend_at{}, proposed_at{};
     std::uint64_t last() const { return acked + steps.size(); }
     std::uint64_t add(wire::Step step) {
         steps.push_back(std::move(step));
         return last();
     }
-    bool ready() const { return synced && acked >= synced_at; }
+    bool is_caught_up() const { return synced && acked >= synced_at; }
 };
 struct ShardHolder::LocalShard {
-    ShardAssignment entry;
-    std::uint64_t seen = 0;  // the newest view that anybody has named
+    ShardAssignment assignment;
+    std::uint64_t newest_view = 0;  // the newest view that anybody has named
     Role role = Role::None;
     std::uint64_t origin = 0;
-    bool whole = false;         // all of that origin's contents are here
+    bool is_complete = false;   // all of that origin's contents are here
     TimePoint unknown_until{};  // what is not here may have been lost
     // As first:
-    std::vector<CopyStream> targets;
+    std::vector<CopyStream> streams;
     std::deque<PendingWrite> pending;
-    std::map<Key, std::deque<ClientRequest>> busy;  // keys with a pending write, and who waits behind it
-    std::size_t queued = 0;
-    bool yielding = false;
-    TimePoint yield_proposed{};
+    std::map<Key, std::deque<ClientRequest>> busy_keys;  // keys with a pending write, and who waits behind it
+    std::size_t queued_requests = 0;
+    bool is_stepping_down = false;
+    TimePoint step_down_proposed_at{};
     // As a copy:
-    SessionId from = 0;
-    std::uint64_t stream = 0, upto = 0;
+    SessionId stream_source = 0;
+    std::uint64_t stream = 0, received_up_to = 0;
 };
 struct ShardHolder::Outbox {
     std::map<SessionId, wire::Message> holders;
     std::map<RequesterId, wire::Message> peers;
     std::vector<std::string> proposals;
-    bool news = false;
+    bool needs_map = false;
 };
 
 ShardHolder::ShardHolder(const Settings& settings, Table& table)
-    : set_(settings), table_(table), parts_(table.shards()), out_(std::make_unique<Outbox>()) {}
+    : set_(settings), table_(table), shards_(table.shards()), out_(std::make_unique<Outbox>()) {}
 ShardHolder::~ShardHolder() = default;
-bool ShardHolder::mine(std::uint32_t n) const {
-    return n < parts_.size() && n % set_.parts == set_.part;
+bool ShardHolder::is_local(std::uint32_t n) const {
+    return n < shards_.size() && n % set_.worker_count == set_.worker_index;
 }
 
 void ShardHolder::handle(TimePoint now, const Event& event, Actions& actions) {
@@ -86,17 +86,17 @@
             else if constexpr (std::is_same_v<E, MessageReceived>)
                 received(now, e);
             else if constexpr (std::is_same_v<E, Leave>)
-                leaving_ = true, proposed_ = {};
+                leaving_ = true, proposed_at_ = {};
             else {
-                look(now);
-                actions.push_back(SetTimer{now + set_.tick});
+                tick(now);
+                actions.push_back(SetTimer{now + set_.tick_interval});
             }
         },
         event);
     flush(actions);
 }
 
-bool ShardHolder::free() const {
+bool ShardHolder::is_released() const {
     for (const ShardAssignment& entry : map_.entries)
         for (SessionId who : {entry.primary, entry.backup, entry.catching_up})
             if (who != 0 && who == session_) return false;
@@ -113,94 +113,95 @@
     }
     valid_until_ = std::max(valid_until_, event.until);
     ShardMap map;
-    if (!event.news.empty()) {
-        if (!decode(event.news, map) || map.entries.size() != parts_.size())
+    if (!event.map.empty()) {
+        if (!decode(event.map, map) || map.entries.size() != shards_.size())
             ++counts_.malformed;
         else if (map.number >= map_.number) {
             map_ = std::move(map);
-            for (std::uint32_t n = 0; n < parts_.size(); ++n)
-                if (mine(n)) take(now, n, map_.entries[n]);
+            for (std::uint32_t n = 0; n < shards_.size(); ++n)
+                if (is_local(n)) apply_assignment(now, n, map_.entries[n]);
         }
     }
-    look(now);
+    tick(now);
 }
 
 void ShardHolder::reset() {
-    for (std::uint32_t n = 0; n < parts_.size(); ++n) {
-        if (!mine(n)) continue;
-        drop(n, parts_[n]);
-        parts_[n] = {};
+    for (std::uint32_t n = 0; n < shards_.size(); ++n) {
+        if (!is_local(n)) continue;
+        drop(n, shards_[n]);
+        shards_[n] = {};
     }
     session_ = 0;
-    valid_until_ = proposed_ = {};
+    valid_until_ = proposed_at_ = {};
 }
 
-void ShardHolder::take(TimePoint now, std::uint32_t n, const ShardAssignment& entry) {
-    LocalShard& part = parts_[n];
-    if (entry.view < part.seen) return;
-    if (entry.view != part.entry.view) part.yielding = false;
-    part.seen = entry.view;
-    part.entry = entry;
+void ShardHolder::apply_assignment(TimePoint now, std::uint32_t n, const ShardAssignment& entry) {
+    LocalShard& shard = shards_[n];
+    if (entry.view < shard.newest_view) return;
+    if (entry.view != shard.assignment.view) shard.is_stepping_down = false;
+    shard.newest_view = entry.view;
+    shard.assignment = entry;
     if (entry.primary == session_) {
-        become_first(now, n, part);
+        become_primary(now, n, shard);
     } else if (entry.backup == session_ || entry.catching_up == session_) {
-        if (part.role == Role::Primary) step_down(part);
-    } else if (part.role != Role::None) {
-        drop(n, part);
+        if (shard.role == Role::Primary) step_down(shard);
+    } else if (shard.role != Role::None) {
+        drop(n, shard);
     }
 }
 
-void ShardHolder::become_first(TimePoint now, std::uint32_t n, LocalShard& part) {
-    const ShardAssignment& entry = part.entry;
-    if (part.role != Role::Primary) {
-        if (part.origin != entry.origin || !part.whole) {
+void ShardHolder::become_primary(TimePoint now, std::uint32_t n, LocalShard& shard) {
+    const ShardAssignment& entry = shard.assignment;
+    if (shard.role != Role::Primary) {
+        if (shard.origin != entry.origin || !shard.is_complete) {
             // Its contents begin here. Versions are above all that were given in any view before. A part of a
             // copy is no contents: the keepers name nobody first who has no more, and if they did, it would
             // be told as a loss.
-            bool lost = entry.lost || (part.role == Role::Replica && part.origin == entry.origin);
-            drop(n, part);
+            bool lost = entry.lost || (shard.role == Role::Replica && shard.origin == entry.origin);
+            drop(n, shard);
             table_.clear(n, entry.origin << 32);
-            part.origin = entry.origin;
-            part.whole = true;
-            part.unknown_until = lost ? now + table_.settings().life : TimePoint{};
+            shard.origin = entry.origin;
+            shard.is_complete = true;
+            shard.unknown_until = lost ? now + table_.settings().max_lifetime : TimePoint{};
             counts_.lost += lost;
         }
-        part.role = Role::Primary;
-        part.from = part.stream = part.upto = 0;
+        shard.role = Role::Primary;
+        shard.stream_source = shard.stream = shard.received_up_to = 0;
     }
-    std::erase_if(part.targets, [&](const CopyStream& t) {
-        return !(t.who == entry.backup && t.since == entry.backup_since) &&
-               !(t.who == entry.catching_up && t.since == entry.catching_up_since);
+    std::erase_if(shard.streams, [&](const CopyStream& t) {
+        return !(t.receiver == entry.backup && t.assigned_view == entry.backup_since) &&
+               !(t.receiver == entry.catching_up && t.assigned_view == entry.catching_up_since);
     });
-    auto there = [&](SessionId who) {
-        return std::any_of(part.targets.begin(), part.targets.end(),
-                           [who](const CopyStream& t) { return t.who == who; });
+    auto has_stream = [&](SessionId who) {
+        return std::any_of(shard.streams.begin(), shard.streams.end(),
+                           [who](const CopyStream& t) { return t.receiver == who; });
     };
     // A second without a stream is the first of the view before, which had all when it yielded.
-    if (entry.backup != 0 && !there(entry.backup)) begin(n, part, entry.backup, entry.backup_since, true);
-    if (entry.catching_up != 0 && !there(entry.catching_up))
-        begin(n, part, entry.catching_up, entry.catching_up_since, false);
+    if (entry.backup != 0 && !has_stream(entry.backup))
+        start_stream(n, shard, entry.backup, entry.backup_since, true);
+    if (entry.catching_up != 0 && !has_stream(entry.catching_up))
+        start_stream(n, shard, entry.catching_up, entry.catching_up_since, false);
 }
 
-void ShardHolder::step_down(LocalShard& part) {
-    for (PendingWrite& p : part.pending) table_.abandon(p.prepared);
-    for (auto& [key, waiting] : part.busy)
-        for (const ClientRequest& asked : waiting) answer(asked, Error::NotPrimary);  // these never ran
-    part.pending.clear();
-    part.busy.clear();
-    part.queued = 0;
-    part.targets.clear();
-    part.yielding = false;
-    part.role = Role::Replica;
+void ShardHolder::step_down(LocalShard& shard) {
+    for (PendingWrite& p : shard.pending) table_.abandon(p.prepared);
+    for (auto& [key, waiting] : shard.busy_keys)
+        for (const ClientRequest& request : waiting) respond(request, Error::NotPrimary);  // these never ran
+    shard.pending.clear();
+    shard.busy_keys.clear();
+    shard.queued_requests = 0;
+    shard.streams.clear();
+    shard.is_stepping_down = false;
+    shard.role = Role::Replica;
 }
 
-void ShardHolder::drop(std::uint32_t n, LocalShard& part) {
-    if (part.role == Role::Primary) step_down(part);
-    if (part.role != Role::None) table_.clear(n);
-    part.role = Role::None;
-    part.origin = part.from = part.stream = part.upto = 0;
-    part.whole = false;
-    part.unknown_until = {};
+void ShardHolder::drop(std::uint32_t n, LocalShard& shard) {
+    if (shard.role == Role::Primary) step_down(shard);
+    if (shard.role != Role::None) table_.clear(n);
+    shard.role = Role::None;
+    shard.origin = shard.stream_source = shard.stream = shard.received_up_to = 0;
+    shard.is_complete = false;
+    shard.unknown_until = {};
 }
 
 // ---- Messages
@@ -211,47 +212,50 @@
         ++counts_.malformed;
         return;
     }
-    for (wire::Ask& a : *message.mutable_asks()) ask(now, {event.from, std::move(a)});
+    for (wire::Ask& a : *message.mutable_asks()) handle_request(now, {event.from, std::move(a)});
 
     for (const wire::Copy& c : message.copies()) {
-        if (c.to() != session_ || session_ == 0 || !mine(c.shard())) continue;  // to another life
-        LocalShard& part = parts_[c.shard()];
+        if (c.to() != session_ || session_ == 0 || !is_local(c.shard())) continue;  // to another life
+        LocalShard& shard = shards_[c.shard()];
         wire::Copied& reply = *out_->holders[c.from()].add_copied();
         reply.set_shard(c.shard());
         reply.set_from(session_);
         reply.set_to(c.from());
         reply.set_stream(c.stream());
-        if (c.view() < part.seen || (part.role == Role::Primary && c.view() <= part.entry.view)) {
-            ++counts_.older;
-            reply.set_view(part.seen);
+        if (c.view() < shard.newest_view ||
+            (shard.role == Role::Primary && c.view() <= shard.assignment.view)) {
+            ++counts_.older_view;
+            reply.set_view(shard.newest_view);
             reply.set_older(true);
             continue;
         }
-        part.seen = c.view();
-        reply.set_view(part.seen);
-        if (part.role == Role::Primary) step_down(part);  // it has yielded, and this is the view behind that
+        shard.newest_view = c.view();
+        reply.set_view(shard.newest_view);
+        if (shard.role == Role::Primary)
+            step_down(shard);  // it has yielded, and this is the view behind that
         std::uint64_t number = c.number();
-        if (part.from != c.from() || part.stream != c.stream()) {
+        if (shard.stream_source != c.from() || shard.stream != c.stream()) {
             bool begins = number == 1 && c.steps_size() > 0 && c.steps(0).what() == wire::Step::BEGIN;
-            bool kept = part.whole && part.origin == c.origin();
-            if (!begins || (part.from == c.from() && c.stream() < part.stream) || (c.keeps() && !kept))
+            bool kept = shard.is_complete && shard.origin == c.origin();
+            if (!begins || (shard.stream_source == c.from() && c.stream() < shard.stream) ||
+                (c.keeps() && !kept))
                 continue;
             if (!c.keeps()) {
-                drop(c.shard(), part);
+                drop(c.shard(), shard);
                 table_.clear(c.shard(), c.version());
-                part.origin = c.origin();
+                shard.origin = c.origin();
             }
-            part.role = Role::Replica;
-            part.from = c.from();
-            part.stream = c.stream();
-            part.upto = 0;
-            part.unknown_until = c.unknown() > 0 ? now + Duration(c.unknown()) * 1.02 : TimePoint{};
+            shard.role = Role::Replica;
+            shard.stream_source = c.from();
+            shard.stream = c.stream();
+            shard.received_up_to = 0;
+            shard.unknown_until = c.unknown() > 0 ? now + Duration(c.unknown()) * 1.02 : TimePoint{};
         }
         for (const wire::Step& step : c.steps()) {
-            if (number++ != part.upto + 1) continue;  // it is there, or one before it is not
-            ++part.upto;
+            if (number++ != shard.received_up_to + 1) continue;  // it is there, or one before it is not
+            ++shard.received_up_to;
             Record record;
-            if (step.what() == wire::Step::END) part.whole = true;
+            if (step.what() == wire::Step::END) shard.is_complete = true;
             if (!step.has_record()) continue;
             if (!from_wire(step.record(), record) || table_.shard_of(record.kind, record.key) != c.shard())
                 ++counts_.malformed;
@@ -260,122 +264,124 @@
             else
                 table_.copy(record, now);
         }
-        reply.set_upto(part.upto);
+        reply.set_upto(shard.received_up_to);
     }
 
     for (const wire::Copied& c : message.copied()) {
-        if (c.to() != session_ || session_ == 0 || !mine(c.shard())) continue;
-        LocalShard& part = parts_[c.shard()];
-        part.seen = std::max(part.seen, c.view());  // above its own: it stops until it has heard of that view
-        out_->news |= part.seen > part.entry.view;
-        if (c.older() || part.role != Role::Primary) continue;
-        for (CopyStream& target : part.targets) {
-            if (target.who != c.from() || target.stream != c.stream() || c.upto() <= target.acked ||
-                c.upto() > target.last())
+        if (c.to() != session_ || session_ == 0 || !is_local(c.shard())) continue;
+        LocalShard& shard = shards_[c.shard()];
+        shard.newest_view =
+            std::max(shard.newest_view, c.view());  // above its own: it stops until it has heard of that view
+        out_->needs_map |= shard.newest_view > shard.assignment.view;
+        if (c.older() || shard.role != Role::Primary) continue;
+        for (CopyStream& stream : shard.streams) {
+            if (stream.receiver != c.from() || stream.stream != c.stream() || c.upto() <= stream.acked ||
+                c.upto() > stream.last())
                 continue;
-            target.steps.erase(target.steps.begin(),
-                               target.steps.begin() + std::ptrdiff_t(c.upto() - target.acked));
-            target.acked = c.upto();
-            target.sent = std::max(target.sent, target.acked);
-            target.resend = now + set_.resend;
+            stream.steps.erase(stream.steps.begin(),
+                               stream.steps.begin() + std::ptrdiff_t(c.upto() - stream.acked));
+            stream.acked = c.upto();
+            stream.sent = std::max(stream.sent, stream.acked);
+            stream.resend_at = now + set_.resend_after;
         }
-        pump(now, c.shard(), part);
-        complete(now, c.shard(), part);
+        advance_streams(now, c.shard(), shard);
+        complete(now, c.shard(), shard);
     }
 }
 
 // ---- Asks
 
-void ShardHolder::answer(const ClientRequest& asked, std::optional<Error> error, const Record* record,
-                         std::uint64_t version) {
-    wire::Answer& a = *out_->peers[asked.from].add_answers();
-    a.set_id(asked.ask.id());
-    a.set_shard(asked.ask.shard());
+void ShardHolder::respond(const ClientRequest& request, std::optional<Error> error, const Record* record,
+                          std::uint64_t version) {
+    wire::Answer& a = *out_->peers[request.from].add_answers();
+    a.set_id(request.message.id());
+    a.set_shard(request.message.shard());
     a.set_holder(session_);
     a.set_version(version);
     if (record) to_wire(*record, *a.mutable_record());
     if (error) {
         a.set_error(std::uint32_t(*error));
-        ++counts_.refused;
+        ++counts_.rejected;
     }
-    if (!mine(asked.ask.shard())) return;
-    const ShardAssignment& entry = parts_[asked.ask.shard()].entry;
+    if (!is_local(request.message.shard())) return;
+    const ShardAssignment& entry = shards_[request.message.shard()].assignment;
     a.set_view(entry.view);
-    if (error && asked.ask.view() != entry.view) to_wire(asked.ask.shard(), entry, *a.mutable_entry());
+    if (error && request.message.view() != entry.view)
+        to_wire(request.message.shard(), entry, *a.mutable_entry());
 }
 
-void ShardHolder::ask(TimePoint now, const ClientRequest& asked) {
-    ++counts_.asks;
-    const wire::Ask& a = asked.ask;
+void ShardHolder::handle_request(TimePoint now, const ClientRequest& request) {
+    ++counts_.requests;
+    const wire::Ask& a = request.message;
     Record record;
-    if (!mine(a.shard()) || !from_wire(a.record(), record) ||
+    if (!is_local(a.shard()) || !from_wire(a.record(), record) ||
         table_.shard_of(record.kind, record.key) != a.shard())
-        return answer(asked, Error::Malformed);
-    if (!serving(now)) return answer(asked, Error::SessionExpired);
-    LocalShard& part = parts_[a.shard()];
-    if (a.view() > part.entry.view || part.seen > part.entry.view) {
-        out_->news = true;
-        return answer(asked, Error::NewerView);
+        return respond(request, Error::Malformed);
+    if (!is_serving(now)) return respond(request, Error::SessionExpired);
+    LocalShard& shard = shards_[a.shard()];
+    if (a.view() > shard.assignment.view || shard.newest_view > shard.assignment.view) {
+        out_->needs_map = true;
+        return respond(request, Error::NewerView);
     }
-    if (a.view() < part.entry.view) return answer(asked, Error::OlderView);
-    if (part.role != Role::Primary || part.yielding) return answer(asked, Error::NotPrimary);
-    if (auto busy = part.busy.find(Key(record.kind, record.key)); busy != part.busy.end()) {
-        if (part.queued >= set_.waiting) return answer(asked, Error::Busy);
-        ++part.queued;
-        busy->second.push_back(asked);
+    if (a.view() < shard.assignment.view) return respond(request, Error::OlderView);
+    if (shard.role != Role::Primary || shard.is_stepping_down) return respond(request, Error::NotPrimary);
+    if (auto busy = shard.busy_keys.find(Key(record.kind, record.key)); busy != shard.busy_keys.end()) {
+        if (shard.queued_requests >= set_.max_waiting_writes) return respond(request, Error::Busy);
+        ++shard.queued_requests;
+        busy->second.push_back(request);
         return;
     }
-    execute(now, part, asked);
-    complete(now, a.shard(), part);
-    pump(now, a.shard(), part);
+    execute(now, shard, request);
+    complete(now, a.shard(), shard);
+    advance_streams(now, a.shard(), shard);
 }
 
-void ShardHolder::execute(TimePoint now, LocalShard& part, const ClientRequest& asked) {
-    const wire::Ask& a = asked.ask;
+void ShardHolder::execute(TimePoint now, LocalShard& shard, const ClientRequest& request) {
+    const wire::Ask& a = request.message;
     Write write;
-    if (!from_wire(a.record(), write.record)) return answer(asked, Error::Malformed);
+    if (!from_wire(a.record(), write.record)) return respond(request, Error::Malformed);
     Record found;
-    bool unknown = now < part.unknown_until && (!a.writes() || a.has_expect()) &&
+    bool unknown = now < shard.unknown_until && (!a.writes() || a.has_expect()) &&
                    !table_.find(write.record.kind, write.record.key, now, found);
-    if (unknown) return answer(asked, Error::BothHoldersLost);
+    if (unknown) return respond(request, Error::BothHoldersLost);
     if (!a.writes()) {
-        bool there = table_.find(write.record.kind, write.record.key, now, found);
-        return answer(asked, {}, there ? &found : nullptr);
+        bool has_stream = table_.find(write.record.kind, write.record.key, now, found);
+        return respond(request, {}, has_stream ? &found : nullptr);
     }
-    if (part.pending.size() >= set_.waiting) return answer(asked, Error::Busy);
-    if (a.has_expect()) write.expect = a.expect();
+    if (shard.pending.size() >= set_.max_waiting_writes) return respond(request, Error::Busy);
+    if (a.has_expect()) write.expected_version = a.expect();
     write.erase = a.erases();
     PendingWrite pending;
     Outcome outcome = table_.prepare(write, now, pending.prepared);
-    if (outcome.error) return answer(asked, outcome.error, outcome.current ? &*outcome.current : nullptr);
-    pending.asked = asked;
+    if (outcome.error) return respond(request, outcome.error, outcome.current ? &*outcome.current : nullptr);
+    pending.request = request;
     pending.prepared_at = now;
-    part.busy.try_emplace(Key(write.record.kind, write.record.key));
-    for (CopyStream& target : part.targets) enter(pending, target, now);
-    part.pending.push_back(std::move(pending));
+    shard.busy_keys.try_emplace(Key(write.record.kind, write.record.key));
+    for (CopyStream& stream : shard.streams) append_to_stream(pending, stream, now);
+    shard.pending.push_back(std::move(pending));
 }
 
 /// What all who must have it have is done, answered, and lets those behind it go on.
-void ShardHolder::complete(TimePoint now, std::uint32_t, LocalShard& part) {
-    while (!part.pending.empty() && serving(now) && part.seen <= part.entry.view) {
-        for (const CopyStream& target : part.targets) {
-            if (target.who != part.entry.backup && !target.synced) continue;
-            for (const auto& [who, step] : part.pending.front().needs)
-                if (who == target.who && step > target.acked) return;
+void ShardHolder::complete(TimePoint now, std::uint32_t, LocalShard& shard) {
+    while (!shard.pending.empty() && is_serving(now) && shard.newest_view <= shard.assignment.view) {
+        for (const CopyStream& stream : shard.streams) {
+            if (stream.receiver != shard.assignment.backup && !stream.synced) continue;
+            for (const auto& [who, step] : shard.pending.front().needs)
+                if (who == stream.receiver && step > stream.acked) return;
         }
-        PendingWrite pending = std::move(part.pending.front());
-        part.pending.pop_front();
+        PendingWrite pending = std::move(shard.pending.front());
+        shard.pending.pop_front();
         Key key(pending.prepared.record.kind, pending.prepared.record.key);
         std::uint64_t version = pending.prepared.record.version;
         table_.commit(std::move(pending.prepared), pending.prepared_at);
-        answer(pending.asked, {}, nullptr, version);
-        auto waiting = std::move(part.busy.find(key)->second);
-        part.busy.erase(key);
+        respond(pending.request, {}, nullptr, version);
+        auto waiting = std::move(shard.busy_keys.find(key)->second);
+        shard.busy_keys.erase(key);
         while (!waiting.empty()) {
-            --part.queued;
-            execute(now, part, waiting.front());
+            --shard.queued_requests;
+            execute(now, shard, waiting.front());
             waiting.pop_front();
-            if (auto again = part.busy.find(key); again != part.busy.end()) {
+            if (auto again = shard.busy_keys.find(key); again != shard.busy_keys.end()) {
                 again->second = std::move(waiting);
                 break;
             }
@@ -385,124 +391,127 @@
 
 // ---- Streams
 
-void ShardHolder::begin(std::uint32_t n, LocalShard& part, SessionId who, std::uint64_t since, bool keeps) {
+void ShardHolder::start_stream(std::uint32_t n, LocalShard& shard, SessionId who, std::uint64_t since,
+                               bool keeps) {
     ++counts_.streams;
-    CopyStream target;
-    target.who = who;
-    target.since = since;
-    target.stream = ++streams_;
-    target.keeps = keeps;
-    target.version = table_.version(n);
-    target.add({});  // BEGIN
+    CopyStream stream;
+    stream.receiver = who;
+    stream.assigned_view = since;
+    stream.stream = ++last_stream_;
+    stream.keeps_contents = keeps;
+    stream.version = table_.version(n);
+    stream.add({});  // BEGIN
     if (keeps) {
-        target.page.reset();
-        target.synced = true;
-        target.synced_at = 1;
+        stream.next_page_from.reset();
+        stream.synced = true;
+        stream.synced_at = 1;
     }
-    for (PendingWrite& pending : part.pending) enter(pending, target, pending.prepared_at);
-    part.targets.push_back(std::move(target));
+    for (PendingWrite& pending : shard.pending) append_to_stream(pending, stream, pending.prepared_at);
+    shard.streams.push_back(std::move(stream));
 }
 
-void ShardHolder::enter(PendingWrite& pending, CopyStream& target, TimePoint) {
+void ShardHolder::append_to_stream(PendingWrite& pending, CopyStream& stream, TimePoint) {
     wire::Step step;
     step.set_what(pending.prepared.erase ? wire::Step::ERASE : wire::Step::PUT);
     to_wire(pending.prepared.record, *step.mutable_record());
-    std::uint64_t number = target.add(std::move(step));
-    std::erase_if(pending.needs, [&](const auto& need) { return need.first == target.who; });
-    pending.needs.emplace_back(target.who, number);
+    std::uint64_t number = stream.add(std::move(step));
+    std::erase_if(pending.needs, [&](const auto& need) { return need.first == stream.receiver; });
+    pending.needs.emplace_back(stream.receiver, number);
 }
 
-void ShardHolder::next_page(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target) {
+void ShardHolder::read_next_page(TimePoint now, std::uint32_t n, LocalShard& shard, CopyStream& stream) {
     std::vector<Record> records;
-    target.page = table_.for_shard(n, set_.page, *target.page, now, records);
+    stream.next_page_from = table_.scan(n, set_.page_records, *stream.next_page_from, now, records);
     ++counts_.pages;
     for (const Record& record : records) {
-        if (part.busy.contains(Key(record.kind, record.key)))
+        if (shard.busy_keys.contains(Key(record.kind, record.key)))
             continue;  // its write is in the stream, and newer
         wire::Step step;
         step.set_what(wire::Step::PAGE);
         to_wire(record, *step.mutable_record());
-        target.add(std::move(step));
+        stream.add(std::move(step));
     }
-    if (!target.page) {
+    if (!stream.next_page_from) {
         wire::Step end;
         end.set_what(wire::Step::END);
-        target.add(std::move(end));
+        stream.add(std::move(end));
     }
-    target.page_end = target.last();
+    stream.page_end = stream.last();
 }
 
-void ShardHolder::pump(TimePoint now, std::uint32_t n, LocalShard& part) {
-    if (part.role != Role::Primary || !serving(now) || part.seen > part.entry.view) return;
-    for (std::size_t i = 0; i < part.targets.size(); ++i) {
-        if (!part.targets[i].synced && part.targets[i].steps.size() > set_.stream) {
+void ShardHolder::advance_streams(TimePoint now, std::uint32_t n, LocalShard& shard) {
+    if (shard.role != Role::Primary || !is_serving(now) || shard.newest_view > shard.assignment.view) return;
+    for (std::size_t i = 0; i < shard.streams.size(); ++i) {
+        if (!shard.streams[i].synced && shard.streams[i].steps.size() > set_.max_queued_steps) {
             // It does not keep up, and what waits for it is bounded.
-            SessionId who = part.targets[i].who;
-            std::uint64_t since = part.targets[i].since;
-            part.targets.erase(part.targets.begin() + std::ptrdiff_t(i--));
-            ++counts_.begun_anew;
-            begin(n, part, who, since, false);
+            SessionId who = shard.streams[i].receiver;
+            std::uint64_t since = shard.streams[i].assigned_view;
+            shard.streams.erase(shard.streams.begin() + std::ptrdiff_t(i--));
+            ++counts_.stream_restarts;
+            start_stream(n, shard, who, since, false);
             continue;
         }
-        CopyStream& target = part.targets[i];
-        if (target.page && target.acked >= target.page_end) next_page(now, n, part, target);
-        if (!target.synced && !target.page && target.acked >= target.page_end) {
-            target.synced = true;
-            target.synced_at = target.last();
+        CopyStream& stream = shard.streams[i];
+        if (stream.next_page_from && stream.acked >= stream.page_end) read_next_page(now, n, shard, stream);
+        if (!stream.synced && !stream.next_page_from && stream.acked >= stream.page_end) {
+            stream.synced = true;
+            stream.synced_at = stream.last();
         }
-        if (target.ready() && target.who == part.entry.catching_up && now >= target.proposed) {
-            target.proposed = now + set_.propose;
-            out_->proposals.push_back(ShardMapPlanner::caught_up_command(n, part.entry.view));
+        if (stream.is_caught_up() && stream.receiver == shard.assignment.catching_up &&
+            now >= stream.proposed_at) {
+            stream.proposed_at = now + set_.command_retry;
+            out_->proposals.push_back(ShardMapPlanner::caught_up_command(n, shard.assignment.view));
         }
-        send(now, n, part, target);
+        send_steps(now, n, shard, stream);
     }
-    if (part.entry.stepping_down && !part.yielding) part.yielding = true, part.yield_proposed = {};
-    if (!part.yielding || !part.pending.empty() || now < part.yield_proposed) return;
-    bool all = std::all_of(part.targets.begin(), part.targets.end(), [&](const CopyStream& t) {
-        return t.who != part.entry.backup || t.steps.empty();
+    if (shard.assignment.stepping_down && !shard.is_stepping_down)
+        shard.is_stepping_down = true, shard.step_down_proposed_at = {};
+    if (!shard.is_stepping_down || !shard.pending.empty() || now < shard.step_down_proposed_at) return;
+    bool all = std::all_of(shard.streams.begin(), shard.streams.end(), [&](const CopyStream& t) {
+        return t.receiver != shard.assignment.backup || t.steps.empty();
     });
-    if (all && part.entry.backup != 0) {
-        part.yield_proposed = now + set_.propose;
-        out_->proposals.push_back(ShardMapPlanner::stepped_down_command(n, part.entry.view));
+    if (all && shard.assignment.backup != 0) {
+        shard.step_down_proposed_at = now + set_.command_retry;
+        out_->proposals.push_back(ShardMapPlanner::stepped_down_command(n, shard.assignment.view));
     }
 }
 
-void ShardHolder::send(TimePoint now, std::uint32_t n, LocalShard& part, CopyStream& target) {
-    if (target.sent > target.acked && now >= target.resend) {
-        target.sent = target.acked;
+void ShardHolder::send_steps(TimePoint now, std::uint32_t n, LocalShard& shard, CopyStream& stream) {
+    if (stream.sent > stream.acked && now >= stream.resend_at) {
+        stream.sent = stream.acked;
         ++counts_.resent;
     }
-    while (target.sent < target.last() && target.sent - target.acked < set_.ahead) {
-        if (target.sent == target.acked) target.resend = now + set_.resend;
-        wire::Copy& copy = *out_->holders[target.who].add_copies();
+    while (stream.sent < stream.last() && stream.sent - stream.acked < set_.max_unacked_steps) {
+        if (stream.sent == stream.acked) stream.resend_at = now + set_.resend_after;
+        wire::Copy& copy = *out_->holders[stream.receiver].add_copies();
         copy.set_shard(n);
-        copy.set_view(part.entry.view);
+        copy.set_view(shard.assignment.view);
         copy.set_from(session_);
-        copy.set_to(target.who);
-        copy.set_origin(part.origin);
-        copy.set_stream(target.stream);
-        copy.set_number(target.sent + 1);
-        copy.set_keeps(target.keeps);
-        copy.set_version(target.version);
-        if (part.unknown_until > now) copy.set_unknown((part.unknown_until - now).count());
-        for (std::size_t i = 0; i < set_.batch && target.sent < target.last(); ++i)
-            *copy.add_steps() = target.steps[std::size_t(target.sent++ - target.acked)];
+        copy.set_to(stream.receiver);
+        copy.set_origin(shard.origin);
+        copy.set_stream(stream.stream);
+        copy.set_number(stream.sent + 1);
+        copy.set_keeps(stream.keeps_contents);
+        copy.set_version(stream.version);
+        if (shard.unknown_until > now) copy.set_unknown((shard.unknown_until - now).count());
+        for (std::size_t i = 0; i < set_.batch_steps && stream.sent < stream.last(); ++i)
+            *copy.add_steps() = stream.steps[std::size_t(stream.sent++ - stream.acked)];
     }
 }
 
-void ShardHolder::look(TimePoint now) {
+void ShardHolder::tick(TimePoint now) {
     if (session_ == 0) return;
-    for (std::uint32_t n = 0; n < parts_.size(); ++n) {
-        if (!mine(n)) continue;
-        LocalShard& part = parts_[n];
-        if (part.role != Role::None) table_.expire(n, now, set_.sweep);
-        pump(now, n, part);
-        complete(now, n, part);
+    for (std::uint32_t n = 0; n < shards_.size(); ++n) {
+        if (!is_local(n)) continue;
+        LocalShard& shard = shards_[n];
+        if (shard.role != Role::None) table_.expire(n, now, set_.max_expired_per_tick);
+        advance_streams(now, n, shard);
+        complete(now, n, shard);
     }
-    if (!serving(now) || now < proposed_ || set_.part != 0) return;
+    if (!is_serving(now) || now < proposed_at_ || set_.worker_index != 0) return;
     auto place = map_.holders.find(session_);
     if (leaving_ ? place != map_.holders.end() && !place->second.leaving : place == map_.holders.end()) {
-        proposed_ = now + set_.propose;
+        proposed_at_ = now + set_.command_retry;
         out_->proposals.push_back(leaving_ ? ShardMapPlanner::leave_command()
                                            : ShardMapPlanner::offer_command(set_.address));
     }
@@ -512,7 +521,7 @@
     for (auto& [to, message] : out_->holders) actions.push_back(SendMessage{to, message.SerializeAsString()});
     for (auto& [to, message] : out_->peers) actions.push_back(SendResponse{to, message.SerializeAsString()});
     for (std::string& body : out_->proposals) actions.push_back(SubmitCommand{std::move(body)});
-    if (std::exchange(out_->news, false)) actions.push_back(QueryMap{});
+    if (std::exchange(out_->needs_map, false)) actions.push_back(QueryMap{});
     out_->holders.clear(), out_->peers.clear(), out_->proposals.clear();
 }
 
--- a/src/fleet/shards/shard_map_planner.cpp
+++ b/src/fleet/shards/shard_map_planner.cpp
@@ -48,14 +48,14 @@
     to_wire_map(map, out);
     return out.SerializeAsString();
 }
-bool decode(std::string_view octets, ShardMap& map) {
+bool decode(std::string_view bytes, ShardMap& map) {
     wire::Map in;
-    return in.ParseFromArray(octets.data(), int(octets.size())) && in.entries_size() > 0 &&
+    return in.ParseFromArray(bytes.data(), int(bytes.size())) && in.entries_size() > 0 &&
            from_wire_map(in, map);
 }
 
 ShardMapPlanner::ShardMapPlanner(const Settings& settings) : set_(settings) {
-    map_.entries.resize(set_.shards);
+    map_.entries.resize(set_.shard_count);
 }
 
 std::string ShardMapPlanner::offer_command(std::string_view address) {
@@ -88,15 +88,15 @@
     std::optional<Error> error;
     switch (c.what_case()) {
         case wire::Command::kOffer: {
-            auto process = sessions_.find(command.session);
+            auto member = sessions_.find(command.session);
             const std::string& address = c.offer().address();
-            if (process == sessions_.end())
+            if (member == sessions_.end())
                 error = Error::SessionExpired;
-            else if (address.empty() || address.size() > set_.address)
+            else if (address.empty() || address.size() > set_.max_address_bytes)
                 error = Error::Malformed;
-            else if (!map_.holders.contains(command.session) && map_.holders.size() >= set_.holders)
+            else if (!map_.holders.contains(command.session) && map_.holders.size() >= set_.max_holders)
                 error = Error::Full;
-            else if (HolderInfo place{process->second.name, process->second.zone, address, false};
+            else if (HolderInfo place{member->second.name, member->second.zone, address, false};
                      !map_.holders.contains(command.session) || map_.holders.at(command.session) != place) {
                 map_.holders[command.session] = std::move(place);
                 ++map_.number;
@@ -104,9 +104,9 @@
             break;
         }
         case wire::Command::kLeave: {
-            SessionId who = c.leave().session() ? c.leave().session() : command.session;
-            auto holder = map_.holders.find(who);
-            if (command.session != 0 && command.session != who)
+            SessionId session = c.leave().session() ? c.leave().session() : command.session;
+            auto holder = map_.holders.find(session);
+            if (command.session != 0 && command.session != session)
                 error = Error::Malformed;  // only operators speak for others
             else if (holder == map_.holders.end())
                 error = Error::SessionExpired;
@@ -116,8 +116,8 @@
         }
         case wire::Command::kFilled:
         case wire::Command::kYielded: {
-            bool filled = c.what_case() == wire::Command::kFilled;
-            const wire::Command::Change& change = filled ? c.filled() : c.yielded();
+            bool caught_up = c.what_case() == wire::Command::kFilled;
+            const wire::Command::Change& change = caught_up ? c.filled() : c.yielded();
             if (change.shard() >= map_.entries.size()) {
                 error = Error::Malformed;
                 break;
@@ -127,16 +127,16 @@
                 error = Error::OlderView;
             else if (entry.primary != command.session || command.session == 0)
                 error = Error::NotPrimary;
-            else if (filled ? entry.catching_up == 0 : entry.backup == 0 || !entry.stepping_down)
+            else if (caught_up ? entry.catching_up == 0 : entry.backup == 0 || !entry.stepping_down)
                 error = Error::Malformed;
-            else if (filled) {
+            else if (caught_up) {
                 entry.backup = std::exchange(entry.catching_up, 0);
                 entry.backup_since = std::exchange(entry.catching_up_since, 0);
-                changed(entry);
+                bump_view(entry);
             } else {
                 std::swap(entry.primary, entry.backup);
                 entry.stepping_down = false;
-                changed(entry);
+                bump_view(entry);
                 entry.backup_since = entry.view;
             }
             break;
@@ -144,7 +144,7 @@
         case wire::Command::WHAT_NOT_SET:
             error = Error::Malformed;
     }
-    if (!error) settle();
+    if (!error) rebalance();
     return reply(map_.number, error);
 }
 
@@ -157,29 +157,30 @@
     if (map_.holders.erase(session) == 0) return;
     ++map_.number;
     for (ShardAssignment& entry : map_.entries) {
-        if (entry.catching_up == session) entry.catching_up = 0, changed(entry);
-        if (entry.backup == session) entry.backup = 0, entry.stepping_down = false, changed(entry);
+        if (entry.catching_up == session) entry.catching_up = 0, bump_view(entry);
+        if (entry.backup == session) entry.backup = 0, entry.stepping_down = false, bump_view(entry);
         if (entry.primary != session) continue;
         entry.primary = std::exchange(entry.backup, 0);
         entry.stepping_down = false;
         if (entry.primary == 0) entry.catching_up = 0;  // it has a part alone, and of what nobody can say
-        changed(entry);
+        bump_view(entry);
     }
     for (ShardAssignment& entry : map_.entries) {
         if (entry.backup == 0) entry.backup_since = 0;
         if (entry.catching_up == 0) entry.catching_up_since = 0;
     }
-    settle();
+    rebalance();
 }
 
-std::map<SessionId, ShardMapPlanner::Load> ShardMapPlanner::loads() const {
-    std::map<SessionId, Load> loads;
+std::map<SessionId, ShardMapPlanner::HolderLoad> ShardMapPlanner::loads() const {
+    std::map<SessionId, HolderLoad> loads;
     for (const auto& [session, place] : map_.holders) loads[session];
     for (const ShardAssignment& entry : map_.entries) {
         // As it will be when what is under way is over: else each plan would be made again until the first is
         // carried out.
         if (entry.primary)
-            ++loads[entry.primary].roles, ++loads[entry.stepping_down ? entry.backup : entry.primary].firsts;
+            ++loads[entry.primary].roles,
+                ++loads[entry.stepping_down ? entry.backup : entry.primary].primaries;
         if (entry.backup && !entry.catching_up) ++loads[entry.backup].roles;
         if (entry.catching_up) ++loads[entry.catching_up].roles;
     }
@@ -188,15 +189,15 @@
 
 // One that stays before one that leaves, one in another zone than the first before one in the same, the one
 // with the fewest shards. One that leaves is better than no second holder at all.
-SessionId ShardMapPlanner::choose(const std::map<SessionId, Load>& loads, const ShardAssignment& entry,
-                                  From from) const {
+SessionId ShardMapPlanner::choose(const std::map<SessionId, HolderLoad>& loads, const ShardAssignment& entry,
+                                  Candidates from) const {
     SessionId best = 0;
     std::tuple<bool, bool, std::size_t> best_rank;
     for (const auto& [session, load] : loads) {
         bool leaving = map_.holders.at(session).leaving;
-        bool same = entry.primary != 0 && !apart(session, entry.primary);
-        if (session == entry.primary || session == entry.backup || (leaving && from != From::Anybody) ||
-            (same && from == From::OtherZone))
+        bool same = entry.primary != 0 && !in_different_zones(session, entry.primary);
+        if (session == entry.primary || session == entry.backup || (leaving && from != Candidates::Any) ||
+            (same && from == Candidates::OtherZone))
             continue;
         std::tuple rank(leaving, same, load.roles);
         if (best == 0 || rank < best_rank) best = session, best_rank = rank;
@@ -204,39 +205,39 @@
     return best;
 }
 
-void ShardMapPlanner::settle() {
-    while (settle_once(false)) {
+void ShardMapPlanner::rebalance() {
+    while (rebalance_once(false)) {
     }
     // Each plan lets one move begin or finds none.
-    while (settle_once(true)) {
+    while (rebalance_once(true)) {
     }
 }
 
 /// One change; false: there is none to be made now.
-bool ShardMapPlanner::settle_once(bool plan) {
-    std::map<SessionId, Load> load = loads();
+bool ShardMapPlanner::rebalance_once(bool rebalances) {
+    std::map<SessionId, HolderLoad> load = loads();
     if (load.empty()) return false;
-    if (!plan) {
-        std::size_t filling = 0;
+    if (!rebalances) {
+        std::size_t repairs_running = 0;
         for (const ShardAssignment& entry : map_.entries)
-            filling += entry.catching_up != 0 && entry.backup == 0;
+            repairs_running += entry.catching_up != 0 && entry.backup == 0;
         for (ShardAssignment& entry : map_.entries) {
             if (entry.primary == 0) {
-                SessionId who = choose(load, entry, From::Anybody);
-                if (who == 0) continue;
-                entry.primary = who;
+                SessionId session = choose(load, entry, Candidates::Any);
+                if (session == 0) continue;
+                entry.primary = session;
                 entry.lost = entry.origin != 0;
-                changed(entry);
+                bump_view(entry);
                 entry.origin = entry.view;
-                ++load[who].roles;
+                ++load[session].roles;
             }
-            if (entry.backup == 0 && entry.catching_up == 0 && filling < set_.repairs) {
-                SessionId who = choose(load, entry, From::Anybody);
-                if (who == 0) continue;
-                entry.catching_up = who;
-                changed(entry);
+            if (entry.backup == 0 && entry.catching_up == 0 && repairs_running < set_.max_repairs) {
+                SessionId session = choose(load, entry, Candidates::Any);
+                if (session == 0) continue;
+                entry.catching_up = session;
+                bump_view(entry);
                 entry.catching_up_since = entry.view;
-                ++load[who].roles, ++filling;
+                ++load[session].roles, ++repairs_running;
             }
         }
         return false;
@@ -247,71 +248,75 @@
         moving += (entry.catching_up != 0 && entry.backup != 0) || entry.stepping_down;
         repairing |= entry.backup == 0;
     }
-    if (moving >= set_.moves) return false;
-    auto still = [](const ShardAssignment& entry) {
+    if (moving >= set_.max_moves) return false;
+    auto is_stable = [](const ShardAssignment& entry) {
         return entry.backup != 0 && entry.catching_up == 0 && !entry.stepping_down;
     };
-    auto fill = [&](ShardAssignment& entry, SessionId who) {
-        entry.catching_up = who;
-        changed(entry);
+    auto start_catch_up = [&](ShardAssignment& entry, SessionId session) {
+        entry.catching_up = session;
+        bump_view(entry);
         entry.catching_up_since = entry.view;
         return true;
     };
-    auto yield = [&](ShardAssignment& entry) {  // the holders stay what they are until the first has stopped
-        entry.stepping_down = true;
-        ++map_.number;
-        return true;
-    };
+    auto start_step_down =
+        [&](ShardAssignment& entry) {  // the holders stay what they are until the first has stopped
+            entry.stepping_down = true;
+            ++map_.number;
+            return true;
+        };
     // Zones, and those who leave.
     for (ShardAssignment& entry : map_.entries) {
-        if (!still(entry)) continue;
-        const HolderInfo &first = map_.holders.at(entry.primary), &second = map_.holders.at(entry.backup);
-        if (second.leaving || !apart(entry.primary, entry.backup)) {
-            SessionId who = choose(load, entry, second.leaving ? From::WhoStays : From::OtherZone);
-            if (who != 0) return fill(entry, who);
+        if (!is_stable(entry)) continue;
+        const HolderInfo &primary = map_.holders.at(entry.primary), &backup = map_.holders.at(entry.backup);
+        if (backup.leaving || !in_different_zones(entry.primary, entry.backup)) {
+            SessionId session =
+                choose(load, entry, backup.leaving ? Candidates::NotLeaving : Candidates::OtherZone);
+            if (session != 0) return start_catch_up(entry, session);
         }
-        if (first.leaving && !second.leaving) return yield(entry);
+        if (primary.leaving && !backup.leaving) return start_step_down(entry);
     }
     if (repairing) return false;
     // Equal numbers of shards, then of first places.
-    SessionId most = 0, least = 0;
+    SessionId most_loaded = 0, least_loaded = 0;
     for (const auto& [session, l] : load) {
         if (map_.holders.at(session).leaving) continue;
-        if (most == 0 || l.roles > load[most].roles) most = session;
-        if (least == 0 || l.roles < load[least].roles) least = session;
+        if (most_loaded == 0 || l.roles > load[most_loaded].roles) most_loaded = session;
+        if (least_loaded == 0 || l.roles < load[least_loaded].roles) least_loaded = session;
     }
-    if (most != 0 && load[most].roles >= load[least].roles + 2) {
+    if (most_loaded != 0 && load[most_loaded].roles >= load[least_loaded].roles + 2) {
         for (ShardAssignment& entry : map_.entries)
-            if (still(entry) && entry.backup == most && entry.primary != least && apart(entry.primary, least))
-                return fill(entry, least);
+            if (is_stable(entry) && entry.backup == most_loaded && entry.primary != least_loaded &&
+                in_different_zones(entry.primary, least_loaded))
+                return start_catch_up(entry, least_loaded);
         for (ShardAssignment& entry : map_.entries)
-            if (still(entry) && entry.primary == most && entry.backup != least &&
-                apart(entry.backup, least) && load[most].firsts > load[entry.backup].firsts)
-                return yield(entry);
+            if (is_stable(entry) && entry.primary == most_loaded && entry.backup != least_loaded &&
+                in_different_zones(entry.backup, least_loaded) &&
+                load[most_loaded].primaries > load[entry.backup].primaries)
+                return start_step_down(entry);
     }
     for (ShardAssignment& entry : map_.entries)
-        if (still(entry) && !map_.holders.at(entry.backup).leaving &&
-            load[entry.primary].firsts >= load[entry.backup].firsts + 2)
-            return yield(entry);
+        if (is_stable(entry) && !map_.holders.at(entry.backup).leaving &&
+            load[entry.primary].primaries >= load[entry.backup].primaries + 2)
+            return start_step_down(entry);
     return false;
 }
 
 std::string ShardMapPlanner::session_update(SessionId) const {
-    if (news_number_ != map_.number) {
-        news_ = encode(map_);
-        news_number_ = map_.number;
+    if (encoded_number_ != map_.number) {
+        encoded_map_ = encode(map_);
+        encoded_number_ = map_.number;
     }
-    return news_;
+    return encoded_map_;
 }
 
 std::string ShardMapPlanner::snapshot() const {
     wire::Snapshot out;
     to_wire_map(map_, *out.mutable_map());
-    for (const auto& [id, process] : sessions_) {
+    for (const auto& [id, member] : sessions_) {
         auto& s = *out.add_sessions();
         s.set_id(id);
-        s.set_name(process.name);
-        s.set_zone(process.zone);
+        s.set_name(member.name);
+        s.set_zone(member.zone);
     }
     return out.SerializeAsString();
 }
@@ -320,15 +325,15 @@
     wire::Snapshot in;
     ShardMap map;
     if (of != schema() || !in.ParseFromArray(bytes.data(), int(bytes.size())) ||
-        !from_wire_map(in.map(), map) || map.entries.size() != set_.shards)
+        !from_wire_map(in.map(), map) || map.entries.size() != set_.shard_count)
         return false;
     for (const ShardAssignment& entry : map.entries)
-        for (SessionId who : {entry.primary, entry.backup, entry.catching_up})
-            if (who != 0 && !map.holders.contains(who)) return false;
+        for (SessionId session : {entry.primary, entry.backup, entry.catching_up})
+            if (session != 0 && !map.holders.contains(session)) return false;
     map_ = std::move(map);
     sessions_.clear();
     for (const auto& s : in.sessions()) sessions_[s.id()] = {s.name(), s.zone()};
-    news_number_ = ~0ull;
+    encoded_number_ = ~0ull;
     return true;
 }
 
--- a/src/fleet/shards/shard_map_planner.h
+++ b/src/fleet/shards/shard_map_planner.h
@@ -44,16 +44,17 @@
 };
 std::string encode(const ShardMap& map);
 /// False: octets that are no map; nothing was taken.
-bool decode(std::string_view octets, ShardMap& map);
+bool decode(std::string_view bytes, ShardMap& map);
 
 class ShardMapPlanner : public coordinator::StateMachine {
 public:
     struct Settings {
-        std::size_t shards = 256;
-        std::size_t repairs = 32;  ///< shards that are filled at a time because they have no second holder
-        std::size_t moves = 8;     ///< ... and that are moved or change places for any other reason
-        std::size_t holders = 1024;
-        std::size_t address = 256;  ///< octets of one
+        std::size_t shard_count = 256;
+        std::size_t max_repairs =
+            32;                     ///< shards that are filled at a time because they have no second holder
+        std::size_t max_moves = 8;  ///< ... and that are moved or change places for any other reason
+        std::size_t max_holders = 1024;
+        std::size_t max_address_bytes = 256;  ///< octets of one
     };
     explicit ShardMapPlanner(const Settings& settings);
 
@@ -79,25 +80,28 @@
     static std::string stepped_down_command(std::uint32_t shard, std::uint64_t view);
 
 private:
-    struct Process {
+    struct Member {
         std::string name, zone;
     };
-    struct Load {
-        std::size_t roles = 0, firsts = 0;
+    struct HolderLoad {
+        std::size_t roles = 0, primaries = 0;
     };
-    void settle();
-    bool settle_once(bool plan);
-    std::map<SessionId, Load> loads() const;
-    enum class From : std::uint8_t { OtherZone, WhoStays, Anybody };
-    SessionId choose(const std::map<SessionId, Load>& loads, const ShardAssignment& entry, From from) const;
-    bool apart(SessionId a, SessionId b) const { return map_.holders.at(a).zone != map_.holders.at(b).zone; }
-    void changed(ShardAssignment& entry) { entry.view = ++map_.number; }
+    void rebalance();
+    bool rebalance_once(bool rebalances);
+    std::map<SessionId, HolderLoad> loads() const;
+    enum class Candidates : std::uint8_t { OtherZone, NotLeaving, Any };
+    SessionId choose(const std::map<SessionId, HolderLoad>& loads, const ShardAssignment& entry,
+                     Candidates from) const;
+    bool in_different_zones(SessionId a, SessionId b) const {
+        return map_.holders.at(a).zone != map_.holders.at(b).zone;
+    }
+    void bump_view(ShardAssignment& entry) { entry.view = ++map_.number; }
 
     Settings set_;
     ShardMap map_;
-    std::map<SessionId, Process> sessions_;
-    mutable std::string news_;
-    mutable std::uint64_t news_number_ = ~0ull;
+    std::map<SessionId, Member> sessions_;
+    mutable std::string encoded_map_;
+    mutable std::uint64_t encoded_number_ = ~0ull;
 };
 
 }  // namespace ochrehub::shards
--- a/src/fleet/shards/shard_service.cpp
+++ b/src/fleet/shards/shard_service.cpp
@@ -17,10 +17,10 @@
     out << at;
     return out.str();
 }
-ShardServiceSettings agreed(ShardServiceSettings set) {
-    set.client.shards = set.table.shards;
+ShardServiceSettings with_shared_values(ShardServiceSettings set) {
+    set.client.shard_count = set.table.shard_count;
     set.client.instance = set.mesh.channel.self.instance;
-    set.threads = std::max<std::size_t>(1, set.threads);
+    set.worker_threads = std::max<std::size_t>(1, set.worker_threads);
     return set;
 }
 
@@ -29,7 +29,7 @@
 // Its shards are those whose number divided by the workers' leaves its own; nobody else calls its core.
 struct ShardService::Worker {
     Worker(ShardService& s, const ShardHolder::Settings& settings, Table& table, Clock clock)
-        : side(s), work(io.get_executor()), scheduler(io, clock), core(settings, table) {}
+        : service(s), work(io.get_executor()), scheduler(io, clock), core(settings, table) {}
 
     void post(std::function<void()> what) { boost::asio::post(io, std::move(what)); }
     void handle(const ShardHolder::Event& event) {
@@ -44,34 +44,35 @@
                 });
                 continue;
             }
-            boost::asio::post(side.io_, [this, a = std::move(action)]() mutable {
+            boost::asio::post(service.io_, [this, a = std::move(action)]() mutable {
                 if (auto* tell = std::get_if<ShardHolder::SendMessage>(&a))
-                    side.tell(tell->to, std::move(tell->body));
+                    service.send(tell->to, std::move(tell->body));
                 else if (auto* answered = std::get_if<ShardHolder::SendResponse>(&a))
-                    side.answer(answered->to, std::move(answered->body));
+                    service.respond(answered->to, std::move(answered->body));
                 else if (auto* proposes = std::get_if<ShardHolder::SubmitCommand>(&a))
-                    side.propose(std::move(proposes->body));
+                    service.propose(std::move(proposes->body));
                 else
-                    side.ask_news();
+                    service.query_map();
             });
         }
-        if (core.map().number > 0) free.store(core.free(), std::memory_order_relaxed);
+        if (core.map().number > 0) released.store(core.is_released(), std::memory_order_relaxed);
     }
 
-    ShardService& side;
+    ShardService& service;
     boost::asio::io_context io{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work;
     AsioScheduler scheduler;
     ShardHolder core;
     TimerId timer = 0;
-    std::atomic<bool> free{false};
+    std::atomic<bool> released{false};
     std::thread thread;
 };
 
-ShardService::ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& keepers)
-    : set_(agreed(std::move(settings))),
+ShardService::ShardService(ShardServiceSettings settings, Clock clock,
+                           coordinator::SessionThread& coordinators)
+    : set_(with_shared_values(std::move(settings))),
       clock_(clock),
-      keepers_(keepers),
+      coordinators_(coordinators),
       table_(set_.table),
       work_(io_.get_executor()),
       scheduler_(io_, clock_),
@@ -81,13 +82,13 @@
     mesh_.deliver = [this](const channel::Peer& peer, channel::Kind kind, std::string body) {
         if (kind == channel::Kind::Shard) deliver(peer.instance, body);
     };
-    for (std::size_t i = 0; set_.holds && i < set_.threads; ++i) {
+    for (std::size_t i = 0; set_.holds_shards && i < set_.worker_threads; ++i) {
         ShardHolder::Settings holder = set_.holder;
-        holder.part = i, holder.parts = set_.threads;
+        holder.worker_index = i, holder.worker_count = set_.worker_threads;
         workers_.push_back(std::make_unique<Worker>(*this, holder, table_, clock_));
     }
-    keepers_.add_listener([this](const coordinator::SessionThread::Notification& what) {
-        boost::asio::post(io_, [this, what] { told(what); });
+    coordinators_.add_listener([this](const coordinator::SessionThread::Notification& what) {
+        boost::asio::post(io_, [this, what] { on_session_event(what); });
     });
 }
 
@@ -115,24 +116,24 @@
     thread_ = side_thread(io_, ended);
 }
 
-void ShardService::ask(bool writes, Write write, Duration within, Callback done, bool stays) {
-    boost::asio::post(
-        io_, [this, writes, write = std::move(write), within, done = std::move(done), stays]() mutable {
-            std::uint64_t id = next_++;
-            done_.emplace(id, std::move(done));
-            handle(ShardClient::Request{id, writes, std::move(write), scheduler_.now() + within, stays});
-        });
+void ShardService::request(bool writes, Write write, Duration within, Callback done, bool never_erased) {
+    boost::asio::post(io_, [this, writes, write = std::move(write), within, done = std::move(done),
+                            never_erased]() mutable {
+        std::uint64_t id = next_id_++;
+        callbacks_.emplace(id, std::move(done));
+        handle(ShardClient::Request{id, writes, std::move(write), scheduler_.now() + within, never_erased});
+    });
 }
 
 void ShardService::leave() {
     for (auto& worker : workers_) worker->post([w = worker.get()] { w->handle(ShardHolder::Leave{}); });
 }
 
-void ShardService::told(const coordinator::SessionThread::Notification& what) {
+void ShardService::on_session_event(const coordinator::SessionThread::Notification& what) {
     if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
-        session_ = held->session, until_ = held->until;
+        session_ = held->session, valid_until_ = held->until;
         for (auto& worker : workers_)
-            worker->post([w = worker.get(), s = session_, until = until_] {
+            worker->post([w = worker.get(), s = session_, until = valid_until_] {
                 w->handle(ShardHolder::SessionRenewed{s, until, {}});
             });
     } else if (const auto* lost = std::get_if<coordinator::SessionLost>(&what)) {
@@ -140,14 +141,14 @@
         for (auto& worker : workers_)
             worker->post([w = worker.get()] { w->handle(ShardHolder::SessionExpired{}); });
     } else if (const auto& one = std::get<coordinator::SessionUpdate>(what); one.kind == "views") {
-        news(one.bytes);
+        on_map(one.bytes);
     }
 }
 
-void ShardService::news(const std::string& map) {
+void ShardService::on_map(const std::string& map) {
     if (session_ != 0)
         for (auto& worker : workers_)
-            worker->post([w = worker.get(), s = session_, until = until_, map] {
+            worker->post([w = worker.get(), s = session_, until = valid_until_, map] {
                 w->handle(ShardHolder::SessionRenewed{s, until, map});
             });
     handle(ShardClient::MapReceived{map});
@@ -156,31 +157,31 @@
     for (const auto& [session, place] : client_.map().holders)
         if (session != session_ && place.address != set_.holder.address) addresses.insert(place.address);
     for (const std::string& address : addresses)
-        if (!dialled_.contains(address)) mesh_.dial(address);
-    for (const std::string& address : dialled_)
+        if (!dialed_.contains(address)) mesh_.dial(address);
+    for (const std::string& address : dialed_)
         if (!addresses.contains(address)) mesh_.drop(address);
-    dialled_ = std::move(addresses);
-    free_ = std::all_of(workers_.begin(), workers_.end(),
-                        [](const auto& w) { return w->free.load(std::memory_order_relaxed); });
+    dialed_ = std::move(addresses);
+    released_ = std::all_of(workers_.begin(), workers_.end(),
+                            [](const auto& w) { return w->released.load(std::memory_order_relaxed); });
 }
 
-void ShardService::ask_news() {
-    if (std::exchange(asking_news_, true)) return;
-    keepers_.query("views", {}, [this](coordinator::Error error, std::string map) {
+void ShardService::query_map() {
+    if (std::exchange(is_querying_map_, true)) return;
+    coordinators_.query("views", {}, [this](coordinator::Error error, std::string map) {
         boost::asio::post(io_, [this, error, map = std::move(map)] {
-            asking_news_ = false;
-            if (error == coordinator::Error::None && !map.empty()) news(map);
+            is_querying_map_ = false;
+            if (error == coordinator::Error::None && !map.empty()) on_map(map);
         });
     });
 }
 
 void ShardService::propose(std::string body) {
-    keepers_.submit("views", std::move(body), [this](coordinator::Error error, const std::string&) {
-        if (error == coordinator::Error::None) boost::asio::post(io_, [this] { ask_news(); });
+    coordinators_.submit("views", std::move(body), [this](coordinator::Error error, const std::string&) {
+        if (error == coordinator::Error::None) boost::asio::post(io_, [this] { query_map(); });
     });
 }
 
-void ShardService::tell(SessionId to, std::string body) {
+void ShardService::send(SessionId to, std::string body) {
     if (to == session_) return deliver(0, body);
     auto holder = client_.map().holders.find(to);
     if (holder == client_.map().holders.end()) return;
@@ -189,7 +190,7 @@
         mesh_.send(instance, channel::Kind::Shard, std::move(body));
 }
 
-void ShardService::answer(std::uint64_t to, std::string body) {
+void ShardService::respond(std::uint64_t to, std::string body) {
     if (to == 0) return deliver(0, body);
     mesh_.send(to, channel::Kind::Shard, std::move(body));
 }
@@ -216,11 +217,11 @@
     client_.handle(scheduler_.now(), event, actions);
     for (ShardClient::Action& action : actions) {
         if (auto* say = std::get_if<ShardClient::SendMessage>(&action)) {
-            tell(say->to, std::move(say->body));
+            send(say->to, std::move(say->body));
         } else if (auto* done = std::get_if<ShardClient::Completed>(&action)) {
-            auto it = done_.find(done->id);
+            auto it = callbacks_.find(done->id);
             Callback told = std::move(it->second);
-            done_.erase(it);
+            callbacks_.erase(it);
             told(*done);
         } else {
             if (timer_ != 0) scheduler_.cancel(timer_);
--- a/src/fleet/shards/shard_service.h
+++ b/src/fleet/shards/shard_service.h
@@ -26,8 +26,8 @@
 namespace ochrehub::shards {
 
 struct ShardServiceSettings {
-    bool holds = true;        ///< else it only asks
-    std::size_t threads = 2;  ///< that work on the shards it holds
+    bool holds_shards = true;        ///< else it only asks
+    std::size_t worker_threads = 2;  ///< that work on the shards it holds
     TableSettings table;
     ShardHolder::Settings holder;  ///< its address is where this process listens, if it is empty
     ShardClient::Settings client;  ///< its shards and instance are those of the two others
@@ -40,38 +40,38 @@
     using Callback = std::function<void(const ShardClient::Completed&)>;
 
     /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
-    ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& keepers);
+    ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& coordinators);
     ~ShardService();
     ShardService(const ShardService&) = delete;
     void start();
 
     // From any thread:
     /// `done` is called once, on the side's thread, unless the side ends before.
-    void ask(bool writes, Write write, Duration within, Callback done, bool stays = false);
+    void request(bool writes, Write write, Duration within, Callback done, bool never_erased = false);
     /// Hands on what it holds; `free` once that is done.
     void leave();
-    bool free() const { return free_.load(std::memory_order_relaxed); }
+    bool is_released() const { return released_.load(std::memory_order_relaxed); }
     /// The view that the last map had.
     std::uint64_t map_number() const { return map_number_.load(std::memory_order_relaxed); }
     /// What this process holds; a record of it may be another's by now.
     const Table& table() const { return table_; }
 
-    channel::Mesh::Endpoint at() const { return mesh_.at(); }
+    channel::Mesh::Endpoint address() const { return mesh_.at(); }
 
 private:
     struct Worker;
-    void told(const coordinator::SessionThread::Notification& told);
-    void news(const std::string& map);
-    void ask_news();
+    void on_session_event(const coordinator::SessionThread::Notification& told);
+    void on_map(const std::string& map);
+    void query_map();
     void deliver(std::uint64_t from, const std::string& body);
-    void tell(SessionId to, std::string body);
-    void answer(std::uint64_t to, std::string body);
+    void send(SessionId to, std::string body);
+    void respond(std::uint64_t to, std::string body);
     void propose(std::string body);
     void handle(const ShardClient::Event& event);
 
     ShardServiceSettings set_;
     Clock clock_;
-    coordinator::SessionThread& keepers_;
+    coordinator::SessionThread& coordinators_;
     Table table_;
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
@@ -79,13 +79,13 @@
     channel::Mesh mesh_;
     ShardClient client_;
     SessionId session_ = 0;
-    TimePoint until_{};
-    bool asking_news_ = false;
-    std::set<std::string> dialled_;
-    std::map<std::uint64_t, Callback> done_;
-    std::uint64_t next_ = 1;
+    TimePoint valid_until_{};
+    bool is_querying_map_ = false;
+    std::set<std::string> dialed_;
+    std::map<std::uint64_t, Callback> callbacks_;
+    std::uint64_t next_id_ = 1;
     TimerId timer_ = 0;
-    std::atomic<bool> free_{false};
+    std::atomic<bool> released_{false};
     std::atomic<std::uint64_t> map_number_{0};
     std::vector<std::unique_ptr<Worker>> workers_;
     std::thread thread_;
--- a/src/fleet/shards/table.cpp
+++ b/src/fleet/shards/table.cpp
@@ -18,11 +18,12 @@
 }
 
 constexpr std::uint32_t kNoSlot = ~0u;
-constexpr std::size_t kSweep = 16;  // records that a write which does not fit looks for the end of
+constexpr std::size_t kExpireOnFullRecords =
+    16;  // records that a write which does not fit looks for the end of
 
 }  // namespace
 
-std::uint64_t partner(std::string_view name) {
+std::uint64_t partner_id(std::string_view name) {
     return XXH64(name.data(), name.size(), 0);
 }
 std::size_t shard_of(std::uint16_t kind, std::string_view key, std::size_t shards) {
@@ -35,25 +36,25 @@
 struct alignas(64) Table::Shard {
     struct Slot {
         std::uint64_t hash = 0, partner = 0, version = 0, request = 0;
-        TimePoint ends{}, due{};  // due: as the heap has it, never behind `ends`
-        std::uint32_t schema = 0, heap = 0, next_free = kNoSlot;
+        TimePoint expires_at{}, heap_due{};  // due: as the heap has it, never behind `ends`
+        std::uint32_t schema = 0, heap_index = 0, next_free = kNoSlot;
         std::uint16_t kind = 0;
         bool used = false;
         std::string key, payload;
-        std::size_t octets() const { return kRecordOctets + key.size() + payload.size(); }
+        std::size_t bytes() const { return kRecordOverheadBytes + key.size() + payload.size(); }
     };
-    struct Place {
+    struct IndexEntry {
         std::uint32_t slot = kNoSlot, tag = 0;
     };
 
     mutable OrderedMutex mutex;
     std::vector<Slot> slots;
-    std::vector<Place> index;
+    std::vector<IndexEntry> index;
     std::vector<std::uint32_t> heap;
     boost::unordered_flat_map<std::uint64_t, std::size_t> partners;
-    std::size_t count = 0, octets = 0;
+    std::size_t count = 0, bytes = 0;
     std::uint64_t version = 0;
-    std::uint32_t free = kNoSlot;
+    std::uint32_t free_slot = kNoSlot;
 
     static std::uint32_t tag(std::uint64_t hash) { return std::uint32_t(hash >> 32); }
 
@@ -61,28 +62,28 @@
         if (index.empty()) return kNoSlot;
         std::size_t mask = index.size() - 1;
         for (std::size_t at = tag(hash) & mask;; at = (at + 1) & mask) {
-            const Place& place = index[at];
+            const IndexEntry& place = index[at];
             if (place.slot == kNoSlot) return kNoSlot;
             if (place.tag != tag(hash)) continue;
             const Slot& slot = slots[place.slot];
             if (slot.hash == hash && slot.kind == kind && slot.key == key) return place.slot;
         }
     }
-    void enter(std::uint32_t slot, std::uint64_t hash) {
+    void insert_index(std::uint32_t slot, std::uint64_t hash) {
         if ((count + 1) * 4 > index.size() * 3) {
-            std::vector<Place> old(std::max<std::size_t>(16, index.size() * 2));
+            std::vector<IndexEntry> old(std::max<std::size_t>(16, index.size() * 2));
             old.swap(index);
-            for (const Place& place : old)
-                if (place.slot != kNoSlot) put(place);
+            for (const IndexEntry& place : old)
+                if (place.slot != kNoSlot) place_in_index(place);
         }
-        put({slot, tag(hash)});
+        place_in_index({slot, tag(hash)});
     }
-    void put(Place place) {
+    void place_in_index(IndexEntry place) {
         std::size_t mask = index.size() - 1, at = place.tag & mask;
         while (index[at].slot != kNoSlot) at = (at + 1) & mask;
         index[at] = place;
     }
-    void leave(std::uint32_t slot) {
+    void erase_index(std::uint32_t slot) {
         std::size_t mask = index.size() - 1, at = tag(slots[slot].hash) & mask;
         while (index[at].slot != slot) at = (at + 1) & mask;
         // Those behind it move up, as far as they may without passing the place that their hash names.
@@ -93,98 +94,101 @@
         index[at] = {};
     }
 
-    bool before(std::uint32_t a, std::uint32_t b) const { return slots[a].due < slots[b].due; }
+    bool is_due_before(std::uint32_t a, std::uint32_t b) const {
+        return slots[a].heap_due < slots[b].heap_due;
+    }
     void place(std::size_t at, std::uint32_t slot) {
         heap[at] = slot;
-        slots[slot].heap = std::uint32_t(at);
+        slots[slot].heap_index = std::uint32_t(at);
     }
-    void up(std::size_t at) {
+    void sift_up(std::size_t at) {
         std::uint32_t slot = heap[at];
-        for (; at > 0 && before(slot, heap[(at - 1) / 2]); at = (at - 1) / 2) place(at, heap[(at - 1) / 2]);
+        for (; at > 0 && is_due_before(slot, heap[(at - 1) / 2]); at = (at - 1) / 2)
+            place(at, heap[(at - 1) / 2]);
         place(at, slot);
     }
-    void down(std::size_t at) {
+    void sift_down(std::size_t at) {
         std::uint32_t slot = heap[at];
         for (std::size_t child; (child = 2 * at + 1) < heap.size(); at = child) {
-            if (child + 1 < heap.size() && before(heap[child + 1], heap[child])) ++child;
-            if (!before(heap[child], slot)) break;
+            if (child + 1 < heap.size() && is_due_before(heap[child + 1], heap[child])) ++child;
+            if (!is_due_before(heap[child], slot)) break;
             place(at, heap[child]);
         }
         place(at, slot);
     }
 
-    void count_for(std::uint64_t who, std::ptrdiff_t change) {
+    void charge(std::uint64_t partner, std::ptrdiff_t change) {
         if (change == 0) return;
-        octets += std::size_t(change);
-        auto it = partners.try_emplace(who, 0).first;
+        bytes += std::size_t(change);
+        auto it = partners.try_emplace(partner, 0).first;
         it->second += std::size_t(change);
         if (it->second == 0) partners.erase(it);
     }
-    std::size_t of(std::uint64_t who) const {
-        auto it = partners.find(who);
+    std::size_t bytes_of(std::uint64_t partner) const {
+        auto it = partners.find(partner);
         return it == partners.end() ? 0 : it->second;
     }
 
     void remove(std::uint32_t n) {
         Slot& slot = slots[n];
-        count_for(slot.partner, -std::ptrdiff_t(slot.octets()));
-        leave(n);
-        std::size_t at = slot.heap;
+        charge(slot.partner, -std::ptrdiff_t(slot.bytes()));
+        erase_index(n);
+        std::size_t at = slot.heap_index;
         std::uint32_t last = heap.back();
         heap.pop_back();
         if (last != n) {
             place(at, last);
-            up(at);
-            down(slots[last].heap);
+            sift_up(at);
+            sift_down(slots[last].heap_index);
         }
         slot.used = false;
         if (slot.payload.capacity() > 1024)
             std::string().swap(slot.payload);  // small ones keep their memory for the next
-        slot.next_free = free;
-        free = n;
+        slot.next_free = free_slot;
+        free_slot = n;
         --count;
     }
-    void set(std::uint64_t hash, const Record& record, TimePoint now, bool longer) {
-        Duration life = longer ? record.life * 1.02 : record.life;
+    void set(std::uint64_t hash, const Record& record, TimePoint now, bool is_copy) {
+        Duration lifetime = is_copy ? record.lifetime * 1.02 : record.lifetime;
         std::uint32_t n = find(hash, record.kind, record.key);
-        bool fresh = n == kNoSlot;
-        if (fresh) {
-            if (free != kNoSlot) {
-                n = free;
-                free = slots[n].next_free;
+        bool is_new = n == kNoSlot;
+        if (is_new) {
+            if (free_slot != kNoSlot) {
+                n = free_slot;
+                free_slot = slots[n].next_free;
             } else {
                 n = std::uint32_t(slots.size());
                 slots.emplace_back();
             }
             Slot& slot = slots[n];
             slot.hash = hash, slot.kind = record.kind, slot.key = record.key, slot.used = true;
-            enter(n, hash);
+            insert_index(n, hash);
             ++count;
         } else {
-            count_for(slots[n].partner, -std::ptrdiff_t(slots[n].octets()));
+            charge(slots[n].partner, -std::ptrdiff_t(slots[n].bytes()));
         }
         Slot& slot = slots[n];
         slot.partner = record.partner, slot.version = record.version, slot.request = record.request;
-        slot.schema = record.schema, slot.payload = record.payload, slot.ends = now + life;
+        slot.schema = record.schema, slot.payload = record.payload, slot.expires_at = now + lifetime;
         version = std::max(version, record.version);
-        count_for(slot.partner, std::ptrdiff_t(slot.octets()));
-        if (fresh) {
-            slot.due = slot.ends;
+        charge(slot.partner, std::ptrdiff_t(slot.bytes()));
+        if (is_new) {
+            slot.heap_due = slot.expires_at;
             heap.push_back(n);
-            up(heap.size() - 1);
-        } else if (slot.ends < slot.due) {
-            slot.due = slot.ends;
-            up(slot.heap);
+            sift_up(heap.size() - 1);
+        } else if (slot.expires_at < slot.heap_due) {
+            slot.heap_due = slot.expires_at;
+            sift_up(slot.heap_index);
         }
     }
     std::size_t expire(TimePoint now, std::size_t limit) {
         std::size_t ended = 0;
-        for (std::size_t looked = 0; looked < limit && !heap.empty(); ++looked) {
+        for (std::size_t checked = 0; checked < limit && !heap.empty(); ++checked) {
             Slot& top = slots[heap.front()];
-            if (top.due > now) break;
-            if (top.ends > now) {
-                top.due = top.ends;
-                down(0);
+            if (top.heap_due > now) break;
+            if (top.expires_at > now) {
+                top.heap_due = top.expires_at;
+                sift_down(0);
             } else {
                 remove(heap.front());
                 ++ended;
@@ -192,34 +196,35 @@
         }
         return ended;
     }
-    static void read(const Slot& slot, TimePoint now, Record& record) {
+    static void read_slot(const Slot& slot, TimePoint now, Record& record) {
         record.kind = slot.kind, record.schema = slot.schema, record.partner = slot.partner;
-        record.version = slot.version, record.request = slot.request, record.life = slot.ends - now;
+        record.version = slot.version, record.request = slot.request, record.lifetime = slot.expires_at - now;
         record.key = slot.key, record.payload = slot.payload;
     }
 };
 
 Table::Table(const TableSettings& settings) : set_(settings) {
-    set_.shards = std::bit_ceil(std::max<std::size_t>(1, set_.shards));
-    shards_ = std::make_unique<Shard[]>(set_.shards);
-    for (std::size_t n = 0; n < set_.shards; ++n) shards_[n].mutex.number(std::uint32_t(n));
+    set_.shard_count = std::bit_ceil(std::max<std::size_t>(1, set_.shard_count));
+    shards_ = std::make_unique<Shard[]>(set_.shard_count);
+    for (std::size_t n = 0; n < set_.shard_count; ++n) shards_[n].mutex.number(std::uint32_t(n));
 }
 Table::~Table() = default;
 
 std::optional<Error> Table::too_long(const Write& write) const {
     const Record& r = write.record;
-    if (r.key.empty() || r.key.size() > set_.key || r.payload.size() > set_.payload) return Error::TooLong;
-    if (!write.erase && !(r.life > Duration{0} && r.life <= set_.life)) return Error::TooLong;
+    if (r.key.empty() || r.key.size() > set_.max_key_bytes || r.payload.size() > set_.max_payload_bytes)
+        return Error::TooLong;
+    if (!write.erase && !(r.lifetime > Duration{0} && r.lifetime <= set_.max_lifetime)) return Error::TooLong;
     return {};
 }
 
 bool Table::find(std::uint16_t kind, std::string_view key, TimePoint now, Record& record) const {
     std::uint64_t h = hash(kind, key);
-    const Shard& shard = shards_[h & (set_.shards - 1)];
+    const Shard& shard = shards_[h & (set_.shard_count - 1)];
     std::lock_guard lock(shard.mutex);
     std::uint32_t n = shard.find(h, kind, key);
-    if (n == kNoSlot || shard.slots[n].ends <= now) return false;
-    Shard::read(shard.slots[n], now, record);
+    if (n == kNoSlot || shard.slots[n].expires_at <= now) return false;
+    Shard::read_slot(shard.slots[n], now, record);
     return true;
 }
 
@@ -227,36 +232,37 @@
                           Prepared& prepared) {
     Outcome outcome;
     std::uint32_t n = shard.find(h, write.record.kind, write.record.key);
-    bool there = n != kNoSlot && shard.slots[n].ends > now;
-    if (write.expect && *write.expect != (there ? shard.slots[n].version : 0)) {
+    bool exists = n != kNoSlot && shard.slots[n].expires_at > now;
+    if (write.expected_version && *write.expected_version != (exists ? shard.slots[n].version : 0)) {
         outcome.error = Error::Changed;
-        if (there) Shard::read(shard.slots[n], now, outcome.current.emplace());
+        if (exists) Shard::read_slot(shard.slots[n], now, outcome.current.emplace());
         return outcome;
     }
     prepared.erase = write.erase;
-    prepared.shard = h & (set_.shards - 1);
-    prepared.octets = 0;
+    prepared.shard = h & (set_.shard_count - 1);
+    prepared.reserved_bytes = 0;
     if (!write.erase) {
-        std::size_t size = kRecordOctets + write.record.key.size() + write.record.payload.size();
-        auto refused = [&]() -> std::optional<Error> {
-            std::size_t old = n == kNoSlot ? 0 : shard.slots[n].octets();
+        std::size_t size = kRecordOverheadBytes + write.record.key.size() + write.record.payload.size();
+        auto check_limits = [&]() -> std::optional<Error> {
+            std::size_t old = n == kNoSlot ? 0 : shard.slots[n].bytes();
             std::size_t old_own = old > 0 && shard.slots[n].partner == write.record.partner ? old : 0;
-            if (shard.of(write.record.partner) - old_own + size > set_.partner_octets / set_.shards)
+            if (shard.bytes_of(write.record.partner) - old_own + size >
+                set_.max_partner_bytes / set_.shard_count)
                 return Error::PartnerFull;
-            if (shard.octets - old + size > set_.octets / set_.shards) return Error::Full;
-            prepared.octets = size > old_own ? size - old_own : 0;
+            if (shard.bytes - old + size > set_.max_bytes / set_.shard_count) return Error::Full;
+            prepared.reserved_bytes = size > old_own ? size - old_own : 0;
             return {};
         };
-        outcome.error = refused();
-        if (outcome.error && shard.expire(now, kSweep) > 0) {
+        outcome.error = check_limits();
+        if (outcome.error && shard.expire(now, kExpireOnFullRecords) > 0) {
             n = shard.find(h, write.record.kind, write.record.key);
-            outcome.error = refused();
+            outcome.error = check_limits();
         }
         if (outcome.error) return outcome;
     }
     prepared.record = write.record;
     prepared.record.version = outcome.version = ++shard.version;
-    shard.count_for(write.record.partner, std::ptrdiff_t(prepared.octets));
+    shard.charge(write.record.partner, std::ptrdiff_t(prepared.reserved_bytes));
     return outcome;
 }
 
@@ -264,7 +270,7 @@
     Outcome outcome;
     if ((outcome.error = too_long(write))) return outcome;
     std::uint64_t h = hash(write.record.kind, write.record.key);
-    Shard& shard = shards_[h & (set_.shards - 1)];
+    Shard& shard = shards_[h & (set_.shard_count - 1)];
     std::lock_guard lock(shard.mutex);
     return prepare_in(shard, h, write, now, prepared);
 }
@@ -273,7 +279,7 @@
     std::uint64_t h = hash(prepared.record.kind, prepared.record.key);
     Shard& shard = shards_[prepared.shard];
     std::lock_guard lock(shard.mutex);
-    shard.count_for(prepared.record.partner, -std::ptrdiff_t(prepared.octets));
+    shard.charge(prepared.record.partner, -std::ptrdiff_t(prepared.reserved_bytes));
     if (!prepared.erase)
         shard.set(h, prepared.record, now, false);
     else if (std::uint32_t n = shard.find(h, prepared.record.kind, prepared.record.key); n != kNoSlot)
@@ -283,19 +289,19 @@
 void Table::abandon(const Prepared& prepared) {
     Shard& shard = shards_[prepared.shard];
     std::lock_guard lock(shard.mutex);
-    shard.count_for(prepared.record.partner, -std::ptrdiff_t(prepared.octets));
+    shard.charge(prepared.record.partner, -std::ptrdiff_t(prepared.reserved_bytes));
 }
 
 Outcome Table::write(const Write& write, TimePoint now) {
     Outcome outcome;
     if ((outcome.error = too_long(write))) return outcome;
     std::uint64_t h = hash(write.record.kind, write.record.key);
-    Shard& shard = shards_[h & (set_.shards - 1)];
+    Shard& shard = shards_[h & (set_.shard_count - 1)];
     thread_local Prepared prepared;
     std::lock_guard lock(shard.mutex);
     outcome = prepare_in(shard, h, write, now, prepared);
     if (outcome.error) return outcome;
-    shard.count_for(write.record.partner, -std::ptrdiff_t(prepared.octets));
+    shard.charge(write.record.partner, -std::ptrdiff_t(prepared.reserved_bytes));
     if (!write.erase)
         shard.set(h, prepared.record, now, false);
     else if (std::uint32_t n = shard.find(h, write.record.kind, write.record.key); n != kNoSlot)
@@ -307,7 +313,7 @@
     if (auto error = too_long(a)) return error;
     if (auto error = too_long(b)) return error;
     std::uint64_t ha = hash(a.record.kind, a.record.key), hb = hash(b.record.kind, b.record.key);
-    std::size_t na = ha & (set_.shards - 1), nb = hb & (set_.shards - 1);
+    std::size_t na = ha & (set_.shard_count - 1), nb = hb & (set_.shard_count - 1);
     std::unique_lock low(shards_[std::min(na, nb)].mutex);
     std::unique_lock high(shards_[std::max(na, nb)].mutex, std::defer_lock);
     if (na != nb) high.lock();
@@ -315,12 +321,12 @@
     Outcome first = prepare_in(shards_[na], ha, a, now, pa);
     if (first.error) return first.error;
     Outcome second = prepare_in(shards_[nb], hb, b, now, pb);
-    auto give_back = [&](const Prepared& p) {
-        shards_[p.shard].count_for(p.record.partner, -std::ptrdiff_t(p.octets));
+    auto release_reservation = [&](const Prepared& p) {
+        shards_[p.shard].charge(p.record.partner, -std::ptrdiff_t(p.reserved_bytes));
     };
-    give_back(pa);
+    release_reservation(pa);
     if (second.error) return second.error;
-    give_back(pb);
+    release_reservation(pb);
     for (const auto& [p, h] : {std::pair(&pa, ha), std::pair(&pb, hb)}) {
         Shard& shard = shards_[p->shard];
         if (!p->erase)
@@ -333,7 +339,7 @@
 
 void Table::copy(const Record& record, TimePoint now) {
     std::uint64_t h = hash(record.kind, record.key);
-    Shard& shard = shards_[h & (set_.shards - 1)];
+    Shard& shard = shards_[h & (set_.shard_count - 1)];
     std::lock_guard lock(shard.mutex);
     std::uint32_t n = shard.find(h, record.kind, record.key);
     // It must not end here before it ends there, however the two clocks run.
@@ -342,22 +348,23 @@
 
 void Table::erase_copy(std::uint16_t kind, std::string_view key, std::uint64_t version) {
     std::uint64_t h = hash(kind, key);
-    Shard& shard = shards_[h & (set_.shards - 1)];
+    Shard& shard = shards_[h & (set_.shard_count - 1)];
     std::lock_guard lock(shard.mutex);
     shard.version = std::max(shard.version, version);
     std::uint32_t n = shard.find(h, kind, key);
     if (n != kNoSlot && shard.slots[n].version < version) shard.remove(n);
 }
 
-std::optional<std::size_t> Table::for_shard(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
-                                            std::vector<Record>& records) const {
+std::optional<std::size_t> Table::scan(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
+                                       std::vector<Record>& records) const {
     const Shard& shard = shards_[n];
     std::lock_guard lock(shard.mutex);
     // Empty slots cost a look each, so they are bounded too.
-    for (std::size_t looked = 0; from < shard.slots.size() && limit > 0 && looked < 4096; ++from, ++looked) {
+    for (std::size_t checked = 0; from < shard.slots.size() && limit > 0 && checked < 4096;
+         ++from, ++checked) {
         const Shard::Slot& slot = shard.slots[from];
-        if (!slot.used || slot.ends <= now) continue;
-        Shard::read(slot, now, records.emplace_back());
+        if (!slot.used || slot.expires_at <= now) continue;
+        Shard::read_slot(slot, now, records.emplace_back());
         --limit;
     }
     if (from >= shard.slots.size()) return {};
@@ -373,8 +380,8 @@
     Shard& shard = shards_[n];
     std::lock_guard lock(shard.mutex);
     shard.slots = {}, shard.index = {}, shard.heap = {}, shard.partners = {};
-    shard.count = shard.octets = 0;
-    shard.free = kNoSlot;
+    shard.count = shard.bytes = 0;
+    shard.free_slot = kNoSlot;
     shard.version = std::max(shard.version, version);
 }
 
@@ -386,13 +393,13 @@
     std::lock_guard lock(shards_[n].mutex);
     return shards_[n].count;
 }
-std::size_t Table::octets(std::size_t n) const {
+std::size_t Table::bytes(std::size_t n) const {
     std::lock_guard lock(shards_[n].mutex);
-    return shards_[n].octets;
+    return shards_[n].bytes;
 }
-std::size_t Table::octets_of(std::size_t n, std::uint64_t who) const {
+std::size_t Table::bytes_of_partner(std::size_t n, std::uint64_t partner) const {
     std::lock_guard lock(shards_[n].mutex);
-    return shards_[n].of(who);
+    return shards_[n].bytes_of(partner);
 }
 
 }  // namespace ochrehub::shards
--- a/src/fleet/shards/table.h
+++ b/src/fleet/shards/table.h
@@ -23,18 +23,18 @@
 namespace ochrehub::shards {
 
 struct TableSettings {
-    std::size_t shards = 256;               ///< a power of two
-    std::size_t octets = 256 << 20;         ///< of all shards: each has its equal part
-    std::size_t partner_octets = 32 << 20;  ///< ... and each partner has at most this much of them
-    std::size_t key = 256;                  ///< octets of one
-    std::size_t payload = 16 << 10;         ///< octets of one
-    Duration life{86'400'000};              ///< the longest that a record lives behind its last write
+    std::size_t shard_count = 256;             ///< a power of two
+    std::size_t max_bytes = 256 << 20;         ///< of all shards: each has its equal part
+    std::size_t max_partner_bytes = 32 << 20;  ///< ... and each partner has at most this much of them
+    std::size_t max_key_bytes = 256;           ///< octets of one
+    std::size_t max_payload_bytes = 16 << 10;  ///< octets of one
+    Duration max_lifetime{86'400'000};         ///< the longest that a record lives behind its last write
 };
 /// What a record costs beyond the octets of its key and content.
-inline constexpr std::size_t kRecordOctets = 160;
+inline constexpr std::size_t kRecordOverheadBytes = 160;
 
 /// Who a record's memory is counted for.
-std::uint64_t partner(std::string_view name);
+std::uint64_t partner_id(std::string_view name);
 /// `shards` is a power of two.
 std::size_t shard_of(std::uint16_t kind, std::string_view key, std::size_t shards);
 
@@ -43,7 +43,7 @@
     std::uint32_t schema = 0;
     std::uint64_t partner = 0, version = 0;
     std::uint64_t request = 0;  ///< of the last write, chosen by whoever wrote it
-    Duration life{};            ///< what is left of it
+    Duration lifetime{};        ///< what is left of it
     std::string key, payload;
     friend bool operator==(const Record&, const Record&) = default;
 };
@@ -51,7 +51,7 @@
 struct Write {
     Record record;  ///< version is not read
     std::optional<std::uint64_t>
-        expect;  ///< the version that must be there; zero: no record. Nothing: whatever is there
+        expected_version;  ///< the version that must be there; zero: no record. Nothing: whatever is there
     bool erase = false;
 };
 struct Outcome {
@@ -64,7 +64,7 @@
     std::size_t shard = 0;
     Record record;
     bool erase = false;
-    std::size_t octets = 0;  ///< set aside
+    std::size_t reserved_bytes = 0;  ///< set aside
 };
 
 class Table {
@@ -73,9 +73,9 @@
     ~Table();
 
     const TableSettings& settings() const { return set_; }
-    std::size_t shards() const { return set_.shards; }
+    std::size_t shards() const { return set_.shard_count; }
     std::size_t shard_of(std::uint16_t kind, std::string_view key) const {
-        return shards::shard_of(kind, key, set_.shards);
+        return shards::shard_of(kind, key, set_.shard_count);
     }
 
     /// False: none, or its end has come. `record` keeps its memory from call to call.
@@ -97,8 +97,8 @@
     /// At most `limit` records from place `from` on, appended; returns the place to go on from, nothing at
     /// the end. What is there from a scan's beginning to its end is seen once; what comes and goes meanwhile
     /// may be.
-    std::optional<std::size_t> for_shard(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
-                                         std::vector<Record>& records) const;
+    std::optional<std::size_t> scan(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
+                                    std::vector<Record>& records) const;
     /// Ends at most `limit` records whose time has come.
     std::size_t expire(std::size_t n, TimePoint now, std::size_t limit);
     /// Versions go on from `version` at least. Nothing of it may be prepared.
@@ -106,8 +106,8 @@
 
     std::uint64_t version(std::size_t n) const;  ///< the highest that was given or taken
     std::size_t records(std::size_t n) const;
-    std::size_t octets(std::size_t n) const;
-    std::size_t octets_of(std::size_t n, std::uint64_t partner) const;
+    std::size_t bytes(std::size_t n) const;
+    std::size_t bytes_of_partner(std::size_t n, std::uint64_t partner) const;
 
 private:
     struct Shard;
--- a/src/fleet/shards/wire.cpp
+++ b/src/fleet/shards/wire.cpp
@@ -12,7 +12,7 @@
     out.set_version(record.version);
     out.set_request(record.request);
     out.set_payload(record.payload);
-    out.set_life(record.life.count());
+    out.set_life(record.lifetime.count());
 }
 bool from_wire(const wire::Record& in, Record& record) {
     if (in.kind() > 0xFFFF || !std::isfinite(in.life()) || in.life() < 0 || in.key().empty()) return false;
@@ -23,7 +23,7 @@
     record.version = in.version();
     record.request = in.request();
     record.payload = in.payload();
-    record.life = Duration(in.life());
+    record.lifetime = Duration(in.life());
     return true;
 }
 
--- a/tests/fleet/shards_table_test.cpp
+++ b/tests/fleet/shards_table_test.cpp
@@ -17,14 +17,14 @@
 
 Write put(std::string key, std::string payload, double life = 1000, std::uint64_t who = 1) {
     Write w;
-    w.record.kind = 1, w.record.schema = 3, w.record.partner = who, w.record.life = Duration(life);
+    w.record.kind = 1, w.record.schema = 3, w.record.partner = who, w.record.lifetime = Duration(life);
     w.record.key = std::move(key), w.record.payload = std::move(payload);
     return w;
 }
 TableSettings small() {
     TableSettings set;
-    set.shards = 4, set.octets = 4 * 2000, set.partner_octets = 4 * 800, set.payload = 600,
-    set.life = Duration(5000);
+    set.shard_count = 4, set.max_bytes = 4 * 2000, set.max_partner_bytes = 4 * 800,
+    set.max_payload_bytes = 600, set.max_lifetime = Duration(5000);
     return set;
 }
 
@@ -37,7 +37,7 @@
     EXPECT_EQ(found.payload, "rack 7");
     EXPECT_EQ(found.schema, 3u);
     EXPECT_EQ(found.version, first.version);
-    EXPECT_DOUBLE_EQ(found.life.count(), 1);
+    EXPECT_DOUBLE_EQ(found.lifetime.count(), 1);
     EXPECT_FALSE(table.find(2, "basket", at(0), found));  // another kind is another record
     EXPECT_FALSE(table.find(1, "basket", at(1000), found));
 }
@@ -45,14 +45,14 @@
 TEST(ShardsTable, WhoReadAnOlderVersionDoesNotWrite) {
     Table table(TableSettings{});
     Write w = put("k", "a");
-    w.expect = 0;
+    w.expected_version = 0;
     Outcome made = table.write(w, at(0));
     EXPECT_FALSE(made.error);
     Outcome again = table.write(w, at(0));
     EXPECT_EQ(again.error, Error::Changed);
     ASSERT_TRUE(again.current);
     EXPECT_EQ(again.current->payload, "a");
-    w.expect = made.version, w.erase = true;
+    w.expected_version = made.version, w.erase = true;
     Outcome erased = table.write(w, at(0));
     EXPECT_FALSE(erased.error);
     // One of the same name that came later is not the one that was read.
@@ -78,9 +78,9 @@
     Record found;
     for (const auto& [key, one] : kept) EXPECT_TRUE(table.find(1, key, at(999), found)) << key;
     for (std::size_t n = 0; n < 4; ++n) {
-        EXPECT_LE(table.octets(n), set.octets / 4);
+        EXPECT_LE(table.bytes(n), set.max_bytes / 4);
         for (std::uint64_t who = 1; who <= 5; ++who)
-            EXPECT_LE(table.octets_of(n, who), set.partner_octets / 4);
+            EXPECT_LE(table.bytes_of_partner(n, who), set.max_partner_bytes / 4);
     }
     // What has ended makes room by itself.
     EXPECT_FALSE(table.write(put("late", std::string(100, 'x'), 1000, 2), at(1001)).error);
@@ -93,7 +93,7 @@
 
 TEST(ShardsTable, WhatIsPreparedHasItsMemory) {
     TableSettings set = small();
-    set.shards = 1, set.octets = 700, set.partner_octets = 700;
+    set.shard_count = 1, set.max_bytes = 700, set.max_partner_bytes = 700;
     Table table(set);
     Prepared a, b;
     EXPECT_FALSE(table.prepare(put("a", std::string(300, 'x')), at(0), a).error);
@@ -101,22 +101,22 @@
     Record found;
     EXPECT_FALSE(table.find(1, "a", at(0), found));
     table.abandon(a);
-    EXPECT_EQ(table.octets(0), 0u);
+    EXPECT_EQ(table.bytes(0), 0u);
     EXPECT_FALSE(table.prepare(put("b", std::string(300, 'x')), at(0), b).error);
     table.commit(std::move(b), at(0));
     EXPECT_TRUE(table.find(1, "b", at(0), found));
-    EXPECT_EQ(table.octets(0), kRecordOctets + 301);
+    EXPECT_EQ(table.bytes(0), kRecordOverheadBytes + 301);
 }
 
 TEST(ShardsTable, TwoAreWrittenOrNeither) {
     Table table(TableSettings{});
     Write a = put("client", "old"), b = put("tenant/client", "new");
     ASSERT_FALSE(table.write(a, at(0)).error);
-    a.expect = 0;
+    a.expected_version = 0;
     EXPECT_EQ(table.write_two(b, a, at(0)), Error::Changed);
     Record found;
     EXPECT_FALSE(table.find(1, "tenant/client", at(0), found));
-    a.expect.reset(), a.erase = true;
+    a.expected_version.reset(), a.erase = true;
     EXPECT_FALSE(table.write_two(a, b, at(0)));
     EXPECT_FALSE(table.find(1, "client", at(0), found));
     EXPECT_TRUE(table.find(1, "tenant/client", at(0), found));
@@ -137,7 +137,7 @@
     table.erase_copy(1, "k", 9);
     EXPECT_FALSE(table.find(1, "k", at(0), found));
     EXPECT_EQ(table.write(put("k", "ten"), at(0)).version, 10u);
-    EXPECT_EQ(table.octets(table.shard_of(1, "k")), kRecordOctets + 4);
+    EXPECT_EQ(table.bytes(table.shard_of(1, "k")), kRecordOverheadBytes + 4);
 }
 
 // Thousands of steps, each beside a map of what must be there.
@@ -150,10 +150,10 @@
     for (unsigned seed = 1; seed <= 20; ++seed) {
         boost::random::taus88 random(seed);
         TableSettings set;
-        set.shards = 2;
+        set.shard_count = 2;
         Table table(set);
         std::map<std::string, Kept> map;
-        std::size_t octets = 0;
+        std::size_t bytes = 0;
         for (int step = 0; step < 3000; ++step) {
             TimePoint now = at(step);
             std::string key = std::to_string(random() % 300);
@@ -165,14 +165,14 @@
                     Write w = put(key, std::string(random() % 40, 'p'), 1 + random() % 900, 1 + random() % 3);
                     Outcome o = table.write(w, now);
                     ASSERT_FALSE(o.error);
-                    map[key] = {w.record.payload, o.version, now + w.record.life};
+                    map[key] = {w.record.payload, o.version, now + w.record.lifetime};
                     break;
                 }
                 case 2: {
                     Write w = put(key, "swapped", 500);
-                    w.expect = there && random() % 2 ? it->second.version : 0;
+                    w.expected_version = there && random() % 2 ? it->second.version : 0;
                     Outcome o = table.write(w, now);
-                    bool fits = *w.expect == (there ? it->second.version : 0);
+                    bool fits = *w.expected_version == (there ? it->second.version : 0);
                     ASSERT_EQ(!o.error, fits);
                     if (fits) map[key] = {"swapped", o.version, now + Duration(500)};
                     break;
@@ -200,32 +200,33 @@
         // At the end: all that lives, each once, by scans of any width, and not an octet that nobody has.
         std::size_t live = 0;
         for (const auto& [key, kept] : map)
-            if (kept.ends > at(3000)) ++live, octets += kRecordOctets + key.size() + kept.payload.size();
+            if (kept.ends > at(3000))
+                ++live, bytes += kRecordOverheadBytes + key.size() + kept.payload.size();
         std::set<std::string> seen;
         for (std::size_t n = 0; n < 2; ++n) {
             std::vector<Record> records;
             for (std::optional<std::size_t> from = 0; from;)
-                from = table.for_shard(n, 1 + random() % 7, *from, at(3000), records);
+                from = table.scan(n, 1 + random() % 7, *from, at(3000), records);
             for (const Record& r : records) ASSERT_TRUE(seen.insert(r.key).second);
             table.expire(n, at(3000), 10'000);
         }
         EXPECT_EQ(seen.size(), live);
         EXPECT_EQ(table.records(0) + table.records(1), live);
-        EXPECT_EQ(table.octets(0) + table.octets(1), octets);
+        EXPECT_EQ(table.bytes(0) + table.bytes(1), bytes);
         table.clear(0), table.clear(1);
-        EXPECT_EQ(table.octets(0) + table.octets(1) + table.octets_of(0, 1), 0u);
+        EXPECT_EQ(table.bytes(0) + table.bytes(1) + table.bytes_of_partner(0, 1), 0u);
     }
 }
 
 TEST(ShardsTable, AScanSeesOnceWhatStaysWhileOthersComeAndGo) {
     TableSettings set;
-    set.shards = 1;
+    set.shard_count = 1;
     Table table(set);
     for (int i = 0; i < 500; ++i) table.write(put("stays" + std::to_string(i), ""), at(0));
     std::vector<Record> records;
     int round = 0;
     for (std::optional<std::size_t> from = 0; from; ++round) {
-        from = table.for_shard(0, 10, *from, at(1), records);
+        from = table.scan(0, 10, *from, at(1), records);
         table.write(put("comes" + std::to_string(round), ""), at(1));
         Write gone = put("comes" + std::to_string(round / 2), "");
         gone.erase = true;
--- a/tests/fleet/shards_test.cpp
+++ b/tests/fleet/shards_test.cpp
@@ -84,7 +84,7 @@
     join(views, 7, "c");
     Steps steps = drive(views);
     ASSERT_TRUE(steps.ended);
-    EXPECT_LE(steps.most, ShardMapPlanner::Settings{}.moves);
+    EXPECT_LE(steps.most, ShardMapPlanner::Settings{}.max_moves);
     expect_balanced(views, 2);
     std::size_t copies = 0, others = 0;
     for (std::size_t n = 0; n < before.size(); ++n) {
@@ -163,7 +163,7 @@
     EXPECT_EQ(apply(views, 1, ShardMapPlanner::offer_command("")), Error::Malformed);
     EXPECT_EQ(apply(views, 1, ShardMapPlanner::offer_command(std::string(257, 'x'))), Error::Malformed);
     ShardMapPlanner::Settings one;
-    one.holders = 1;
+    one.max_holders = 1;
     ShardMapPlanner full(one);
     join(full, 1, "a");
     full.session_opened(2, "b", "b");
@@ -177,7 +177,7 @@
     for (unsigned seed = 1; seed <= 40; ++seed) {
         boost::random::taus88 random(seed * 97 + 64);
         ShardMapPlanner::Settings set;
-        set.shards = 32;
+        set.shard_count = 32;
         ShardMapPlanner views(set), twin(set);
         SessionId next = 1;
         std::vector<SessionId> live;
@@ -242,7 +242,7 @@
 
 TableSettings table_settings() {
     TableSettings set;
-    set.shards = 1;
+    set.shard_count = 1;
     return set;
 }
 /// A map of one shard.
@@ -264,7 +264,7 @@
     Rig() : client(client_settings()) {}
     static ShardClient::Settings client_settings() {
         ShardClient::Settings set;
-        set.shards = 1;
+        set.shard_count = 1;
         return set;
     }
     void news(TimePoint now, const ShardAssignment& entry, std::uint64_t number, SessionId session = 1) {
@@ -409,7 +409,7 @@
         rig.out.clear();
     }
     EXPECT_TRUE(errors.contains(std::uint32_t(Error::Busy)));
-    EXPECT_EQ(rig.holder.counts().refused, 3000u - 1 - ShardHolder::Settings{}.waiting);
+    EXPECT_EQ(rig.holder.counts().rejected, 3000u - 1 - ShardHolder::Settings{}.max_waiting_writes);
 }
 
 TEST(ShardsHolder, TakesNoHarmFromOctetsThatAreNoMessage) {
@@ -461,11 +461,12 @@
         out.clear();
         return all;
     }
-    void ask(std::uint64_t id, bool writes, std::optional<std::uint64_t> expect = {}, bool stays = false) {
+    void ask(std::uint64_t id, bool writes, std::optional<std::uint64_t> expect = {},
+             bool never_erased = false) {
         ShardClient::Request a;
-        a.id = id, a.writes = writes, a.deadline = at(2000), a.stays = stays;
-        a.write.record.kind = 1, a.write.record.key = "k", a.write.record.life = Duration(1000),
-        a.write.expect = expect;
+        a.id = id, a.writes = writes, a.deadline = at(2000), a.never_erased = never_erased;
+        a.write.record.kind = 1, a.write.record.key = "k", a.write.record.lifetime = Duration(1000),
+        a.write.expected_version = expect;
         client.handle(at(0), a, out);
         client.handle(at(1), ShardClient::TimerFired{}, out);
     }
--- a/tests/fleet/shards_threads.cpp
+++ b/tests/fleet/shards_threads.cpp
@@ -14,7 +14,7 @@
 
 Write put(std::string key, std::string payload, double life = 1e6) {
     Write w;
-    w.record.kind = 1, w.record.partner = 7, w.record.life = Duration(life);
+    w.record.kind = 1, w.record.partner = 7, w.record.lifetime = Duration(life);
     w.record.key = std::move(key), w.record.payload = std::move(payload);
     return w;
 }
@@ -28,7 +28,7 @@
 /// Each adds to few records by compare and swap; no addition is lost.
 void nothing_is_lost(int workers, int rounds) {
     TableSettings set;
-    set.shards = 4;
+    set.shard_count = 4;
     Table table(set);
     constexpr int kKeys = 8;
     threads(workers, [&](int t) {
@@ -38,7 +38,7 @@
             for (;;) {
                 bool there = table.find(1, key, TimePoint{}, found);
                 Write w = put(key, std::to_string((there ? std::stoi(found.payload) : 0) + 1));
-                w.expect = there ? found.version : 0;
+                w.expected_version = there ? found.version : 0;
                 if (!table.write(w, TimePoint{}).error) break;
             }
         }
@@ -53,7 +53,7 @@
 /// Moves between two records go on in both directions, while others scan, end and clear.
 void nothing_hangs(int workers, int rounds) {
     TableSettings set;
-    set.shards = 8;
+    set.shard_count = 8;
     Table table(set);
     std::atomic<bool> done{false};
     std::thread reader([&] {
@@ -62,9 +62,9 @@
             for (std::size_t n = 0; n < table.shards(); ++n) {
                 records.clear();
                 for (std::optional<std::size_t> from = 0; from;)
-                    from = table.for_shard(n, 16, *from, TimePoint{}, records);
+                    from = table.scan(n, 16, *from, TimePoint{}, records);
                 table.expire(n, TimePoint(Duration(20)), 16);
-                assert(table.octets(n) <= table.settings().octets);
+                assert(table.bytes(n) <= table.settings().max_bytes);
             }
     });
     threads(workers, [&](int t) {
@@ -85,7 +85,7 @@
     done = true;
     reader.join();
     for (std::size_t n = 0; n < table.shards(); ++n) table.expire(n, TimePoint(Duration(1e9)), 100'000);
-    for (std::size_t n = 0; n < table.shards(); ++n) assert(table.records(n) == 0 && table.octets(n) == 0);
+    for (std::size_t n = 0; n < table.shards(); ++n) assert(table.records(n) == 0 && table.bytes(n) == 0);
 }
 
 }  // namespace
