--- a/src/fleet/shards/ordered_mutex.h
+++ b/src/fleet/shards/ordered_mutex.h
@@ -1,6 +1,7 @@
-// Locks that have numbers. A thread holds one, or two taken in the order of their numbers; anything else
-// could wait for ever, so it ends the process, at the first wrong order and not at the first time that two
-// threads meet in it. The check is a few instructions on what the thread alone sees, so it is always on.
+// Mutexes with a locking order. A thread holds one, or two locked in ascending order of their numbers; any
+// other order could deadlock, so it aborts the process, the first time a thread uses a wrong order rather
+// than the first time that two threads deadlock. The check is a few instructions on thread-local state, so it
+// is always on.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +14,7 @@
 
 class OrderedMutex {
 public:
-    /// Before it is used by any other thread.
+    /// Sets the position in the locking order; before any other thread uses the mutex.
     void number(std::uint32_t n) { number_ = n; }
 
     void lock() {
@@ -30,7 +31,7 @@
         --held.count;
         mutex_.unlock();
     }
-    /// So many does this thread hold.
+    /// How many the calling thread holds.
     static int held() { return held_.count; }
 
 private:
--- a/src/fleet/shards/session_records.h
+++ b/src/fleet/shards/session_records.h
@@ -1,10 +1,10 @@
-// Sessions in our trade, as records: which rack (cell) and server a client's basket is bound to, and which of
-// its orders may not be repeated and are under way. A client that comes to another node, or after its node
-// died, keeps its rack, and no order is sent twice.
+// Client sessions as records: which cell and server a client is bound to, and which of its non-repeatable
+// requests (orders) are in progress. A client that moves to another node, also after its node died, keeps its
+// cell, and no order is sent twice.
 //
-// Pure functions: what to ask of a shard's holder, and what its answer means. A basket is one record; an
-// order is one of its own, which ends by itself, so that one write decides who sends it. Whoever is not told
-// Go does not send.
+// Pure functions that build the writes for a shard's holder and interpret its response. A session binding is
+// one record; an order is a record of its own, which expires, so that one write decides which node sends it.
+// A node that doesn't get Granted doesn't send the order.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 struct SessionBinding {
     std::string tenant, client;
     std::uint32_t cell = 0, server = 0;
-    std::uint64_t since = 0;  ///< how often it was bound elsewhere before
+    std::uint64_t since = 0;  ///< number of earlier bindings
     friend bool operator==(const SessionBinding&, const SessionBinding&) = default;
 };
 struct Order {
@@ -35,37 +35,37 @@
 std::optional<SessionBinding> decode_session_binding(const Record& record);
 std::optional<Order> decode_order(const Record& record);
 
-/// Keys. Zero octets part what they are made of; none may be in a name.
+/// Keys, whose parts are separated by zero bytes; a name can't contain one.
 std::string session_binding_key(std::string_view tenant, std::string_view client);
 std::string order_key(std::string_view tenant, std::string_view client, std::string_view request);
 
 Write read_session_binding(std::string_view tenant, std::string_view client);
-/// `over`: the binding that it takes the place of, as it was read. Changed means that another node has bound
-/// it meanwhile: that binding, which comes with the answer, is the one to use.
+/// `replaces`: the current binding as it was read; null: there is none. Changed means that another node has
+/// bound the client in the meantime: the binding in the response is the one to use.
 Write bind_session(const SessionBinding& basket, const Record* replaces, Duration lifetime);
 
-/// `over`: one that never ran, as `begun` gave it.
+/// `replaces`: the record of an order that was never executed (NeverExecuted); null: there is none.
 Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
                   const Order& order, Duration lifetime, const Record* replaces = nullptr);
-/// How it ended, by who was told Go, at the version that Go came with.
+/// Records the outcome; by the node that got Granted, with the version that came with it.
 Write finish_order(std::string_view tenant, std::string_view client, std::string_view request,
                    const Order& order, Duration lifetime, std::uint64_t version);
 
 struct OrderClaim {
     enum class Status : std::uint8_t {
-        Granted,        ///< it is this node's to send, at `version`
-        NeverExecuted,  ///< it never ran: begin once more over `order`'s record
-        InProgress,     ///< a node that lives has sent it
-        Done,           ///< it was answered, with this status
-        Unknown,        ///< it may have run: it is not sent again, and looked up at the servers
-        Undecided,      ///< no holder could say: it was not sent, and is not; the client may come back
+        Granted,        ///< this node sends the order; `version` is for finish_order
+        NeverExecuted,  ///< may begin again, replacing the current record
+        InProgress,     ///< a node that is alive has sent it
+        Done,           ///< the server responded, with the status in `order`
+        Unknown,        ///< it may have been executed: it is looked up at the servers, not sent again
+        Undecided,      ///< no holder decided: it was not sent, and isn't now; the client may retry
     };
     Status status = Status::Undecided;
     std::uint64_t version = 0;
     Order order;
 };
-/// `lives`: whether the node of this session does, as far as is known; a wrong word changes between UnderWay
-/// and Unknown alone.
+/// Interprets the response to begin_order. `is_alive`: whether the node of a session is alive, as far as is
+/// known; a wrong value only swaps InProgress and Unknown.
 template <class IsAlive>
 OrderClaim claim_result(const ShardClient::Completed& done, IsAlive&& is_alive) {
     OrderClaim b;
--- a/src/fleet/shards/shard_client.cpp
+++ b/src/fleet/shards/shard_client.cpp
@@ -7,7 +7,7 @@
 namespace ochrehub::shards {
 namespace {
 
-/// Numbers of one process do not meet those of another.
+/// Spreads request ids over 64 bits, so that those of two processes don't collide.
 std::uint64_t mixed(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
@@ -48,7 +48,7 @@
                 else if (map.number >= map_.number) {
                     std::vector<ShardAssignment> known = std::move(map_.entries);
                     map_ = std::move(map);
-                    // Holders may have told of newer ones than the keepers' news.
+                    // Holders may have reported newer assignments than the coordinators' map has.
                     for (std::uint32_t n = 0; n < known.size(); ++n) adopt(n, known[n]);
                 }
             }
@@ -107,7 +107,7 @@
         ask.set_writes(open.request.writes);
         ask.set_erases(open.request.write.erase);
         if (open.request.write.expected_version) ask.set_expect(*open.request.write.expected_version);
-        // Any other write is sent once, and waits for its answer to the end.
+        // Any other write is sent once, and waits for its response until the deadline.
         bool is_repeatable = !open.request.writes || open.request.write.expected_version.value_or(0) != 0 ||
                              (open.request.write.expected_version && open.request.never_erased);
         set_due(*found, is_repeatable ? now + set_.response_timeout : open.request.deadline);
@@ -155,11 +155,11 @@
             case Error::OlderView:
             case Error::NewerView:
             case Error::SessionExpired:
-            case Error::Busy:  // it was not written; an earlier one of the same may have been
+            case Error::Busy:  // this attempt was not executed; an earlier one may have been
                 retry_later(now, *it);
                 continue;
             case Error::Changed:
-                // What it finds instead may be its own of before.
+                // The current record may be the result of an earlier attempt of this request.
                 if (done.record && done.record->request == open.request.write.record.request) {
                     done.error.reset();
                     done.version = done.record->version;
--- a/src/fleet/shards/shard_client.h
+++ b/src/fleet/shards/shard_client.h
@@ -1,11 +1,14 @@
-// Who asks the holders of shards: a core without I/O. It keeps the map, sends each ask to the shard's first
-// holder under the view that it knows, joins what goes to one holder at one time, and asks again where it was
-// told of a newer view.
+// The client of shard holders, as a core without I/O. It keeps the shard map, sends each request to the
+// shard's primary under the view that it knows, batches the requests to one holder, and retries those that a
+// holder rejected because of a newer view.
 //
-// What may have been written is never written again blindly: a read goes on until its deadline; a write that
-// expects a version does too, since a second one cannot be taken for the first; any other write that was sent
-// and not answered ends as Unknown, and so does one that expects no record, unless such records stay (else it
-// may find none a second time, behind its own and an erasing). What was refused was not written, and goes on.
+// A write that may have been executed is never retried blindly. Reads are retried until their deadline, and
+// so are writes that expect a version, since a second execution finds another version and changes nothing.
+// Any other write that was sent and got no response ends as Unknown. That includes a write that expects no
+// record, unless such records are never erased: otherwise it may find none a second time, after its own
+// record was written and erased. A rejected write was not executed, and is retried.
+//
+// Not thread safe.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -27,35 +30,34 @@
 class ShardClient {
 public:
     struct Settings {
-        std::size_t shard_count = 256;  ///< as in the map
-        Duration response_timeout{
-            300};  ///< for an answer, before a read or a write that expects a version is sent again
-        Duration initial_backoff{20};  ///< after a refusal; twice as long each time, to `back_off_most`
+        std::size_t shard_count = 256;   ///< of the map
+        Duration response_timeout{300};  ///< until a repeatable request without a response is retried
+        Duration initial_backoff{20};    ///< before the first retry; doubles with each, up to max_backoff
         Duration max_backoff{400};
-        Duration batch_delay{0.2};               ///< that an ask waits for others to the same holder
-        std::size_t max_batch = 64;              ///< ... or until there are so many
-        std::size_t max_open_requests = 10'000;  ///< asks at a time; more are refused
-        std::uint64_t instance = 0;              ///< drawn at each start of a process
+        Duration batch_delay{0.2};               ///< how long a request waits for others to the same holder
+        std::size_t max_batch = 64;              ///< requests in one message; a full batch is sent at once
+        std::size_t max_open_requests = 10'000;  ///< more are rejected as Busy
+        std::uint64_t instance = 0;              ///< random id of the process, new at each start
     };
 
-    // ---- What happens
+    // Events
     struct Request {
-        std::uint64_t id = 0;  ///< chosen by whoever asks, comes back in Done, once
+        std::uint64_t id = 0;  ///< chosen by the caller; comes back in one Completed
         bool writes = false;
-        Write write;  ///< to read: kind and key
+        Write write;  ///< a read uses kind and key alone
         TimePoint deadline{};
-        bool never_erased = false;  ///< nobody erases such a record: what expects none may be sent again
+        bool never_erased = false;  ///< nobody erases such records: a write that expects none can be retried
     };
     struct MessageReceived {
         std::string_view body;
     };
-    struct MapReceived {  ///< the machine's, as it came with a renewal
+    struct MapReceived {  ///< as the coordinators sent it with a session renewal
         std::string_view map;
     };
     struct TimerFired {};
     using Event = std::variant<Request, MessageReceived, MapReceived, TimerFired>;
 
-    // ---- What is to be done about it
+    // Actions
     struct SendMessage {
         SessionId to = 0;
         std::string body;
@@ -63,9 +65,10 @@
     struct Completed {
         std::uint64_t id = 0;
         std::optional<Error> error;
-        std::optional<Record> record;  ///< read; Changed: what is there
-        std::uint64_t version = 0;     ///< written
-        std::uint64_t view = 0;        ///< who answered, for judges
+        std::optional<Record> record;  ///< what was read; with Changed: the current record
+        std::uint64_t version = 0;     ///< of the record that was written
+        std::uint64_t view =
+            0;  ///< the view that the responding holder had; with `holder`, for history checkers
         SessionId holder = 0;
     };
     struct SetTimer {
@@ -93,10 +96,10 @@
         State state = State::AwaitingRetry;
         bool may_have_executed = false;
         int attempts = 0;
-        std::uint64_t number = 0;  // of the ask that is out; answers to others count for nothing
+        std::uint64_t number = 0;  // of the last attempt; responses to earlier ones are ignored
         TimePoint due{};
     };
-    using OpenRequests = std::map<std::uint64_t, OpenRequest>;  // by the asker's id
+    using OpenRequests = std::map<std::uint64_t, OpenRequest>;  // by the caller's id
     void adopt(std::uint32_t shard, const ShardAssignment& entry);
     void set_due(OpenRequests::value_type& open, TimePoint at);
     void route(TimePoint now, OpenRequests::value_type& open, Actions& actions);
@@ -109,7 +112,8 @@
     Settings set_;
     ShardMap map_;
     OpenRequests open_;
-    std::map<std::uint64_t, std::uint64_t> id_by_number_;  // of what is out, to the asker's id
+    std::map<std::uint64_t, std::uint64_t>
+        id_by_number_;  // caller's id by attempt number, of requests that were sent
     std::map<SessionId, std::vector<std::uint64_t>> queued_;
     std::set<std::pair<TimePoint, std::uint64_t>> due_;
     std::optional<TimePoint> flush_at_;
--- a/src/fleet/shards/shard_holder.cpp
+++ b/src/fleet/shards/shard_holder.cpp
@@ -16,25 +16,26 @@
     RequesterId from = 0;
     wire::Ask message;
 };
-// A write that has its version and waits until all who must have it do.
+// A prepared write that waits until every required holder has acknowledged it.
 struct ShardHolder::PendingWrite {
     Prepared prepared;
     ClientRequest request;
     TimePoint prepared_at{};
-    std::vector<std::pair<SessionId, std::uint64_t>> needs;  // step of a stream
+    std::vector<std::pair<SessionId, std::uint64_t>> needs;  // receiver and step number of its stream
 };
-// A stream to the second holder, or to the one that is being filled.
+// A stream of steps to the backup, or to the holder that catches up.
 struct ShardHolder::CopyStream {
     SessionId receiver = 0;
-    std::uint64_t assigned_view = 0;  // as the map has it
+    std::uint64_t assigned_view = 0;  // backup_since or catching_up_since of the map
     std::uint64_t stream = 0, version = 0;
     bool keeps_contents = false;
-    std::deque<wire::Step> steps;  // those behind `acked`
+    std::deque<wire::Step> steps;  // the ones after `acked`
     std::uint64_t acked = 0, sent = 0;
-    std::optional<std::size_t> next_page_from = 0;  // where the next one begins; nothing: there is none
-    std::uint64_t page_end = 0;                     // step that ends the last one
-    bool synced = false;          // has all that was there: every write waits for it from now on
-    std::uint64_t synced_at = 0;  // the last step that no write has waited for
+    std::optional<std::size_t> next_page_from = 0;  // position in the table; nothing: all pages were read
+    std::uint64_t page_end = 0;                     // number of the last step of the last page
+    bool synced = false;  // all pages are acknowledged: from now on every write waits for this receiver
+    std::uint64_t synced_at =
+        0;  // the last step when `synced` was set; no write waited for the steps up to it
     TimePoint resend_at{}, proposed_at{};
     std::uint64_t last() const { return acked + steps.size(); }
     std::uint64_t add(wire::Step step) {
@@ -45,19 +46,19 @@
 };
 struct ShardHolder::LocalShard {
     ShardAssignment assignment;
-    std::uint64_t newest_view = 0;  // the newest view that anybody has named
+    std::uint64_t newest_view = 0;  // the newest view in the map or in any message
     Role role = Role::None;
     std::uint64_t origin = 0;
-    bool is_complete = false;   // all of that origin's contents are here
-    TimePoint unknown_until{};  // what is not here may have been lost
-    // As first:
+    bool is_complete = false;   // the table has all contents since `origin`
+    TimePoint unknown_until{};  // until then, a missing record may have been lost
+    // As primary:
     std::vector<CopyStream> streams;
     std::deque<PendingWrite> pending;
-    std::map<Key, std::deque<ClientRequest>> busy_keys;  // keys with a pending write, and who waits behind it
+    std::map<Key, std::deque<ClientRequest>> busy_keys;  // requests that wait, by the key of a pending write
     std::size_t queued_requests = 0;
     bool is_stepping_down = false;
     TimePoint step_down_proposed_at{};
-    // As a copy:
+    // As backup, or while catching up:
     SessionId stream_source = 0;
     std::uint64_t stream = 0, received_up_to = 0;
 };
@@ -103,11 +104,11 @@
     return true;
 }
 
-// ---- The session and the map
+// Session and map
 
 void ShardHolder::renewed(TimePoint now, const SessionRenewed& event) {
     if (event.session != session_) {
-        if (event.session < session_) return;  // late word of one that is over
+        if (event.session < session_) return;  // a late event of an expired session
         reset();
         session_ = event.session;
     }
@@ -154,9 +155,9 @@
     const ShardAssignment& entry = shard.assignment;
     if (shard.role != Role::Primary) {
         if (shard.origin != entry.origin || !shard.is_complete) {
-            // Its contents begin here. Versions are above all that were given in any view before. A part of a
-            // copy is no contents: the keepers name nobody first who has no more, and if they did, it would
-            // be told as a loss.
+            // The shard starts empty. Its versions are above all that were assigned in earlier views. An
+            // incomplete copy isn't used: the coordinators make no holder primary that has one, and if they
+            // did, it would be reported as a loss.
             bool lost = entry.lost || (shard.role == Role::Replica && shard.origin == entry.origin);
             drop(n, shard);
             table_.clear(n, entry.origin << 32);
@@ -176,7 +177,8 @@
         return std::any_of(shard.streams.begin(), shard.streams.end(),
                            [who](const CopyStream& t) { return t.receiver == who; });
     };
-    // A second without a stream is the first of the view before, which had all when it yielded.
+    // A backup without a stream was the primary of the view before, which had all records when it stepped
+    // down.
     if (entry.backup != 0 && !has_stream(entry.backup))
         start_stream(n, shard, entry.backup, entry.backup_since, true);
     if (entry.catching_up != 0 && !has_stream(entry.catching_up))
@@ -186,7 +188,8 @@
 void ShardHolder::step_down(LocalShard& shard) {
     for (PendingWrite& p : shard.pending) table_.abandon(p.prepared);
     for (auto& [key, waiting] : shard.busy_keys)
-        for (const ClientRequest& request : waiting) respond(request, Error::NotPrimary);  // these never ran
+        for (const ClientRequest& request : waiting)
+            respond(request, Error::NotPrimary);  // these were never executed
     shard.pending.clear();
     shard.busy_keys.clear();
     shard.queued_requests = 0;
@@ -204,7 +207,7 @@
     shard.unknown_until = {};
 }
 
-// ---- Messages
+// Messages
 
 void ShardHolder::received(TimePoint now, const MessageReceived& event) {
     wire::Message message;
@@ -215,7 +218,7 @@
     for (wire::Ask& a : *message.mutable_asks()) handle_request(now, {event.from, std::move(a)});
 
     for (const wire::Copy& c : message.copies()) {
-        if (c.to() != session_ || session_ == 0 || !is_local(c.shard())) continue;  // to another life
+        if (c.to() != session_ || session_ == 0 || !is_local(c.shard())) continue;  // to an earlier session
         LocalShard& shard = shards_[c.shard()];
         wire::Copied& reply = *out_->holders[c.from()].add_copied();
         reply.set_shard(c.shard());
@@ -231,8 +234,7 @@
         }
         shard.newest_view = c.view();
         reply.set_view(shard.newest_view);
-        if (shard.role == Role::Primary)
-            step_down(shard);  // it has yielded, and this is the view behind that
+        if (shard.role == Role::Primary) step_down(shard);  // it has stepped down, and this is the next view
         std::uint64_t number = c.number();
         if (shard.stream_source != c.from() || shard.stream != c.stream()) {
             bool begins = number == 1 && c.steps_size() > 0 && c.steps(0).what() == wire::Step::BEGIN;
@@ -252,7 +254,8 @@
             shard.unknown_until = c.unknown() > 0 ? now + Duration(c.unknown()) * 1.02 : TimePoint{};
         }
         for (const wire::Step& step : c.steps()) {
-            if (number++ != shard.received_up_to + 1) continue;  // it is there, or one before it is not
+            if (number++ != shard.received_up_to + 1)
+                continue;  // already received, or an earlier step is missing
             ++shard.received_up_to;
             Record record;
             if (step.what() == wire::Step::END) shard.is_complete = true;
@@ -270,8 +273,8 @@
     for (const wire::Copied& c : message.copied()) {
         if (c.to() != session_ || session_ == 0 || !is_local(c.shard())) continue;
         LocalShard& shard = shards_[c.shard()];
-        shard.newest_view =
-            std::max(shard.newest_view, c.view());  // above its own: it stops until it has heard of that view
+        shard.newest_view = std::max(
+            shard.newest_view, c.view());  // if above its own, it stops serving until it receives that view
         out_->needs_map |= shard.newest_view > shard.assignment.view;
         if (c.older() || shard.role != Role::Primary) continue;
         for (CopyStream& stream : shard.streams) {
@@ -289,7 +292,7 @@
     }
 }
 
-// ---- Asks
+// Requests
 
 void ShardHolder::respond(const ClientRequest& request, std::optional<Error> error, const Record* record,
                           std::uint64_t version) {
@@ -361,7 +364,8 @@
     shard.pending.push_back(std::move(pending));
 }
 
-/// What all who must have it have is done, answered, and lets those behind it go on.
+/// Commits the writes that every required holder has acknowledged, responds to them, and executes the
+/// requests that waited for their keys.
 void ShardHolder::complete(TimePoint now, std::uint32_t, LocalShard& shard) {
     while (!shard.pending.empty() && is_serving(now) && shard.newest_view <= shard.assignment.view) {
         for (const CopyStream& stream : shard.streams) {
@@ -389,7 +393,7 @@
     }
 }
 
-// ---- Streams
+// Streams
 
 void ShardHolder::start_stream(std::uint32_t n, LocalShard& shard, SessionId who, std::uint64_t since,
                                bool keeps) {
@@ -425,7 +429,7 @@
     ++counts_.pages;
     for (const Record& record : records) {
         if (shard.busy_keys.contains(Key(record.kind, record.key)))
-            continue;  // its write is in the stream, and newer
+            continue;  // the pending write is already in the stream, and newer
         wire::Step step;
         step.set_what(wire::Step::PAGE);
         to_wire(record, *step.mutable_record());
@@ -443,7 +447,7 @@
     if (shard.role != Role::Primary || !is_serving(now) || shard.newest_view > shard.assignment.view) return;
     for (std::size_t i = 0; i < shard.streams.size(); ++i) {
         if (!shard.streams[i].synced && shard.streams[i].steps.size() > set_.max_queued_steps) {
-            // It does not keep up, and what waits for it is bounded.
+            // The receiver doesn't keep up, and its queue is limited.
             SessionId who = shard.streams[i].receiver;
             std::uint64_t since = shard.streams[i].assigned_view;
             shard.streams.erase(shard.streams.begin() + std::ptrdiff_t(i--));
--- a/src/fleet/shards/shard_holder.h
+++ b/src/fleet/shards/shard_holder.h
@@ -1,13 +1,14 @@
-// A process that holds shards, as a core without I/O. Where it is a shard's first holder it answers; a write
-// is answered once the second holder has it too. Who becomes a shard's holder is filled while the shard
-// serves: pages of what is there, and each write as it comes, in one stream. What the keepers' map says is
-// `Views`.
+// A process that holds shards, as a core without I/O. As a shard's primary it serves requests; it responds to
+// a write once the backup has it too. A new holder catches up while the shard serves: it receives pages of
+// the existing records and every new write, in one stream. Which process holds which shard is decided by
+// ShardMapPlanner.
 //
-// It answers while its session with the keepers certainly stands, and looks at the time of each event before
-// it looks at anything else. Each message bears the view that its sender knows: an older one is refused, by
-// whoever has heard of a newer.
+// It serves only while its session with the coordinators is certainly active, and checks the time of each
+// event before anything else. Each message carries the view that its sender knows: a receiver that knows a
+// newer view rejects it.
 //
-// One thread calls one Holder. Several may share a Table, each with its part of the shards.
+// Not thread safe: one thread calls one ShardHolder. Several holders may share a Table, each with its own
+// subset of the shards.
 #pragma once
 
 #include <cstdint>
@@ -26,57 +27,54 @@
 
 namespace ochrehub::shards {
 
-using RequesterId = std::uint64_t;  ///< whoever asks: a number of the shell's, to answer to
+using RequesterId = std::uint64_t;  ///< the caller's id for a requester, to respond to
 
 class ShardHolder {
 public:
     struct Settings {
-        std::string address;                  ///< where others reach it, for the map
-        Duration tick_interval{50};           ///< between looks at what must be sent again
-        Duration resend_after{250};           ///< after which what a copy has not acknowledged is sent again
-        Duration command_retry{500};          ///< ... and what the keepers have not done is proposed again
-        std::size_t page_records = 64;        ///< records
-        std::size_t batch_steps = 64;         ///< steps of a stream in one message
-        std::size_t max_unacked_steps = 512;  ///< steps that are sent and not acknowledged
-        std::size_t max_queued_steps =
-            8192;  ///< steps that wait for one that is being filled; more, and it begins anew
-        std::size_t max_waiting_writes =
-            1024;  ///< writes of a shard that wait for its second holder; more are refused
-        std::size_t max_expired_per_tick = 64;  ///< records of a shard that are ended in a tick
-        std::size_t worker_index = 0,
-                    worker_count = 1;  ///< it has the shards whose number divided by `parts` leaves `part`
+        std::string address;            ///< where other processes reach it; published in the map
+        Duration tick_interval{50};     ///< between checks for resends and expired records
+        Duration resend_after{250};     ///< until steps without an acknowledgement are sent again
+        Duration command_retry{500};    ///< until a command without an effect on the map is submitted again
+        std::size_t page_records = 64;  ///< records in one page of a catch-up
+        std::size_t batch_steps = 64;   ///< steps of a stream in one message
+        std::size_t max_unacked_steps = 512;    ///< limit of one stream
+        std::size_t max_queued_steps = 8192;    ///< of a holder that catches up; over it, the stream restarts
+        std::size_t max_waiting_writes = 1024;  ///< per shard, for the backup; more are rejected as Busy
+        std::size_t max_expired_per_tick = 64;  ///< records per shard
+        std::size_t worker_index = 0;  ///< holds the shards with number % worker_count == worker_index
+        std::size_t worker_count = 1;
     };
 
-    // ---- What happens
-    struct SessionRenewed {  ///< the session stands
+    // Events
+    struct SessionRenewed {  ///< the session is active
         SessionId session = 0;
-        TimePoint until{};     ///< counted from before it was asked for, to a margin before its end:
+        TimePoint until{};     ///< counted from before the renewal was requested, less a margin; see
                                ///< coordinator::SessionRenewed
-        std::string_view map;  ///< the machine's; empty: none came with it
+        std::string_view map;  ///< the encoded ShardMap; empty: none came with it
     };
-    struct SessionExpired {
-    };  ///< the keepers said so, or the process gave it up: nothing that it holds counts any more
+    struct SessionExpired {};  ///< or closed by the process: its records are no longer valid
     struct MessageReceived {
         RequesterId from = 0;
         std::string_view body;
     };
-    struct Leave {};  ///< hand everything on
+    struct Leave {};  ///< hand all shards over to other holders
     struct TimerFired {};
     using Event = std::variant<SessionRenewed, SessionExpired, MessageReceived, Leave, TimerFired>;
 
-    // ---- What is to be done about it
-    struct SendMessage {  ///< another holder
+    // Actions
+    struct SendMessage {  ///< to another holder
         SessionId to = 0;
         std::string body;
     };
-    struct SendResponse {  ///< to who asked
+    struct SendResponse {  ///< to the requester
         RequesterId to = 0;
         std::string body;
     };
-    struct SubmitCommand {  ///< to the keepers' machine "views", for this session
+    struct SubmitCommand {  ///< to the coordinators' state machine "views", for this session
         std::string body;
     };
-    struct QueryMap {};  ///< there is a newer map: renew now rather than in time
+    struct QueryMap {};  ///< there is a newer map: query it now, before the next renewal
     struct SetTimer {
         TimePoint at;
     };
@@ -91,7 +89,7 @@
     bool is_serving(TimePoint now) const { return session_ != 0 && now < valid_until_; }
     SessionId session() const { return session_; }
     const ShardMap& map() const { return map_; }
-    /// Nothing in the map names it any more: after Leave it may end.
+    /// The map assigns no shard to this session: after Leave the process may exit.
     bool is_released() const;
 
     struct Counts {
--- a/src/fleet/shards/shard_map_planner.cpp
+++ b/src/fleet/shards/shard_map_planner.cpp
@@ -107,7 +107,7 @@
             SessionId session = c.leave().session() ? c.leave().session() : command.session;
             auto holder = map_.holders.find(session);
             if (command.session != 0 && command.session != session)
-                error = Error::Malformed;  // only operators speak for others
+                error = Error::Malformed;  // only operators send it for another process
             else if (holder == map_.holders.end())
                 error = Error::SessionExpired;
             else if (!holder->second.leaving)
@@ -162,7 +162,7 @@
         if (entry.primary != session) continue;
         entry.primary = std::exchange(entry.backup, 0);
         entry.stepping_down = false;
-        if (entry.primary == 0) entry.catching_up = 0;  // it has a part alone, and of what nobody can say
+        if (entry.primary == 0) entry.catching_up = 0;  // it has an unknown part of the contents
         bump_view(entry);
     }
     for (ShardAssignment& entry : map_.entries) {
@@ -176,8 +176,8 @@
     std::map<SessionId, HolderLoad> loads;
     for (const auto& [session, place] : map_.holders) loads[session];
     for (const ShardAssignment& entry : map_.entries) {
-        // As it will be when what is under way is over: else each plan would be made again until the first is
-        // carried out.
+        // Counts the state after all moves in progress: otherwise each move would be planned again until it
+        // is completed.
         if (entry.primary)
             ++loads[entry.primary].roles,
                 ++loads[entry.stepping_down ? entry.backup : entry.primary].primaries;
@@ -187,8 +187,8 @@
     return loads;
 }
 
-// One that stays before one that leaves, one in another zone than the first before one in the same, the one
-// with the fewest shards. One that leaves is better than no second holder at all.
+// Prefers holders that aren't leaving, then another zone than the primary's, then the fewest shards. A
+// leaving holder is better than no backup. Zero: there is no candidate.
 SessionId ShardMapPlanner::choose(const std::map<SessionId, HolderLoad>& loads, const ShardAssignment& entry,
                                   Candidates from) const {
     SessionId best = 0;
@@ -208,16 +208,16 @@
 void ShardMapPlanner::rebalance() {
     while (rebalance_once(false)) {
     }
-    // Each plan lets one move begin or finds none.
+    // Each call starts one move, or finds none.
     while (rebalance_once(true)) {
     }
 }
 
-/// One change; false: there is none to be made now.
-bool ShardMapPlanner::rebalance_once(bool rebalances) {
+/// Fills vacant roles, or starts one move if `may_move`. False: no further call is needed.
+bool ShardMapPlanner::rebalance_once(bool may_move) {
     std::map<SessionId, HolderLoad> load = loads();
     if (load.empty()) return false;
-    if (!rebalances) {
+    if (!may_move) {
         std::size_t repairs_running = 0;
         for (const ShardAssignment& entry : map_.entries)
             repairs_running += entry.catching_up != 0 && entry.backup == 0;
@@ -258,13 +258,12 @@
         entry.catching_up_since = entry.view;
         return true;
     };
-    auto start_step_down =
-        [&](ShardAssignment& entry) {  // the holders stay what they are until the first has stopped
-            entry.stepping_down = true;
-            ++map_.number;
-            return true;
-        };
-    // Zones, and those who leave.
+    auto start_step_down = [&](ShardAssignment& entry) {  // the roles stay until the primary has stepped down
+        entry.stepping_down = true;
+        ++map_.number;
+        return true;
+    };
+    // Shards with both holders in one zone, and shards of leaving holders.
     for (ShardAssignment& entry : map_.entries) {
         if (!is_stable(entry)) continue;
         const HolderInfo &primary = map_.holders.at(entry.primary), &backup = map_.holders.at(entry.backup);
@@ -276,7 +275,7 @@
         if (primary.leaving && !backup.leaving) return start_step_down(entry);
     }
     if (repairing) return false;
-    // Equal numbers of shards, then of first places.
+    // Balances the number of shards per holder, then of primaries.
     SessionId most_loaded = 0, least_loaded = 0;
     for (const auto& [session, l] : load) {
         if (map_.holders.at(session).leaving) continue;
--- a/src/fleet/shards/shard_map_planner.h
+++ b/src/fleet/shards/shard_map_planner.h
@@ -1,11 +1,12 @@
-// Which process holds which shard: a numbered map that the keepers agree on. Each shard has a first holder,
-// which answers, and a second, which has every write before it is answered; where it has none, one is being
-// filled. Processes only propose: they offer themselves, say that they leave, that one is filled, that they
-// have stopped answering. The map follows from that and from which sessions live.
+// Which process holds which shard: a numbered map that the coordinators replicate. Each shard has a primary,
+// which serves requests, and a backup, which has every write before the response is sent. A shard without a
+// backup has a holder that catches up. Processes only submit commands: they offer themselves as holders,
+// announce that they leave, that another has caught up, that they have stepped down. The map follows from
+// these commands and from the sessions that are active.
 //
-// A change moves as few shards as it can, and few at a time: what lacks a second holder first, then what
-// stands in one zone twice, what those who leave hold, and last what makes holders equal. A first holder that
-// lives is never replaced without its own word.
+// A change moves as few shards as possible, and limits how many move at a time: first shards without a
+// backup, then shards with both holders in one zone, then shards of leaving holders, last what balances the
+// load. A primary whose session is active is never replaced before it has confirmed that it stepped down.
 #pragma once
 
 #include <cstdint>
@@ -21,40 +22,42 @@
 
 using coordinator::SessionId;
 
-/// A shard in the map, as all sides use it.
+/// The holders of one shard. A session id of zero: none.
 struct ShardAssignment {
-    std::uint64_t view = 0, origin = 0;
-    bool lost = false;
+    std::uint64_t view = 0;    ///< the map's number when the holders last changed
+    std::uint64_t origin = 0;  ///< the view in which the shard last started empty
+    bool lost = false;         ///< it started empty because both holders were lost
     SessionId primary = 0, backup = 0, catching_up = 0;
-    bool stepping_down = false;
-    /// The views in which these two were given the shard: a holder that was taken out and put in again, which
-    /// a first that slept over the view between cannot see otherwise, has nothing of before.
+    bool stepping_down = false;  ///< the primary is requested to swap roles with the backup
+    /// The views in which these two were assigned the shard. They tell a primary that missed the views
+    /// between that a holder was removed and assigned again, and so has nothing of what it was sent before.
     std::uint64_t backup_since = 0, catching_up_since = 0;
     friend bool operator==(const ShardAssignment&, const ShardAssignment&) = default;
 };
+/// A process that has offered itself as a holder.
 struct HolderInfo {
     std::string name, zone, address;
     bool leaving = false;
     friend bool operator==(const HolderInfo&, const HolderInfo&) = default;
 };
 struct ShardMap {
-    std::uint64_t number = 0;
-    std::vector<ShardAssignment> entries;
+    std::uint64_t number = 0;              ///< rises with every change
+    std::vector<ShardAssignment> entries;  ///< by shard number
     std::map<SessionId, HolderInfo> holders;
 };
 std::string encode(const ShardMap& map);
-/// False: octets that are no map; nothing was taken.
+/// False: not a valid map; `map` is unchanged.
 bool decode(std::string_view bytes, ShardMap& map);
 
+/// The coordinators' state machine that assigns shards to holders. Deterministic; not thread safe.
 class ShardMapPlanner : public coordinator::StateMachine {
 public:
     struct Settings {
         std::size_t shard_count = 256;
-        std::size_t max_repairs =
-            32;                     ///< shards that are filled at a time because they have no second holder
-        std::size_t max_moves = 8;  ///< ... and that are moved or change places for any other reason
+        std::size_t max_repairs = 32;  ///< shards without a backup that have a holder catching up at a time
+        std::size_t max_moves = 8;     ///< shards that are moved, or whose holders swap roles, at a time
         std::size_t max_holders = 1024;
-        std::size_t max_address_bytes = 256;  ///< octets of one
+        std::size_t max_address_bytes = 256;
     };
     explicit ShardMapPlanner(const Settings& settings);
 
@@ -63,9 +66,11 @@
     std::string apply(const coordinator::Command& command) override;
     void session_opened(SessionId session, std::string_view name, std::string_view zone) override;
     void session_ended(SessionId session) override;
-    /// The whole map, for everybody: 256 shards are about 4 kB.
+    /// The whole map, the same for every session: about 4 kB for 256 shards.
     std::string session_update(SessionId session) const override;
-    std::string query(std::string_view) const override { return session_update(0); }  ///< the same, sooner
+    std::string query(std::string_view) const override {
+        return session_update(0);
+    }  ///< the map, without waiting for a renewal
     void timeouts(std::vector<coordinator::Timeout>&) const override {}
     std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
@@ -73,7 +78,7 @@
 
     const ShardMap& map() const { return map_; }
 
-    // What a process proposes.
+    // Encoded commands for apply. A session of zero in leave_command: the sender.
     static std::string offer_command(std::string_view address);
     static std::string leave_command(SessionId session = 0);
     static std::string caught_up_command(std::uint32_t shard, std::uint64_t view);
@@ -87,7 +92,7 @@
         std::size_t roles = 0, primaries = 0;
     };
     void rebalance();
-    bool rebalance_once(bool rebalances);
+    bool rebalance_once(bool may_move);
     std::map<SessionId, HolderLoad> loads() const;
     enum class Candidates : std::uint8_t { OtherZone, NotLeaving, Any };
     SessionId choose(const std::map<SessionId, HolderLoad>& loads, const ShardAssignment& entry,
--- a/src/fleet/shards/shard_service.cpp
+++ b/src/fleet/shards/shard_service.cpp
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-// Its shards are those whose number divided by the workers' leaves its own; nobody else calls its core.
+// One thread and its core, which has the shards with number % worker_threads == its index. Only this thread
+// calls the core.
 struct ShardService::Worker {
     Worker(ShardService& s, const ShardHolder::Settings& settings, Table& table, Clock clock)
         : service(s), work(io.get_executor()), scheduler(io, clock), core(settings, table) {}
@@ -106,7 +107,10 @@
 
 void ShardService::start() {
     auto ended = [](const std::exception& error) {
-        log_line(LogLevel::Error, "shards: %s: this process takes no further part", error.what());
+        log_line(LogLevel::Error,
+                 "shards: thread ended by an exception: %s; this process holds no shards and sends no "
+                 "requests any more",
+                 error.what());
     };
     for (auto& worker : workers_) {
         Worker* w = worker.get();
@@ -185,7 +189,8 @@
     if (to == session_) return deliver(0, body);
     auto holder = client_.map().holders.find(to);
     if (holder == client_.map().holders.end()) return;
-    // Without a connection it is lost, as it may be with one: streams and asks go again by themselves.
+    // Without a connection the message is dropped. Streams and requests are resent by themselves, as they are
+    // when a message is lost on a connection.
     if (std::uint64_t instance = mesh_.instance_at(holder->second.address); instance != 0)
         mesh_.send(instance, channel::Kind::Shard, std::move(body));
 }
--- a/src/fleet/shards/shard_service.h
+++ b/src/fleet/shards/shard_service.h
@@ -1,6 +1,6 @@
-// A process's part in the shards, on threads of its own: one for its connections and for what it asks, and
-// workers that share the shards it holds among them. Any thread asks, and none waits: what became of it is
-// told on the side's own thread. The shell of Holder and Client; it decides nothing.
+// A process's part in the shards, on its own threads: one for connections and for the client, and workers
+// that share the shards that the process holds. Any thread may send requests, and none waits: the callback
+// runs on the service's thread. Runs ShardHolder and ShardClient, and decides nothing itself.
 #pragma once
 
 #include <atomic>
@@ -26,11 +26,11 @@
 namespace ochrehub::shards {
 
 struct ShardServiceSettings {
-    bool holds_shards = true;        ///< else it only asks
-    std::size_t worker_threads = 2;  ///< that work on the shards it holds
+    bool holds_shards = true;        ///< false: only a client
+    std::size_t worker_threads = 2;  ///< that share the held shards
     TableSettings table;
-    ShardHolder::Settings holder;  ///< its address is where this process listens, if it is empty
-    ShardClient::Settings client;  ///< its shards and instance are those of the two others
+    ShardHolder::Settings holder;  ///< an empty address: where the mesh listens
+    ShardClient::Settings client;  ///< shard_count and instance are set from `table` and `mesh`
     channel::MeshSettings mesh;
     channel::Mesh::Endpoint listen;
 };
@@ -39,21 +39,22 @@
 public:
     using Callback = std::function<void(const ShardClient::Completed&)>;
 
-    /// Before `keepers` is started, which must end before this does. Throws what Mesh throws.
+    /// Must be created before `coordinators` is started, and destroyed after it. Throws what Mesh throws.
     ShardService(ShardServiceSettings settings, Clock clock, coordinator::SessionThread& coordinators);
     ~ShardService();
     ShardService(const ShardService&) = delete;
     void start();
 
-    // From any thread:
-    /// `done` is called once, on the side's thread, unless the side ends before.
+    // From any thread.
+    /// `done` is called once, on the service's thread, unless the service is destroyed before. `within`: the
+    /// timeout. `never_erased`: see ShardClient::Request.
     void request(bool writes, Write write, Duration within, Callback done, bool never_erased = false);
-    /// Hands on what it holds; `free` once that is done.
+    /// Hands over the held shards; is_released() once that is done.
     void leave();
     bool is_released() const { return released_.load(std::memory_order_relaxed); }
-    /// The view that the last map had.
+    /// The number of the last received map.
     std::uint64_t map_number() const { return map_number_.load(std::memory_order_relaxed); }
-    /// What this process holds; a record of it may be another's by now.
+    /// The records of the held shards; another process may be their primary by now.
     const Table& table() const { return table_; }
 
     channel::Mesh::Endpoint address() const { return mesh_.at(); }
--- a/src/fleet/shards/table.cpp
+++ b/src/fleet/shards/table.cpp
@@ -18,8 +18,7 @@
 }
 
 constexpr std::uint32_t kNoSlot = ~0u;
-constexpr std::size_t kExpireOnFullRecords =
-    16;  // records that a write which does not fit looks for the end of
+constexpr std::size_t kExpireOnFullRecords = 16;  // checked for expiry by a write over a limit
 
 }  // namespace
 
@@ -30,13 +29,14 @@
     return hash(kind, key) & (shards - 1);
 }
 
-// Records stand in slots, where they stay. The index is open addressing with linear probing, 8 octets an
-// entry; nothing in it is marked as deleted, so that it never needs cleaning. Deadlines are a heap of slots;
-// a record whose end is put off stays where it is in the heap until it comes to the top.
+// A record stays in its slot. The index uses open addressing with linear probing, 8 bytes per entry; erasing
+// shifts entries back instead of leaving tombstones, so that it never needs a rebuild. Expiry times are a
+// heap of slots; a record whose expiry moves to a later time keeps its place in the heap until it reaches the
+// top.
 struct alignas(64) Table::Shard {
     struct Slot {
         std::uint64_t hash = 0, partner = 0, version = 0, request = 0;
-        TimePoint expires_at{}, heap_due{};  // due: as the heap has it, never behind `ends`
+        TimePoint expires_at{}, heap_due{};  // heap_due: the heap's key, never after expires_at
         std::uint32_t schema = 0, heap_index = 0, next_free = kNoSlot;
         std::uint16_t kind = 0;
         bool used = false;
@@ -86,7 +86,7 @@
     void erase_index(std::uint32_t slot) {
         std::size_t mask = index.size() - 1, at = tag(slots[slot].hash) & mask;
         while (index[at].slot != slot) at = (at + 1) & mask;
-        // Those behind it move up, as far as they may without passing the place that their hash names.
+        // Shifts the entries after it back, but none before the position of its hash.
         for (std::size_t next = (at + 1) & mask; index[next].slot != kNoSlot; next = (next + 1) & mask) {
             std::size_t home = index[next].tag & mask;
             if (((next - home) & mask) >= ((next - at) & mask)) index[at] = index[next], at = next;
@@ -143,7 +143,7 @@
         }
         slot.used = false;
         if (slot.payload.capacity() > 1024)
-            std::string().swap(slot.payload);  // small ones keep their memory for the next
+            std::string().swap(slot.payload);  // small buffers are kept for the slot's next record
         slot.next_free = free_slot;
         free_slot = n;
         --count;
@@ -342,7 +342,7 @@
     Shard& shard = shards_[h & (set_.shard_count - 1)];
     std::lock_guard lock(shard.mutex);
     std::uint32_t n = shard.find(h, record.kind, record.key);
-    // It must not end here before it ends there, however the two clocks run.
+    // A copy lives longer: it must not expire before the primary's record, whichever clock runs faster.
     if (n == kNoSlot || shard.slots[n].version < record.version) shard.set(h, record, now, true);
 }
 
@@ -359,7 +359,7 @@
                                        std::vector<Record>& records) const {
     const Shard& shard = shards_[n];
     std::lock_guard lock(shard.mutex);
-    // Empty slots cost a look each, so they are bounded too.
+    // Empty slots take time too, so the number of checked slots is limited.
     for (std::size_t checked = 0; from < shard.slots.size() && limit > 0 && checked < 4096;
          ++from, ++checked) {
         const Shard::Slot& slot = shard.slots[from];
--- a/src/fleet/shards/table.h
+++ b/src/fleet/shards/table.h
@@ -1,12 +1,12 @@
-// Keyed records in shards, `Shard = {mutex, records, deadlines}`, for several threads at once. A shard is
-// picked by the key's hash. One shard's lock is taken at a time, or two in the order of their numbers;
-// nothing is called back under one, and nothing waits under one.
+// Keyed records in shards, each with its own mutex, index and expiry heap. Thread safe. A shard is picked by
+// the key's hash. One shard is locked at a time, or two in ascending order of their numbers; there are no
+// callbacks and no waits while a lock is held.
 //
-// A record is octets that the table does not read, with a kind, the number of their schema, and a version
-// that rises for ever within its shard: whoever read version v may write only if it still is v. Records end
-// by themselves. Memory is bounded shard by shard, in all and for each partner, so that bounds are the same
-// at both holders of a shard and no count is shared by all threads. What does not fit is refused; nothing is
-// forgotten before its end.
+// A record is bytes that the table doesn't interpret, with a kind, a schema number, and a version that only
+// rises within its shard: a write can require the version that its writer read. Records expire by themselves.
+// Memory is limited per shard, in total and per partner, so that the limits are the same at both holders of a
+// shard and no counter is shared by all threads. A write over a limit is rejected; no record is evicted
+// before it expires.
 #pragma once
 
 #include <cstddef>
@@ -24,16 +24,16 @@
 
 struct TableSettings {
     std::size_t shard_count = 256;             ///< a power of two
-    std::size_t max_bytes = 256 << 20;         ///< of all shards: each has its equal part
-    std::size_t max_partner_bytes = 32 << 20;  ///< ... and each partner has at most this much of them
-    std::size_t max_key_bytes = 256;           ///< octets of one
-    std::size_t max_payload_bytes = 16 << 10;  ///< octets of one
-    Duration max_lifetime{86'400'000};         ///< the longest that a record lives behind its last write
+    std::size_t max_bytes = 256 << 20;         ///< of all shards; each has an equal part
+    std::size_t max_partner_bytes = 32 << 20;  ///< of one partner in all shards; an equal part in each
+    std::size_t max_key_bytes = 256;
+    std::size_t max_payload_bytes = 16 << 10;
+    Duration max_lifetime{86'400'000};  ///< limit from a record's last write to its expiry
 };
-/// What a record costs beyond the octets of its key and content.
+/// Memory that is counted for a record beyond its key and payload.
 inline constexpr std::size_t kRecordOverheadBytes = 160;
 
-/// Who a record's memory is counted for.
+/// Id of the partner that a record's memory is counted for.
 std::uint64_t partner_id(std::string_view name);
 /// `shards` is a power of two.
 std::size_t shard_of(std::uint16_t kind, std::string_view key, std::size_t shards);
@@ -42,29 +42,29 @@
     std::uint16_t kind = 0;
     std::uint32_t schema = 0;
     std::uint64_t partner = 0, version = 0;
-    std::uint64_t request = 0;  ///< of the last write, chosen by whoever wrote it
-    Duration lifetime{};        ///< what is left of it
+    std::uint64_t request = 0;  ///< id of the last write, chosen by its client
+    Duration lifetime{};        ///< time left until it expires
     std::string key, payload;
     friend bool operator==(const Record&, const Record&) = default;
 };
 
 struct Write {
-    Record record;  ///< version is not read
+    Record record;  ///< its version is ignored
     std::optional<std::uint64_t>
-        expected_version;  ///< the version that must be there; zero: no record. Nothing: whatever is there
+        expected_version;  ///< required current version; zero: no record; nothing: any
     bool erase = false;
 };
 struct Outcome {
     std::optional<Error> error;
-    std::uint64_t version = 0;      ///< of what was written; erased: that of the erasing
-    std::optional<Record> current;  ///< Changed: what is there
+    std::uint64_t version = 0;      ///< of the write; an erasure has one too
+    std::optional<Record> current;  ///< with Changed: the current record
 };
-/// A write that was found possible and has its version and memory, and is not done yet.
+/// A write that was checked and has its version and reserved memory, but isn't applied yet.
 struct Prepared {
     std::size_t shard = 0;
     Record record;
     bool erase = false;
-    std::size_t reserved_bytes = 0;  ///< set aside
+    std::size_t reserved_bytes = 0;
 };
 
 class Table {
@@ -78,33 +78,34 @@
         return shards::shard_of(kind, key, set_.shard_count);
     }
 
-    /// False: none, or its end has come. `record` keeps its memory from call to call.
+    /// False: there is none, or it has expired. `record` can be reused, which saves allocations.
     bool find(std::uint16_t kind, std::string_view key, TimePoint now, Record& record) const;
     Outcome write(const Write& write, TimePoint now);
-    /// Both or neither; two keys that are not the same.
+    /// Applies both or neither. The two keys must differ.
     std::optional<Error> write_two(const Write& a, const Write& b, TimePoint now);
 
-    // A holder's way: the version and the memory first, the record once the second holder has it. Between the
-    // two nobody else may write the key.
+    // A primary's writes: prepare assigns the version and reserves memory, commit applies the write once the
+    // backup has it, abandon drops it. Until then the caller must not write the key again.
     Outcome prepare(const Write& write, TimePoint now, Prepared& prepared);
     void commit(Prepared&& prepared, TimePoint now);
     void abandon(const Prepared& prepared);
 
-    /// A copy of what another holder has written: as it is, bounds aside, unless what is here is as new.
+    /// Stores a record that another holder has written, without regard to limits, unless the present version
+    /// is as new.
     void copy(const Record& record, TimePoint now);
     void erase_copy(std::uint16_t kind, std::string_view key, std::uint64_t version);
 
-    /// At most `limit` records from place `from` on, appended; returns the place to go on from, nothing at
-    /// the end. What is there from a scan's beginning to its end is seen once; what comes and goes meanwhile
-    /// may be.
+    /// Appends at most `limit` records, from position `from` on. Returns the position to continue from;
+    /// nothing at the end. A record that exists during the whole scan is seen once; one that is added or
+    /// removed meanwhile may be seen or not.
     std::optional<std::size_t> scan(std::size_t n, std::size_t limit, std::size_t from, TimePoint now,
                                     std::vector<Record>& records) const;
-    /// Ends at most `limit` records whose time has come.
+    /// Removes at most `limit` expired records; returns how many.
     std::size_t expire(std::size_t n, TimePoint now, std::size_t limit);
-    /// Versions go on from `version` at least. Nothing of it may be prepared.
+    /// Removes all records of a shard without prepared writes. Later versions are above `version`.
     void clear(std::size_t n, std::uint64_t version = 0);
 
-    std::uint64_t version(std::size_t n) const;  ///< the highest that was given or taken
+    std::uint64_t version(std::size_t n) const;  ///< the highest that was assigned or received
     std::size_t records(std::size_t n) const;
     std::size_t bytes(std::size_t n) const;
     std::size_t bytes_of_partner(std::size_t n, std::uint64_t partner) const;
--- a/src/fleet/shards/wire.h
+++ b/src/fleet/shards/wire.h
@@ -1,4 +1,4 @@
-// Between what crosses links and what the rooms use.
+// Conversion between protobuf messages and the structs of the shards.
 #pragma once
 
 #include <shards.pb.h>
@@ -9,7 +9,7 @@
 namespace ochrehub::shards {
 
 void to_wire(const Record& record, wire::Record& out);
-/// False: it is none.
+/// False: not a valid record.
 bool from_wire(const wire::Record& in, Record& record);
 void to_wire(std::uint32_t shard, const ShardAssignment& entry, wire::Entry& out);
 ShardAssignment from_wire(const wire::Entry& in);
--- a/tests/fleet/unlocked/fleet/shards/ordered_mutex.h
+++ b/tests/fleet/unlocked/fleet/shards/ordered_mutex.h
@@ -1,5 +1,5 @@
-// Stands before the table's own in one build alone: locks that lock nothing, which the thread sanitizer must
-// find.
+// A mutant that replaces the table's mutex in one build: it locks nothing, and the thread sanitizer must
+// detect the data race.
 #pragma once
 
 #include <cstdint>
