--- a/lab/bench/shards_bench.cpp
+++ b/lab/bench/shards_bench.cpp
@@ -37,7 +37,7 @@
            loop_longest = 0;
 };
 
-/// One in five is a write, of 64 octets, by compare and swap or not. Each 16th is timed.
+/// One operation in five is a write of 64 bytes, the others are reads. Every 16th is timed.
 Figures run(std::size_t shards, unsigned threads, double seconds) {
     ochrehub::shards::TableSettings set;
     set.shard_count = shards;
@@ -120,7 +120,7 @@
         "threads  shards  million/s  a core's  cores had  p99 us  longest us  loop p99 us  loop longest us  "
         "times one lock\n");
     for (unsigned threads : {1u, 2u, 4u, 8u}) {
-        // The best of several rounds, taken in turns: other work on the machine only ever makes it slower.
+        // The best of several alternating rounds: other load on the machine only makes it slower.
         Figures best[2];
         std::size_t shards[2] = {1, 256};
         for (int round = 0; round < rounds; ++round)
--- a/lab/equivalence/shards.cpp
+++ b/lab/equivalence/shards.cpp
@@ -1,4 +1,4 @@
-// Decisions of the processes that hold shards and of their clients, under drawn faults.
+// Decisions of the processes that hold shards and of their clients, under random faults.
 #include "lab/equivalence/runner.h"
 #include "lab/shards/fault_scenarios.h"
 
--- a/lab/shards/fault_scenarios.cpp
+++ b/lab/shards/fault_scenarios.cpp
@@ -10,7 +10,8 @@
 }
 constexpr std::size_t kNoHolder = ~std::size_t{0};
 
-/// All is healed: it must settle, serve, and both holders of each shard must have the same in the end.
+/// Heals all faults. The shards must then settle and serve, and both holders of each shard end with the same
+/// records.
 Simulation::Result end(Simulation& simulation) {
     simulation.heal();
     simulation.stop_message_loss();
@@ -24,9 +25,10 @@
     simulation.stop_clients();
     simulation.run_to(simulation.now() + Duration(4000));
     Simulation::Result result = simulation.check();
-    if (!settled) result.violations.push_back("it did not settle within a minute");
-    if (result.last_answer < then) result.violations.push_back("nobody was answered behind the last fault");
-    if (!simulation.copies_equal()) result.violations.push_back("two holders do not have the same");
+    if (!settled) result.violations.push_back("the shards did not settle within a minute");
+    if (result.last_answer < then) result.violations.push_back("no request completed after the last fault");
+    if (!simulation.copies_equal())
+        result.violations.push_back("primary and backup of a shard have different records");
     return result;
 }
 std::size_t primary_of(const Simulation& simulation, std::uint32_t shard) {
@@ -59,7 +61,7 @@
     std::multimap<TimePoint, std::function<void()>> later;
     TimePoint next = at(2000) + between(0, 4000), stop = next + Duration(25'000);
     auto pick = [&] { return std::size_t(random() % simulation.holders()); };
-    // Half of the faults are for holders of one shard, which is what it takes to reach it twice.
+    // Half of the faults hit the holders of shard 0, so that one shard is hit repeatedly.
     auto holder = [&] {
         const fleet::ShardAssignment& e = simulation.map().entries[0];
         std::size_t h = simulation.holder_of(random() % 2 ? e.primary : e.backup);
@@ -124,7 +126,7 @@
 
 const std::vector<Scenario>& scenarios() {
     static const std::vector<Scenario> kScripts = {
-        {"cut from its second, then killed",
+        {"primary cut from its backup, then killed",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0);
@@ -134,21 +136,21 @@
                  run_for(simulation, 6000);
              });
          }},
-        {"first killed",
+        {"primary killed",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  simulation.kill(primary_of(simulation, 0));
                  run_for(simulation, 6000);
              });
          }},
-        {"cut from the keepers, not from nodes",
+        {"primary cut from the coordinators, not from nodes",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  simulation.cut_from_coordinators(primary_of(simulation, 0), true, true);
                  run_for(simulation, 8000);
              });
          }},
-        {"the keepers' answers late, then cut off",
+        {"coordinators' responses delayed, then cut",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0);
@@ -158,7 +160,7 @@
                  run_for(simulation, 8000);
              });
          }},
-        {"stopped over its session's end",
+        {"primary paused past its session's expiry",
          [](SimulationSettings s) {
              return run_with(s, [&](Simulation& simulation) {
                  for (double pause : {3300, 3700, 4100}) {
@@ -171,7 +173,7 @@
                  }
              });
          }},
-        {"stopped for 30 s, let go two views later",
+        {"primary paused for 30 s, resumed two views later",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0);
@@ -184,7 +186,7 @@
                  run_for(simulation, 3000);
              });
          }},
-        {"killed while a third is filled",
+        {"primary killed while a third holder catches up",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0), second = backup_of(simulation, 0);
@@ -196,7 +198,7 @@
                  run_for(simulation, 6000);
              });
          }},
-        {"the view changes twice while one is filled",
+        {"view changes twice during a catch-up",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0), second = backup_of(simulation, 0);
@@ -211,7 +213,7 @@
                  run_for(simulation, 6000);
              });
          }},
-        {"one joins, one leaves",
+        {"one holder joins, one leaves",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  simulation.add_holder();
@@ -220,7 +222,7 @@
                  run_for(simulation, 15'000);
              });
          }},
-        {"killed and back before its session's end",
+        {"primary restarted before its session's expiry",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0);
@@ -230,7 +232,7 @@
                  run_for(simulation, 6000);
              });
          }},
-        {"the keepers' leader moves",
+        {"coordinators' leader changes",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  for (int i = 0; i < 6; ++i) {
@@ -239,7 +241,7 @@
                  }
              });
          }},
-        {"both killed",
+        {"both holders killed",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  std::size_t f = primary_of(simulation, 0), second = backup_of(simulation, 0);
@@ -248,7 +250,7 @@
                  run_for(simulation, 8000);
              });
          }},
-        {"answers to a node are lost",
+        {"responses to a node are lost",
          [](SimulationSettings s) {
              return run_with(s, [](Simulation& simulation) {
                  for (std::size_t h = 0; h < simulation.holders(); ++h)
@@ -269,7 +271,7 @@
     s.think = Duration(60);
     return s;
 }
-constexpr Duration kRunLength{7000};  // settled, one joins, one leaves
+constexpr Duration kRunLength{7000};  // settled, then one holder joins and one leaves
 
 }  // namespace
 
@@ -286,7 +288,7 @@
     result.was_injected = simulation.faulted_holder().has_value();
     if (!result.was_injected) return result;
     if (what == Simulation::AtEvent::PauseAfter) {
-        // Two views later.
+        // Resumed two views later.
         std::uint64_t view = simulation.map().entries[0].view;
         for (int i = 0; i < 40 && simulation.map().entries[0].view < view + 2; ++i) run_for(simulation, 200);
         simulation.resume(*simulation.faulted_holder());
--- a/lab/shards/fault_scenarios.h
+++ b/lab/shards/fault_scenarios.h
@@ -1,4 +1,5 @@
-// Days of the shards' world: faults drawn from a seed, and scripts that reach one kind of fault by name.
+// Runs of the shards' simulation: random faults from a seed, named scenarios of one kind of fault each, and
+// one fault at a numbered event.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace ochrehub::lab::shards {
 
-/// 25 s of drawn faults, of which all are healed, then quiet until all is settled again.
+/// 25 s of random faults, which are then all healed; ends when the shards have settled.
 Simulation::Result run_random_faults(const SimulationSettings& settings);
 
 struct Scenario {
@@ -19,15 +20,15 @@
 };
 const std::vector<Scenario>& scenarios();
 
-/// A day without other faults, with one at an event's number: killed in or behind it, or stopped and let go
-/// two views later.
+/// A run with one fault, at the event with this number: the holder is killed during or after the event, or
+/// paused after it and resumed two views later.
 struct FaultRun {
     bool was_injected = false;
     Simulation::Result result;
 };
 FaultRun run_with_fault_at(std::uint64_t number, Simulation::AtEvent what, std::uint64_t seed,
                            std::size_t joins = 1);
-/// Events of that day's script.
+/// Number of events of that run without the fault.
 std::uint64_t count_events(std::uint64_t seed);
 
 }  // namespace ochrehub::lab::shards
--- a/lab/shards/history_checker.cpp
+++ b/lab/shards/history_checker.cpp
@@ -18,7 +18,7 @@
     bool run() {
         if (sure_ == 0) return true;
         if (!tried_.emplace(taken_, value_).second) return false;
-        // Whoever was called behind the answer of another cannot come before it.
+        // An operation that was called after another's response can't take effect before that one.
         TimePoint bound{Duration{std::numeric_limits<double>::infinity()}};
         for (std::size_t i = 0; i < all_.size(); ++i)
             if (taken_[i] == '0' && all_[i].sure) bound = std::min(bound, all_[i].answered);
@@ -26,7 +26,7 @@
             const Operation& o = all_[i];
             if (taken_[i] != '0') continue;
             std::uint64_t was = value_;
-            // Behind a loss nobody can tell what was erased from what was lost.
+            // After a loss, an erased record can't be told from a lost one.
             bool unknown = losses_ > 0 && value_ == kAbsent && o.value == kLost;
             if (o.what == Operation::What::Read ? value_ != o.value && !unknown
                                                 : o.what == Operation::What::Swap && value_ != o.expected)
--- a/lab/shards/history_checker.h
+++ b/lab/shards/history_checker.h
@@ -1,7 +1,7 @@
-// Whether what clients saw of one record can have happened one by one: each operation at some moment between
-// its call and its answer, each read seeing the last write before it (linearizability; searched as Wing and
-// Gong 1993 do, with Lowe's memory of what was tried, 2017). An operation whose outcome nobody told may have
-// happened at any moment behind its call, or never.
+// Checks whether the history of one record is linearizable: each operation takes effect at one moment between
+// its call and its response, and each read returns the last write before it. The search is that of Wing and
+// Gong (1993) with Lowe's cache of visited states (2017). An operation with an unknown outcome may take
+// effect at any moment after its call, or never.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,21 @@
 namespace ochrehub::lab::shards {
 
 inline constexpr std::uint64_t kAbsent = 0;
-inline constexpr std::uint64_t kLost = ~0ull;  ///< its holders say that they cannot know
+inline constexpr std::uint64_t kLost = ~0ull;  ///< the holders respond that the value was lost
 
 struct Operation {
     enum class What : std::uint8_t {
-        Read,   ///< saw `value`
+        Read,   ///< returned `value`
         Write,  ///< of `value`
-        Swap,   ///< of `value`, where `expected` is there
-        Loss,   ///< both holders lost: from some moment on its holders say kLost
+        Swap,   ///< to `value`, if the record has `expected`
+        Loss,   ///< both holders were lost: from some moment on reads return kLost
     };
     What what = What::Read;
     std::uint64_t value = kAbsent, expected = kAbsent;
-    bool sure = true;  ///< false: it may not have happened
+    bool sure = true;  ///< false: the outcome is unknown
     TimePoint called{}, answered{Duration{std::numeric_limits<double>::infinity()}};
 };
-/// Values are drawn once; `operations` in any order, of one record.
+/// `operations` of one record, in any order. Each written value is unique.
 bool linearizable(std::vector<Operation> operations);
 std::string text(const std::vector<Operation>& operations);
 
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -1,5 +1,5 @@
-// A process that holds shards and asks for records, for runs of several: it writes down what it was told, a
-// line when it asks and one when it is answered, so that what a kill interrupts is seen.
+// A process that holds shards and sends requests, for runs of several processes. It appends a line to its
+// event log for each request and each response, so that requests that a kill interrupts are recorded too.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -24,7 +24,7 @@
 
 std::atomic<bool> stopped{false};
 
-/// Of the machine, the same for all its processes.
+/// The steady clock, which all processes of this machine share.
 long long now_ns() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -1,6 +1,6 @@
-// Real processes: three keepers of the program, four that hold shards and ask, on loopback. One is killed,
-// one is stopped over its session's end, one is not heard by others for a while. Judged from what the nodes
-// were told. Ends only what it has started.
+// A run of real processes on loopback: three coordinators of the program, and four processes that hold shards
+// and send requests. One is killed, one is paused past its session's expiry, one is cut off from incoming
+// messages for a while. The checker uses the processes' event logs. Ends only processes that it has started.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/prctl.h>
@@ -32,8 +32,7 @@
 using lab::shards::Operation;
 using Clock_ = std::chrono::steady_clock;
 
-/// A port that nobody has; somebody may take it before it is used, which shows as a process that does not
-/// start.
+/// A free port. Another process may take it before it is used; then a process of the run doesn't start.
 std::string free_address() {
     boost::asio::io_context io;
     boost::asio::ip::tcp::acceptor a(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -144,7 +143,7 @@
             return {};
         return map;
     }
-    /// Waits until each shard has its two holders and nothing is under way.
+    /// Waits until each shard has its two holders and no move is in progress.
     bool settles(std::size_t holders) {
         for (auto until = Clock_::now() + std::chrono::seconds(60); Clock_::now() < until;
              std::this_thread::sleep_for(std::chrono::milliseconds(50))) {
@@ -165,10 +164,10 @@
 struct CheckResult {
     std::vector<std::string> violations;
     std::size_t answered = 0, unknown = 0, never = 0;
-    double gap = 0;  // longest without any answer, ms
+    double gap = 0;  // longest time without a response, ms
 };
-/// What is answered behind `until` counts as not answered: then they are ended one by one, both holders of a
-/// shard among them.
+/// Responses after `until` are ignored: from then on the processes are ended one by one, among them both
+/// holders of a shard.
 CheckResult check_event_logs(const std::vector<std::string>& event_logs, TimePoint until) {
     CheckResult j;
     std::map<std::uint64_t, std::vector<Operation>> histories;
@@ -221,14 +220,15 @@
             }
             histories[key].push_back(o);
             if (view != 0 && answered.try_emplace({shard, view}, holder).first->second != holder)
-                j.violations.push_back("two answered for shard " + std::to_string(shard) + " in one view");
+                j.violations.push_back("two holders responded for shard " + std::to_string(shard) +
+                                       " in one view");
         }
         for (auto& [id, one] : open)
             if (one.second.what != Operation::What::Read) histories[one.first].push_back(one.second);
     }
     for (const auto& [key, operations] : histories)
         if (!linearizable(operations))
-            j.violations.push_back("the history of key " + std::to_string(key) + " cannot have happened");
+            j.violations.push_back("the history of key " + std::to_string(key) + " is not linearizable");
     std::sort(answers.begin(), answers.end());
     for (std::size_t i = 1; i < answers.size(); ++i) j.gap = std::max(j.gap, answers[i] - answers[i - 1]);
     return j;
--- a/lab/shards/runs.cpp
+++ b/lab/shards/runs.cpp
@@ -1,4 +1,4 @@
-// Long runs of the shards' world, not for CI.
+// Long runs of the shards' simulation, not for CI.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <cstdio>
@@ -11,7 +11,7 @@
 
 using namespace ochrehub::lab::shards;
 
-/// `each(i)` for i from 0 on, by so many threads.
+/// Calls each(i) for i from 0 to `count` - 1, on `threads` threads.
 template <class F>
 void parallel(std::size_t count, unsigned threads, F&& each) {
     std::atomic<std::size_t> next{0};
--- a/lab/shards/simulation.cpp
+++ b/lab/shards/simulation.cpp
@@ -33,37 +33,37 @@
 
 std::string_view name(Mutant mutant) {
     constexpr std::string_view kNames[kMutants] = {"none",
-                                                   "answers before the second",
-                                                   "second stores nothing",
-                                                   "ignores its session's end",
-                                                   "counts from the answer",
-                                                   "no clock behind a pause",
-                                                   "says filled at once",
-                                                   "answers while yielding",
-                                                   "keeps its session over death",
-                                                   "keepers end sessions early",
-                                                   "new leader forgets lengths",
-                                                   "keepers forget the second",
-                                                   "loss is silent",
-                                                   "repeats blindly"};
+                                                   "responds before backup ack",
+                                                   "backup stores nothing",
+                                                   "ignores session expiry",
+                                                   "counts lease from response",
+                                                   "stale clock after pause",
+                                                   "reports caught up early",
+                                                   "responds after stepping down",
+                                                   "keeps session across restart",
+                                                   "coordinators expire sessions early",
+                                                   "new leader forgets leases",
+                                                   "coordinators forget backup",
+                                                   "hides loss",
+                                                   "retries blindly"};
     return kNames[std::size_t(mutant)];
 }
 
 struct Simulation::Impl {
     // ---- Processes
-    struct Shell {  // what each has: a session, renewed
+    struct Shell {  // what every process has: a session and its renewals
         std::size_t process = 0;
         std::string name, zone;
         SessionId session = 0;
         std::uint64_t nonce = 0;
-        std::map<std::uint64_t, TimePoint> asked;  // by nonce: when
+        std::map<std::uint64_t, TimePoint> asked;  // time of each renewal request, by nonce
         TimePoint next_renewal{}, next_core{Duration{1e15}}, renewed_early{};
     };
     struct HolderProcess : Shell {
         std::unique_ptr<fleet::Table> table;
         std::unique_ptr<ShardHolder> core;
         bool is_muted = false;
-        TimePoint last{}, resumed{Duration{-1}}, before{};  // for one that forgets to look at the clock
+        TimePoint last{}, resumed{Duration{-1}}, before{};  // for StaleClockAfterPause
     };
     struct Worker {
         bool busy = false;
@@ -86,20 +86,21 @@
     std::unique_ptr<Network> net;
     std::vector<HolderProcess> holders;
     std::vector<NodeProcess> nodes;
-    std::vector<std::pair<bool, std::size_t>> at;  // process to (holder, number)
+    std::vector<std::pair<bool, std::size_t>> at;  // by process: whether it is a holder, and its index
 
-    // ---- The log
+    // ---- The coordinators' log
     std::unique_ptr<ShardMapPlanner> machine;
     std::map<SessionId, Standing> sessions;
     std::map<SessionId, std::size_t> process_of;
     std::size_t leader = 0;
     SessionId last_session = 0;
 
-    // ---- Records
+    // ---- Recorded history
     std::vector<std::vector<Operation>> histories;
     std::vector<std::vector<bool>> dropped;
     std::uint64_t last_value = 0;
-    std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId> answered;  // shard and view: by whom
+    std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId>
+        answered;  // holder that responded, by shard and view
     std::vector<std::string> violations;
     Result figures;
     std::optional<std::pair<std::uint64_t, AtEvent>> at_event;
@@ -184,7 +185,7 @@
         return nodes[number];
     }
 
-    // ---- What happens
+    // ---- Events
     template <class F>
     void happens(std::size_t process, TimePoint, F&& f) {
         bool now = at_event && net->happened() == at_event->first && process >= kCoordinators &&
@@ -269,8 +270,7 @@
         if (!holder)
             for (const Worker& w : nodes[number].workers)
                 if (!w.busy) next = std::min(next, w.next);
-        // A little behind it, so that rounding between the two clocks never wakes a process too early to do
-        // anything.
+        // Slightly later, so that rounding between the two clocks never fires a timer before it is due.
         net->wake_at(s.process, std::max(next, net->own(s.process)) + Duration(1e-6));
     }
 
@@ -290,7 +290,7 @@
         renew(s, own);
     }
 
-    // ---- Keepers
+    // ---- Coordinators
     template <class F>
     void change(F&& f) {
         std::vector<ShardAssignment> before = machine->map().entries;
@@ -300,7 +300,7 @@
             if (is.view != was.view) ++figures.views;
             if (!is.lost || is.origin == was.origin) continue;
             if (was.backup != 0 && sessions.contains(was.backup))
-                report_violation("a shard was called lost while its second holder lived");
+                report_violation("a shard was reported lost while its backup was alive");
             ++figures.lost;
             Operation loss;
             loss.what = Operation::What::Loss;
@@ -420,11 +420,12 @@
                          Error(one.error()) == Error::BothHoldersLost;
             if (!tells || one.shard() >= machine->map().entries.size()) continue;
             if (machine->map().entries[one.shard()].primary != h.session)
-                report_violation(h.name + " answered for shard " + std::to_string(one.shard()) +
-                                 " after it was given away");
+                report_violation(h.name + " responded for shard " + std::to_string(one.shard()) +
+                                 " after it was assigned to another holder");
             auto [it, fresh] = answered.try_emplace({one.shard(), one.view()}, one.holder());
             if (it->second != one.holder())
-                report_violation("two answered for shard " + std::to_string(one.shard()) + " in one view");
+                report_violation("two holders responded for shard " + std::to_string(one.shard()) +
+                                 " in one view");
         }
         Message m;
         m.kind = Message::Kind::Answers, m.body = std::move(a.body);
@@ -434,7 +435,7 @@
     void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { early(h, own); }
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SetTimer& a) { h.next_core = a.at; }
 
-    // ---- Saboteurs
+    // ---- Mutants
     std::string mutate_map(const std::string& news, Shell& s) {
         if (!is_mutant(Mutant::HidesLoss) && !is_mutant(Mutant::RespondsAfterSteppingDown)) return news;
         fleet::ShardMap map;
@@ -562,7 +563,7 @@
                     });
                 return;
             }
-            return end();  // it may yet happen
+            return end();  // it may still take effect
         }
         end();
         if (!d.error || d.error == Error::Changed || d.error == Error::BothHoldersLost) {
@@ -705,8 +706,7 @@
                 kept.push_back(o);
         result.records += kept.size();
         if (!linearizable(kept))
-            result.violations.push_back("the history of key " + std::to_string(key) +
-                                        " cannot have happened");
+            result.violations.push_back("the history of key " + std::to_string(key) + " is not linearizable");
     }
     return result;
 }
--- a/lab/shards/simulation.h
+++ b/lab/shards/simulation.h
@@ -1,7 +1,7 @@
-// Keepers, holders of shards and nodes that ask them, in virtual time: the cores as shipped, on a network
-// that loses, delays and cuts. The keepers are one log with a leader that moves, which counts sessions as
-// theirs does. The judge looks at what nodes were told, and beside that only at the map that the log agreed
-// on and at who was killed.
+// Coordinators, shard holders and nodes that send them requests, in virtual time: the shipped cores on a
+// network that loses, delays and cuts messages. The coordinators are one log with a leader that moves and
+// that expires sessions as the real one does. The invariant checker uses what the nodes received; besides
+// that only the map in the log and which processes were killed.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -23,34 +23,35 @@
 
 namespace fleet = ochrehub::shards;
 
-/// Cores, shells or keepers that are wrong in one way, which the judge must find.
+/// Known faults of the cores, of the code around them or of the coordinators (as in mutation testing), each
+/// of which the checker must find.
 enum class Mutant : std::uint8_t {
     None,
-    RespondsBeforeBackupAck,          ///< takes its own messages to the second for acknowledged
-    BackupStoresNothing,              ///< acknowledges and forgets
-    IgnoresSessionExpiry,             ///< goes on answering
-    CountsLeaseFromResponse,          ///< its lease, instead of from before it asked
-    StaleClockAfterPause,             ///< handles what waited with the time of before
-    ReportsCaughtUpEarly,             ///< before the pages are over
-    RespondsAfterSteppingDown,        ///< says that it has stopped, and has not
-    KeepsSessionAcrossRestart,        ///< comes back empty under its old session
-    CoordinatorsExpireSessionsEarly,  ///< after a third of their length
-    NewLeaderForgetsLeases,           ///< and lets each session end at once
-    CoordinatorsForgetBackup,         ///< put one that is being filled in the first's place
-    HidesLoss,                        ///< what is lost is called absent
-    RetriesBlindly,                   ///< a node sends a write again of which it was not told
+    RespondsBeforeBackupAck,    ///< counts steps as acknowledged when they are sent to the backup
+    BackupStoresNothing,        ///< the backup acknowledges writes and drops them
+    IgnoresSessionExpiry,       ///< the primary responds after its session expired
+    CountsLeaseFromResponse,    ///< the lease counts from the response instead of from the request
+    StaleClockAfterPause,       ///< messages that waited during a pause are handled with the time before it
+    ReportsCaughtUpEarly,       ///< a catch-up is reported complete before its pages are
+    RespondsAfterSteppingDown,  ///< reports that it stepped down, and goes on serving
+    KeepsSessionAcrossRestart,  ///< a restarted holder is empty and keeps its old session
+    CoordinatorsExpireSessionsEarly,  ///< after a third of the lease
+    NewLeaderForgetsLeases,           ///< and expires sessions at once
+    CoordinatorsForgetBackup,         ///< another holder than the backup becomes primary
+    HidesLoss,                        ///< lost records are reported as absent
+    RetriesBlindly,                   ///< a node retries a write with an unknown outcome
 };
-inline constexpr int kMutants = 14;  ///< with None
+inline constexpr int kMutants = 14;  ///< including None
 std::string_view name(Mutant mutant);
 
 struct SimulationSettings {
     std::size_t holders = 4, nodes = 3, shards = 8, zones = 2, keys = 24;
     std::uint64_t seed = 1;
     double loss = 0;
-    double clocks = 0.005;  ///< clocks are so much fast or slow at most
+    double clocks = 0.005;  ///< max relative rate error of a process's clock
     Duration lease{3000};
-    Duration think{30};       ///< of a node's worker, between answers
-    std::size_t workers = 3;  ///< of each node
+    Duration think{30};       ///< mean pause of a node's worker between requests
+    std::size_t workers = 3;  ///< per node
     std::size_t page = 4;     ///< records
     Duration deadline{2500};
     Mutant mutant = Mutant::None;
@@ -64,14 +65,14 @@
     using Network = Net<struct Message>;
     TimePoint now() const;
     void run_to(TimePoint at);
-    /// So many events more, as the network counts them.
+    /// Runs `count` more events, as the network counts them.
     void run_events(std::uint64_t count);
     std::uint64_t events() const;
-    /// Nobody begins anything from now on.
+    /// The nodes' workers start no requests from now on.
     void stop_clients() { clients_stopped_ = true; }
     void start_clients() { clients_stopped_ = false; }
 
-    // Faults, by numbers of holders and nodes.
+    // Faults, by the index of a holder or node.
     void kill(std::size_t holder);
     void start(std::size_t holder);
     void pause(std::size_t holder);
@@ -87,30 +88,32 @@
     void leave(std::size_t holder);
     std::size_t add_holder();
     bool up(std::size_t holder) const;
-    /// Kills the holder that the event with this number reaches, `in` it: what it would have sent is not. Or
-    /// stops it behind it.
+    /// Injects a fault into the holder that the event with this number is for. KillDuring: it sends none of
+    /// the event's messages.
     enum class AtEvent : std::uint8_t { KillDuring, KillAfter, PauseAfter };
     void at_event(std::uint64_t number, AtEvent what);
     std::optional<std::size_t> faulted_holder() const { return faulted_holder_; }
 
     const fleet::ShardMap& map() const;
-    std::size_t holder_of(fleet::SessionId session) const;  ///< its number; ~0: none that lives
+    std::size_t holder_of(
+        fleet::SessionId session) const;  ///< its index; ~0: no running holder has the session
     const fleet::ShardHolder& holder(std::size_t n) const;
     std::size_t holders() const;
 
-    /// Each shard with two holders, in two zones where there are two, and none being filled.
+    /// Each shard has two holders, in two zones if there are two, and no holder is catching up.
     bool settled() const;
 
     struct Result {
-        std::vector<std::string> violations;  ///< empty: all promises held
+        std::vector<std::string> violations;  ///< empty: all invariants held
         std::uint64_t answered = 0, unknown = 0, unavailable = 0, lost = 0, records = 0, views = 0;
         TimePoint last_answer{};
     };
     Result check() const;
-    /// Both holders of each shard have the same, once it is settled and quiet.
+    /// Both holders of each shard have the same records; to check once it is settled and the clients are
+    /// stopped.
     bool copies_equal() const;
 
-    /// One ask by a node; for scripts. `done` is called once.
+    /// One request by a node. `done` is called once.
     void ask(std::size_t node, bool writes, const fleet::Write& write,
              std::function<void(const fleet::ShardClient::Completed&)> done);
     fleet::SessionId node_session(std::size_t node) const;
--- a/lab/tests/shards_test.cpp
+++ b/lab/tests/shards_test.cpp
@@ -1,5 +1,4 @@
-// Holders of shards with faults in virtual time, and the judge: that it finds what is wrong, and that nothing
-// is.
+// The simulation of shard holders under faults: the invariants hold, and the checker finds each mutant.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -24,27 +23,27 @@
     return o;
 }
 
-TEST(ShardsHistory, KnowsWhatCanHaveHappened) {
+TEST(ShardsHistoryChecker, AcceptsOnlyLinearizableHistories) {
     EXPECT_TRUE(
         linearizable({op(What::Write, 1, 0, 10), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
     EXPECT_FALSE(
         linearizable({op(What::Write, 1, 0, 10), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
     EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 1), op(What::Read, kAbsent, 2, 3)}));
     EXPECT_FALSE(linearizable({op(What::Read, 7, 0, 1)}));
-    // Nobody knows whether it was written, and then somebody does.
+    // The outcome of the write is unknown until a read returns its value.
     EXPECT_TRUE(
         linearizable({op(What::Write, 1, 0, -1), op(What::Read, kAbsent, 2, 3), op(What::Read, 1, 4, 5)}));
     EXPECT_FALSE(
         linearizable({op(What::Write, 1, 0, -1), op(What::Read, 1, 2, 3), op(What::Read, kAbsent, 4, 5)}));
     EXPECT_FALSE(linearizable({op(What::Write, 1, 4, -1), op(What::Read, 1, 2, 3)}));
-    // Twice is not once.
+    // A write doesn't take effect twice.
     EXPECT_FALSE(linearizable({op(What::Write, 1, 0, 9), op(What::Write, 2, 2, 3), op(What::Read, 1, 1, 1.5),
                                op(What::Read, 1, 4, 5)}));
     EXPECT_TRUE(
         linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 5, 1), op(What::Read, 2, 3, 4)}));
     EXPECT_FALSE(
         linearizable({op(What::Write, 1, 0, 1), op(What::Swap, 2, 2, 3, 1), op(What::Swap, 3, 2, 3, 1)}));
-    // A loss is said, and is no excuse for anything else.
+    // A loss is reported as kLost, and permits no other value.
     EXPECT_TRUE(linearizable({op(What::Write, 1, 0, 1), op(What::Loss, 0, 2, -1), op(What::Read, 1, 3, 4),
                               op(What::Read, kLost, 5, 6)}));
     EXPECT_FALSE(
@@ -54,7 +53,7 @@
                                op(What::Read, kLost, 3, 4), op(What::Read, 1, 5, 6)}));
 }
 
-TEST(ShardsWorld, DrawnDaysBreakNoPromise) {
+TEST(ShardsSimulation, InvariantsHoldUnderRandomFaults) {
     std::uint64_t lost = 0, unknown = 0;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         SimulationSettings set;
@@ -66,11 +65,11 @@
         EXPECT_GT(v.answered, 300u);
         lost += v.lost, unknown += v.unknown;
     }
-    EXPECT_GT(lost, 0u);  // these days reach what they are there for
+    EXPECT_GT(lost, 0u);  // the runs reach losses and unknown outcomes
     EXPECT_GT(unknown, 0u);
 }
 
-TEST(ShardsWorld, ScriptsBreakNoPromise) {
+TEST(ShardsSimulation, InvariantsHoldInEveryScenario) {
     for (const Scenario& scenario : scenarios()) {
         SimulationSettings set;
         set.seed = 3;
@@ -80,7 +79,7 @@
     }
 }
 
-TEST(ShardsWorld, KilledAndStoppedAtEventsOfADay) {
+TEST(ShardsSimulation, InvariantsHoldWhenKilledOrPausedAtAnyEvent) {
     std::uint64_t count = count_events(1);
     std::size_t hit = 0;
     for (auto what :
@@ -97,7 +96,7 @@
 struct MutantCase {
     Mutant mutant;
     std::string_view scenario;
-    bool by_history;  // else by what the keepers' map said when it answered
+    bool by_history;  // false: found by comparing responses with the coordinators' map
 };
 class ShardsMutants : public testing::TestWithParam<MutantCase> {};
 
@@ -105,38 +104,39 @@
     auto [mutant, name, by_history] = GetParam();
     for (const Scenario& scenario : scenarios()) {
         if (scenario.name != name) continue;
-        // Some need luck in when they are asked: the first seed that shows it is enough.
+        // Some mutants show only for certain request times: one seed that finds them is enough.
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
             SimulationSettings set;
             set.seed = seed;
             set.mutant = mutant;
             for (const std::string& violation : scenario.run(set).violations)
-                if (by_history == (violation.find("cannot have happened") != std::string::npos)) return;
+                if (by_history == (violation.find("is not linearizable") != std::string::npos)) return;
         }
         FAIL() << shards::name(mutant) << " is not found";
     }
-    FAIL() << "no such script";
+    FAIL() << "no such scenario";
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Each, ShardsMutants,
     testing::Values(
-        MutantCase{Mutant::RespondsBeforeBackupAck, "cut from its second, then killed", true},
-        MutantCase{Mutant::BackupStoresNothing, "first killed", true},
-        MutantCase{Mutant::IgnoresSessionExpiry, "cut from the keepers, not from nodes", false},
-        MutantCase{Mutant::CountsLeaseFromResponse, "the keepers' answers late, then cut off", false},
-        MutantCase{Mutant::StaleClockAfterPause, "stopped over its session's end", false},
-        MutantCase{Mutant::ReportsCaughtUpEarly, "killed while a third is filled", true},
-        MutantCase{Mutant::RespondsAfterSteppingDown, "one joins, one leaves", false},
-        MutantCase{Mutant::KeepsSessionAcrossRestart, "killed and back before its session's end", true},
-        MutantCase{Mutant::CoordinatorsExpireSessionsEarly, "cut from the keepers, not from nodes", false},
-        MutantCase{Mutant::NewLeaderForgetsLeases, "the keepers' leader moves", false},
-        MutantCase{Mutant::CoordinatorsForgetBackup, "first killed", true},
-        MutantCase{Mutant::HidesLoss, "both killed", true},
-        MutantCase{Mutant::RetriesBlindly, "answers to a node are lost", true}));
+        MutantCase{Mutant::RespondsBeforeBackupAck, "primary cut from its backup, then killed", true},
+        MutantCase{Mutant::BackupStoresNothing, "primary killed", true},
+        MutantCase{Mutant::IgnoresSessionExpiry, "primary cut from the coordinators, not from nodes", false},
+        MutantCase{Mutant::CountsLeaseFromResponse, "coordinators' responses delayed, then cut", false},
+        MutantCase{Mutant::StaleClockAfterPause, "primary paused past its session's expiry", false},
+        MutantCase{Mutant::ReportsCaughtUpEarly, "primary killed while a third holder catches up", true},
+        MutantCase{Mutant::RespondsAfterSteppingDown, "one holder joins, one leaves", false},
+        MutantCase{Mutant::KeepsSessionAcrossRestart, "primary restarted before its session's expiry", true},
+        MutantCase{Mutant::CoordinatorsExpireSessionsEarly,
+                   "primary cut from the coordinators, not from nodes", false},
+        MutantCase{Mutant::NewLeaderForgetsLeases, "coordinators' leader changes", false},
+        MutantCase{Mutant::CoordinatorsForgetBackup, "primary killed", true},
+        MutantCase{Mutant::HidesLoss, "both holders killed", true},
+        MutantCase{Mutant::RetriesBlindly, "responses to a node are lost", true}));
 
-// Clients of one node come to another when it dies, as does the first holder of half of the shards.
-TEST(ShardsWorld, AClientKeepsItsRackOverTheDeathOfItsNode) {
+// A node and the primary of a shard die; the node's clients move to another node.
+TEST(ShardsSimulation, ClientKeepsItsCellWhenItsNodeDies) {
     constexpr std::size_t kClients = 200, kCells = 8;
     SimulationSettings set;
     Simulation simulation(set);
@@ -168,7 +168,7 @@
             kept += d.record && fleet::decode_session_binding(*d.record) &&
                     fleet::decode_session_binding(*d.record)->cell == i % kCells;
         });
-        by_itself += (i * 2654435761u >> 7) % kCells == i % kCells;  // the rack that it would draw
+        by_itself += (i * 2654435761u >> 7) % kCells == i % kCells;  // the cell that a hash would pick
         fleet::Order order{fleet::Order::State::Begun, simulation.node_session(1), 1, 0};
         simulation.ask(1, true, fleet::begin_order("shop", client(i), "order", order, Duration(600'000)),
                        [&, i](const auto& d) {
--- a/src/fleet/shards/shard_service.cpp
+++ b/src/fleet/shards/shard_service.cpp
@@ -108,8 +108,7 @@
 void ShardService::start() {
     auto ended = [](const std::exception& error) {
         log_line(LogLevel::Error,
-                 "shards: thread ended by an exception: %s; this process holds no shards and sends no "
-                 "requests any more",
+                 "shards: thread ended by an exception: %s; this process takes no further part in the shards",
                  error.what());
     };
     for (auto& worker : workers_) {
--- a/tests/fleet/shards_table_test.cpp
+++ b/tests/fleet/shards_table_test.cpp
@@ -1,4 +1,4 @@
-// The table beside a plain map, its bounds, its ends, scans while it changes, and locks in the wrong order.
+// The table: agreement with a plain map, limits, expiry, scans during changes, and the locking order.
 #include <gtest/gtest.h>
 
 #include <boost/random/taus88.hpp>
@@ -28,7 +28,7 @@
     return set;
 }
 
-TEST(ShardsTable, ARecordIsReadAsItWasWrittenUntilItsEnd) {
+TEST(ShardsTable, RecordIsReadAsWrittenUntilItExpires) {
     Table table(TableSettings{});
     Outcome first = table.write(put("basket", "rack 7"), at(0));
     ASSERT_FALSE(first.error);
@@ -38,11 +38,11 @@
     EXPECT_EQ(found.schema, 3u);
     EXPECT_EQ(found.version, first.version);
     EXPECT_DOUBLE_EQ(found.lifetime.count(), 1);
-    EXPECT_FALSE(table.find(2, "basket", at(0), found));  // another kind is another record
+    EXPECT_FALSE(table.find(2, "basket", at(0), found));  // the kind is a part of the record's identity
     EXPECT_FALSE(table.find(1, "basket", at(1000), found));
 }
 
-TEST(ShardsTable, WhoReadAnOlderVersionDoesNotWrite) {
+TEST(ShardsTable, WriteWithOlderExpectedVersionIsRejected) {
     Table table(TableSettings{});
     Write w = put("k", "a");
     w.expected_version = 0;
@@ -55,13 +55,13 @@
     w.expected_version = made.version, w.erase = true;
     Outcome erased = table.write(w, at(0));
     EXPECT_FALSE(erased.error);
-    // One of the same name that came later is not the one that was read.
+    // A later record with the same key doesn't match the version that was read.
     Outcome later = table.write(put("k", "b"), at(0));
     EXPECT_GT(later.version, made.version);
     EXPECT_EQ(table.write(w, at(0)).error, Error::Changed);
 }
 
-TEST(ShardsTable, FullRefusesAndForgetsNothing) {
+TEST(ShardsTable, WritesOverALimitAreRejectedAndNothingIsEvicted) {
     TableSettings set = small();
     Table table(set);
     std::map<std::string, std::size_t> kept;
@@ -82,7 +82,7 @@
         for (std::uint64_t who = 1; who <= 5; ++who)
             EXPECT_LE(table.bytes_of_partner(n, who), set.max_partner_bytes / 4);
     }
-    // What has ended makes room by itself.
+    // Expired records free their memory.
     EXPECT_FALSE(table.write(put("late", std::string(100, 'x'), 1000, 2), at(1001)).error);
     EXPECT_EQ(table.write(put(std::string(257, 'k'), ""), at(0)).error, Error::TooLong);
     EXPECT_EQ(table.write(put("", ""), at(0)).error, Error::TooLong);
@@ -91,7 +91,7 @@
     EXPECT_EQ(table.write(put("k", "", 0), at(0)).error, Error::TooLong);
 }
 
-TEST(ShardsTable, WhatIsPreparedHasItsMemory) {
+TEST(ShardsTable, PreparedWriteReservesItsMemory) {
     TableSettings set = small();
     set.shard_count = 1, set.max_bytes = 700, set.max_partner_bytes = 700;
     Table table(set);
@@ -108,7 +108,7 @@
     EXPECT_EQ(table.bytes(0), kRecordOverheadBytes + 301);
 }
 
-TEST(ShardsTable, TwoAreWrittenOrNeither) {
+TEST(ShardsTable, WriteTwoWritesBothOrNeither) {
     Table table(TableSettings{});
     Write a = put("client", "old"), b = put("tenant/client", "new");
     ASSERT_FALSE(table.write(a, at(0)).error);
@@ -123,7 +123,7 @@
     EXPECT_EQ(OrderedMutex::held(), 0);
 }
 
-TEST(ShardsTable, CopiesAreTakenInOrderOfTheirVersionsAndLiveALittleLonger) {
+TEST(ShardsTable, CopiesKeepTheNewestVersionAndLiveLonger) {
     Table table(TableSettings{});
     Record r = put("k", "five").record;
     r.version = 5;
@@ -140,8 +140,8 @@
     EXPECT_EQ(table.bytes(table.shard_of(1, "k")), kRecordOverheadBytes + 4);
 }
 
-// Thousands of steps, each beside a map of what must be there.
-TEST(ShardsTable, IsTheSameAsAPlainMap) {
+// Random operations, each compared with a plain map.
+TEST(ShardsTable, AgreesWithAPlainMap) {
     struct Kept {
         std::string payload;
         std::uint64_t version;
@@ -197,7 +197,7 @@
                 }
             }
         }
-        // At the end: all that lives, each once, by scans of any width, and not an octet that nobody has.
+        // Scans of any width return each record once, and no memory is counted for removed records.
         std::size_t live = 0;
         for (const auto& [key, kept] : map)
             if (kept.ends > at(3000))
@@ -218,7 +218,7 @@
     }
 }
 
-TEST(ShardsTable, AScanSeesOnceWhatStaysWhileOthersComeAndGo) {
+TEST(ShardsTable, ScanReturnsLastingRecordsOnceDuringChanges) {
     TableSettings set;
     set.shard_count = 1;
     Table table(set);
@@ -238,16 +238,16 @@
     EXPECT_GE(round, 50);
 }
 
-TEST(ShardsOrderDeathTest, AWrongOrderEndsTheProcessWhetherOrNotAnybodyWaits) {
+TEST(ShardsOrderDeathTest, WrongOrderAbortsWithoutContention) {
     GTEST_FLAG_SET(death_test_style, "threadsafe");
     OrderedMutex locks[3];
     for (std::uint32_t n = 0; n < 3; ++n) locks[n].number(n);
     locks[0].lock(), locks[2].lock();
     EXPECT_EQ(OrderedMutex::held(), 2);
-    EXPECT_DEATH(locks[1].lock(), "wrong order");  // a third, too
+    EXPECT_DEATH(locks[1].lock(), "wrong order");  // a third lock, too
     locks[0].unlock();
     EXPECT_DEATH(locks[1].lock(), "lock 1 is taken while 2 is held: wrong order");
-    EXPECT_DEATH(locks[2].lock(), "wrong order");  // the same once more
+    EXPECT_DEATH(locks[2].lock(), "wrong order");  // the same lock twice
     locks[2].unlock();
     EXPECT_DEATH(locks[2].unlock(), "wrong order");
     locks[1].lock(), locks[2].lock();
@@ -255,7 +255,7 @@
     EXPECT_EQ(OrderedMutex::held(), 0);
 }
 
-TEST(ShardsErrors, EachHasItsRow) {
+TEST(ShardsErrors, EveryErrorHasARow) {
     std::set<std::string_view> codes;
     for (int i = 1; i <= kErrors; ++i) {
         const fleet::ErrorRow& r = row(Error(i));
--- a/tests/fleet/shards_test.cpp
+++ b/tests/fleet/shards_test.cpp
@@ -1,4 +1,4 @@
-// The map, a holder, who asks it, and sessions, each by hand. Together, with faults:
+// The planner, a holder, a client, and session records, each by hand. Together, under faults:
 // lab/tests/shards_test.cpp.
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
     return TimePoint(Duration(ms));
 }
 
-// ---- The map
+// ---- The planner
 
 std::optional<Error> apply(ShardMapPlanner& views, SessionId session, const std::string& body) {
     wire::Reply reply;
@@ -34,7 +34,7 @@
     std::size_t filled = 0, yielded = 0, most = 0;
     bool ended = false;
 };
-/// First holders that do at once what they are asked to.
+/// Plays primaries that catch up and step down at once, until the map is stable.
 Steps drive(ShardMapPlanner& views) {
     Steps steps;
     for (int round = 0; round < 5000; ++round) {
@@ -75,7 +75,7 @@
     EXPECT_LE(spread(firsts), slack);
 }
 
-TEST(ShardsViews, OneThatJoinsTakesItsPartAndNothingElseMoves) {
+TEST(ShardsMapPlanner, JoiningHolderGetsItsShareAndNothingElseMoves) {
     ShardMapPlanner views({});
     for (SessionId s = 1; s <= 6; ++s) join(views, s, s % 2 ? "a" : "b");
     ASSERT_TRUE(drive(views).ended);
@@ -95,12 +95,12 @@
             others += !was && who != 7;
         }
     }
-    EXPECT_LE(copies, 512 / 7 + 2u);  // its part of 512 copies
+    EXPECT_LE(copies, 512 / 7 + 2u);  // its share of 512 copies
     EXPECT_EQ(others, 0u);
     EXPECT_EQ(steps.filled, copies);
 }
 
-TEST(ShardsViews, ASecondGoesOnAndBothLostIsSaid) {
+TEST(ShardsMapPlanner, BackupTakesOverAndLossOfBothIsReported) {
     ShardMapPlanner views({});
     for (SessionId s = 1; s <= 3; ++s) join(views, s, "z" + std::to_string(s));
     drive(views);
@@ -115,7 +115,7 @@
             EXPECT_GT(is.view, before[n].view);
         }
     }
-    std::vector<ShardAssignment> between = views.map().entries;  // nothing is filled yet
+    std::vector<ShardAssignment> between = views.map().entries;  // no holder has caught up yet
     views.session_ended(2);
     for (std::size_t n = 0; n < between.size(); ++n) {
         const ShardAssignment& is = views.map().entries[n];
@@ -130,12 +130,12 @@
     for (const ShardAssignment& e : views.map().entries) EXPECT_TRUE(e.primary == 4 && e.lost);
 }
 
-TEST(ShardsViews, OneThatLeavesHandsAllOnFirst) {
+TEST(ShardsMapPlanner, LeavingHolderHandsOverAllShards) {
     ShardMapPlanner views({});
     for (SessionId s = 1; s <= 4; ++s) join(views, s, s % 2 ? "a" : "b");
     drive(views);
     EXPECT_EQ(apply(views, 2, ShardMapPlanner::leave_command(1)),
-              Error::Malformed);  // only itself, and operators
+              Error::Malformed);  // only itself and operators may send it
     EXPECT_EQ(apply(views, 0, ShardMapPlanner::leave_command(9)), Error::SessionExpired);
     EXPECT_FALSE(apply(views, 0, ShardMapPlanner::leave_command(1)));
     ASSERT_TRUE(drive(views).ended);
@@ -145,7 +145,7 @@
     }
 }
 
-TEST(ShardsViews, NobodyElseSaysWhatAFirstHolderSays) {
+TEST(ShardsMapPlanner, OnlyThePrimaryChangesItsShard) {
     ShardMapPlanner views({});
     join(views, 1, "a");
     join(views, 2, "b");
@@ -156,7 +156,7 @@
     EXPECT_EQ(apply(views, e.primary, ShardMapPlanner::caught_up_command(0, e.view - 1)), Error::OlderView);
     EXPECT_EQ(apply(views, e.primary, ShardMapPlanner::caught_up_command(256, e.view)), Error::Malformed);
     EXPECT_EQ(apply(views, e.primary, ShardMapPlanner::stepped_down_command(0, e.view)),
-              Error::Malformed);  // nobody asked it to
+              Error::Malformed);  // it wasn't requested to step down
     EXPECT_EQ(apply(views, 1, "\xff"), Error::Malformed);
     EXPECT_EQ(apply(views, 1, ""), Error::Malformed);
     EXPECT_EQ(apply(views, 9, ShardMapPlanner::offer_command("x")), Error::SessionExpired);
@@ -171,9 +171,9 @@
     EXPECT_EQ(views.map().entries[0], e);
 }
 
-// Drawn joins, leaves and ends, with first holders that are slow: at each step the map is sound, its snapshot
-// says all of it, and behind the last step it comes to rest.
-TEST(ShardsViews, ComesToRestWhateverHappens) {
+// Random joins, leaves and expiries, with slow primaries: after each step the map is valid and its snapshot
+// restores all of it, and after the last step the map becomes stable.
+TEST(ShardsMapPlanner, BecomesStableAfterRandomChanges) {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         boost::random::taus88 random(seed * 97 + 64);
         ShardMapPlanner::Settings set;
@@ -203,7 +203,7 @@
             for (std::size_t n = 0; n < 32; ++n) {
                 const ShardAssignment& is = views.map().entries[n];
                 bool first_lives = std::find(live.begin(), live.end(), was[n].primary) != live.end();
-                // A first that lives stays first, or changes places with its second by its own word.
+                // A primary that is alive stays primary, or swaps roles with its backup by its own command.
                 if (first_lives) {
                     ASSERT_TRUE(is.primary == was[n].primary ||
                                 (was[n].stepping_down && is.backup == was[n].primary));
@@ -224,7 +224,7 @@
     }
 }
 
-TEST(ShardsViews, TakesNoSnapshotOfAnotherSchemaOrThatIsNone) {
+TEST(ShardsMapPlanner, RejectsSnapshotsOfAnotherSchemaOrMalformed) {
     ShardMapPlanner views({}), other({});
     join(views, 1, "a");
     std::string good = views.snapshot();
@@ -232,13 +232,13 @@
     EXPECT_FALSE(other.restore(1, good.substr(0, good.size() / 2)));
     wire::Snapshot wrong;
     wrong.ParseFromString(good);
-    wrong.mutable_map()->mutable_entries(7)->set_second(99);  // who is that
+    wrong.mutable_map()->mutable_entries(7)->set_second(99);  // an unknown session
     EXPECT_FALSE(other.restore(1, wrong.SerializeAsString()));
     EXPECT_EQ(other.map().number, 0u);
     EXPECT_LE(views.session_update(1).size(), 8192u);
 }
 
-// ---- A holder, and who asks it
+// ---- Holder
 
 TableSettings table_settings() {
     TableSettings set;
@@ -317,7 +317,7 @@
     return e;
 }
 
-TEST(ShardsHolder, StopsWhenItsSessionEndsAndLooksAtTheClockFirst) {
+TEST(ShardsHolder, StopsServingAtSessionExpiryBeforeHandlingTheEvent) {
     Rig rig;
     EXPECT_EQ(Error(rig.ask(at(0), 1).error()), Error::SessionExpired);
     rig.news(at(1000), entry(1, 1), 1);
@@ -331,7 +331,7 @@
     EXPECT_EQ(rig.holder.session(), 1u);
 }
 
-TEST(ShardsHolder, RefusesOlderViewsAndAsksForNewerOnes) {
+TEST(ShardsHolder, RejectsOlderViewsAndQueriesTheMapForNewer) {
     Rig rig;
     rig.news(at(0), entry(7, 1), 7);
     wire::Answer older = rig.ask(at(1), 6);
@@ -343,7 +343,7 @@
     rig.news(at(2), entry(9, 2, 1), 9);
     EXPECT_EQ(Error(rig.ask(at(3), 9).error()), Error::NotPrimary);
     rig.out.clear();
-    // A first of the view before is turned away.
+    // A message of an earlier primary is rejected.
     wire::Message m;
     wire::Copy& c = *m.add_copies();
     c.set_view(8), c.set_from(3), c.set_to(1), c.set_stream(1), c.set_number(1);
@@ -357,19 +357,19 @@
     EXPECT_EQ(back.copied(0).view(), 9u);
 }
 
-TEST(ShardsHolder, AnswersAWriteOnceTheSecondHasIt) {
+TEST(ShardsHolder, RespondsToAWriteOnceTheBackupHasIt) {
     Rig rig;
     rig.news(at(0), entry(3, 1, 2, 0, 3), 3);
     auto begun = rig.copies();
     ASSERT_EQ(begun.size(), 1u);
-    EXPECT_TRUE(begun[0].keeps());  // a second without a stream was first before
+    EXPECT_TRUE(begun[0].keeps());  // a backup without a stream was primary before
     rig.acknowledge(at(1), begun[0]);
     EXPECT_EQ(rig.ask(at(2), 3, "v").id(), 0u);
     auto copy = rig.copies();
     ASSERT_EQ(copy.size(), 1u);
-    EXPECT_EQ(rig.ask(at(3), 3).id(), 0u);  // nor does anybody read it before
+    EXPECT_EQ(rig.ask(at(3), 3).id(), 0u);  // nor is it read before
     rig.out.clear();
-    // Lost: sent again, whole.
+    // Lost: all of it is sent again.
     rig.holder.handle(at(300), ShardHolder::TimerFired{}, rig.out);
     auto again = rig.copies();
     ASSERT_EQ(again.size(), 1u);
@@ -383,8 +383,8 @@
     EXPECT_EQ(both.answers(1).record().payload(), "v");
 }
 
-// The holder that it fills was taken out and put in again, and it slept over the view between.
-TEST(ShardsHolder, FillsAnewWhoWasGivenTheShardAnew) {
+// The catching-up holder was removed and assigned again, and the primary missed the view between.
+TEST(ShardsHolder, RestartsTheStreamOfAReassignedHolder) {
     Rig rig;
     rig.news(at(0), entry(3, 1, 0, 2, 3), 3);
     auto copy = rig.copies();
@@ -400,7 +400,7 @@
     EXPECT_GT(copy[0].stream(), 1u);
 }
 
-TEST(ShardsHolder, BoundsWhatWaits) {
+TEST(ShardsHolder, LimitsWaitingWrites) {
     Rig rig;
     rig.news(at(0), entry(3, 1, 2, 0, 3), 3);
     std::set<std::uint32_t> errors;
@@ -412,7 +412,7 @@
     EXPECT_EQ(rig.holder.counts().rejected, 3000u - 1 - ShardHolder::Settings{}.max_waiting_writes);
 }
 
-TEST(ShardsHolder, TakesNoHarmFromOctetsThatAreNoMessage) {
+TEST(ShardsHolder, SurvivesMalformedMessages) {
     Rig rig;
     rig.news(at(0), entry(3, 1, 2, 0, 3), 3);
     wire::Message m;
@@ -439,7 +439,7 @@
     EXPECT_EQ(rig.table.records(0), 0u);
 }
 
-// ---- Who asks
+// ---- Client
 
 struct Asker {
     ShardClient client{Rig::client_settings()};
@@ -486,7 +486,7 @@
     }
 };
 
-TEST(ShardsClient, NeverWritesBlindlyTwice) {
+TEST(ShardsClient, NeverRetriesAWriteBlindly) {
     Asker a;
     a.ask(1, true);
     a.ask(2, true, 0);
@@ -499,7 +499,7 @@
     ASSERT_EQ(done.size(), 2u);
     EXPECT_EQ(done[0].error, Error::Unknown);
     EXPECT_EQ(done[1].error, Error::Unknown);
-    // Nor is what was never sent.
+    // A request that was never sent isn't Unknown.
     Asker none;
     std::string nobody = map_of(entry(4, 0), 4);
     none.client.handle(at(0), ShardClient::MapReceived{nobody}, none.out);
@@ -510,7 +510,7 @@
     EXPECT_EQ(done[0].error, Error::Unavailable);
 }
 
-TEST(ShardsClient, KnowsItsOwnWriteAgain) {
+TEST(ShardsClient, RecognizesItsOwnEarlierWrite) {
     Asker a;
     a.ask(1, true, 7);
     a.ask(2, true, 0, true);
@@ -523,8 +523,7 @@
         for (ShardClient::Completed& d : a.done()) done.push_back(std::move(d));
         for (const wire::Ask& ask : again) {
             std::size_t open = a.client.open();
-            if (ask.expect() == 7)
-                a.answer(at(t), first[0].id(), {});  // to one that nobody waits for any more
+            if (ask.expect() == 7) a.answer(at(t), first[0].id(), {});  // to an attempt that timed out
             EXPECT_EQ(a.client.open(), open);
             a.answer(at(t), ask.id(), Error::Changed, ask.expect() == 7 ? ask.record().request() : 4711);
         }
@@ -534,10 +533,10 @@
     if (done[0].id != 1) std::swap(done[0], done[1]);
     EXPECT_FALSE(done[0].error);
     EXPECT_EQ(done[0].version, 8u);
-    EXPECT_EQ(done[1].error, Error::Unknown);  // another's, perhaps behind its own
+    EXPECT_EQ(done[1].error, Error::Unknown);  // another client's, perhaps written after its own
 }
 
-TEST(ShardsClient, GoesOnWhereItWasRefusedAndJoinsWhatGoesToOne) {
+TEST(ShardsClient, RetriesRejectedRequestsAndBatchesPerHolder) {
     Asker a;
     for (std::uint64_t id = 1; id <= 200; ++id) {
         ShardClient::Request ask;
@@ -562,7 +561,7 @@
     EXPECT_EQ(a.client.open(), 198u);
 }
 
-// ---- Sessions
+// ---- Session records
 
 ShardClient::Completed done_of(const Outcome& outcome) {
     ShardClient::Completed done;
@@ -570,14 +569,14 @@
     return done;
 }
 
-TEST(ShardsSessions, ABasketKeepsItsRackAndAnOrderIsSentOnce) {
+TEST(ShardsSessionRecords, BindingKeepsItsCellAndAnOrderIsSentOnce) {
     using V = OrderClaim::Status;
     Table table(TableSettings{});
     auto lives = [](SessionId who) { return who != 2; };
     SessionBinding basket{"dealer", "anna", 4, 17, 0};
     Duration life(60'000);
     EXPECT_FALSE(table.write(bind_session(basket, nullptr, life), at(0)).error);
-    // Another node meant another rack, and is told of the one that counts.
+    // Another node picked another cell, and receives the binding that exists.
     SessionBinding other = basket;
     other.cell = 9;
     Outcome late = table.write(bind_session(other, nullptr, life), at(0));
@@ -598,9 +597,9 @@
     };
     OrderClaim go = try_it(2);
     EXPECT_EQ(go.status, V::Granted);
-    EXPECT_EQ(try_it(3).status, V::Unknown);  // node 2 died with it
+    EXPECT_EQ(try_it(3).status, V::Unknown);  // node 2 died while it was in progress
     EXPECT_EQ(try_it(2).status, V::Unknown);
-    // It never ran, after all: then one more may, and only one.
+    // It was never executed: then one more node may send it, and only one.
     auto ended = table.write(
         finish_order("dealer", "anna", "o1", {Order::State::NeverRan, 2, 17, 0}, life, go.version), at(0));
     EXPECT_FALSE(ended.error);
@@ -617,7 +616,7 @@
     OrderClaim done = try_it(4);
     EXPECT_EQ(done.status, V::Done);
     EXPECT_EQ(done.order.status, 200u);
-    // No word, no order.
+    // Without a decision of a holder the order isn't sent.
     for (Error e : {Error::Unavailable, Error::Unknown, Error::PartnerFull}) {
         ShardClient::Completed none;
         none.error = e;
--- a/tests/fleet/shards_threads.cpp
+++ b/tests/fleet/shards_threads.cpp
@@ -1,5 +1,5 @@
-// The table by many threads at once, in plain asserts: built with the thread sanitizer too, and once with
-// locks that lock nothing (tests/fleet/unlocked), which that sanitizer must find.
+// The table with many threads, in plain asserts. Built with the thread sanitizer too, and once with a mutex
+// that locks nothing (tests/fleet/unlocked), which that sanitizer must detect.
 #undef NDEBUG
 #include <atomic>
 #include <cassert>
@@ -25,7 +25,7 @@
     for (std::thread& one : all) one.join();
 }
 
-/// Each adds to few records by compare and swap; no addition is lost.
+/// Threads increment a few records by compare and swap; no increment is lost.
 void nothing_is_lost(int workers, int rounds) {
     TableSettings set;
     set.shard_count = 4;
@@ -50,7 +50,7 @@
     assert(sum == long(workers) * rounds);
 }
 
-/// Moves between two records go on in both directions, while others scan, end and clear.
+/// Writes of two records in both locking orders, during scans and expiry, don't deadlock.
 void nothing_hangs(int workers, int rounds) {
     TableSettings set;
     set.shard_count = 8;
