--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -73,13 +73,13 @@
 struct Run {
     std::string program, node, folder;
     std::uint64_t seed = 1;
-    std::vector<std::unique_ptr<Process>> keepers, nodes;
+    std::vector<std::unique_ptr<Process>> coordinators, nodes;
     std::vector<std::string> addresses;
     std::vector<std::string> listens;
     std::vector<std::unique_ptr<lab::Relay>> relays;
     std::vector<std::string> event_logs;
     std::uint64_t next_instance = 1;
-    std::unique_ptr<coordinator::SessionThread> asks;
+    std::unique_ptr<coordinator::SessionThread> session_thread;
 
     void start_node(std::size_t n) {
         std::uint64_t instance = seed * 1000 + next_instance++;
@@ -105,24 +105,24 @@
         for (int i = 0; i < 3; ++i) addresses.push_back(free_address());
         for (int i = 0; i < 3; ++i) {
             std::string file = folder + "/k" + std::to_string(i + 1) + ".toml",
-                        own = folder + "/f" + std::to_string(i + 1);
-            std::filesystem::create_directories(own);
+                        data_folder = folder + "/f" + std::to_string(i + 1);
+            std::filesystem::create_directories(data_folder);
             std::ofstream out(file);
             out << "[keeper]\nnumber = " << i + 1 << "\nlisten = \"" << addresses[std::size_t(i)]
-                << "\"\nfolder = \"" << own
+                << "\"\nfolder = \"" << data_folder
                 << "\"\ncluster = \"rig\"\nheartbeat_ms = 50\nelection_ms = 300\n";
             for (int k = 0; k < 3; ++k)
                 out << "[[member]]\nnumber = " << k + 1 << "\naddress = \"" << addresses[std::size_t(k)]
                     << "\"\n";
             out.close();
-            keepers.push_back(std::make_unique<Process>(
+            coordinators.push_back(std::make_unique<Process>(
                 std::vector<std::string>{program, "keeper", "--config", file, "--new"},
                 folder + "/log.keeper" + std::to_string(i + 1)));
         }
-        coordinator::SessionThreadSettings side;
-        side.session.coordinators = addresses, side.session.name = "judge", side.cluster = "rig";
-        asks = std::make_unique<coordinator::SessionThread>(side, Clock());
-        asks->start();
+        coordinator::SessionThreadSettings session;
+        session.session.coordinators = addresses, session.session.name = "judge", session.cluster = "rig";
+        session_thread = std::make_unique<coordinator::SessionThread>(session, Clock());
+        session_thread->start();
         for (std::size_t n = 0; n < 4; ++n) {
             listens.push_back(free_address());
             relays.push_back(std::make_unique<lab::Relay>(
@@ -133,10 +133,11 @@
         }
     }
     std::optional<shards::ShardMap> map() {
-        auto told = std::make_shared<std::promise<std::string>>();
-        auto future = told->get_future();
-        asks->query("views", {},
-                    [told](coordinator::Error, std::string bytes) { told->set_value(std::move(bytes)); });
+        auto response = std::make_shared<std::promise<std::string>>();
+        auto future = response->get_future();
+        session_thread->query("views", {}, [response](coordinator::Error, std::string bytes) {
+            response->set_value(std::move(bytes));
+        });
         shards::ShardMap map;
         if (future.wait_for(std::chrono::seconds(10)) != std::future_status::ready ||
             !shards::decode(future.get(), map))
@@ -163,16 +164,16 @@
 
 struct CheckResult {
     std::vector<std::string> violations;
-    std::size_t answered = 0, unknown = 0, never = 0;
-    double gap = 0;  // longest time without a response, ms
+    std::size_t completed = 0, unknown = 0, never_written = 0;
+    double longest_gap_ms = 0;  // longest time without a response, ms
 };
 /// Responses after `until` are ignored: from then on the processes are ended one by one, among them both
 /// holders of a shard.
 CheckResult check_event_logs(const std::vector<std::string>& event_logs, TimePoint until) {
-    CheckResult j;
+    CheckResult result;
     std::map<std::uint64_t, std::vector<Operation>> histories;
     std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> answered;
-    std::vector<double> answers;
+    std::vector<double> response_times;
     for (const std::string& path : event_logs) {
         std::map<std::uint64_t, std::pair<std::uint64_t, Operation>> open;
         std::ifstream in(path);
@@ -205,13 +206,13 @@
             auto [key, o] = open[id];
             auto e = shards::Error(error);
             if (error != 0 && e != shards::Error::Changed && e != shards::Error::BothHoldersLost) {
-                e == shards::Error::Unknown ? ++j.unknown : ++j.never;
+                e == shards::Error::Unknown ? ++result.unknown : ++result.never_written;
                 if (e != shards::Error::Unknown) open.erase(id);
                 continue;
             }
             open.erase(id);
-            ++j.answered;
-            answers.push_back(at * 1e-6);
+            ++result.completed;
+            response_times.push_back(at * 1e-6);
             o.sure = true;
             o.answered = TimePoint(Duration(at * 1e-6));
             if (error != 0 || o.what == Operation::What::Read) {
@@ -220,18 +221,19 @@
             }
             histories[key].push_back(o);
             if (view != 0 && answered.try_emplace({shard, view}, holder).first->second != holder)
-                j.violations.push_back("two holders responded for shard " + std::to_string(shard) +
-                                       " in one view");
+                result.violations.push_back("two holders responded for shard " + std::to_string(shard) +
+                                            " in one view");
         }
         for (auto& [id, one] : open)
             if (one.second.what != Operation::What::Read) histories[one.first].push_back(one.second);
     }
     for (const auto& [key, operations] : histories)
         if (!linearizable(operations))
-            j.violations.push_back("the history of key " + std::to_string(key) + " is not linearizable");
-    std::sort(answers.begin(), answers.end());
-    for (std::size_t i = 1; i < answers.size(); ++i) j.gap = std::max(j.gap, answers[i] - answers[i - 1]);
-    return j;
+            result.violations.push_back("the history of key " + std::to_string(key) + " is not linearizable");
+    std::sort(response_times.begin(), response_times.end());
+    for (std::size_t i = 1; i < response_times.size(); ++i)
+        result.longest_gap_ms = std::max(result.longest_gap_ms, response_times[i] - response_times[i - 1]);
+    return result;
 }
 
 }  // namespace
@@ -261,31 +263,31 @@
     wait_ms(500);
     std::size_t a = run.seed % 4, b = (run.seed + 1) % 4, c = (run.seed + 2) % 4;
     run.nodes[a]->end(SIGKILL);
-    settles(3, "behind a kill");
+    settles(3, "after a kill");
     run.start_node(a);
-    settles(4, "with a new one");
+    settles(4, "after a restart");
     run.nodes[b]->signal(SIGSTOP);
     wait_ms(pauses);
     run.nodes[b]->signal(SIGCONT);
     wait_ms(300);
-    settles(4, "behind a stop");
+    settles(4, "after a pause");
     run.relays[c]->cut(lab::Direction::Back, true);
     wait_ms(1500);
     run.relays[c]->cut(lab::Direction::Back, false);
-    settles(4, "behind a cut");
+    settles(4, "after a cut");
     wait_ms(500);
     TimePoint until{Duration(Clock_::now().time_since_epoch())};
     for (auto& node : run.nodes) node->signal(SIGTERM);
     for (auto& node : run.nodes) node->end(SIGTERM);
-    run.asks.reset();
-    for (auto& keeper : run.keepers) keeper->end(SIGTERM);
-    CheckResult j = check_event_logs(run.event_logs, until);
-    violations.insert(violations.end(), j.violations.begin(), j.violations.end());
+    run.session_thread.reset();
+    for (auto& coordinator_process : run.coordinators) coordinator_process->end(SIGTERM);
+    CheckResult result = check_event_logs(run.event_logs, until);
+    violations.insert(violations.end(), result.violations.begin(), result.violations.end());
     for (const std::string& violation : violations) std::printf("FAULT: %s\n", violation.c_str());
-    std::printf("%zu answered, %zu unknown, %zu never written; longest without any answer %.0f ms\n",
-                j.answered, j.unknown, j.never, j.gap);
-    if (j.answered < 500) std::printf("FAULT: too few answers to judge by\n");
-    bool good = violations.empty() && j.answered >= 500;
+    std::printf("%zu completed, %zu unknown, %zu never written; longest time without a response %.0f ms\n",
+                result.completed, result.unknown, result.never_written, result.longest_gap_ms);
+    if (result.completed < 500) std::printf("FAULT: too few completed requests to check\n");
+    bool good = violations.empty() && result.completed >= 500;
     if (good && !keep)
         std::filesystem::remove_all(run.folder);
     else
--- a/lab/shards/simulation.cpp
+++ b/lab/shards/simulation.cpp
@@ -51,15 +51,15 @@
 
 struct Simulation::Impl {
     // ---- Processes
-    struct Shell {  // what every process has: a session and its renewals
+    struct ProcessState {  // what every process has: a session and its renewals
         std::size_t process = 0;
         std::string name, zone;
         SessionId session = 0;
         std::uint64_t nonce = 0;
-        std::map<std::uint64_t, TimePoint> asked;  // time of each renewal request, by nonce
+        std::map<std::uint64_t, TimePoint> renewal_requests;  // time of each renewal request, by nonce
         TimePoint next_renewal{}, next_core{Duration{1e15}}, renewed_early{};
     };
-    struct HolderProcess : Shell {
+    struct HolderProcess : ProcessState {
         std::unique_ptr<fleet::Table> table;
         std::unique_ptr<ShardHolder> core;
         bool is_muted = false;
@@ -69,15 +69,15 @@
         bool busy = false;
         TimePoint next{};
     };
-    struct NodeProcess : Shell {
+    struct NodeProcess : ProcessState {
         std::unique_ptr<ShardClient> core;
         std::vector<Worker> workers;
-        std::map<std::uint64_t, std::function<void(const ShardClient::Completed&)>> asks;
+        std::map<std::uint64_t, std::function<void(const ShardClient::Completed&)>> requests;
         std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> seen;  // key: version, value
-        std::uint64_t next_ask = 1;
+        std::uint64_t next_request = 1;
     };
-    struct Standing {
-        TimePoint counted{};
+    struct ActiveSession {
+        TimePoint renewed_at{};
     };
 
     Simulation& simulation;
@@ -90,7 +90,7 @@
 
     // ---- The coordinators' log
     std::unique_ptr<ShardMapPlanner> machine;
-    std::map<SessionId, Standing> sessions;
+    std::map<SessionId, ActiveSession> sessions;
     std::map<SessionId, std::size_t> process_of;
     std::size_t leader = 0;
     SessionId last_session = 0;
@@ -100,7 +100,7 @@
     std::vector<std::vector<bool>> dropped;
     std::uint64_t last_value = 0;
     std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId>
-        answered;  // holder that responded, by shard and view
+        responded_by;  // holder that responded, by shard and view
     std::vector<std::string> violations;
     Result figures;
     std::optional<std::pair<std::uint64_t, AtEvent>> at_event;
@@ -113,15 +113,15 @@
         n.in_order = true;
         n.seed = set.seed;
         net = std::make_unique<Network>(
-            n,
-            Network::Hooks{[this](std::size_t p, TimePoint own) { happens(p, own, [&] { woken(p, own); }); },
-                           [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) {
-                               happens(to, own, [&] { received(to, from, own, m); });
-                           },
-                           [this](std::size_t from, std::size_t, Message&) {
-                               return !(from >= kCoordinators && at[from - kCoordinators].first &&
-                                        holders[at[from - kCoordinators].second].is_muted);
-                           }});
+            n, Network::Hooks{
+                   [this](std::size_t p, TimePoint own) { run_event(p, own, [&] { timer_fired(p, own); }); },
+                   [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) {
+                       run_event(to, own, [&] { received(to, from, own, m); });
+                   },
+                   [this](std::size_t from, std::size_t, Message&) {
+                       return !(from >= kCoordinators && at[from - kCoordinators].first &&
+                                holders[at[from - kCoordinators].second].is_muted);
+                   }});
         ShardMapPlanner::Settings v;
         v.shard_count = set.shards;
         machine = std::make_unique<ShardMapPlanner>(v);
@@ -153,10 +153,10 @@
         h.process = add_process(true, n);
         h.name = "holder" + std::to_string(n);
         h.zone = "zone" + std::to_string(n % set.zones);
-        fresh(h);
+        restart_core(h);
         return n;
     }
-    void fresh(HolderProcess& h) {
+    void restart_core(HolderProcess& h) {
         fleet::TableSettings t;
         t.shard_count = set.shards;
         t.max_lifetime = Duration(3'600'000);
@@ -165,7 +165,7 @@
         s.address = h.name;
         s.page_records = set.page;
         h.core = std::make_unique<ShardHolder>(s, *h.table);
-        h.asked.clear();
+        h.renewal_requests.clear();
         h.last = h.next_renewal = h.next_core = net->own(h.process);
     }
     void add_node() {
@@ -179,7 +179,7 @@
         c.instance = set.seed * 1000 + nodes.size();
         n.core = std::make_unique<ShardClient>(c);
     }
-    Shell& shell(std::size_t process) {
+    ProcessState& shell(std::size_t process) {
         auto [holder, number] = at[process - kCoordinators];
         if (holder) return holders[number];
         return nodes[number];
@@ -187,7 +187,7 @@
 
     // ---- Events
     template <class F>
-    void happens(std::size_t process, TimePoint, F&& f) {
+    void run_event(std::size_t process, TimePoint, F&& f) {
         bool now = at_event && net->happened() == at_event->first && process >= kCoordinators &&
                    at[process - kCoordinators].first;
         if (!now) return f();
@@ -201,13 +201,13 @@
         else
             simulation.kill(n);
     }
-    void woken(std::size_t process, TimePoint own) {
+    void timer_fired(std::size_t process, TimePoint own) {
         if (process < kCoordinators) {
             tick(process, own);
             net->wake_at(process, own + kTick);
             return;
         }
-        Shell& s = shell(process);
+        ProcessState& s = shell(process);
         if (own >= s.next_renewal) renew(s, own);
         auto [holder, number] = at[process - kCoordinators];
         if (own >= s.next_core) {
@@ -221,16 +221,18 @@
         arm(s);
     }
     void received(std::size_t to, std::size_t from, TimePoint own, const Message& m) {
-        if (to < kCoordinators) return keeper(to, from, own, m);
-        Shell& s = shell(to);
+        if (to < kCoordinators) return coordinator_received(to, from, own, m);
+        ProcessState& s = shell(to);
         auto [holder, number] = at[to - kCoordinators];
         switch (m.kind) {
             case Message::Kind::Renewed: {
-                auto asked = s.asked.find(m.nonce);
-                if (asked == s.asked.end() || (s.session != 0 && m.session != s.session)) break;
+                auto renewal_requests = s.renewal_requests.find(m.nonce);
+                if (renewal_requests == s.renewal_requests.end() ||
+                    (s.session != 0 && m.session != s.session))
+                    break;
                 s.session = m.session;
-                TimePoint when = is_mutant(Mutant::CountsLeaseFromResponse) ? own : asked->second;
-                s.asked.erase(asked);
+                TimePoint when = is_mutant(Mutant::CountsLeaseFromResponse) ? own : renewal_requests->second;
+                s.renewal_requests.erase(renewal_requests);
                 if (holder) {
                     Duration lease = set.lease * (is_mutant(Mutant::IgnoresSessionExpiry) ? 100 : 1);
                     std::string news = mutate_map(m.body, s);
@@ -244,12 +246,12 @@
             case Message::Kind::Over:
                 if (m.session != s.session) break;
                 s.session = 0;
-                s.asked.clear();
+                s.renewal_requests.clear();
                 s.next_renewal = own;
                 if (holder) handle(holders[number], own, ShardHolder::SessionExpired{});
                 break;
             case Message::Kind::Proposed:
-                early(s, own);
+                renew_early(s, own);
                 break;
             case Message::Kind::Asks:
             case Message::Kind::ToHolder:
@@ -264,7 +266,7 @@
         }
         arm(s);
     }
-    void arm(Shell& s) {
+    void arm(ProcessState& s) {
         TimePoint next = std::min(s.next_renewal, s.next_core);
         auto [holder, number] = at[s.process - kCoordinators];
         if (!holder)
@@ -275,16 +277,16 @@
     }
 
     // ---- Sessions
-    void renew(Shell& s, TimePoint own) {
+    void renew(ProcessState& s, TimePoint own) {
         s.next_renewal = own + set.lease / 3;
         Message m;
         m.session = s.session, m.name = s.name, m.zone = s.zone;
         m.nonce = ++s.nonce;
-        s.asked[m.nonce] = own;
-        if (s.asked.size() > 32) s.asked.erase(s.asked.begin());
+        s.renewal_requests[m.nonce] = own;
+        if (s.renewal_requests.size() > 32) s.renewal_requests.erase(s.renewal_requests.begin());
         for (std::size_t k = 0; k < kCoordinators; ++k) net->send(s.process, k, m);
     }
-    void early(Shell& s, TimePoint own) {
+    void renew_early(ProcessState& s, TimePoint own) {
         if (own < s.renewed_early + Duration(20)) return;
         s.renewed_early = own;
         renew(s, own);
@@ -311,14 +313,14 @@
                     histories[key].push_back(loss), dropped[key].push_back(false);
         }
     }
-    void over(SessionId session) {
+    void expire_session(SessionId session) {
         sessions.erase(session);
         change([&] {
-            if (is_mutant(Mutant::CoordinatorsForgetBackup)) return forget_second(session);
+            if (is_mutant(Mutant::CoordinatorsForgetBackup)) return forget_backup(session);
             machine->session_ended(session);
         });
     }
-    void forget_second(SessionId session) {
+    void forget_backup(SessionId session) {
         std::vector<ShardAssignment> before = machine->map().entries;
         machine->session_ended(session);
         wire::Snapshot snapshot;
@@ -335,18 +337,18 @@
         }
         machine->restore(1, snapshot.SerializeAsString());
     }
-    void tick(std::size_t keeper, TimePoint own) {
-        if (keeper != leader) return;
+    void tick(std::size_t coordinator, TimePoint own) {
+        if (coordinator != leader) return;
         Duration lease = set.lease / (is_mutant(Mutant::CoordinatorsExpireSessionsEarly) ? 3 : 1);
         std::vector<SessionId> ended;
-        for (const auto& [id, standing] : sessions)
-            if (own >= standing.counted + lease) ended.push_back(id);
-        for (SessionId id : ended) over(id);
+        for (const auto& [id, active] : sessions)
+            if (own >= active.renewed_at + lease) ended.push_back(id);
+        for (SessionId id : ended) expire_session(id);
     }
-    void keeper(std::size_t me, std::size_t from, TimePoint own, const Message& m) {
+    void coordinator_received(std::size_t me, std::size_t from, TimePoint own, const Message& m) {
         if (me != leader) return;
         if (m.kind == Message::Kind::Renew) {
-            Message answer;
+            Message response;
             SessionId id = m.session;
             if (id == 0) {
                 id = ++last_session;
@@ -355,32 +357,32 @@
                 change([&] { machine->session_opened(id, m.name, m.zone); });
             }
             auto session = sessions.find(id);
-            answer.session = id, answer.nonce = m.nonce;
+            response.session = id, response.nonce = m.nonce;
             if (session == sessions.end()) {
-                answer.kind = Message::Kind::Over;
+                response.kind = Message::Kind::Over;
             } else {
-                session->second.counted = own;
-                answer.kind = Message::Kind::Renewed;
-                answer.body = machine->session_update(id);
+                session->second.renewed_at = own;
+                response.kind = Message::Kind::Renewed;
+                response.body = machine->session_update(id);
             }
-            net->send(me, from, answer);
+            net->send(me, from, response);
         } else if (m.kind == Message::Kind::Propose && sessions.contains(m.session)) {
             change([&] { machine->apply({m.session, m.body}); });
-            Message answer;
-            answer.kind = Message::Kind::Proposed;
-            net->send(me, from, answer);
+            Message response;
+            response.kind = Message::Kind::Proposed;
+            net->send(me, from, response);
         }
     }
     void move_leader() {
         leader = (leader + 1 + random() % (kCoordinators - 1)) % kCoordinators;
         TimePoint own = net->own(leader);
-        for (auto& [id, standing] : sessions) standing.counted = own;
+        for (auto& [id, active] : sessions) active.renewed_at = own;
         if (!is_mutant(Mutant::NewLeaderForgetsLeases)) return;
         std::vector<SessionId> all;
-        for (const auto& [id, standing] : sessions)
+        for (const auto& [id, active] : sessions)
             if (machine->map().holders.contains(id)) all.push_back(id);
         for (SessionId id : all)
-            if (uniform() < 0.5) over(id);
+            if (uniform() < 0.5) expire_session(id);
     }
 
     // ---- Holders
@@ -416,13 +418,13 @@
         decoded.ParseFromString(a.body);
         for (const wire::Answer& one : decoded.answers()) {
             if (h.is_muted) break;
-            bool tells = one.error() == 0 || Error(one.error()) == Error::Changed ||
-                         Error(one.error()) == Error::BothHoldersLost;
-            if (!tells || one.shard() >= machine->map().entries.size()) continue;
+            bool is_definite = one.error() == 0 || Error(one.error()) == Error::Changed ||
+                               Error(one.error()) == Error::BothHoldersLost;
+            if (!is_definite || one.shard() >= machine->map().entries.size()) continue;
             if (machine->map().entries[one.shard()].primary != h.session)
                 report_violation(h.name + " responded for shard " + std::to_string(one.shard()) +
                                  " after it was assigned to another holder");
-            auto [it, fresh] = answered.try_emplace({one.shard(), one.view()}, one.holder());
+            auto [it, fresh] = responded_by.try_emplace({one.shard(), one.view()}, one.holder());
             if (it->second != one.holder())
                 report_violation("two holders responded for shard " + std::to_string(one.shard()) +
                                  " in one view");
@@ -432,11 +434,11 @@
         net->send(h.process, std::size_t(a.to), std::move(m));
     }
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SubmitCommand& a) { propose(h, a.body); }
-    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { early(h, own); }
+    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { renew_early(h, own); }
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SetTimer& a) { h.next_core = a.at; }
 
     // ---- Mutants
-    std::string mutate_map(const std::string& news, Shell& s) {
+    std::string mutate_map(const std::string& news, ProcessState& s) {
         if (!is_mutant(Mutant::HidesLoss) && !is_mutant(Mutant::RespondsAfterSteppingDown)) return news;
         fleet::ShardMap map;
         if (!fleet::decode(news, map)) return news;
@@ -490,9 +492,9 @@
                 m.kind = Message::Kind::Asks, m.body = std::move(tell->body);
                 net->send(n.process, to->second, std::move(m));
             } else if (auto* done = std::get_if<ShardClient::Completed>(&action)) {
-                auto ask = n.asks.find(done->id);
+                auto ask = n.requests.find(done->id);
                 auto f = std::move(ask->second);
-                n.asks.erase(ask);
+                n.requests.erase(ask);
                 f(*done);
             } else {
                 n.next_core = std::get<ShardClient::SetTimer>(action).at;
@@ -501,8 +503,8 @@
     }
     void ask(NodeProcess& n, TimePoint own, bool writes, const fleet::Write& write,
              std::function<void(const ShardClient::Completed&)> f) {
-        std::uint64_t id = n.next_ask++;
-        n.asks[id] = std::move(f);
+        std::uint64_t id = n.next_request++;
+        n.requests[id] = std::move(f);
         handle(n, own, ShardClient::Request{id, writes, write, own + set.deadline});
     }
     static std::string key_name(std::size_t key) { return "key" + std::to_string(key); }
@@ -610,7 +612,7 @@
     Impl::HolderProcess& h = impl_->holders[holder];
     if (impl_->net->up(h.process)) return;
     if (!impl_->is_mutant(Mutant::KeepsSessionAcrossRestart)) h.session = 0;
-    impl_->fresh(h);
+    impl_->restart_core(h);
     impl_->net->start(h.process);
     impl_->net->wake_at(h.process, impl_->net->own(h.process));
 }
--- a/src/fleet/shards/session_records.cpp
+++ b/src/fleet/shards/session_records.cpp
@@ -51,16 +51,16 @@
     return make_write(kSessionBindingKind, tenant, session_binding_key(tenant, client), {});
 }
 
-Write bind_session(const SessionBinding& basket, const Record* replaces, Duration lifetime) {
-    Write w = make_write(kSessionBindingKind, basket.tenant,
-                         session_binding_key(basket.tenant, basket.client), lifetime);
+Write bind_session(const SessionBinding& binding, const Record* replaces, Duration lifetime) {
+    Write w = make_write(kSessionBindingKind, binding.tenant,
+                         session_binding_key(binding.tenant, binding.client), lifetime);
     w.expected_version = replaces ? replaces->version : 0;
     wire::Basket out;
-    out.set_tenant(basket.tenant);
-    out.set_client(basket.client);
-    out.set_cell(basket.cell);
-    out.set_server(basket.server);
-    out.set_since(basket.since);
+    out.set_tenant(binding.tenant);
+    out.set_client(binding.client);
+    out.set_cell(binding.cell);
+    out.set_server(binding.server);
+    out.set_since(binding.since);
     w.record.payload = out.SerializeAsString();
     return w;
 }
--- a/src/fleet/shards/session_records.h
+++ b/src/fleet/shards/session_records.h
@@ -42,7 +42,7 @@
 Write read_session_binding(std::string_view tenant, std::string_view client);
 /// `replaces`: the current binding as it was read; null: there is none. Changed means that another node has
 /// bound the client in the meantime: the binding in the response is the one to use.
-Write bind_session(const SessionBinding& basket, const Record* replaces, Duration lifetime);
+Write bind_session(const SessionBinding& binding, const Record* replaces, Duration lifetime);
 
 /// `replaces`: the record of an order that was never executed (NeverExecuted); null: there is none.
 Write begin_order(std::string_view tenant, std::string_view client, std::string_view request,
@@ -67,25 +67,25 @@
 /// Interprets the response to begin_order. `is_alive`: whether the node of a session is alive, as far as is
 /// known; a wrong value only swaps InProgress and Unknown.
 template <class IsAlive>
-OrderClaim claim_result(const ShardClient::Completed& done, IsAlive&& is_alive) {
-    OrderClaim b;
-    b.version = done.version;
-    if (!done.error) {
-        b.status = OrderClaim::Status::Granted;
-    } else if (*done.error == Error::Changed && done.record) {
-        std::optional<Order> order = decode_order(*done.record);
-        b.version = done.record->version;
-        if (order) b.order = *order;
-        b.status = !order                                   ? OrderClaim::Status::Unknown
-                   : order->state == Order::State::Done     ? OrderClaim::Status::Done
-                   : order->state == Order::State::NeverRan ? OrderClaim::Status::NeverExecuted
-                   : order->state == Order::State::Begun && is_alive(order->by)
-                       ? OrderClaim::Status::InProgress
-                       : OrderClaim::Status::Unknown;
-    } else if (*done.error == Error::BothHoldersLost) {
-        b.status = OrderClaim::Status::Unknown;
+OrderClaim claim_result(const ShardClient::Completed& response, IsAlive&& is_alive) {
+    OrderClaim claim;
+    claim.version = response.version;
+    if (!response.error) {
+        claim.status = OrderClaim::Status::Granted;
+    } else if (*response.error == Error::Changed && response.record) {
+        std::optional<Order> order = decode_order(*response.record);
+        claim.version = response.record->version;
+        if (order) claim.order = *order;
+        claim.status = !order                                   ? OrderClaim::Status::Unknown
+                       : order->state == Order::State::Done     ? OrderClaim::Status::Done
+                       : order->state == Order::State::NeverRan ? OrderClaim::Status::NeverExecuted
+                       : order->state == Order::State::Begun && is_alive(order->by)
+                           ? OrderClaim::Status::InProgress
+                           : OrderClaim::Status::Unknown;
+    } else if (*response.error == Error::BothHoldersLost) {
+        claim.status = OrderClaim::Status::Unknown;
     }
-    return b;
+    return claim;
 }
 
 }  // namespace ochrehub::shards
