--- a/lab/bench/shards_bench.cpp
+++ b/lab/bench/shards_bench.cpp
@@ -37,15 +37,15 @@
            loop_longest = 0;
 };
 
-/// One in five is a write, of 64 octets, by compare and swap or not. Each 16th is timed.
+/// One operation in five is a write of 64 bytes, the others are reads. Every 16th is timed.
 Figures run(std::size_t shards, unsigned threads, double seconds) {
     ochrehub::shards::TableSettings set;
-    set.shards = shards;
+    set.shard_count = shards;
     Table table(set);
     std::vector<std::string> keys;
     for (std::size_t i = 0; i < kKeys; ++i) keys.push_back("tenant/client" + std::to_string(i));
     Write w;
-    w.record.kind = 1, w.record.partner = 1, w.record.life = Duration(1e7),
+    w.record.kind = 1, w.record.partner = 1, w.record.lifetime = Duration(1e7),
     w.record.payload = std::string(64, 'x');
     for (const std::string& key : keys) {
         w.record.key = key;
@@ -120,7 +120,7 @@
         "threads  shards  million/s  a core's  cores had  p99 us  longest us  loop p99 us  loop longest us  "
         "times one lock\n");
     for (unsigned threads : {1u, 2u, 4u, 8u}) {
-        // The best of several rounds, taken in turns: other work on the machine only ever makes it slower.
+        // The best of several alternating rounds: other load on the machine only makes it slower.
         Figures best[2];
         std::size_t shards[2] = {1, 256};
         for (int round = 0; round < rounds; ++round)
--- a/lab/shards/node.cpp
+++ b/lab/shards/node.cpp
@@ -1,5 +1,5 @@
-// A process that holds shards and asks for records, for runs of several: it writes down what it was told, a
-// line when it asks and one when it is answered, so that what a kill interrupts is seen.
+// A process that holds shards and sends requests, for runs of several processes. It appends a line to its
+// event log for each request and each response, so that requests that a kill interrupts are recorded too.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -24,7 +24,7 @@
 
 std::atomic<bool> stopped{false};
 
-/// Of the machine, the same for all its processes.
+/// The steady clock, which all processes of this machine share.
 long long now_ns() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
@@ -50,12 +50,12 @@
 
 int main(int argc, char** argv) {
     CLI::App app("a process of the shards' runs");
-    std::vector<std::string> keepers;
+    std::vector<std::string> coordinators;
     std::string name, zone, listen, advertise, event_log_path;
     std::uint64_t instance = 0;
     double lease = 1500;
     unsigned keys = 16, workers = 3, threads = 2;
-    app.add_option("--keeper", keepers)->required();
+    app.add_option("--keeper", coordinators)->required();
     app.add_option("--name", name)->required();
     app.add_option("--zone", zone)->required();
     app.add_option("--listen", listen)->required();
@@ -71,14 +71,14 @@
 
     Clock clock;
     coordinator::SessionThreadSettings session;
-    session.session.coordinators = keepers, session.session.name = name, session.session.zone = zone;
+    session.session.coordinators = coordinators, session.session.name = name, session.session.zone = zone;
     session.session.instance = instance, session.session.seed = instance + 1,
     session.session.lease = Duration(lease);
     session.cluster = "rig";
     fleet_shards::ShardServiceSettings set;
-    set.threads = threads;
+    set.worker_threads = threads;
     set.holder.address = advertise;
-    set.holder.page = 8;
+    set.holder.page_records = 8;
     set.peer_connections.channel.self.name = name, set.peer_connections.channel.self.zone = zone,
     set.peer_connections.channel.self.instance = instance;
     set.peer_connections.channel.cluster = fleet::fingerprint("rig");
@@ -87,10 +87,10 @@
     set.peer_connections.dial.initial_backoff = Duration(30),
     set.peer_connections.dial.max_backoff = Duration(300);
     set.listen = *channel::PeerConnections::parse_endpoint(listen);
-    auto keeping = std::make_unique<coordinator::SessionThread>(session, clock);
-    fleet_shards::ShardService side(set, clock, *keeping);
-    side.start();
-    keeping->start();
+    auto session_thread = std::make_unique<coordinator::SessionThread>(session, clock);
+    fleet_shards::ShardService service(set, clock, *session_thread);
+    service.start();
+    session_thread->start();
 
     EventLog event_log(event_log_path);
     std::atomic<std::uint64_t> next{0};
@@ -105,9 +105,9 @@
                 fleet_shards::Write write;
                 write.record.kind = 9, write.record.key = "key" + std::to_string(key),
                 write.record.partner = 1;
-                write.record.life = Duration(600'000), write.record.payload = std::to_string(value);
+                write.record.lifetime = Duration(600'000), write.record.payload = std::to_string(value);
                 bool writes = kind >= 5, swaps = kind >= 8;
-                if (swaps) write.expect = seen[key].first;
+                if (swaps) write.expected_version = seen[key].first;
                 event_log.line("c %llu %llu %c %llu %llu %lld\n", static_cast<unsigned long long>(id),
                                static_cast<unsigned long long>(key),
                                !writes ? 'r'
@@ -117,7 +117,7 @@
                                static_cast<unsigned long long>(seen[key].second), now_ns());
                 auto answered = std::make_shared<std::promise<fleet_shards::ShardClient::Completed>>();
                 auto future = answered->get_future();
-                side.ask(
+                service.request(
                     writes, write, Duration(2500),
                     [answered](const fleet_shards::ShardClient::Completed& d) { answered->set_value(d); });
                 if (future.wait_for(std::chrono::seconds(20)) != std::future_status::ready) break;
@@ -126,7 +126,7 @@
                 event_log.line("e %llu %d %llu %llu %llu %llu %lld\n", static_cast<unsigned long long>(id),
                                done.error ? int(*done.error) : 0, static_cast<unsigned long long>(found),
                                static_cast<unsigned long long>(
-                                   fleet_shards::shard_of(9, write.record.key, set.table.shards)),
+                                   fleet_shards::shard_of(9, write.record.key, set.table.shard_count)),
                                static_cast<unsigned long long>(done.view),
                                static_cast<unsigned long long>(done.holder), now_ns());
                 if (!done.error || done.error == fleet_shards::Error::Changed)
@@ -137,5 +137,5 @@
             }
         });
     for (std::thread& one : all) one.join();
-    keeping.reset();
+    session_thread.reset();
 }
--- a/lab/shards/simulation.cpp
+++ b/lab/shards/simulation.cpp
@@ -33,51 +33,51 @@
 
 std::string_view name(Mutant mutant) {
     constexpr std::string_view kNames[kMutants] = {"none",
-                                                   "answers before the second",
-                                                   "second stores nothing",
-                                                   "ignores its session's end",
-                                                   "counts from the answer",
-                                                   "no clock behind a pause",
-                                                   "says filled at once",
-                                                   "answers while yielding",
-                                                   "keeps its session over death",
-                                                   "keepers end sessions early",
-                                                   "new leader forgets lengths",
-                                                   "keepers forget the second",
-                                                   "loss is silent",
-                                                   "repeats blindly"};
+                                                   "responds before backup ack",
+                                                   "backup stores nothing",
+                                                   "ignores session expiry",
+                                                   "counts lease from response",
+                                                   "stale clock after pause",
+                                                   "reports caught up early",
+                                                   "responds after stepping down",
+                                                   "keeps session across restart",
+                                                   "coordinators expire sessions early",
+                                                   "new leader forgets leases",
+                                                   "coordinators forget backup",
+                                                   "hides loss",
+                                                   "retries blindly"};
     return kNames[std::size_t(mutant)];
 }
 
 struct Simulation::Impl {
     // ---- Processes
-    struct Shell {  // what each has: a session, renewed
+    struct ProcessState {  // what every process has: a session and its renewals
         std::size_t process = 0;
         std::string name, zone;
         SessionId session = 0;
         std::uint64_t nonce = 0;
-        std::map<std::uint64_t, TimePoint> asked;  // by nonce: when
+        std::map<std::uint64_t, TimePoint> renewal_requests;  // time of each renewal request, by nonce
         TimePoint next_renewal{}, next_core{Duration{1e15}}, renewed_early{};
     };
-    struct HolderProcess : Shell {
+    struct HolderProcess : ProcessState {
         std::unique_ptr<fleet::Table> table;
         std::unique_ptr<ShardHolder> core;
         bool is_muted = false;
-        TimePoint last{}, resumed{Duration{-1}}, before{};  // for one that forgets to look at the clock
+        TimePoint last{}, resumed{Duration{-1}}, before{};  // for StaleClockAfterPause
     };
     struct Worker {
         bool busy = false;
         TimePoint next{};
     };
-    struct NodeProcess : Shell {
+    struct NodeProcess : ProcessState {
         std::unique_ptr<ShardClient> core;
         std::vector<Worker> workers;
-        std::map<std::uint64_t, std::function<void(const ShardClient::Completed&)>> asks;
+        std::map<std::uint64_t, std::function<void(const ShardClient::Completed&)>> requests;
         std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>> seen;  // key: version, value
-        std::uint64_t next_ask = 1;
+        std::uint64_t next_request = 1;
     };
-    struct Standing {
-        TimePoint counted{};
+    struct ActiveSession {
+        TimePoint renewed_at{};
     };
 
     Simulation& simulation;
@@ -86,20 +86,21 @@
     std::unique_ptr<Network> net;
     std::vector<HolderProcess> holders;
     std::vector<NodeProcess> nodes;
-    std::vector<std::pair<bool, std::size_t>> at;  // process to (holder, number)
+    std::vector<std::pair<bool, std::size_t>> at;  // by process: whether it is a holder, and its index
 
-    // ---- The log
+    // ---- The coordinators' log
     std::unique_ptr<ShardMapPlanner> machine;
-    std::map<SessionId, Standing> sessions;
+    std::map<SessionId, ActiveSession> sessions;
     std::map<SessionId, std::size_t> process_of;
     std::size_t leader = 0;
     SessionId last_session = 0;
 
-    // ---- Records
+    // ---- Recorded history
     std::vector<std::vector<Operation>> histories;
     std::vector<std::vector<bool>> dropped;
     std::uint64_t last_value = 0;
-    std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId> answered;  // shard and view: by whom
+    std::map<std::pair<std::uint32_t, std::uint64_t>, SessionId>
+        responded_by;  // holder that responded, by shard and view
     std::vector<std::string> violations;
     Result figures;
     std::optional<std::pair<std::uint64_t, AtEvent>> at_event;
@@ -112,17 +113,17 @@
         n.in_order = true;
         n.seed = set.seed;
         net = std::make_unique<Network>(
-            n,
-            Network::Hooks{[this](std::size_t p, TimePoint own) { happens(p, own, [&] { woken(p, own); }); },
-                           [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) {
-                               happens(to, own, [&] { received(to, from, own, m); });
-                           },
-                           [this](std::size_t from, std::size_t, Message&) {
-                               return !(from >= kCoordinators && at[from - kCoordinators].first &&
-                                        holders[at[from - kCoordinators].second].is_muted);
-                           }});
+            n, Network::Hooks{
+                   [this](std::size_t p, TimePoint own) { run_event(p, own, [&] { timer_fired(p, own); }); },
+                   [this](std::size_t to, std::size_t from, TimePoint own, const Message& m) {
+                       run_event(to, own, [&] { received(to, from, own, m); });
+                   },
+                   [this](std::size_t from, std::size_t, Message&) {
+                       return !(from >= kCoordinators && at[from - kCoordinators].first &&
+                                holders[at[from - kCoordinators].second].is_muted);
+                   }});
         ShardMapPlanner::Settings v;
-        v.shards = set.shards;
+        v.shard_count = set.shards;
         machine = std::make_unique<ShardMapPlanner>(v);
         histories.resize(set.keys), dropped.resize(set.keys);
         for (std::size_t k = 0; k < kCoordinators; ++k)
@@ -152,19 +153,19 @@
         h.process = add_process(true, n);
         h.name = "holder" + std::to_string(n);
         h.zone = "zone" + std::to_string(n % set.zones);
-        fresh(h);
+        restart_core(h);
         return n;
     }
-    void fresh(HolderProcess& h) {
+    void restart_core(HolderProcess& h) {
         fleet::TableSettings t;
-        t.shards = set.shards;
-        t.life = Duration(3'600'000);
+        t.shard_count = set.shards;
+        t.max_lifetime = Duration(3'600'000);
         h.table = std::make_unique<fleet::Table>(t);
         ShardHolder::Settings s;
         s.address = h.name;
-        s.page = set.page;
+        s.page_records = set.page;
         h.core = std::make_unique<ShardHolder>(s, *h.table);
-        h.asked.clear();
+        h.renewal_requests.clear();
         h.last = h.next_renewal = h.next_core = net->own(h.process);
     }
     void add_node() {
@@ -174,19 +175,19 @@
         n.zone = "zone" + std::to_string((nodes.size() - 1) % set.zones);
         n.workers.resize(set.workers);
         ShardClient::Settings c;
-        c.shards = set.shards;
+        c.shard_count = set.shards;
         c.instance = set.seed * 1000 + nodes.size();
         n.core = std::make_unique<ShardClient>(c);
     }
-    Shell& shell(std::size_t process) {
+    ProcessState& shell(std::size_t process) {
         auto [holder, number] = at[process - kCoordinators];
         if (holder) return holders[number];
         return nodes[number];
     }
 
-    // ---- What happens
+    // ---- Events
     template <class F>
-    void happens(std::size_t process, TimePoint, F&& f) {
+    void run_event(std::size_t process, TimePoint, F&& f) {
         bool now = at_event && net->happened() == at_event->first && process >= kCoordinators &&
                    at[process - kCoordinators].first;
         if (!now) return f();
@@ -200,13 +201,13 @@
         else
             simulation.kill(n);
     }
-    void woken(std::size_t process, TimePoint own) {
+    void timer_fired(std::size_t process, TimePoint own) {
         if (process < kCoordinators) {
             tick(process, own);
             net->wake_at(process, own + kTick);
             return;
         }
-        Shell& s = shell(process);
+        ProcessState& s = shell(process);
         if (own >= s.next_renewal) renew(s, own);
         auto [holder, number] = at[process - kCoordinators];
         if (own >= s.next_core) {
@@ -220,16 +221,18 @@
         arm(s);
     }
     void received(std::size_t to, std::size_t from, TimePoint own, const Message& m) {
-        if (to < kCoordinators) return keeper(to, from, own, m);
-        Shell& s = shell(to);
+        if (to < kCoordinators) return coordinator_received(to, from, own, m);
+        ProcessState& s = shell(to);
         auto [holder, number] = at[to - kCoordinators];
         switch (m.kind) {
             case Message::Kind::Renewed: {
-                auto asked = s.asked.find(m.nonce);
-                if (asked == s.asked.end() || (s.session != 0 && m.session != s.session)) break;
+                auto renewal_requests = s.renewal_requests.find(m.nonce);
+                if (renewal_requests == s.renewal_requests.end() ||
+                    (s.session != 0 && m.session != s.session))
+                    break;
                 s.session = m.session;
-                TimePoint when = is_mutant(Mutant::CountsLeaseFromResponse) ? own : asked->second;
-                s.asked.erase(asked);
+                TimePoint when = is_mutant(Mutant::CountsLeaseFromResponse) ? own : renewal_requests->second;
+                s.renewal_requests.erase(renewal_requests);
                 if (holder) {
                     Duration lease = set.lease * (is_mutant(Mutant::IgnoresSessionExpiry) ? 100 : 1);
                     std::string news = mutate_map(m.body, s);
@@ -243,12 +246,12 @@
             case Message::Kind::Over:
                 if (m.session != s.session) break;
                 s.session = 0;
-                s.asked.clear();
+                s.renewal_requests.clear();
                 s.next_renewal = own;
                 if (holder) handle(holders[number], own, ShardHolder::SessionExpired{});
                 break;
             case Message::Kind::Proposed:
-                early(s, own);
+                renew_early(s, own);
                 break;
             case Message::Kind::Asks:
             case Message::Kind::ToHolder:
@@ -263,34 +266,33 @@
         }
         arm(s);
     }
-    void arm(Shell& s) {
+    void arm(ProcessState& s) {
         TimePoint next = std::min(s.next_renewal, s.next_core);
         auto [holder, number] = at[s.process - kCoordinators];
         if (!holder)
             for (const Worker& w : nodes[number].workers)
                 if (!w.busy) next = std::min(next, w.next);
-        // A little behind it, so that rounding between the two clocks never wakes a process too early to do
-        // anything.
+        // Slightly later, so that rounding between the two clocks never fires a timer before it is due.
         net->wake_at(s.process, std::max(next, net->own(s.process)) + Duration(1e-6));
     }
 
     // ---- Sessions
-    void renew(Shell& s, TimePoint own) {
+    void renew(ProcessState& s, TimePoint own) {
         s.next_renewal = own + set.lease / 3;
         Message m;
         m.session = s.session, m.name = s.name, m.zone = s.zone;
         m.nonce = ++s.nonce;
-        s.asked[m.nonce] = own;
-        if (s.asked.size() > 32) s.asked.erase(s.asked.begin());
+        s.renewal_requests[m.nonce] = own;
+        if (s.renewal_requests.size() > 32) s.renewal_requests.erase(s.renewal_requests.begin());
         for (std::size_t k = 0; k < kCoordinators; ++k) net->send(s.process, k, m);
     }
-    void early(Shell& s, TimePoint own) {
+    void renew_early(ProcessState& s, TimePoint own) {
         if (own < s.renewed_early + Duration(20)) return;
         s.renewed_early = own;
         renew(s, own);
     }
 
-    // ---- Keepers
+    // ---- Coordinators
     template <class F>
     void change(F&& f) {
         std::vector<ShardAssignment> before = machine->map().entries;
@@ -300,7 +302,7 @@
             if (is.view != was.view) ++figures.views;
             if (!is.lost || is.origin == was.origin) continue;
             if (was.backup != 0 && sessions.contains(was.backup))
-                report_violation("a shard was called lost while its second holder lived");
+                report_violation("a shard was reported lost while its backup was alive");
             ++figures.lost;
             Operation loss;
             loss.what = Operation::What::Loss;
@@ -311,14 +313,14 @@
                     histories[key].push_back(loss), dropped[key].push_back(false);
         }
     }
-    void over(SessionId session) {
+    void expire_session(SessionId session) {
         sessions.erase(session);
         change([&] {
-            if (is_mutant(Mutant::CoordinatorsForgetBackup)) return forget_second(session);
+            if (is_mutant(Mutant::CoordinatorsForgetBackup)) return forget_backup(session);
             machine->session_ended(session);
         });
     }
-    void forget_second(SessionId session) {
+    void forget_backup(SessionId session) {
         std::vector<ShardAssignment> before = machine->map().entries;
         machine->session_ended(session);
         wire::Snapshot snapshot;
@@ -335,18 +337,18 @@
         }
         machine->restore(1, snapshot.SerializeAsString());
     }
-    void tick(std::size_t keeper, TimePoint own) {
-        if (keeper != leader) return;
+    void tick(std::size_t coordinator, TimePoint own) {
+        if (coordinator != leader) return;
         Duration lease = set.lease / (is_mutant(Mutant::CoordinatorsExpireSessionsEarly) ? 3 : 1);
         std::vector<SessionId> ended;
-        for (const auto& [id, standing] : sessions)
-            if (own >= standing.counted + lease) ended.push_back(id);
-        for (SessionId id : ended) over(id);
+        for (const auto& [id, active] : sessions)
+            if (own >= active.renewed_at + lease) ended.push_back(id);
+        for (SessionId id : ended) expire_session(id);
     }
-    void keeper(std::size_t me, std::size_t from, TimePoint own, const Message& m) {
+    void coordinator_received(std::size_t me, std::size_t from, TimePoint own, const Message& m) {
         if (me != leader) return;
         if (m.kind == Message::Kind::Renew) {
-            Message answer;
+            Message response;
             SessionId id = m.session;
             if (id == 0) {
                 id = ++last_session;
@@ -355,32 +357,32 @@
                 change([&] { machine->session_opened(id, m.name, m.zone); });
             }
             auto session = sessions.find(id);
-            answer.session = id, answer.nonce = m.nonce;
+            response.session = id, response.nonce = m.nonce;
             if (session == sessions.end()) {
-                answer.kind = Message::Kind::Over;
+                response.kind = Message::Kind::Over;
             } else {
-                session->second.counted = own;
-                answer.kind = Message::Kind::Renewed;
-                answer.body = machine->session_update(id);
+                session->second.renewed_at = own;
+                response.kind = Message::Kind::Renewed;
+                response.body = machine->session_update(id);
             }
-            net->send(me, from, answer);
+            net->send(me, from, response);
         } else if (m.kind == Message::Kind::Propose && sessions.contains(m.session)) {
             change([&] { machine->apply({m.session, m.body}); });
-            Message answer;
-            answer.kind = Message::Kind::Proposed;
-            net->send(me, from, answer);
+            Message response;
+            response.kind = Message::Kind::Proposed;
+            net->send(me, from, response);
         }
     }
     void move_leader() {
         leader = (leader + 1 + random() % (kCoordinators - 1)) % kCoordinators;
         TimePoint own = net->own(leader);
-        for (auto& [id, standing] : sessions) standing.counted = own;
+        for (auto& [id, active] : sessions) active.renewed_at = own;
         if (!is_mutant(Mutant::NewLeaderForgetsLeases)) return;
         std::vector<SessionId> all;
-        for (const auto& [id, standing] : sessions)
+        for (const auto& [id, active] : sessions)
             if (machine->map().holders.contains(id)) all.push_back(id);
         for (SessionId id : all)
-            if (uniform() < 0.5) over(id);
+            if (uniform() < 0.5) expire_session(id);
     }
 
     // ---- Holders
@@ -416,26 +418,27 @@
         decoded.ParseFromString(a.body);
         for (const wire::Answer& one : decoded.answers()) {
             if (h.is_muted) break;
-            bool tells = one.error() == 0 || Error(one.error()) == Error::Changed ||
-                         Error(one.error()) == Error::BothHoldersLost;
-            if (!tells || one.shard() >= machine->map().entries.size()) continue;
+            bool is_definite = one.error() == 0 || Error(one.error()) == Error::Changed ||
+                               Error(one.error()) == Error::BothHoldersLost;
+            if (!is_definite || one.shard() >= machine->map().entries.size()) continue;
             if (machine->map().entries[one.shard()].primary != h.session)
-                report_violation(h.name + " answered for shard " + std::to_string(one.shard()) +
-                                 " after it was given away");
-            auto [it, fresh] = answered.try_emplace({one.shard(), one.view()}, one.holder());
+                report_violation(h.name + " responded for shard " + std::to_string(one.shard()) +
+                                 " after it was assigned to another holder");
+            auto [it, fresh] = responded_by.try_emplace({one.shard(), one.view()}, one.holder());
             if (it->second != one.holder())
-                report_violation("two answered for shard " + std::to_string(one.shard()) + " in one view");
+                report_violation("two holders responded for shard " + std::to_string(one.shard()) +
+                                 " in one view");
         }
         Message m;
         m.kind = Message::Kind::Answers, m.body = std::move(a.body);
         net->send(h.process, std::size_t(a.to), std::move(m));
     }
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SubmitCommand& a) { propose(h, a.body); }
-    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { early(h, own); }
+    void carry_out(HolderProcess& h, TimePoint own, ShardHolder::QueryMap&) { renew_early(h, own); }
     void carry_out(HolderProcess& h, TimePoint, ShardHolder::SetTimer& a) { h.next_core = a.at; }
 
-    // ---- Saboteurs
-    std::string mutate_map(const std::string& news, Shell& s) {
+    // ---- Mutants
+    std::string mutate_map(const std::string& news, ProcessState& s) {
         if (!is_mutant(Mutant::HidesLoss) && !is_mutant(Mutant::RespondsAfterSteppingDown)) return news;
         fleet::ShardMap map;
         if (!fleet::decode(news, map)) return news;
@@ -489,9 +492,9 @@
                 m.kind = Message::Kind::Asks, m.body = std::move(tell->body);
                 net->send(n.process, to->second, std::move(m));
             } else if (auto* done = std::get_if<ShardClient::Completed>(&action)) {
-                auto ask = n.asks.find(done->id);
+                auto ask = n.requests.find(done->id);
                 auto f = std::move(ask->second);
-                n.asks.erase(ask);
+                n.requests.erase(ask);
                 f(*done);
             } else {
                 n.next_core = std::get<ShardClient::SetTimer>(action).at;
@@ -500,8 +503,8 @@
     }
     void ask(NodeProcess& n, TimePoint own, bool writes, const fleet::Write& write,
              std::function<void(const ShardClient::Completed&)> f) {
-        std::uint64_t id = n.next_ask++;
-        n.asks[id] = std::move(f);
+        std::uint64_t id = n.next_request++;
+        n.requests[id] = std::move(f);
         handle(n, own, ShardClient::Request{id, writes, write, own + set.deadline});
     }
     static std::string key_name(std::size_t key) { return "key" + std::to_string(key); }
@@ -524,7 +527,7 @@
         o.sure = false;
         fleet::Write w;
         w.record.kind = 1, w.record.key = key_name(key), w.record.partner = 1,
-        w.record.life = Duration(3'600'000);
+        w.record.lifetime = Duration(3'600'000);
         bool writes = kind >= 0.45;
         if (writes) {
             o.what = kind < 0.7 ? Operation::What::Write : Operation::What::Swap;
@@ -533,7 +536,7 @@
             w.record.payload = std::to_string(o.value);
             if (o.what == Operation::What::Swap) {
                 auto [version, value] = n.seen[key];
-                w.expect = version;
+                w.expected_version = version;
                 o.expected = value;
             }
         }
@@ -555,14 +558,14 @@
         };
         if (d.error == Error::Unknown) {
             ++figures.unknown;
-            if (is_mutant(Mutant::RetriesBlindly) && !w.expect && !simulation.clients_stopped_) {
+            if (is_mutant(Mutant::RetriesBlindly) && !w.expected_version && !simulation.clients_stopped_) {
                 ask(n, net->own(n.process), true, w,
                     [this, &n, key, index, worker, w](const ShardClient::Completed& again) {
                         done(n, key, index, worker, w, again);
                     });
                 return;
             }
-            return end();  // it may yet happen
+            return end();  // it may still take effect
         }
         end();
         if (!d.error || d.error == Error::Changed || d.error == Error::BothHoldersLost) {
@@ -609,7 +612,7 @@
     Impl::HolderProcess& h = impl_->holders[holder];
     if (impl_->net->up(h.process)) return;
     if (!impl_->is_mutant(Mutant::KeepsSessionAcrossRestart)) h.session = 0;
-    impl_->fresh(h);
+    impl_->restart_core(h);
     impl_->net->start(h.process);
     impl_->net->wake_at(h.process, impl_->net->own(h.process));
 }
@@ -705,8 +708,7 @@
                 kept.push_back(o);
         result.records += kept.size();
         if (!linearizable(kept))
-            result.violations.push_back("the history of key " + std::to_string(key) +
-                                        " cannot have happened");
+            result.violations.push_back("the history of key " + std::to_string(key) + " is not linearizable");
     }
     return result;
 }
@@ -721,7 +723,7 @@
             std::vector<fleet::Record> records;
             TimePoint own = impl_->net->own(impl_->holders[h].process);
             for (std::optional<std::size_t> from = 0; from;)
-                from = impl_->holders[h].table->for_shard(n, 100, *from, own, records);
+                from = impl_->holders[h].table->scan(n, 100, *from, own, records);
             for (const fleet::Record& r : records)
                 contents[side][r.key] = std::to_string(r.version) + " " + r.payload;
         }
