--- a/lab/config_distribution/invariant_checker.h
+++ b/lab/config_distribution/invariant_checker.h
@@ -15,18 +15,18 @@
 
 namespace ochrehub::lab {
 
-class Judge {
+class ConfigInvariantChecker {
 public:
     using Contradict =
         std::function<bool(const config_distribution::Content&, const config_distribution::Content&)>;
     /// `contradict`: another one proves that this judge needs it.
-    explicit Judge(Contradict contradict = config_distribution::conflicts)
+    explicit ConfigInvariantChecker(Contradict contradict = config_distribution::conflicts)
         : contradict_(std::move(contradict)) {}
 
-    void acts(std::size_t node, const std::string& document,
-              const config_distribution::EffectiveConfig& acted, TimePoint now);
+    void record(std::size_t node, const std::string& document,
+                const config_distribution::EffectiveConfig& effective, TimePoint now);
     /// Its process is gone: it acts on nothing.
-    void gone(std::size_t node);
+    void node_stopped(std::size_t node);
     /// A version that is tried out in a part of the fleet for so long.
     void canary(const std::string& document, std::uint64_t version, Duration length) {
         canaries_[{document, version}] = length;
@@ -35,18 +35,18 @@
     /// time.
     void refused(const std::string& document, std::uint64_t version) { refused_.emplace(document, version); }
 
-    struct Clash {
+    struct Conflict {
         std::string document;
         std::size_t a = 0, b = 0;  ///< nodes
         std::uint64_t version_a = 0, version_b = 0;
         config_distribution::ConfigMode mode_a{}, mode_b{};
         TimePoint from{};
         Duration length{};
-        Duration allowed_more{};  ///< by a canary's length
+        Duration canary_allowance{};  ///< by a canary's length
     };
     /// Each time in which two nodes acted on contents that contradict each other, without those that chose to
     /// go on (Keep).
-    std::vector<Clash> clashes() const;
+    std::vector<Conflict> conflicts() const;
     std::uint64_t decisions() const { return decisions_; }
     /// By How.
     const std::map<config_distribution::ConfigMode, std::uint64_t>& by_mode() const { return by_mode_; }
@@ -55,7 +55,7 @@
     const std::set<std::pair<std::string, std::uint64_t>>& refused() const { return refused_; }
 
 private:
-    struct Spell {
+    struct Interval {
         std::size_t node = 0, content = 0;
         std::uint64_t version = 0;
         config_distribution::ConfigMode mode{};
@@ -65,7 +65,7 @@
     struct Document {
         std::map<std::string, std::size_t> ids;
         std::vector<config_distribution::Content> contents;
-        std::vector<Spell> spells;
+        std::vector<Interval> intervals;
         std::map<std::size_t, std::size_t> last;  ///< by node
     };
 
--- a/lab/config_distribution/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -30,33 +30,34 @@
     for (auto& t : threads) t.join();
 }
 
-struct Sum {
-    std::uint64_t days = 0, broken = 0, proposed = 0, in_force = 0, decisions = 0;
+struct FaultTotals {
+    std::uint64_t days = 0, violations = 0, proposed = 0, in_force = 0, decisions = 0;
     Duration longest{};
     std::map<config_distribution::ConfigMode, std::uint64_t> by_mode;
     std::map<std::string, int> stopped;
 };
 
 int days(std::uint64_t seeds, std::uint64_t first, bool copied) {
-    std::map<Fault, Sum> sums;
+    std::map<ConfigFault, FaultTotals> sums;
     std::mutex mutex;
-    Duration stated{};
+    Duration max_inconsistency{};
     std::uint64_t bad = 0;
     each(seeds, [&](std::uint64_t i) {
-        WorldSettings set;
+        ConfigSimulationSettings set;
         set.seed = first + i;
-        set.fault = Fault(i % kFaults);
-        Day day = copied ? play_copied(set) : play(set);
+        set.fault = ConfigFault(i % kConfigFaults);
+        ConfigSimulationResult result = copied ? run_copied_files(set) : run(set);
         std::lock_guard lock(mutex);
-        Sum& s = sums[set.fault];
-        ++s.days, s.broken += !day.broken.empty(), s.proposed += std::uint64_t(day.proposed),
-            s.in_force += std::uint64_t(day.in_force);
-        s.decisions += day.decisions, s.longest = std::max(s.longest, day.longest_quick), stated = day.stated;
-        for (auto [mode, n] : day.by_mode) s.by_mode[mode] += n;
-        for (const auto& [code, n] : day.stopped) s.stopped[code] += n;
-        bad += !day.broken.empty();
+        FaultTotals& s = sums[set.fault];
+        ++s.days, s.violations += !result.violations.empty(), s.proposed += std::uint64_t(result.proposed),
+            s.in_force += std::uint64_t(result.in_force);
+        s.decisions += result.decisions, s.longest = std::max(s.longest, result.longest_bounded),
+                                         max_inconsistency = result.max_inconsistency;
+        for (auto [mode, n] : result.by_mode) s.by_mode[mode] += n;
+        for (const auto& [code, n] : result.stopped) s.stopped[code] += n;
+        bad += !result.violations.empty();
         if (!copied)
-            for (const std::string& line : day.broken)
+            for (const std::string& line : result.violations)
                 std::printf("seed %llu, %s: %s\n", (unsigned long long)set.seed,
                             std::string(name(set.fault)).c_str(), line.c_str());
     });
@@ -72,8 +73,8 @@
                                 s.by_mode[config_distribution::ConfigMode::DenyAll]);
         std::printf("| %s | %llu | %llu | %llu | %llu | %.0f | %.0f | %.4f | %.4f |\n",
                     std::string(name(fault)).c_str(), (unsigned long long)s.days,
-                    (unsigned long long)s.broken, (unsigned long long)s.proposed,
-                    (unsigned long long)s.in_force, s.longest.count(), stated.count(),
+                    (unsigned long long)s.violations, (unsigned long long)s.proposed,
+                    (unsigned long long)s.in_force, s.longest.count(), max_inconsistency.count(),
                     double(s.by_mode[config_distribution::ConfigMode::Full]) / all, without / all);
         for (const auto& [code, n] : s.stopped) stopped[code] += n;
     }
@@ -84,47 +85,48 @@
 /// The first day of each kind of fault that shows it; `days` is how many were played until then.
 int saboteurs(std::uint64_t seeds) {
     int missed = 0;
-    for (std::size_t i = 1; i < kSaboteurs; ++i) {
+    for (std::size_t i = 1; i < kConfigMutants; ++i) {
         bool found = false;
-        for (std::size_t f = 0; f < kFaults; ++f) {
+        for (std::size_t f = 0; f < kConfigFaults; ++f) {
             std::atomic<std::uint64_t> first{seeds + 1};
             std::mutex mutex;
             std::string line;
             each(seeds, [&](std::uint64_t i_seed) {
                 std::uint64_t seed = i_seed + 1;
                 if (seed > first) return;
-                Day day = play(sabotaged(Saboteur(i), Fault(f), seed));
-                if (day.broken.empty()) return;
+                ConfigSimulationResult result = run(mutant_settings(ConfigMutant(i), ConfigFault(f), seed));
+                if (result.violations.empty()) return;
                 std::lock_guard lock(mutex);
-                if (seed < first) first = seed, line = day.broken.front();
+                if (seed < first) first = seed, line = result.violations.front();
             });
             if (first > seeds) continue;
             found = true;
-            std::printf("%s, %s: seed %llu: %s\n", std::string(name(Saboteur(i))).c_str(),
-                        std::string(name(Fault(f))).c_str(), (unsigned long long)first, line.c_str());
+            std::printf("%s, %s: seed %llu: %s\n", std::string(name(ConfigMutant(i))).c_str(),
+                        std::string(name(ConfigFault(f))).c_str(), (unsigned long long)first, line.c_str());
             std::fflush(stdout);
         }
-        if (!found) std::printf("%s: not found\n", std::string(name(Saboteur(i))).c_str());
+        if (!found) std::printf("%s: not found\n", std::string(name(ConfigMutant(i))).c_str());
         missed += !found;
     }
     return missed;
 }
 
 int change() {
-    std::uint64_t events = play_change(1, 0, 0, false).events;
-    std::atomic<std::uint64_t> broken{0}, in_force{0};
+    std::uint64_t events = run_single_change(1, 0, 0, false).events;
+    std::atomic<std::uint64_t> violations{0}, in_force{0};
     each(events * 12, [&](std::uint64_t i) {
         std::uint64_t event = i / 12 + 1;
-        Day day = play_change(1, event, i % 6, i % 12 < 6);
-        in_force += day.in_force > 1;
-        for (const std::string& line : day.broken)
-            ++broken, std::printf("event %llu, process %llu, %s: %s\n", (unsigned long long)event,
-                                  (unsigned long long)(i % 6), i % 12 < 6 ? "crash" : "stop", line.c_str());
+        ConfigSimulationResult result = run_single_change(1, event, i % 6, i % 12 < 6);
+        in_force += result.in_force > 1;
+        for (const std::string& line : result.violations)
+            ++violations,
+                std::printf("event %llu, process %llu, %s: %s\n", (unsigned long long)event,
+                            (unsigned long long)(i % 6), i % 12 < 6 ? "crash" : "stop", line.c_str());
     });
     std::printf("%llu events, %llu runs, %llu with the change in force, %llu broken\n",
                 (unsigned long long)events, (unsigned long long)events * 12, (unsigned long long)in_force,
-                (unsigned long long)broken);
-    return broken != 0;
+                (unsigned long long)violations);
+    return violations != 0;
 }
 
 }  // namespace
--- a/lab/config_distribution/mutants.cpp
+++ b/lab/config_distribution/mutants.cpp
@@ -10,21 +10,21 @@
 
 namespace wire = config_distribution::wire;
 
-class Erring : public config_distribution::ConfigStateMachine {
+class MutantStateMachine : public config_distribution::ConfigStateMachine {
 public:
-    explicit Erring(Saboteur saboteur) : saboteur_(saboteur) {}
+    explicit MutantStateMachine(ConfigMutant mutant) : mutant_(mutant) {}
 
     std::string apply(const coordinator::Command& command) override {
         wire::Command in;
         if (!in.ParseFromArray(command.body.data(), int(command.body.size())))
             return ConfigStateMachine::apply(command);
-        if (saboteur_ == Saboteur::NoIsYes && in.has_said()) in.mutable_said()->set_yes(true);
+        if (mutant_ == ConfigMutant::NackAsAck && in.has_said()) in.mutable_said()->set_yes(true);
         std::string body = in.SerializeAsString();
         std::string answer = ConfigStateMachine::apply({command.session, body});
         if (in.has_attend()) sessions_.insert(command.session);
-        if (saboteur_ == Saboteur::NoDraining || saboteur_ == Saboteur::MajorityGivesBack)
+        if (mutant_ == ConfigMutant::SkipsDraining || mutant_ == ConfigMutant::ReleaseByMajority)
             for (const auto& [name, state] : drained()) {
-                if (saboteur_ == Saboteur::MajorityGivesBack && state.waits * 2 > state.all) continue;
+                if (mutant_ == ConfigMutant::ReleaseByMajority && state.waits * 2 > state.all) continue;
                 for (coordinator::SessionId id : sessions_)
                     ConfigStateMachine::apply(
                         {id, config_distribution::release_command(name, state.version)});
@@ -60,19 +60,19 @@
         }
         return out;
     }
-    Saboteur saboteur_;
+    ConfigMutant mutant_;
     std::set<coordinator::SessionId> sessions_;
 };
 
 }  // namespace
 
-coordinator::StateMachineFactory machines(Saboteur saboteur) {
-    bool errs = saboteur == Saboteur::NoDraining || saboteur == Saboteur::MajorityGivesBack ||
-                saboteur == Saboteur::NoIsYes;
+coordinator::StateMachineFactory state_machine_factory(ConfigMutant mutant) {
+    bool errs = mutant == ConfigMutant::SkipsDraining || mutant == ConfigMutant::ReleaseByMajority ||
+                mutant == ConfigMutant::NackAsAck;
     return [=] {
         coordinator::StateMachines out;
         if (errs)
-            out.push_back(std::make_unique<Erring>(saboteur));
+            out.push_back(std::make_unique<MutantStateMachine>(mutant));
         else
             out.push_back(std::make_unique<config_distribution::ConfigStateMachine>());
         return out;
--- a/lab/config_distribution/simulated_processes.h
+++ b/lab/config_distribution/simulated_processes.h
@@ -25,17 +25,18 @@
     Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
 
 /// Agreement, or one that errs.
-coordinator::StateMachineFactory machines(Saboteur saboteur);
+coordinator::StateMachineFactory state_machine_factory(ConfigMutant mutant);
 
 /// Whatever is bad about a content, for a node of this zone. Empty: it takes it.
 std::string local_check(const config_distribution::Content& content, const std::string& zone);
 
-class KeeperProcess {
+class CoordinatorProcess {
 public:
-    KeeperProcess(Wire& net, std::size_t self, std::size_t keepers, Saboteur saboteur, std::uint64_t seed);
+    CoordinatorProcess(Wire& net, std::size_t self, std::size_t coordinators, ConfigMutant mutant,
+                       std::uint64_t seed);
     void start();
     void crash() { replica_.reset(), raft_.reset(); }
-    void woken(TimePoint own);
+    void timer_fired(TimePoint own);
     void received(TimePoint own, std::size_t from, const std::string& message);
     const config_distribution::ConfigStateMachine* machine() const;
     bool leads() const { return replica_ && replica_->role() == raft::Role::Leader; }
@@ -47,20 +48,20 @@
 
     Wire& net_;
     std::size_t self_;
-    Saboteur saboteur_;
+    ConfigMutant mutant_;
     std::uint64_t seed_, starts_ = 0;
     raft::PersistentState disk_;
     std::unique_ptr<raft::Raft> raft_;
     std::unique_ptr<coordinator::Replica> replica_;
-    TimePoint last_{}, asked_{};
+    TimePoint last_{}, timer_{};
     std::string stopped_;
 };
 
 struct ProcessSettings {
-    std::size_t keepers = 0, self = 0;
+    std::size_t coordinators = 0, self = 0;
     std::string name, zone;
     Duration lease{};
-    Saboteur saboteur{};
+    ConfigMutant mutant{};
     std::uint64_t seed = 1;
 };
 
@@ -69,7 +70,7 @@
 public:
     SessionProcess(Wire& net, const ProcessSettings& settings) : net_(net), set_(settings) {}
     virtual ~SessionProcess() = default;
-    void woken(TimePoint own);
+    void timer_fired(TimePoint own);
     void received(TimePoint own, std::size_t from, const std::string& message);
     bool up() const { return session_ != nullptr; }
 
@@ -81,7 +82,7 @@
     void wake();
     virtual void before() {}  ///< whatever comes, it may decide something first
     virtual void look(TimePoint) {}
-    virtual void held(const coordinator::SessionRenewed&, const std::string& /*news*/) {}
+    virtual void held(const coordinator::SessionRenewed&, const std::string& /*update*/) {}
     virtual void lost() {}
     virtual void answered(const coordinator::CallCompleted&) {}
     virtual TimePoint wanted() const { return TimePoint::max(); }
@@ -90,39 +91,40 @@
     ProcessSettings set_;
     std::unique_ptr<coordinator::Session> session_;
     std::uint64_t starts_ = 0;
-    TimePoint session_wake_ = TimePoint::max(), last_{}, asked_{};
+    TimePoint session_timer_ = TimePoint::max(), last_{}, timer_{};
 };
 
 class NodeProcess : public SessionProcess {
 public:
-    NodeProcess(Wire& net, Judge& judge, const ProcessSettings& settings)
-        : SessionProcess(net, settings), judge_(judge), random_(unsigned(settings.seed)) {}
+    NodeProcess(Wire& net, ConfigInvariantChecker& checker, const ProcessSettings& settings)
+        : SessionProcess(net, settings), checker_(checker), random_(unsigned(settings.seed)) {}
     void start();
     void crash();
     void lose_file() { file_.clear(); }
     /// What it decides by now, told to the judge.
-    void decide();
-    std::vector<config_distribution::Holder::Status> status();
+    void record_decisions();
+    std::vector<config_distribution::ConfigSubscriber::Status> status();
 
 protected:
-    void before() override { decide(); }
+    void before() override { record_decisions(); }
     void look(TimePoint own) override;
-    void held(const coordinator::SessionRenewed& held, const std::string& news) override;
+    void held(const coordinator::SessionRenewed& held, const std::string& update) override;
     void lost() override;
     TimePoint wanted() const override;
 
 private:
-    void hold(const config_distribution::Event& event);
-    void carry_out(TimePoint own, config_distribution::Actions& actions);
+    void handle_subscriber(const config_distribution::Event& event);
+    void execute(TimePoint own, config_distribution::Actions& actions);
 
-    Judge& judge_;
+    ConfigInvariantChecker& checker_;
     boost::random::taus88 random_;
-    std::optional<config_distribution::Holder> holder_;
-    std::string file_, old_news_;
-    std::map<std::string, config_distribution::Permit> acted_;
-    std::deque<std::pair<TimePoint, std::variant<config_distribution::Apply, config_distribution::Extend>>>
+    std::optional<config_distribution::ConfigSubscriber> subscriber_;
+    std::string file_, previous_update_;
+    std::map<std::string, config_distribution::ConfigLease> leases_;
+    std::deque<std::pair<TimePoint,
+                         std::variant<config_distribution::ApplyConfig, config_distribution::ExtendLeases>>>
         loop_;  ///< posted, and not done yet
-    TimePoint holder_wake_ = TimePoint::max(), decide_at_{};
+    TimePoint subscriber_timer_ = TimePoint::max(), next_decision_{};
     std::uint64_t calls_ = 0;
 };
 
@@ -132,7 +134,7 @@
     using SessionProcess::SessionProcess;
     void start() { begin(); }
     /// Neither is told of if it cannot be asked.
-    void look_up(const std::string& document, ConfigResponse then);
+    void query_document(const std::string& document, ConfigResponse then);
     void ask(const std::string& command, ConfigResponse then);
 
 protected:
--- a/lab/equivalence/config_distribution.cpp
+++ b/lab/equivalence/config_distribution.cpp
@@ -5,16 +5,16 @@
 using namespace ochrehub;
 
 int main(int count, char** words) {
-    auto fault = [](lab::Fault kind) {
+    auto fault = [](lab::ConfigFault kind) {
         return [kind](std::uint64_t seed) {
-            lab::WorldSettings settings;
+            lab::ConfigSimulationSettings settings;
             settings.fault = kind;
             settings.seed = seed;
-            lab::play(settings);
+            lab::run(settings);
         };
     };
     return lab::equivalence::run(count, words,
-                                 {{"documents_calm", fault(lab::Fault::None)},
-                                  {"documents_one_way", fault(lab::Fault::OneWay)},
-                                  {"documents_crashes", fault(lab::Fault::Crashes)}});
+                                 {{"documents_calm", fault(lab::ConfigFault::None)},
+                                  {"documents_one_way", fault(lab::ConfigFault::OneWayPartitions)},
+                                  {"documents_crashes", fault(lab::ConfigFault::Crashes)}});
 }
--- a/lab/tests/config_distribution_test.cpp
+++ b/lab/tests/config_distribution_test.cpp
@@ -12,92 +12,100 @@
 // are played whole without.
 #if defined(__has_feature)
 #if __has_feature(address_sanitizer)
-#define OCHREHUB_SMALL_DAYS
+#define OCHREHUB_SMALL_SIMULATIONS
 #endif
 #endif
-#ifdef OCHREHUB_SMALL_DAYS
-constexpr bool kSmallDays = true;
+#ifdef OCHREHUB_SMALL_SIMULATIONS
+constexpr bool kSmallSimulations = true;
 #else
-constexpr bool kSmallDays = false;
+constexpr bool kSmallSimulations = false;
 #endif
 
-std::string lines(const Day& day) {
+std::string lines(const ConfigSimulationResult& result) {
     std::string out;
-    for (const std::string& line : day.broken) out += line + "\n";
+    for (const std::string& line : result.violations) out += line + "\n";
     return out;
 }
 
 TEST(ConfigStateMachine, KeepsItsPromisesUnderEachFault) {
-    if (kSmallDays) {
-        WorldSettings set;
-        set.nodes = 4, set.changes = 4, set.fault = Fault::All;
-        Day day = play(set);
-        EXPECT_TRUE(day.broken.empty()) << lines(day);
+    if (kSmallSimulations) {
+        ConfigSimulationSettings settings;
+        settings.nodes = 4, settings.changes = 4, settings.fault = ConfigFault::All;
+        ConfigSimulationResult result = run(settings);
+        EXPECT_TRUE(result.violations.empty()) << lines(result);
         return;
     }
-    for (std::size_t f = 0; f < kFaults; ++f) {
-        WorldSettings set;
-        set.nodes = 10, set.changes = 20, set.seed = 40 + f, set.fault = Fault(f);
-        Day day = play(set);
-        EXPECT_TRUE(day.broken.empty()) << name(set.fault) << "\n" << lines(day);
-        EXPECT_GE(day.in_force, 8) << name(set.fault);
-        EXPECT_GT(day.longest_quick, Duration{0}) << name(set.fault);  // quick ones do contradict for a while
-        EXPECT_LE(day.longest_quick, day.stated);
+    for (std::size_t f = 0; f < kConfigFaults; ++f) {
+        ConfigSimulationSettings settings;
+        settings.nodes = 10, settings.changes = 20, settings.seed = 40 + f, settings.fault = ConfigFault(f);
+        ConfigSimulationResult result = run(settings);
+        EXPECT_TRUE(result.violations.empty()) << name(settings.fault) << "\n" << lines(result);
+        EXPECT_GE(result.in_force, 8) << name(settings.fault);
+        EXPECT_GT(result.longest_bounded, Duration{0})
+            << name(settings.fault);  // quick ones do contradict for a while
+        EXPECT_LE(result.longest_bounded, result.max_inconsistency);
     }
 }
 
 TEST(ConfigStateMachine, ACanaryEndsThoughLeadersFall) {
-    WorldSettings set;  // 15.8 s of two lists, while the keepers alone counted
-    set.seed = 80, set.fault = Fault::Keepers;
-    Day day = play(set);
-    EXPECT_TRUE(day.broken.empty()) << lines(day);
+    ConfigSimulationSettings settings;  // 15.8 s of two lists, while the keepers alone counted
+    settings.seed = 80, settings.fault = ConfigFault::Coordinators;
+    ConfigSimulationResult result = run(settings);
+    EXPECT_TRUE(result.violations.empty()) << lines(result);
 }
 
 TEST(ConfigStateMachine, FindsEachSaboteur) {
-    if (kSmallDays) GTEST_SKIP() << "played without sanitizers";
+    if (kSmallSimulations) GTEST_SKIP() << "played without sanitizers";
     struct Row {
-        Saboteur saboteur;
-        Fault fault;
+        ConfigMutant mutant;
+        ConfigFault fault;
         std::uint64_t seed;
-    } rows[] = {{Saboteur::CountsFromAnswer, Fault::Late, 2},    {Saboteur::HoldsTooLong, Fault::Cuts, 1},
-                {Saboteur::LooksTooLate, Fault::Pauses, 1},      {Saboteur::GivesBackAtOnce, Fault::None, 1},
-                {Saboteur::TakesOldNews, Fault::Loss, 1},        {Saboteur::ActsFromDisk, Fault::Crashes, 1},
-                {Saboteur::KeepsOverSessions, Fault::Pauses, 2}, {Saboteur::NoDraining, Fault::None, 1},
-                {Saboteur::MajorityGivesBack, Fault::None, 1},   {Saboteur::ExtendsFirst, Fault::None, 1},
-                {Saboteur::ShortLease, Fault::Cuts, 1},          {Saboteur::NoIsYes, Fault::None, 1}};
+    } rows[] = {{ConfigMutant::LeaseFromResponse, ConfigFault::Delays, 2},
+                {ConfigMutant::LeaseTooLong, ConfigFault::Partitions, 1},
+                {ConfigMutant::ClockNotChecked, ConfigFault::Pauses, 1},
+                {ConfigMutant::ReleaseBeforeApply, ConfigFault::None, 1},
+                {ConfigMutant::AcceptsStaleUpdate, ConfigFault::Loss, 1},
+                {ConfigMutant::ActsFromFile, ConfigFault::Crashes, 1},
+                {ConfigMutant::LeaseOutlivesSession, ConfigFault::Pauses, 2},
+                {ConfigMutant::SkipsDraining, ConfigFault::None, 1},
+                {ConfigMutant::ReleaseByMajority, ConfigFault::None, 1},
+                {ConfigMutant::ExtendsBeforeApply, ConfigFault::None, 1},
+                {ConfigMutant::ShorterServerLease, ConfigFault::Partitions, 1},
+                {ConfigMutant::NackAsAck, ConfigFault::None, 1}};
     for (const Row& row : rows) {
-        EXPECT_FALSE(play(sabotaged(row.saboteur, row.fault, row.seed)).broken.empty()) << name(row.saboteur);
-        Day well = play(sabotaged(Saboteur::None, row.fault, row.seed));
-        EXPECT_TRUE(well.broken.empty()) << name(row.saboteur) << "\n" << lines(well);
+        EXPECT_FALSE(run(mutant_settings(row.mutant, row.fault, row.seed)).violations.empty())
+            << name(row.mutant);
+        ConfigSimulationResult unmutated = run(mutant_settings(ConfigMutant::None, row.fault, row.seed));
+        EXPECT_TRUE(unmutated.violations.empty()) << name(row.mutant) << "\n" << lines(unmutated);
     }
-    EXPECT_EQ(std::size(rows), kSaboteurs - 1);
+    EXPECT_EQ(std::size(rows), kConfigMutants - 1);
 }
 
 TEST(ConfigStateMachine, TheJudgeNeedsToKnowWhatContradicts) {
-    WorldSettings set = sabotaged(Saboteur::NoDraining, Fault::None, 1);
-    set.contradict = [](const config_distribution::Content&, const config_distribution::Content&) {
+    ConfigSimulationSettings settings = mutant_settings(ConfigMutant::SkipsDraining, ConfigFault::None, 1);
+    settings.contradict = [](const config_distribution::Content&, const config_distribution::Content&) {
         return false;
     };
-    EXPECT_TRUE(play(set).broken.empty());
+    EXPECT_TRUE(run(settings).violations.empty());
 }
 
 TEST(ConfigStateMachine, CopiedSettingsContradictThemselves) {
-    WorldSettings set;
-    set.nodes = 10, set.changes = 20, set.fault = Fault::None;
-    Day day = play_copied(set);
-    EXPECT_FALSE(day.broken.empty());
-    EXPECT_GT(day.longest_quick, day.stated);
+    ConfigSimulationSettings settings;
+    settings.nodes = 10, settings.changes = 20, settings.fault = ConfigFault::None;
+    ConfigSimulationResult result = run_copied_files(settings);
+    EXPECT_FALSE(result.violations.empty());
+    EXPECT_GT(result.longest_bounded, result.max_inconsistency);
 }
 
 TEST(ConfigStateMachine, ACrashOrAStopAtAnEventOfAChange) {
-    std::uint64_t events = play_change(1, 0, 0, false).events;
+    std::uint64_t events = run_single_change(1, 0, 0, false).events;
     ASSERT_GT(events, 200u);
     for (std::uint64_t event = 1; event <= events; event += 61)
         for (std::size_t process = 0; process < 6; ++process)
             for (bool crash : {true, false}) {
-                Day day = play_change(1, event, process, crash);
-                EXPECT_TRUE(day.broken.empty()) << "event " << event << ", process " << process
-                                                << (crash ? ", crash\n" : ", stop\n") << lines(day);
+                ConfigSimulationResult result = run_single_change(1, event, process, crash);
+                EXPECT_TRUE(result.violations.empty()) << "event " << event << ", process " << process
+                                                       << (crash ? ", crash\n" : ", stop\n") << lines(result);
             }
 }
 
--- a/src/app/rules.cpp
+++ b/src/app/rules.cpp
@@ -91,7 +91,7 @@
     set.cluster = told.cluster, set.keys = told.keys;
     session_.emplace(std::move(set), clock);
     side_.emplace(*session_, clock, told.folder, acting_,
-                  config_distribution::ConfigSubscriberThread::Calls{
+                  config_distribution::ConfigSubscriberThread::Callbacks{
                       check, [this](std::function<void()> what) {
                           asio::post(io_, [this, what = std::move(what)] {
                               what();
@@ -111,8 +111,8 @@
 
 /// Where nothing is decided either, what a permit's end means happens in time.
 void Rules::arm() {
-    if (acting_.next() == armed_) return;
-    armed_ = acting_.next();
+    if (acting_.next_expiry() == armed_) return;
+    armed_ = acting_.next_expiry();
     if (armed_ == TimePoint::max()) return;
     ends_.expires_at(clock_.steady(armed_));
     ends_.async_wait([this](boost::system::error_code stopped) {
--- a/src/app/rules.h
+++ b/src/app/rules.h
@@ -46,7 +46,7 @@
     void start();
 
     /// Before each decision: what no permit holds any more is no longer acted on. Cheap.
-    void look() { acting_.look(clock_.now()); }
+    void look() { acting_.check_expiry(clock_.now()); }
     void listed(const Listing& listing);
     /// What operators said at the second address: a server is out while they or a document say so.
     void by_desk(std::uint64_t key, bool out, TimePoint since);
@@ -57,7 +57,7 @@
     void use(const std::vector<std::string>& keys) { session_->set_keys(keys); }
 
     /// From any thread.
-    std::string figures() const { return side_->figures(); }
+    std::string figures() const { return side_->metrics(); }
 
 private:
     void changed(const std::string& document, const config_distribution::EffectiveConfig& acted);
--- a/src/app/rules_command.cpp
+++ b/src/app/rules_command.cpp
@@ -155,7 +155,8 @@
     std::random_device device;
     p.token = std::uint64_t(device()) << 32 | device();
     if (!ask.zone.empty() || !ask.node.empty())
-        p.document.scope = config_distribution::CanaryScope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
+        p.document.canary_scope =
+            config_distribution::CanaryScope{ask.zone, ask.node, Duration{ask.for_s * 1000}};
     return p;
 }
 
@@ -204,7 +205,7 @@
                 if (ask.mode.empty()) p.document.mode = d.in_force->mode;
                 if (ask.choice.empty()) p.document.expiry_policy = d.in_force->expiry_policy;
             }
-        return follow(ask, command(ask.at, propose(p)).version);
+        return follow(ask, command(ask.at, propose_command(p)).version);
     }
     config_distribution::ConfigResponse answer = look(ask.at, ask.document);
     const DocumentStatus& d = one(answer, ask.document);
--- a/src/fleet/config_distribution/config_state_machine.h
+++ b/src/fleet/config_distribution/config_state_machine.h
@@ -35,12 +35,12 @@
 class Propose;
 }  // namespace wire
 
-inline constexpr std::size_t kDocumentsMost = 64, kBeforeMost = 8, kEndedMost = 8;
+inline constexpr std::size_t kMaxDocuments = 64, kMaxHistory = 8, kMaxAborted = 8;
 inline constexpr std::size_t kMaxTotalContentBytes = 16 << 20;  ///< of all contents that are kept
-inline constexpr std::size_t kReasonMost = 200;
-inline constexpr std::size_t kNewsMost =
+inline constexpr std::size_t kMaxReasonBytes = 200;
+inline constexpr std::size_t kMaxUpdateBytes =
     512 << 10;  ///< octets of contents in one renewal's answer; others follow
-inline constexpr Duration kStageLeast{1000}, kStageMost{600'000};
+inline constexpr Duration kMinStagingTimeout{1000}, kMaxStagingTimeout{600'000};
 
 struct Proposal {
     Document document;                 ///< its version is given by the machine
@@ -51,12 +51,12 @@
 };
 
 // Commands, as octets.
-std::string propose(const Proposal& proposal);
+std::string propose_command(const Proposal& proposal);
 std::string rollback_command(std::string_view name, std::uint64_t to,
                              const Proposal& as);  ///< of `as` all but its content counts
-std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason);
+std::string ack_command(std::string_view name, std::uint64_t version, bool acked, std::string_view reason);
 std::string release_command(std::string_view name, std::uint64_t next);
-std::string has(std::string_view name, std::uint64_t version, const Content& content);
+std::string content_received_command(std::string_view name, std::uint64_t version, const Content& content);
 std::string withdraw_command(std::string_view name, std::uint64_t version, std::string_view by);
 std::string subscribe_command();
 /// For `read`. Empty: all documents, without their contents.
@@ -90,14 +90,14 @@
     std::uint64_t version = 0;              ///< what was proposed is now called
     std::vector<DocumentStatus> documents;  ///< to a question; of all documents without contents
 };
-std::optional<ConfigResponse> decode_response(std::string_view octets);
+std::optional<ConfigResponse> decode_response(std::string_view bytes);
 
 class ConfigStateMachine : public coordinator::StateMachine {
 public:
     std::string_view kind() const override { return "rules"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    std::string query(std::string_view question) const override;
+    std::string query(std::string_view request) const override;
     void session_opened(coordinator::SessionId session, std::string_view name,
                         std::string_view zone) override;
     void session_ended(coordinator::SessionId session) override;
@@ -114,13 +114,13 @@
 private:
     struct Session {
         std::string name, zone;
-        bool attends = false;  ///< others hold no permits and are not asked
+        bool subscribed = false;  ///< others hold no permits and are not asked
     };
-    struct Said {
+    struct NodeAck {
         AckStatus ack = AckStatus::Pending;
         std::string reason;
     };
-    struct State {
+    struct DocumentState {
         std::uint64_t key = 0, last_version = 0;
         std::optional<Document> in_force;
         std::deque<Document> history;  ///< newest first
@@ -129,32 +129,32 @@
         bool any_nack_aborts = true;
         Duration staging_timeout{};
         std::uint64_t armed_revision = 0;
-        std::map<coordinator::SessionId, Said> said;
-        std::set<coordinator::SessionId> to_give;
-        std::map<coordinator::SessionId, std::set<std::uint64_t>> has;
+        std::map<coordinator::SessionId, NodeAck> acks;
+        std::set<coordinator::SessionId> awaiting_release;
+        std::map<coordinator::SessionId, std::set<std::uint64_t>> received;
         std::deque<AbortedVersion> aborted;
         std::deque<std::pair<std::uint64_t, std::uint64_t>> tokens;  ///< and their versions
     };
-    using States = std::map<std::string, State, std::less<>>;
+    using DocumentStates = std::map<std::string, DocumentState, std::less<>>;
 
-    ConfigResponse take(const wire::Command& command, coordinator::SessionId session);
-    ConfigResponse take(const wire::Propose& propose);
-    ConfigResponse take(const wire::Back& back);
-    ConfigResponse stage(Proposal&& proposal);
-    std::optional<Failure> refused(const Proposal& proposal, const State* state) const;
+    ConfigResponse handle(const wire::Command& command, coordinator::SessionId session);
+    ConfigResponse handle(const wire::Propose& propose);
+    ConfigResponse handle(const wire::Back& back);
+    ConfigResponse start_staging(Proposal&& proposal);
+    std::optional<Failure> check_proposal(const Proposal& proposal, const DocumentState* state) const;
     ConfigResponse status(std::string_view name) const;
     /// Whoever must take `next` of this document: all, or who is in its scope.
-    bool asked(const State& state, const Session& session) const;
-    void go_on(State& state);
-    void enter(State& state);
-    void stop(State& state, Failure why);
-    void forget_octets(State& state);
-    std::size_t octets() const;
-    void write(const std::string& name, const State& state, wire::DocumentState& into) const;
-    static bool read(const wire::DocumentState& from, State& state);
+    bool is_addressed(const DocumentState& state, const Session& session) const;
+    void advance(DocumentState& state);
+    void put_in_force(DocumentState& state);
+    void abort_proposal(DocumentState& state, Failure why);
+    void forget_received(DocumentState& state);
+    std::size_t total_content_bytes() const;
+    void encode_state(const std::string& name, const DocumentState& state, wire::DocumentState& into) const;
+    static bool decode_state(const wire::DocumentState& from, DocumentState& state);
 
     std::uint64_t revision_ = 0, last_key_ = 0;
-    States documents_;
+    DocumentStates documents_;
     std::map<coordinator::SessionId, Session> sessions_;
 };
 
--- a/src/fleet/config_distribution/config_state_machine_codec.cpp
+++ b/src/fleet/config_distribution/config_state_machine_codec.cpp
@@ -9,10 +9,10 @@
 
 // ---- Commands
 
-std::string propose(const Proposal& p) {
+std::string propose_command(const Proposal& p) {
     wire::Command out;
     auto& c = *out.mutable_propose();
-    write(p.document, true, *c.mutable_document());
+    to_wire(p.document, true, *c.mutable_document());
     c.set_base(p.base_version), c.set_token(p.token), c.set_no_stops_none(!p.any_nack_aborts),
         c.set_stage_ms(std::uint64_t(p.staging_timeout.count()));
     return out.SerializeAsString();
@@ -25,11 +25,11 @@
     c.set_when(as.document.proposed_at_s), c.set_stage_ms(std::uint64_t(as.staging_timeout.count()));
     return out.SerializeAsString();
 }
-std::string said(std::string_view name, std::uint64_t version, bool yes, std::string_view reason) {
+std::string ack_command(std::string_view name, std::uint64_t version, bool acked, std::string_view reason) {
     wire::Command out;
     auto& c = *out.mutable_said();
-    c.set_name(std::string(name)), c.set_version(version), c.set_yes(yes),
-        c.set_reason(std::string(reason.substr(0, kReasonMost)));
+    c.set_name(std::string(name)), c.set_version(version), c.set_yes(acked),
+        c.set_reason(std::string(reason.substr(0, kMaxReasonBytes)));
     return out.SerializeAsString();
 }
 std::string release_command(std::string_view name, std::uint64_t next) {
@@ -38,10 +38,10 @@
     out.mutable_gave_back()->set_version(next);
     return out.SerializeAsString();
 }
-std::string has(std::string_view name, std::uint64_t version, const Content& content) {
+std::string content_received_command(std::string_view name, std::uint64_t version, const Content& content) {
     wire::Command out;
     auto& c = *out.mutable_has();
-    c.set_name(std::string(name)), c.set_version(version), c.set_digest(digest_octets(content));
+    c.set_name(std::string(name)), c.set_version(version), c.set_digest(content_digest(content));
     return out.SerializeAsString();
 }
 std::string withdraw_command(std::string_view name, std::uint64_t version, std::string_view by) {
@@ -61,24 +61,24 @@
     return out.SerializeAsString();
 }
 
-std::optional<ConfigResponse> decode_response(std::string_view octets) {
+std::optional<ConfigResponse> decode_response(std::string_view bytes) {
     wire::Answer in;
-    if (!in.ParseFromArray(octets.data(), int(octets.size())) || in.error() > kErrors) return {};
+    if (!in.ParseFromArray(bytes.data(), int(bytes.size())) || in.error() > kErrorCount) return {};
     ConfigResponse out;
     out.version = in.version();
     if (in.error() != 0) out.failure = Failure{Error(in.error() - 1), in.about()};
     for (const auto& d : in.status().documents()) {
         DocumentStatus to{d.name(), {}, {}, Phase(d.phase()), {}, {}, {}};
         if (d.phase() > std::uint32_t(Phase::Canary)) return {};
-        if (d.has_in_force() && !(to.in_force = read(d.in_force(), true))) return {};
-        if (d.has_next() && !(to.next = read(d.next(), true))) return {};
+        if (d.has_in_force() && !(to.in_force = from_wire(d.in_force(), true))) return {};
+        if (d.has_next() && !(to.next = from_wire(d.next(), true))) return {};
         for (const auto& b : d.before()) {
-            auto document = read(b, true);
+            auto document = from_wire(b, true);
             if (!document) return {};
             to.history.push_back(std::move(*document));
         }
         for (const auto& e : d.ended()) {
-            if (e.error() >= kErrors) return {};
+            if (e.error() >= kErrorCount) return {};
             to.aborted.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
         }
         for (const auto& n : d.nodes()) {
@@ -93,20 +93,21 @@
 
 // ---- Snapshots
 
-void ConfigStateMachine::write(const std::string& name, const State& s, wire::DocumentState& to) const {
+void ConfigStateMachine::encode_state(const std::string& name, const DocumentState& s,
+                                      wire::DocumentState& to) const {
     to.set_name(name), to.set_key(s.key), to.set_last_version(s.last_version),
         to.set_phase(std::uint32_t(s.phase));
-    if (s.in_force) config_distribution::write(*s.in_force, true, *to.mutable_in_force());
-    for (const Document& d : s.history) config_distribution::write(d, true, *to.add_before());
-    if (s.phase != Phase::None) config_distribution::write(s.next, true, *to.mutable_next());
+    if (s.in_force) to_wire(*s.in_force, true, *to.mutable_in_force());
+    for (const Document& d : s.history) to_wire(d, true, *to.add_before());
+    if (s.phase != Phase::None) to_wire(s.next, true, *to.mutable_next());
     to.set_no_stops_none(!s.any_nack_aborts), to.set_stage_ms(std::uint64_t(s.staging_timeout.count())),
         to.set_armed_revision(s.armed_revision);
-    for (const auto& [id, said] : s.said) {
+    for (const auto& [id, said] : s.acks) {
         auto& one = *to.add_said();
         one.set_session(id), one.set_word(std::uint32_t(said.ack)), one.set_reason(said.reason);
     }
-    for (coordinator::SessionId id : s.to_give) to.add_to_give(id);
-    for (const auto& [id, versions] : s.has) {
+    for (coordinator::SessionId id : s.awaiting_release) to.add_to_give(id);
+    for (const auto& [id, versions] : s.received) {
         auto& one = *to.add_has();
         one.set_session(id);
         for (std::uint64_t version : versions) one.add_versions(version);
@@ -122,31 +123,32 @@
     }
 }
 
-bool ConfigStateMachine::read(const wire::DocumentState& from, State& s) {
+bool ConfigStateMachine::decode_state(const wire::DocumentState& from, DocumentState& s) {
     s.key = from.key(), s.last_version = from.last_version(), s.phase = Phase(from.phase());
     if (from.phase() > std::uint32_t(Phase::Canary) || from.has_next() != (s.phase != Phase::None))
         return false;
-    if (from.has_in_force() && !(s.in_force = config_distribution::read(from.in_force()))) return false;
+    if (from.has_in_force() && !(s.in_force = from_wire(from.in_force()))) return false;
     for (const auto& b : from.before()) {
-        auto document = config_distribution::read(b);
+        auto document = from_wire(b);
         if (!document) return false;
         s.history.push_back(std::move(*document));
     }
     if (from.has_next()) {
-        auto next = config_distribution::read(from.next());
-        if (!next || (s.phase == Phase::Canary) > next->scope.has_value()) return false;
+        auto next = from_wire(from.next());
+        if (!next || (s.phase == Phase::Canary) > next->canary_scope.has_value()) return false;
         s.next = std::move(*next);
     }
     s.any_nack_aborts = !from.no_stops_none(), s.staging_timeout = Duration{double(from.stage_ms())},
     s.armed_revision = from.armed_revision();
     for (const auto& one : from.said()) {
         if (one.word() > std::uint32_t(AckStatus::Nack)) return false;
-        s.said[one.session()] = {AckStatus(one.word()), one.reason()};
+        s.acks[one.session()] = {AckStatus(one.word()), one.reason()};
     }
-    s.to_give = {from.to_give().begin(), from.to_give().end()};
-    for (const auto& one : from.has()) s.has[one.session()] = {one.versions().begin(), one.versions().end()};
+    s.awaiting_release = {from.to_give().begin(), from.to_give().end()};
+    for (const auto& one : from.has())
+        s.received[one.session()] = {one.versions().begin(), one.versions().end()};
     for (const auto& e : from.ended()) {
-        if (e.error() >= kErrors) return false;
+        if (e.error() >= kErrorCount) return false;
         s.aborted.push_back({e.version(), {Error(e.error()), e.about()}, e.proposer()});
     }
     for (const auto& t : from.tokens()) s.tokens.emplace_back(t.token(), t.version());
@@ -156,11 +158,11 @@
 std::string ConfigStateMachine::snapshot() const {
     wire::State out;
     out.set_revision(revision_), out.set_last_key(last_key_);
-    for (const auto& [name, state] : documents_) write(name, state, *out.add_documents());
+    for (const auto& [name, state] : documents_) encode_state(name, state, *out.add_documents());
     for (const auto& [id, session] : sessions_) {
         auto& one = *out.add_sessions();
         one.set_id(id), one.set_name(session.name), one.set_zone(session.zone),
-            one.set_attends(session.attends);
+            one.set_attends(session.subscribed);
     }
     return out.SerializeAsString();
 }
@@ -168,9 +170,9 @@
 bool ConfigStateMachine::restore(std::uint32_t schema, std::string_view bytes) {
     wire::State in;
     if (schema != 1 || !in.ParseFromArray(bytes.data(), int(bytes.size()))) return false;
-    States documents;
+    DocumentStates documents;
     for (const auto& d : in.documents())
-        if (!read(d, documents[d.name()])) return false;
+        if (!decode_state(d, documents[d.name()])) return false;
     documents_ = std::move(documents);
     sessions_.clear();
     for (const auto& s : in.sessions()) sessions_[s.id()] = {s.name(), s.zone(), s.attends()};
--- a/src/fleet/config_distribution/config_subscriber.cpp
+++ b/src/fleet/config_distribution/config_subscriber.cpp
@@ -13,9 +13,9 @@
 std::shared_ptr<const Content> shared(Content content) {
     return std::make_shared<const Content>(std::move(content));
 }
-bool is(const std::optional<Document>& document, const wire::Document& told) {
-    return document && document->version == told.version() &&
-           digest_octets(document->content) == told.digest();
+bool matches(const std::optional<Document>& document, const wire::Document& announced) {
+    return document && document->version == announced.version() &&
+           content_digest(document->content) == announced.digest();
 }
 
 }  // namespace
@@ -25,198 +25,207 @@
     return kNames[std::size_t(mode)];
 }
 
-Holder::Holder(const HolderSettings& settings, std::vector<Document> kept, TimePoint now, Actions& actions)
-    : set_(settings), patient_until_(now + settings.patience) {
-    for (Document& document : kept) {
+ConfigSubscriber::ConfigSubscriber(const ConfigSubscriberSettings& settings, std::vector<Document> stored,
+                                   TimePoint now, Actions& actions)
+    : settings_(settings), startup_ends_at_(now + settings.conservative_startup) {
+    for (Document& document : stored) {
         std::string name = document.name;
-        Held& held = documents_[name];
-        held.in_force = std::move(document);
-        settle(now, name, held, actions);
+        DocumentState& state = documents_[name];
+        state.in_force = std::move(document);
+        update_config(now, name, state, actions);
     }
-    wake(now, actions);
+    set_timer(now, actions);
 }
 
-void Holder::handle(TimePoint now, const Event& event, Actions& actions) {
+void ConfigSubscriber::handle(TimePoint now, const Event& event, Actions& actions) {
     // The clock first: whatever has come, the permit may have ended while it waited.
-    lapse(now, actions);
-    if (const auto* renewed = std::get_if<Renewed>(&event)) {
-        take(now, *renewed, actions);
-    } else if (std::holds_alternative<Lost>(event)) {
-        least_ = session_ + 1;
-        until_ = std::min(until_, now);
-        lapse(now, actions);
-    } else if (const auto* verdict = std::get_if<Verdict>(&event)) {
-        auto found = documents_.find(verdict->document);
+    expire_lease(now, actions);
+    if (const auto* renewed = std::get_if<LeaseRenewed>(&event)) {
+        handle_renewal(now, *renewed, actions);
+    } else if (std::holds_alternative<SessionLost>(event)) {
+        min_session_ = session_ + 1;
+        expires_at_ = std::min(expires_at_, now);
+        expire_lease(now, actions);
+    } else if (const auto* result = std::get_if<CheckCompleted>(&event)) {
+        auto found = documents_.find(result->document);
         if (found != documents_.end()) {
-            Held& held = found->second;
-            auto asked = held.verdicts.find(verdict->version);
-            if (asked != held.verdicts.end()) {
-                asked->second = verdict->yes;
-                held.reasons[verdict->version] = verdict->reason;
-                settle(now, found->first, held, actions);
+            DocumentState& state = found->second;
+            auto pending = state.check_results.find(result->version);
+            if (pending != state.check_results.end()) {
+                pending->second = result->accepted;
+                state.nack_reasons[result->version] = result->reason;
+                update_config(now, found->first, state, actions);
             }
         }
-    } else if (std::holds_alternative<Woken>(event)) {
-        for (auto& [name, held] : documents_)
-            if (held.canary && held.permit.now.version == held.canary_version)
-                settle(now, name, held, actions);
-    } else if (const auto* switched = std::get_if<Switched>(&event)) {
-        for (auto& [name, held] : documents_) {
-            if (held.serial != switched->serial) continue;
-            held.switched = switched->serial;
-            if (this->held(now)) say(name, held, actions);
+    } else if (std::holds_alternative<TimerFired>(event)) {
+        for (auto& [name, state] : documents_)
+            if (state.canary && state.lease.current.version == state.canary_version)
+                update_config(now, name, state, actions);
+    } else if (const auto* applied = std::get_if<ConfigApplied>(&event)) {
+        for (auto& [name, state] : documents_) {
+            if (state.serial != applied->serial) continue;
+            state.applied_serial = applied->serial;
+            if (has_session(now)) send_commands(name, state, actions);
         }
     }
-    wake(now, actions);
+    set_timer(now, actions);
 }
 
-void Holder::lapse(TimePoint now, Actions& actions) {
-    bool over = session_ != 0 && now >= until_, impatient = patient_ && now >= patient_until_;
-    if (over) ++lapses_, session_ = 0;
-    if (impatient) patient_ = false;
-    if (!over && !impatient) return;
-    for (auto& [name, held] : documents_) {
-        if (over) held.told = false;
-        settle(now, name, held, actions);
+void ConfigSubscriber::expire_lease(TimePoint now, Actions& actions) {
+    bool expired = session_ != 0 && now >= expires_at_,
+         startup_ended = in_startup_ && now >= startup_ends_at_;
+    if (expired) ++lease_expirations_, session_ = 0;
+    if (startup_ended) in_startup_ = false;
+    if (!expired && !startup_ended) return;
+    for (auto& [name, state] : documents_) {
+        if (expired) state.confirmed = false;
+        update_config(now, name, state, actions);
     }
 }
 
-void Holder::take(TimePoint now, const Renewed& renewed, Actions& actions) {
-    if (renewed.news.empty() && renewed.session >= least_) {
+void ConfigSubscriber::handle_renewal(TimePoint now, const LeaseRenewed& renewed, Actions& actions) {
+    if (renewed.update.empty() && renewed.session >= min_session_) {
         // The keepers don't know yet that this session acts on documents.
-        actions.push_back(Say{subscribe_command()});
+        actions.push_back(SendCommand{subscribe_command()});
         return;
     }
-    wire::News in;
-    bool sound = in.ParseFromArray(renewed.news.data(), int(renewed.news.size()));
+    wire::News received;
+    bool parsed = received.ParseFromArray(renewed.update.data(), int(renewed.update.size()));
     // What brings no news, or old ones, proves nothing about what is in force: it does not lengthen the
     // permit either.
-    if (!sound || renewed.session < least_ || renewed.until <= now || in.revision() < revision_) {
-        ++refused_news_;
+    if (!parsed || renewed.session < min_session_ || renewed.expires_at <= now ||
+        received.revision() < revision_) {
+        ++rejected_updates_;
         return;
     }
-    if (renewed.session > least_) least_ = renewed.session;
+    if (renewed.session > min_session_) min_session_ = renewed.session;
     if (session_ != renewed.session) {
         session_ = renewed.session;
-        until_ = renewed.until;
+        expires_at_ = renewed.expires_at;
     }
-    until_ = std::max(until_, renewed.until);
-    revision_ = in.revision();
+    expires_at_ = std::max(expires_at_, renewed.expires_at);
+    revision_ = received.revision();
     bool changed = false;
-    for (auto& [name, held] : documents_) {
-        held.told = held.draining = held.canary = held.said = held.gave_back = false;
-        held.next_version = 0;
+    for (auto& [name, state] : documents_) {
+        state.confirmed = state.draining = state.canary = state.acked = state.released = false;
+        state.next_version = 0;
     }
-    for (const auto& news : in.documents()) {
+    for (const auto& news : received.documents()) {
         if (!is_valid_name(news.name()) ||
-            (documents_.size() >= kDocumentsMost && !documents_.contains(news.name())))
+            (documents_.size() >= kMaxDocuments && !documents_.contains(news.name())))
             continue;
-        take(news.name(), news, actions, changed);
+        update_document(news.name(), news, actions, changed);
     }
-    for (auto& [name, held] : documents_) {
-        settle(now, name, held, actions);
+    for (auto& [name, state] : documents_) {
+        update_config(now, name, state, actions);
     }
-    actions.push_back(Extend{until_});
-    if (changed) write(actions);
+    actions.push_back(ExtendLeases{expires_at_});
+    if (changed) write_file(actions);
 }
 
-void Holder::take(const std::string& name, const wire::DocumentNews& news, Actions& actions, bool& changed) {
-    Held& held = documents_[name];
+void ConfigSubscriber::update_document(const std::string& name, const wire::DocumentNews& news,
+                                       Actions& actions, bool& changed) {
+    DocumentState& state = documents_[name];
     if (news.has_in_force()) {
-        const wire::Document& told = news.in_force();
+        const wire::Document& announced = news.in_force();
         std::optional<Document> document;
-        if (!told.content().empty())
-            document = read(told);
-        else if (is(held.in_force, told))
-            document = held.in_force;
-        else if (is(held.next, told))
-            document = held.next;
+        if (!announced.content().empty())
+            document = from_wire(announced);
+        else if (matches(state.in_force, announced))
+            document = state.in_force;
+        else if (matches(state.next, announced))
+            document = state.next;
         // What cannot be read here is in force all the same: whatever older one is known must not be acted
         // on.
         if (document && document->name == name) {
-            if (!told.content().empty())
-                actions.push_back(Say{has(name, document->version, document->content)});
-            changed |= !held.in_force || held.in_force->version != document->version;
-            held.in_force = std::move(document);
-            held.told = true;
+            if (!announced.content().empty())
+                actions.push_back(
+                    SendCommand{content_received_command(name, document->version, document->content)});
+            changed |= !state.in_force || state.in_force->version != document->version;
+            state.in_force = std::move(document);
+            state.confirmed = true;
         }
     } else {
-        held.told = !held.in_force;
+        state.confirmed = !state.in_force;
     }
     std::optional<Document> next;
     if (news.has_next()) {
-        held.next_version = news.next().version();
-        next = news.next().content().empty() ? (is(held.next, news.next()) ? held.next : std::nullopt)
-                                             : read(news.next());
-        held.canary = news.canary(), held.draining = news.draining(), held.said = news.said(),
-        held.gave_back = news.gave_back();
+        state.next_version = news.next().version();
+        next = news.next().content().empty() ? (matches(state.next, news.next()) ? state.next : std::nullopt)
+                                             : from_wire(news.next());
+        state.canary = news.canary(), state.draining = news.draining(), state.acked = news.said(),
+        state.released = news.gave_back();
         if (!next && !news.next().content().empty()) {
             // Not to be read by this release: that is a no.
-            if (!held.said && !held.draining && !held.canary)
-                actions.push_back(
-                    Say{said(name, news.next().version(), false, "cannot be read by this release")});
-            held.said = true;
+            if (!state.acked && !state.draining && !state.canary)
+                actions.push_back(SendCommand{
+                    ack_command(name, news.next().version(), false, "cannot be read by this release")});
+            state.acked = true;
         }
     }
-    held.next = std::move(next);
-    auto spoken_of = [&](std::uint64_t version) {
-        return (held.in_force && held.in_force->version == version) ||
-               (held.next && held.next->version == version);
+    state.next = std::move(next);
+    auto is_current = [&](std::uint64_t version) {
+        return (state.in_force && state.in_force->version == version) ||
+               (state.next && state.next->version == version);
     };
-    std::erase_if(held.verdicts, [&](const auto& v) { return !spoken_of(v.first); });
-    std::erase_if(held.reasons, [&](const auto& r) { return !spoken_of(r.first); });
-    for (const auto* document : {&held.in_force, &held.next}) {
-        if (!*document || held.verdicts.contains((*document)->version)) continue;
-        held.verdicts[(*document)->version];
-        actions.push_back(Check{**document});
+    std::erase_if(state.check_results, [&](const auto& v) { return !is_current(v.first); });
+    std::erase_if(state.nack_reasons, [&](const auto& r) { return !is_current(r.first); });
+    for (const auto* document : {&state.in_force, &state.next}) {
+        if (!*document || state.check_results.contains((*document)->version)) continue;
+        state.check_results[(*document)->version];
+        actions.push_back(CheckDocument{**document});
     }
 }
 
-void Holder::settle(TimePoint now, const std::string& name, Held& held, Actions& actions) {
-    auto taken = [&](const std::optional<Document>& document) {
-        auto verdict = document ? held.verdicts.find(document->version) : held.verdicts.end();
-        return verdict != held.verdicts.end() && verdict->second.value_or(false);
+void ConfigSubscriber::update_config(TimePoint now, const std::string& name, DocumentState& state,
+                                     Actions& actions) {
+    auto is_accepted = [&](const std::optional<Document>& document) {
+        auto result = document ? state.check_results.find(document->version) : state.check_results.end();
+        return result != state.check_results.end() && result->second.value_or(false);
     };
-    bool permitted = this->held(now) && held.told && taken(held.in_force);
+    bool permitted = has_session(now) && state.confirmed && is_accepted(state.in_force);
     // The keepers count a canary's end anew with each leader; a process holds it for its length at most.
-    bool canary = permitted && held.canary && taken(held.next);
-    if (canary && held.canary_version != held.next->version)
-        held.canary_version = held.next->version, held.canary_ends = now + held.next->scope->length;
-    canary &= now < held.canary_ends;
-    const std::optional<Document>& document = canary ? held.next : held.in_force;
+    bool canary = permitted && state.canary && is_accepted(state.next);
+    if (canary && state.canary_version != state.next->version)
+        state.canary_version = state.next->version,
+        state.canary_ends_at = now + state.next->canary_scope->duration;
+    canary &= now < state.canary_ends_at;
+    const std::optional<Document>& document = canary ? state.next : state.in_force;
     // What a version is never changes: where the same is acted on in the same way, nothing is to be handed
     // out anew.
-    ConfigMode mode = !permitted      ? without(held)
-                      : held.draining ? ConfigMode::Transitional
-                                      : ConfigMode::Full;
+    ConfigMode mode = !permitted       ? mode_without_lease(state)
+                      : state.draining ? ConfigMode::Transitional
+                                       : ConfigMode::Full;
     std::uint64_t version = document ? document->version : 0,
-                  beside = mode == ConfigMode::Transitional ? held.next_version : 0;
-    if (held.serial == 0
-            ? mode == ConfigMode::None
-            : held.permit.now.mode == mode && held.permit.now.version == version && held.beside == beside) {
-        if (permitted) held.permit.until = until_;
+                  transition_to = mode == ConfigMode::Transitional ? state.next_version : 0;
+    if (state.serial == 0 ? mode == ConfigMode::None
+                          : state.lease.current.mode == mode && state.lease.current.version == version &&
+                                state.transition_to == transition_to) {
+        if (permitted) state.lease.expires_at = expires_at_;
     } else {
-        EffectiveConfig acted{mode, version, {}};
-        bool part = held.permit.now.mode == ConfigMode::Transitional && mode == ConfigMode::KeepCurrent;
-        if (mode == ConfigMode::Transitional && held.next)
-            acted.content = shared(intersection(held.in_force->content, held.next->content));
-        else if (part)
-            acted.content = held.permit.now.content;
+        EffectiveConfig effective{mode, version, {}};
+        bool keeps_transitional =
+            state.lease.current.mode == ConfigMode::Transitional && mode == ConfigMode::KeepCurrent;
+        if (mode == ConfigMode::Transitional && state.next)
+            effective.content = shared(intersection(state.in_force->content, state.next->content));
+        else if (keeps_transitional)
+            effective.content = state.lease.current.content;
         else if (mode != ConfigMode::None)
-            acted.content = whole(*document, mode);
-        held.beside = beside;
-        apply(name, held, std::move(acted), canary ? held.canary_ends : TimePoint::max(), actions);
+            effective.content = content_for(*document, mode);
+        state.transition_to = transition_to;
+        apply_config(name, state, std::move(effective), canary ? state.canary_ends_at : TimePoint::max(),
+                     actions);
     }
-    if (this->held(now)) say(name, held, actions);
+    if (has_session(now)) send_commands(name, state, actions);
 }
 
 /// How to act without a permit. Whoever has a session and no word on a document must not go on with what
 /// others may have left.
-ConfigMode Holder::without(const Held& held) const {
-    if (!held.in_force) return ConfigMode::None;
-    switch (held.in_force->expiry_policy) {
+ConfigMode ConfigSubscriber::mode_without_lease(const DocumentState& state) const {
+    if (!state.in_force) return ConfigMode::None;
+    switch (state.in_force->expiry_policy) {
         case ExpiryPolicy::KeepCurrent:
-            return session_ == 0 && !patient_ ? ConfigMode::KeepCurrent : ConfigMode::Conservative;
+            return session_ == 0 && !in_startup_ ? ConfigMode::KeepCurrent : ConfigMode::Conservative;
         case ExpiryPolicy::Conservative:
             return ConfigMode::Conservative;
         case ExpiryPolicy::DenyAll:
@@ -225,7 +234,7 @@
     return ConfigMode::DenyAll;
 }
 
-std::shared_ptr<const Content> Holder::whole(const Document& document, ConfigMode mode) {
+std::shared_ptr<const Content> ConfigSubscriber::content_for(const Document& document, ConfigMode mode) {
     switch (mode) {
         case ConfigMode::Full:
         case ConfigMode::KeepCurrent:
@@ -237,59 +246,62 @@
     }
 }
 
-void Holder::apply(const std::string& name, Held& held, EffectiveConfig acted, TimePoint most,
-                   Actions& actions) {
-    Permit permit;
-    permit.now = permit.then = acted;
-    permit.until = until_, permit.most = most;
-    if (acted.mode == ConfigMode::Full || acted.mode == ConfigMode::Transitional) {
-        const Document& d = *held.in_force;
-        ConfigMode then = d.expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll
-                          : d.expiry_policy == ExpiryPolicy::KeepCurrent && !patient_
-                              ? ConfigMode::KeepCurrent
-                              : ConfigMode::Conservative;
+void ConfigSubscriber::apply_config(const std::string& name, DocumentState& state, EffectiveConfig effective,
+                                    TimePoint canary_ends_at, Actions& actions) {
+    ConfigLease lease;
+    lease.current = lease.after_expiry = effective;
+    lease.expires_at = expires_at_, lease.canary_ends_at = canary_ends_at;
+    if (effective.mode == ConfigMode::Full || effective.mode == ConfigMode::Transitional) {
+        const Document& d = *state.in_force;
+        ConfigMode expired_mode = d.expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll
+                                  : d.expiry_policy == ExpiryPolicy::KeepCurrent && !in_startup_
+                                      ? ConfigMode::KeepCurrent
+                                      : ConfigMode::Conservative;
         // A canary is kept by nobody beyond its end.
-        permit.then = {
-            then, d.version,
-            then == ConfigMode::KeepCurrent && acted.version == d.version ? acted.content : whole(d, then)};
+        lease.after_expiry = {expired_mode, d.version,
+                              expired_mode == ConfigMode::KeepCurrent && effective.version == d.version
+                                  ? effective.content
+                                  : content_for(d, expired_mode)};
     }
-    held.permit = permit;
-    held.serial = ++serial_;
-    actions.push_back(Apply{name, held.serial, std::move(permit)});
+    state.lease = lease;
+    state.serial = ++serial_;
+    actions.push_back(ApplyConfig{name, state.serial, std::move(lease)});
 }
 
-void Holder::say(const std::string& name, Held& held, Actions& actions) {
-    if (held.next && !held.draining && !held.canary && !held.said) {
-        auto verdict = held.verdicts.find(held.next->version);
-        if (verdict != held.verdicts.end() && verdict->second)
-            actions.push_back(
-                Say{said(name, held.next->version, *verdict->second, held.reasons[held.next->version])});
+void ConfigSubscriber::send_commands(const std::string& name, DocumentState& state, Actions& actions) {
+    if (state.next && !state.draining && !state.canary && !state.acked) {
+        auto result = state.check_results.find(state.next->version);
+        if (result != state.check_results.end() && result->second)
+            actions.push_back(SendCommand{ack_command(name, state.next->version, *result->second,
+                                                      state.nack_reasons[state.next->version])});
     }
-    bool old = held.permit.now.mode == ConfigMode::Full || held.permit.now.mode == ConfigMode::KeepCurrent;
-    if (held.draining && !held.gave_back && !old && held.switched == held.serial)
-        actions.push_back(Say{release_command(name, held.next_version)});
+    bool uses_old_version =
+        state.lease.current.mode == ConfigMode::Full || state.lease.current.mode == ConfigMode::KeepCurrent;
+    if (state.draining && !state.released && !uses_old_version && state.applied_serial == state.serial)
+        actions.push_back(SendCommand{release_command(name, state.next_version)});
 }
 
-void Holder::write(Actions& actions) const {
+void ConfigSubscriber::write_file(Actions& actions) const {
     std::vector<Document> all;
-    for (const auto& [name, held] : documents_)
-        if (held.in_force) all.push_back(*held.in_force);
-    actions.push_back(Write{file_octets(all)});
+    for (const auto& [name, state] : documents_)
+        if (state.in_force) all.push_back(*state.in_force);
+    actions.push_back(WriteFile{encode_file(all)});
 }
 
-void Holder::wake(TimePoint now, Actions& actions) const {
-    TimePoint at = held(now) ? until_ : patient_ ? patient_until_ : TimePoint::max();
-    if (held(now))
-        for (const auto& [name, held] : documents_)
-            if (held.canary && held.canary_ends > now) at = std::min(at, held.canary_ends);
-    if (at != TimePoint::max()) actions.push_back(WakeAt{at});
+void ConfigSubscriber::set_timer(TimePoint now, Actions& actions) const {
+    TimePoint at = has_session(now) ? expires_at_ : in_startup_ ? startup_ends_at_ : TimePoint::max();
+    if (has_session(now))
+        for (const auto& [name, state] : documents_)
+            if (state.canary && state.canary_ends_at > now) at = std::min(at, state.canary_ends_at);
+    if (at != TimePoint::max()) actions.push_back(SetTimer{at});
 }
 
-std::vector<Holder::Status> Holder::status(TimePoint now) const {
+std::vector<ConfigSubscriber::Status> ConfigSubscriber::status(TimePoint now) const {
     std::vector<Status> out;
-    for (const auto& [name, held] : documents_) {
-        const EffectiveConfig& acted = held.permit.at(now);
-        out.push_back({name, held.in_force ? held.in_force->version : 0, acted.mode, acted.version});
+    for (const auto& [name, state] : documents_) {
+        const EffectiveConfig& effective = state.lease.at(now);
+        out.push_back(
+            {name, state.in_force ? state.in_force->version : 0, effective.mode, effective.version});
     }
     return out;
 }
--- a/src/fleet/config_distribution/config_subscriber_thread.cpp
+++ b/src/fleet/config_distribution/config_subscriber_thread.cpp
@@ -16,66 +16,70 @@
 
 namespace asio = boost::asio;
 
-constexpr const char* kFile = "rules";
+constexpr const char* kFileName = "rules";
 
-void complain(const Failure& failure) {
+void log_failure(const Failure& failure) {
     log(LogLevel::Warn, "rules:", {{"fault", fleet::sentence(failure)}});
 }
 
 }  // namespace
 
-void EffectiveConfigs::take(const Apply& apply, TimePoint now) {
-    One& one = documents_[apply.document];
-    one.permit = apply.permit;
-    one.ended = now >= std::min(one.permit.until, one.permit.most);
-    changed_(apply.document, one.permit.at(now));
-    find_next();
+void EffectiveConfigs::apply(const ApplyConfig& action, TimePoint now) {
+    Entry& entry = documents_[action.document];
+    entry.lease = action.lease;
+    entry.expired = now >= std::min(entry.lease.expires_at, entry.lease.canary_ends_at);
+    on_change_(action.document, entry.lease.at(now));
+    update_next_expiry();
 }
-void EffectiveConfigs::take(const Extend& extend) {
-    for (auto& [name, one] : documents_)
-        if (!one.ended) one.permit.until = extend.until;
-    find_next();
+void EffectiveConfigs::extend(const ExtendLeases& action) {
+    for (auto& [name, entry] : documents_)
+        if (!entry.expired) entry.lease.expires_at = action.expires_at;
+    update_next_expiry();
 }
-void EffectiveConfigs::over(TimePoint now) {
-    for (auto& [name, one] : documents_)
-        if (!one.ended && now >= std::min(one.permit.until, one.permit.most)) {
-            one.ended = true;
-            changed_(name, one.permit.then);
+void EffectiveConfigs::expire(TimePoint now) {
+    for (auto& [name, entry] : documents_)
+        if (!entry.expired && now >= std::min(entry.lease.expires_at, entry.lease.canary_ends_at)) {
+            entry.expired = true;
+            on_change_(name, entry.lease.after_expiry);
         }
-    find_next();
+    update_next_expiry();
 }
-void EffectiveConfigs::find_next() {
-    next_ = TimePoint::max();
-    for (const auto& [name, one] : documents_)
-        if (!one.ended) next_ = std::min({next_, one.permit.until, one.permit.most});
+void EffectiveConfigs::update_next_expiry() {
+    next_expiry_ = TimePoint::max();
+    for (const auto& [name, entry] : documents_)
+        if (!entry.expired)
+            next_expiry_ = std::min({next_expiry_, entry.lease.expires_at, entry.lease.canary_ends_at});
 }
 
 ConfigSubscriberThread::ConfigSubscriberThread(coordinator::SessionThread& session, Clock clock,
-                                               std::string folder, EffectiveConfigs& acting, Calls calls)
+                                               std::string folder, EffectiveConfigs& configs,
+                                               Callbacks callbacks)
     : session_(session),
       clock_(clock),
-      acting_(acting),
-      calls_(std::move(calls)),
-      work_(io_.get_executor()),
-      wake_(io_) {
-    std::vector<Document> kept;
+      configs_(configs),
+      callbacks_(std::move(callbacks)),
+      work_guard_(io_.get_executor()),
+      timer_(io_) {
+    std::vector<Document> stored;
     if (!folder.empty()) {
         try {
             files_ = std::make_unique<store::PosixFiles>(folder);
-            auto read = load(*files_, kFile);
+            auto read = load(*files_, kFileName);
             if (const auto* bad = std::get_if<Failure>(&read))
-                complain(*bad);
+                log_failure(*bad);
             else
-                kept = std::get<0>(std::move(read));
+                stored = std::get<0>(std::move(read));
         } catch (const std::system_error& bad) {
-            complain({Error::FileFailed, bad.what()});
+            log_failure({Error::FileFailed, bad.what()});
         }
     }
-    std::erase_if(kept, [&](const Document& d) { return !calls_.check(d).empty(); });
+    std::erase_if(stored, [&](const Document& d) { return !callbacks_.check(d).empty(); });
     Actions actions;
-    holder_.emplace(HolderSettings{}, std::move(kept), clock_.now(), actions);
-    asio::post(io_, [this, actions = std::move(actions)]() mutable { carry_out(std::move(actions)); });
-    session_.add_listener([this](const coordinator::SessionThread::Notification& what) { told(what); });
+    subscriber_.emplace(ConfigSubscriberSettings{}, std::move(stored), clock_.now(), actions);
+    asio::post(io_, [this, actions = std::move(actions)]() mutable { execute(std::move(actions)); });
+    session_.add_listener([this](const coordinator::SessionThread::Notification& notification) {
+        on_notification(notification);
+    });
     thread_ = side_thread(io_, [](const std::exception& bad) {
         log(LogLevel::Error, "rules:", {{"fault", bad.what()}});
     });
@@ -88,92 +92,93 @@
 
 /// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
 /// next one.
-void ConfigSubscriberThread::told(const coordinator::SessionThread::Notification& what) {
-    if (const auto* held = std::get_if<coordinator::SessionRenewed>(&what)) {
-        if (!held_ || held_->session != held->session || !had_news_) renewed(*held, {});
-        held_ = *held;
-        had_news_ = false;
-    } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&what)) {
-        if (news->kind != "rules" || !held_) return;
-        had_news_ = true;
-        renewed(*held_, news->bytes);
+void ConfigSubscriberThread::on_notification(const coordinator::SessionThread::Notification& notification) {
+    if (const auto* renewal = std::get_if<coordinator::SessionRenewed>(&notification)) {
+        if (!last_renewal_ || last_renewal_->session != renewal->session || !had_update_)
+            on_renewal(*renewal, {});
+        last_renewal_ = *renewal;
+        had_update_ = false;
+    } else if (const auto* update = std::get_if<coordinator::SessionUpdate>(&notification)) {
+        if (update->kind != "rules" || !last_renewal_) return;
+        had_update_ = true;
+        on_renewal(*last_renewal_, update->bytes);
     } else {
-        held_.reset();
-        asio::post(io_, [this] { handle(Lost{}); });
+        last_renewal_.reset();
+        asio::post(io_, [this] { handle(SessionLost{}); });
     }
 }
 
-void ConfigSubscriberThread::renewed(const coordinator::SessionRenewed& held, std::string news) {
-    asio::post(io_, [this, held, news = std::move(news)] {
-        handle(Renewed{held.session, held.until, news});
+void ConfigSubscriberThread::on_renewal(const coordinator::SessionRenewed& renewal, std::string update) {
+    asio::post(io_, [this, renewal, update = std::move(update)] {
+        handle(LeaseRenewed{renewal.session, renewal.until, update});
     });
 }
 
 void ConfigSubscriberThread::handle(const Event& event) {
     Actions actions;
-    holder_->handle(clock_.now(), event, actions);
-    carry_out(std::move(actions));
+    subscriber_->handle(clock_.now(), event, actions);
+    execute(std::move(actions));
 }
 
-void ConfigSubscriberThread::carry_out(Actions actions) {
-    std::vector<std::variant<Apply, Extend>> to_act;
+void ConfigSubscriberThread::execute(Actions actions) {
+    std::vector<std::variant<ApplyConfig, ExtendLeases>> posted;
     for (Action& action : actions) {
-        if (auto* apply = std::get_if<Apply>(&action)) {
-            to_act.emplace_back(std::move(*apply));
-        } else if (auto* extend = std::get_if<Extend>(&action)) {
-            to_act.emplace_back(*extend);
-        } else if (auto* check = std::get_if<Check>(&action)) {
-            std::string bad = calls_.check(check->document);
+        if (auto* apply = std::get_if<ApplyConfig>(&action)) {
+            posted.emplace_back(std::move(*apply));
+        } else if (auto* extend = std::get_if<ExtendLeases>(&action)) {
+            posted.emplace_back(*extend);
+        } else if (auto* check = std::get_if<CheckDocument>(&action)) {
+            std::string bad = callbacks_.check(check->document);
             asio::post(io_, [this, name = check->document.name, version = check->document.version, bad] {
-                handle(Verdict{name, version, bad.empty(), bad});
+                handle(CheckCompleted{name, version, bad.empty(), bad});
             });
-        } else if (auto* say = std::get_if<Say>(&action)) {
-            session_.submit("rules", std::move(say->command),
+        } else if (auto* send = std::get_if<SendCommand>(&action)) {
+            session_.submit("rules", std::move(send->command),
                             [](coordinator::Error, const std::string&) {});  // the news say what came of it
-        } else if (auto* write = std::get_if<Write>(&action)) {
-            auto bad = files_ ? save(*files_, kFile, write->octets) : std::nullopt;
-            if (bad && !std::exchange(complained_, true)) complain(*bad);
-        } else if (auto* at = std::get_if<WakeAt>(&action)) {
-            wake_.expires_at(clock_.steady(at->at));
-            wake_.async_wait([this](boost::system::error_code stopped) {
-                if (!stopped) handle(Woken{});
+        } else if (auto* write = std::get_if<WriteFile>(&action)) {
+            auto bad = files_ ? save(*files_, kFileName, write->bytes) : std::nullopt;
+            if (bad && !std::exchange(file_error_logged_, true)) log_failure(*bad);
+        } else if (auto* at = std::get_if<SetTimer>(&action)) {
+            timer_.expires_at(clock_.steady(at->at));
+            timer_.async_wait([this](boost::system::error_code stopped) {
+                if (!stopped) handle(TimerFired{});
             });
         }
     }
-    if (!to_act.empty())
-        calls_.post([this, to_act = std::move(to_act)] {
-            for (const auto& one : to_act) {
-                if (const auto* apply = std::get_if<Apply>(&one)) {
-                    acting_.take(*apply, clock_.now());
-                    asio::post(io_, [this, serial = apply->serial] { handle(Switched{serial}); });
+    if (!posted.empty())
+        callbacks_.post([this, posted = std::move(posted)] {
+            for (const auto& entry : posted) {
+                if (const auto* apply = std::get_if<ApplyConfig>(&entry)) {
+                    configs_.apply(*apply, clock_.now());
+                    asio::post(io_, [this, serial = apply->serial] { handle(ConfigApplied{serial}); });
                 } else {
-                    acting_.take(std::get<Extend>(one));
+                    configs_.extend(std::get<ExtendLeases>(entry));
                 }
             }
         });
     std::string text =
         "# HELP ochrehub_rules_in_force Version of a document that is in force, as far as this node knows\n# "
         "TYPE ochrehub_rules_in_force gauge\n";
-    std::string acted =
+    std::string effective =
         "# HELP ochrehub_rules_acted Version that this node acts on, and how\n# TYPE ochrehub_rules_acted "
         "gauge\n";
-    for (const auto& s : holder_->status(clock_.now())) {
+    for (const auto& s : subscriber_->status(clock_.now())) {
         text +=
             "ochrehub_rules_in_force{document=\"" + s.document + "\"} " + std::to_string(s.in_force) + "\n";
-        acted += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" + std::string(name(s.mode)) +
-                 "\"} " + std::to_string(s.acted) + "\n";
+        effective += "ochrehub_rules_acted{document=\"" + s.document + "\",how=\"" +
+                     std::string(name(s.mode)) + "\"} " + std::to_string(s.effective_version) + "\n";
     }
-    acted +=
+    effective +=
         "# HELP ochrehub_rules_lapses_total Times that the permit to act on documents ended\n# TYPE "
         "ochrehub_rules_lapses_total counter\nochrehub_rules_lapses_total " +
-        std::to_string(holder_->lapses()) + "\n";
-    std::lock_guard lock(showing_);
-    shown_ = text + acted;
+        std::to_string(subscriber_->lease_expirations()) + "\n";
+    std::lock_guard lock(metrics_mutex_);
+    metrics_ = text + effective;
 }
 
-std::string ConfigSubscriberThread::figures() const {
-    std::lock_guard lock(showing_);
-    return shown_;
+std::string ConfigSubscriberThread::metrics() const {
+    std::lock_guard lock(metrics_mutex_);
+    return metrics_;
 }
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/config_subscriber_thread.h
+++ b/src/fleet/config_distribution/config_subscriber_thread.h
@@ -27,35 +27,35 @@
 public:
     /// Called where what is to be acted on has become another: by word of the holder, or since a permit is
     /// over.
-    using Changed = std::function<void(const std::string& document, const EffectiveConfig&)>;
-    explicit EffectiveConfigs(Changed changed) : changed_(std::move(changed)) {}
+    using ChangeCallback = std::function<void(const std::string& document, const EffectiveConfig&)>;
+    explicit EffectiveConfigs(ChangeCallback on_change) : on_change_(std::move(on_change)) {}
 
-    void take(const Apply& apply, TimePoint now);
-    void take(const Extend& extend);
+    void apply(const ApplyConfig& action, TimePoint now);
+    void extend(const ExtendLeases& action);
     /// The clock first: cheap where no permit has ended meanwhile.
-    void look(TimePoint now) {
-        if (now >= next_) over(now);
+    void check_expiry(TimePoint now) {
+        if (now >= next_expiry_) expire(now);
     }
-    TimePoint next() const { return next_; }  ///< when a permit ends
+    TimePoint next_expiry() const { return next_expiry_; }  ///< when a permit ends
 
 private:
-    struct One {
-        Permit permit;
-        bool ended = false;
+    struct Entry {
+        ConfigLease lease;
+        bool expired = false;
     };
-    void over(TimePoint now);
-    void find_next();
+    void expire(TimePoint now);
+    void update_next_expiry();
 
-    Changed changed_;
-    std::map<std::string, One> documents_;
-    TimePoint next_ = TimePoint::max();
+    ChangeCallback on_change_;
+    std::map<std::string, Entry> documents_;
+    TimePoint next_expiry_ = TimePoint::max();
 };
 
 class ConfigSubscriberThread {
 public:
     static constexpr std::size_t kDescriptors = 8;  ///< its loop's, the session's, the folder's
 
-    struct Calls {
+    struct Callbacks {
         /// Whether this node can act on it: empty, or why not. On the side's own thread.
         std::function<std::string(const Document&)> check;
         /// Runs what it is given on the acting loop, in order.
@@ -64,7 +64,7 @@
     /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not
     /// have been started.
     ConfigSubscriberThread(coordinator::SessionThread& session, Clock clock, std::string folder,
-                           EffectiveConfigs& acting, Calls calls);
+                           EffectiveConfigs& configs, Callbacks callbacks);
     ~ConfigSubscriberThread() { stop(); }
     /// Waits for its thread's end; nothing is said on the session any more. To be called before the session
     /// goes, which goes before this.
@@ -72,30 +72,30 @@
 
     /// For the metrics of the node: versions in force, how they are acted on, how often a permit ended. From
     /// any thread.
-    std::string figures() const;
+    std::string metrics() const;
 
 private:
-    void told(const coordinator::SessionThread::Notification& told);
-    void renewed(const coordinator::SessionRenewed& held, std::string news);
+    void on_notification(const coordinator::SessionThread::Notification& notification);
+    void on_renewal(const coordinator::SessionRenewed& renewal, std::string update);
     void handle(const Event& event);
-    void carry_out(Actions actions);
+    void execute(Actions actions);
 
     coordinator::SessionThread& session_;
     Clock clock_;
-    EffectiveConfigs& acting_;
-    Calls calls_;
+    EffectiveConfigs& configs_;
+    Callbacks callbacks_;
     std::unique_ptr<store::Files> files_;
     // On the session's thread.
-    std::optional<coordinator::SessionRenewed> held_;
-    bool had_news_ = false;
+    std::optional<coordinator::SessionRenewed> last_renewal_;
+    bool had_update_ = false;
     // On the side's.
     boost::asio::io_context io_{1};
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
-    boost::asio::steady_timer wake_;
-    std::optional<Holder> holder_;
-    bool complained_ = false;
-    mutable std::mutex showing_;
-    std::string shown_;
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
+    boost::asio::steady_timer timer_;
+    std::optional<ConfigSubscriber> subscriber_;
+    bool file_error_logged_ = false;
+    mutable std::mutex metrics_mutex_;
+    std::string metrics_;
     std::thread thread_;
 };
 
--- a/src/fleet/config_distribution/document.h
+++ b/src/fleet/config_distribution/document.h
@@ -17,10 +17,11 @@
 
 namespace ochrehub::config_distribution {
 
-inline constexpr std::size_t kContentMost =
+inline constexpr std::size_t kMaxContentBytes =
     256 << 10;  ///< octets of a content; with room for it in one message of a channel
-inline constexpr std::size_t kEntriesMost = 20'000, kNameMost = 64, kValueMost = 1024, kKeysMost = 16;
-inline constexpr std::uint64_t kRateMost = 1'000'000'000'000;  ///< thousandths of a request a second
+inline constexpr std::size_t kMaxEntries = 20'000, kMaxNameBytes = 64, kMaxValueBytes = 1024,
+                             kMaxKeysPerPartner = 16;
+inline constexpr std::uint64_t kMaxRate = 1'000'000'000'000;  ///< thousandths of a request a second
 
 enum class Kind : std::uint8_t { Limits = 1, Classes, Headers, Partners, Servers };
 enum class ConsistencyMode : std::uint8_t {
@@ -124,10 +125,10 @@
 /// Where a canary is acted on, and for how long: it ends by itself.
 struct CanaryScope {
     std::string zone, node;  ///< one of the two
-    Duration length{};
+    Duration duration{};
     friend bool operator==(const CanaryScope&, const CanaryScope&) = default;
 };
-inline constexpr Duration kCanaryMost{24 * 3600 * 1000.0};
+inline constexpr Duration kMaxCanaryDuration{24 * 3600 * 1000.0};
 
 struct Document {
     std::string name;
@@ -137,19 +138,19 @@
     ExpiryPolicy expiry_policy = ExpiryPolicy::Conservative;
     std::string proposer;
     std::uint64_t proposed_at_s = 0;  ///< seconds since 1970 by the proposer's clock: for people
-    std::optional<CanaryScope> scope;
+    std::optional<CanaryScope> canary_scope;
     std::uint64_t rollback_of = 0;  ///< a step back: the version whose content this is
     friend bool operator==(const Document&, const Document&) = default;
 };
 
 Kind kind(const Content& content);
 std::string_view name(Kind kind);
-std::optional<Kind> kind_named(std::string_view name);
+std::optional<Kind> kind_from_name(std::string_view name);
 std::string_view name(ConsistencyMode mode);
 std::string_view name(ExpiryPolicy expiry_policy);
 
 /// Lists are quick, as drains must not wait; whether something runs twice is strict.
-bool allowed(const Content& content, ConsistencyMode mode);
+bool is_mode_allowed(const Content& content, ConsistencyMode mode);
 bool is_valid_name(std::string_view name);
 
 /// Nothing where it is sound: sizes, doubles, values, sums; else what is wrong, and where in it.
@@ -169,15 +170,15 @@
 
 /// How the lists of one fleet join: who is out by hand is out, whatever discovery says; else discovery's
 /// word, else the static list's.
-Servers merge_lists(const Servers& list, const Servers& hand);
+Servers merge_lists(const Servers& list, const Servers& operator_list);
 
 /// Entries by name (header rules by their order), so that equal contents are equal octets.
 Content canonical(Content content);
 std::string encode(const Content& content);
 /// Nothing where the octets are not what `encode` gives for it: cut, changed, of an unknown kind or of a
 /// later release.
-std::optional<Content> decode(std::string_view octets);
-Digest digest(std::string_view octets);
+std::optional<Content> decode(std::string_view bytes);
+Digest digest(std::string_view bytes);
 
 /// One entry a line, `kind limits` first.
 std::string to_text(const Content& content);
--- a/src/fleet/config_distribution/document_file.cpp
+++ b/src/fleet/config_distribution/document_file.cpp
@@ -8,46 +8,46 @@
 
 namespace ochrehub::config_distribution {
 namespace {
-constexpr std::string_view kHead = "ochrehub rules 1\n";
+constexpr std::string_view kFileHeader = "ochrehub rules 1\n";
 }
 
-std::string file_octets(const std::vector<Document>& documents) {
-    wire::Kept kept;
-    for (const Document& d : documents) write(d, true, *kept.add_documents());
-    std::string body = kept.SerializeAsString();
+std::string encode_file(const std::vector<Document>& documents) {
+    wire::Kept stored;
+    for (const Document& d : documents) to_wire(d, true, *stored.add_documents());
+    std::string body = stored.SerializeAsString();
     Digest sum = digest(body);
-    return std::string(kHead).append(sum.begin(), sum.end()).append(body);
+    return std::string(kFileHeader).append(sum.begin(), sum.end()).append(body);
 }
 
-std::variant<std::vector<Document>, Failure> read_file(std::string_view octets) {
-    auto bad = [](std::string why) { return Failure{Error::FileDamaged, std::move(why)}; };
-    if (!octets.starts_with(kHead)) return bad("its first line");
-    octets.remove_prefix(kHead.size());
+std::variant<std::vector<Document>, Failure> decode_file(std::string_view bytes) {
+    auto damaged = [](std::string why) { return Failure{Error::FileDamaged, std::move(why)}; };
+    if (!bytes.starts_with(kFileHeader)) return damaged("its first line");
+    bytes.remove_prefix(kFileHeader.size());
     Digest sum{};
-    if (octets.size() < sum.size()) return bad("its end");
-    std::string_view body = octets.substr(sum.size());
+    if (bytes.size() < sum.size()) return damaged("its end");
+    std::string_view body = bytes.substr(sum.size());
     sum = digest(body);
-    if (!std::equal(sum.begin(), sum.end(), octets.begin(),
+    if (!std::equal(sum.begin(), sum.end(), bytes.begin(),
                     [](std::uint8_t a, char b) { return char(a) == b; }))
-        return bad("its digest");
-    wire::Kept kept;
-    if (!kept.ParseFromArray(body.data(), int(body.size())) ||
-        std::size_t(kept.documents_size()) > kDocumentsMost)
-        return bad("its documents");
+        return damaged("its digest");
+    wire::Kept stored;
+    if (!stored.ParseFromArray(body.data(), int(body.size())) ||
+        std::size_t(stored.documents_size()) > kMaxDocuments)
+        return damaged("its documents");
     std::vector<Document> out;
-    for (const auto& d : kept.documents()) {
-        auto document = read(d);
+    for (const auto& d : stored.documents()) {
+        auto document = from_wire(d);
         if (!document || validate(document->content))
-            return bad("document `" + d.name().substr(0, kNameMost) + "`");
+            return damaged("document `" + d.name().substr(0, kMaxNameBytes) + "`");
         out.push_back(std::move(*document));
     }
     return out;
 }
 
-std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view octets) {
+std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view bytes) {
     std::string fresh = name + ".new";
     store::Error why = files.remove(fresh);  // what an earlier attempt left
-    if (why == 0 || why == ENOENT) why = files.append(fresh, octets);
+    if (why == 0 || why == ENOENT) why = files.append(fresh, bytes);
     if (why == 0) why = files.sync(fresh);
     if (why == 0) why = files.rename(fresh, name);
     if (why == 0) why = files.sync_names();
@@ -56,11 +56,11 @@
 }
 
 std::variant<std::vector<Document>, Failure> load(store::Files& files, const std::string& name) {
-    std::string octets;
-    store::Error why = files.read(name, octets);
+    std::string bytes;
+    store::Error why = files.read(name, bytes);
     if (why == ENOENT) return std::vector<Document>{};
     if (why != 0) return Failure{Error::FileFailed, name + ": errno " + std::to_string(why)};
-    auto read = read_file(octets);
+    auto read = decode_file(bytes);
     if (auto* bad = std::get_if<Failure>(&read)) bad->about = name + ": " + bad->about;
     return read;
 }
--- a/src/fleet/config_distribution/document_file.h
+++ b/src/fleet/config_distribution/document_file.h
@@ -12,11 +12,11 @@
 namespace ochrehub::config_distribution {
 
 /// `ochrehub rules 1`, a line's end, the digest of what follows, the documents.
-std::string file_octets(const std::vector<Document>& documents);
-std::variant<std::vector<Document>, Failure> read_file(std::string_view octets);
+std::string encode_file(const std::vector<Document>& documents);
+std::variant<std::vector<Document>, Failure> decode_file(std::string_view bytes);
 
 /// Blocks as long as the disk does. Nothing where it lasts. The old file stands until the new one does.
-std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view octets);
+std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view bytes);
 /// No file: no documents.
 std::variant<std::vector<Document>, Failure> load(store::Files& files, const std::string& name);
 
--- a/src/fleet/config_distribution/document_text.cpp
+++ b/src/fleet/config_distribution/document_text.cpp
@@ -7,13 +7,14 @@
 namespace ochrehub::config_distribution {
 namespace {
 
-constexpr std::string_view kActs[] = {"set", "add", "remove"}, kStandings[] = {"held", "open", "shut"},
-                           kUses[] = {"rest", "in", "out", "last"},
-                           kSources[] = {"static", "hand", "discovery"},
-                           kRepeats[] = {"unsaid", "may", "may-not"};
+constexpr std::string_view kActionNames[] = {"set", "add", "remove"},
+                           kPartnerStatusNames[] = {"held", "open", "shut"},
+                           kServerUseNames[] = {"rest", "in", "out", "last"},
+                           kListSourceNames[] = {"static", "hand", "discovery"},
+                           kRetryRuleNames[] = {"unsaid", "may", "may-not"};
 
 /// Requests a second, with the thousandths that there are.
-std::string rate(std::uint64_t thousandths) {
+std::string format_rate(std::uint64_t thousandths) {
     std::string out = std::to_string(thousandths / 1000);
     if (thousandths % 1000 != 0) {
         std::string part = std::to_string(1000 + thousandths % 1000).substr(1);
@@ -23,44 +24,44 @@
     return out;
 }
 
-void lines(const Limits& c, std::string& out) {
-    if (c.budget != 0) out += "budget " + rate(c.budget) + "\n";
+void append_lines(const Limits& c, std::string& out) {
+    if (c.budget != 0) out += "budget " + format_rate(c.budget) + "\n";
     for (const Limit& l : c.limits)
-        out += "limit " + l.name + " rate " + rate(l.rate) + " burst " + std::to_string(l.burst) + " floor " +
-               rate(l.floor) + "\n";
+        out += "limit " + l.name + " rate " + format_rate(l.rate) + " burst " + std::to_string(l.burst) +
+               " floor " + format_rate(l.floor) + "\n";
 }
-void lines(const Classes& c, std::string& out) {
+void append_lines(const Classes& c, std::string& out) {
     for (const ClassRule& r : c.classes)
         out.append("class " + r.name + " repeat ")
-            .append(kRepeats[std::size_t(r.retry)])
+            .append(kRetryRuleNames[std::size_t(r.retry)])
             .append(" attempts " + std::to_string(r.max_attempts) + "\n");
 }
-void lines(const Headers& c, std::string& out) {
+void append_lines(const Headers& c, std::string& out) {
     for (const HeaderRule& r : c.rules) {
-        out.append(kActs[std::size_t(r.action)]).append(" " + r.name);
+        out.append(kActionNames[std::size_t(r.action)]).append(" " + r.name);
         if (r.action != HeaderAction::Remove) out += " " + r.value;
         out += "\n";
     }
 }
-void lines(const Partners& c, std::string& out) {
+void append_lines(const Partners& c, std::string& out) {
     for (const Partner& p : c.partners) {
-        out.append("partner " + p.name + " ").append(kStandings[std::size_t(p.status)]);
+        out.append("partner " + p.name + " ").append(kPartnerStatusNames[std::size_t(p.status)]);
         for (const std::string& key : p.keys) out += " key " + key;
         out += "\n";
     }
 }
-void lines(const Servers& c, std::string& out) {
-    out.append("source ").append(kSources[std::size_t(c.source)]).append("\n");
+void append_lines(const Servers& c, std::string& out) {
+    out.append("source ").append(kListSourceNames[std::size_t(c.source)]).append("\n");
     if (c.revision != 0) out += "revision " + std::to_string(c.revision) + "\n";
     for (const Server& s : c.servers) {
-        out.append("server " + s.name + " ").append(kUses[std::size_t(s.use)]);
+        out.append("server " + s.name + " ").append(kServerUseNames[std::size_t(s.use)]);
         if (!s.zone.empty()) out += " zone " + s.zone;
         out += "\n";
     }
 }
 
 /// The words of a line, one after the other.
-struct Words {
+struct WordReader {
     std::string_view rest;
     std::string_view next() {
         rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
@@ -68,103 +69,104 @@
         rest.remove_prefix(word.size());
         return word;
     }
-    bool end() const { return rest.find_first_not_of(' ') == rest.npos; }
+    bool at_end() const { return rest.find_first_not_of(' ') == rest.npos; }
     /// All that is left, without blanks around it.
-    std::string_view all() {
+    std::string_view remainder() {
         rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
         rest = rest.substr(0, rest.find_last_not_of(' ') + 1);
         return std::exchange(rest, {});
     }
 };
 
-bool number(std::string_view word, std::uint64_t& into) {
+bool parse_number(std::string_view word, std::uint64_t& into) {
     auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), into);
     return error == std::errc{} && end == word.data() + word.size();
 }
-bool thousandths(std::string_view word, std::uint64_t& into) {
+bool parse_thousandths(std::string_view word, std::uint64_t& into) {
     std::size_t dot = word.find('.');
     std::uint64_t whole = 0, part = 0;
-    if (!number(word.substr(0, dot), whole) || whole > kRateMost) return false;
+    if (!parse_number(word.substr(0, dot), whole) || whole > kMaxRate) return false;
     if (dot != word.npos) {
         std::string digits(word.substr(dot + 1));
         if (digits.empty() || digits.size() > 3) return false;
         digits.resize(3, '0');
-        if (!number(digits, part)) return false;
+        if (!parse_number(digits, part)) return false;
     }
     into = whole * 1000 + part;
     return true;
 }
 template <class Enum, std::size_t N>
-bool named(std::string_view word, const std::string_view (&names)[N], Enum& into) {
+bool parse_enum(std::string_view word, const std::string_view (&names)[N], Enum& into) {
     for (std::size_t i = 0; i < N; ++i)
         if (names[i] == word) return into = Enum(i), true;
     return false;
 }
 
 /// One line into the content; false: it is not one of its kind.
-bool take(Limits& c, std::string_view first, Words& words) {
-    if (first == "budget") return c.budget == 0 && thousandths(words.next(), c.budget) && words.end();
+bool parse_line(Limits& c, std::string_view first, WordReader& words) {
+    if (first == "budget")
+        return c.budget == 0 && parse_thousandths(words.next(), c.budget) && words.at_end();
     if (first != "limit") return false;
     Limit l;
     l.name = words.next();
-    while (!words.end()) {
+    while (!words.at_end()) {
         std::string_view key = words.next(), value = words.next();
-        if (!(key == "rate"    ? thousandths(value, l.rate)
-              : key == "burst" ? number(value, l.burst)
-                               : key == "floor" && thousandths(value, l.floor)))
+        if (!(key == "rate"    ? parse_thousandths(value, l.rate)
+              : key == "burst" ? parse_number(value, l.burst)
+                               : key == "floor" && parse_thousandths(value, l.floor)))
             return false;
     }
     c.limits.push_back(std::move(l));
     return true;
 }
-bool take(Classes& c, std::string_view first, Words& words) {
+bool parse_line(Classes& c, std::string_view first, WordReader& words) {
     if (first != "class") return false;
     ClassRule r;
     r.name = words.next();
-    while (!words.end()) {
+    while (!words.at_end()) {
         std::string_view key = words.next(), value = words.next();
         std::uint64_t attempts = 0;
-        if (key == "repeat" ? !named(value, kRepeats, r.retry)
-                            : key != "attempts" || !number(value, attempts) || attempts > 1000)
+        if (key == "repeat" ? !parse_enum(value, kRetryRuleNames, r.retry)
+                            : key != "attempts" || !parse_number(value, attempts) || attempts > 1000)
             return false;
         if (key == "attempts") r.max_attempts = std::uint32_t(attempts);
     }
     c.classes.push_back(std::move(r));
     return true;
 }
-bool take(Headers& c, std::string_view first, Words& words) {
+bool parse_line(Headers& c, std::string_view first, WordReader& words) {
     HeaderRule r;
-    if (!named(first, kActs, r.action)) return false;
+    if (!parse_enum(first, kActionNames, r.action)) return false;
     r.name = words.next();
-    r.value = words.all();
+    r.value = words.remainder();
     c.rules.push_back(std::move(r));
     return true;
 }
-bool take(Partners& c, std::string_view first, Words& words) {
+bool parse_line(Partners& c, std::string_view first, WordReader& words) {
     if (first != "partner") return false;
     Partner p;
     p.name = words.next();
-    if (!named(words.next(), kStandings, p.status)) return false;
-    while (!words.end()) {
+    if (!parse_enum(words.next(), kPartnerStatusNames, p.status)) return false;
+    while (!words.at_end()) {
         if (words.next() != "key") return false;
         p.keys.emplace_back(words.next());
     }
     c.partners.push_back(std::move(p));
     return true;
 }
-bool take(Servers& c, std::string_view first, Words& words) {
-    if (first == "source") return named(words.next(), kSources, c.source) && words.end();
-    if (first == "revision") return number(words.next(), c.revision) && words.end();
+bool parse_line(Servers& c, std::string_view first, WordReader& words) {
+    if (first == "source") return parse_enum(words.next(), kListSourceNames, c.source) && words.at_end();
+    if (first == "revision") return parse_number(words.next(), c.revision) && words.at_end();
     if (first != "server") return false;
     Server s;
     s.name = words.next();
-    if (!named(words.next(), kUses, s.use)) return false;
-    if (!words.end()) {
+    if (!parse_enum(words.next(), kServerUseNames, s.use)) return false;
+    if (!words.at_end()) {
         if (words.next() != "zone") return false;
         s.zone = words.next();
     }
     c.servers.push_back(std::move(s));
-    return words.end();
+    return words.at_end();
 }
 
 }  // namespace
@@ -172,12 +174,12 @@
 std::string to_text(const Content& content) {
     std::string out("kind ");
     out.append(name(kind(content))).append("\n");
-    std::visit([&](const auto& c) { lines(c, out); }, canonical(content));
+    std::visit([&](const auto& c) { append_lines(c, out); }, canonical(content));
     return out;
 }
 
 std::variant<Content, Failure> parse_text(std::string_view text) {
-    if (text.size() > 2 * kContentMost)
+    if (text.size() > 2 * kMaxContentBytes)
         return Failure{Error::TooLong, std::to_string(text.size()) + " octets of text"};
     std::optional<Content> content;
     for (std::size_t line = 1; !text.empty(); ++line) {
@@ -185,7 +187,7 @@
         std::string_view whole = text.substr(0, end);
         text.remove_prefix(end == text.npos ? text.size() : end + 1);
         if (!whole.empty() && whole.back() == '\r') whole.remove_suffix(1);
-        Words words{whole};
+        WordReader words{whole};
         std::string_view first = words.next();
         if (first.empty() || first.front() == '#') continue;
         auto where = [&] {
@@ -193,8 +195,8 @@
         };
         if (!content) {
             if (first != "kind") return Failure{Error::Malformed, where() + ": `kind` comes first"};
-            auto found = kind_named(words.next());
-            if (!found || !words.end()) return Failure{Error::UnknownKind, where()};
+            auto found = kind_from_name(words.next());
+            if (!found || !words.at_end()) return Failure{Error::UnknownKind, where()};
             switch (*found) {
                 case Kind::Limits:
                     content = Limits{};
@@ -212,7 +214,7 @@
                     content = Servers{};
                     break;
             }
-        } else if (!std::visit([&](auto& c) { return take(c, first, words); }, *content)) {
+        } else if (!std::visit([&](auto& c) { return parse_line(c, first, words); }, *content)) {
             return Failure{Error::Malformed, where()};
         }
     }
--- a/src/fleet/config_distribution/error.cpp
+++ b/src/fleet/config_distribution/error.cpp
@@ -47,7 +47,7 @@
         {"agreement.file-failed", "could not be written or read", true,
          "free room, or correct the folder's rights"},
     };
-    static_assert(std::size(kRows) == kErrors);
+    static_assert(std::size(kRows) == kErrorCount);
     return kRows[std::size_t(error)];
 }
 
--- a/src/fleet/config_distribution/error.h
+++ b/src/fleet/config_distribution/error.h
@@ -33,7 +33,7 @@
     FileDamaged,
     FileFailed,
 };
-inline constexpr std::size_t kErrors = 24;
+inline constexpr std::size_t kErrorCount = 24;
 
 const fleet::ErrorRow& row(Error error);
 using Failure = fleet::Failure<Error>;
--- a/src/fleet/config_distribution/max_inconsistency.cpp
+++ b/src/fleet/config_distribution/max_inconsistency.cpp
@@ -4,23 +4,23 @@
 
 namespace ochrehub::config_distribution {
 
-LeaseTiming lease_timing(Duration lease, std::optional<Duration> stated) {
-    return {lease, lease / 100 + Duration{50}, 0.01, stated};
+LeaseTiming lease_timing(Duration lease, std::optional<Duration> requested) {
+    return {lease, lease / 100 + Duration{50}, 0.01, requested};
 }
 
-Duration max_inconsistency(const LeaseTiming& t, ConsistencyMode mode) {
+Duration max_inconsistency(const LeaseTiming& timing, ConsistencyMode mode) {
     if (mode == ConsistencyMode::Strict) return Duration{0};
-    return (t.lease - t.margin) * (1 + t.drift);
+    return (timing.lease - timing.margin) * (1 + timing.max_clock_drift);
 }
 
-std::optional<Failure> validate(const LeaseTiming& t) {
+std::optional<Failure> validate(const LeaseTiming& timing) {
     auto ms = [](Duration d) { return std::to_string(std::llround(std::ceil(d.count()))) + " ms"; };
-    Duration held = (t.lease - t.margin) * (1 + t.drift);
-    if (held > t.lease || t.margin >= t.lease)
-        return Failure{Error::Margin, "lease " + ms(t.lease) + ", margin " + ms(t.margin)};
-    if (t.stated && *t.stated < held)
-        return Failure{Error::StatedTime,
-                       ms(*t.stated) + " with a lease of " + ms(t.lease) + ", which needs " + ms(held)};
+    Duration longest = (timing.lease - timing.margin) * (1 + timing.max_clock_drift);
+    if (longest > timing.lease || timing.margin >= timing.lease)
+        return Failure{Error::Margin, "lease " + ms(timing.lease) + ", margin " + ms(timing.margin)};
+    if (timing.requested && *timing.requested < longest)
+        return Failure{Error::StatedTime, ms(*timing.requested) + " with a lease of " + ms(timing.lease) +
+                                              ", which needs " + ms(longest)};
     return {};
 }
 
--- a/src/fleet/config_distribution/max_inconsistency.h
+++ b/src/fleet/config_distribution/max_inconsistency.h
@@ -12,11 +12,11 @@
     Duration lease{3000};
     Duration margin{
         80};  ///< how much earlier a process takes its session for over: a hundredth of the lease and 50 ms
-    double drift = 0.01;             ///< how far apart two monotonic clocks may run
-    std::optional<Duration> stated;  ///< what operators ask for, of quick documents
+    double max_clock_drift = 0.01;      ///< how far apart two monotonic clocks may run
+    std::optional<Duration> requested;  ///< what operators ask for, of quick documents
 };
 /// With the margin that a session of this lease has.
-LeaseTiming lease_timing(Duration lease, std::optional<Duration> stated = {});
+LeaseTiming lease_timing(Duration lease, std::optional<Duration> requested = {});
 
 /// Strict: zero. Quick: what the lease of a process is that was renewed just before the next version was in
 /// force, and hears nothing any more; where all is well, a renewal and its round trip. A canary of a quick
--- a/src/fleet/config_distribution/wire_codec.h
+++ b/src/fleet/config_distribution/wire_codec.h
@@ -10,10 +10,10 @@
 namespace ochrehub::config_distribution {
 
 /// With or without its content; its digest always.
-void write(const Document& document, bool content, wire::Document& into);
+void to_wire(const Document& document, bool with_content, wire::Document& into);
 /// Nothing where name, mode, scope or content are none. `empty_content`: a content that is left out is taken
 /// as Limits{}.
-std::optional<Document> read(const wire::Document& from, bool empty_content = false);
-std::string digest_octets(const Content& content);
+std::optional<Document> from_wire(const wire::Document& from, bool empty_content = false);
+std::string content_digest(const Content& content);
 
 }  // namespace ochrehub::config_distribution
--- a/tests/fleet/config_distribution_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -18,14 +18,14 @@
 
 using namespace std::chrono_literals;
 
-std::set<Error>& seen() {
+std::set<Error>& seen_errors() {
     static std::set<Error> all;
     return all;
 }
 /// Whether it failed so; notes that this error was caused.
 testing::AssertionResult is(const std::optional<Failure>& failure, Error error) {
     if (!failure) return testing::AssertionFailure() << "no failure";
-    seen().insert(failure->error);
+    seen_errors().insert(failure->error);
     if (failure->error == error && !failure->about.empty()) return testing::AssertionSuccess();
     return testing::AssertionFailure() << fleet::sentence(*failure);
 }
@@ -38,7 +38,7 @@
 }
 
 /// Any sound content of a kind, over so few names that two of them meet.
-Content drawn(std::mt19937_64& random, Kind kind) {
+Content random_content(std::mt19937_64& random, Kind kind) {
     auto below = [&](std::uint64_t n) { return random() % n; };
     auto names = [&] {
         std::vector<std::string> out;
@@ -92,17 +92,17 @@
     }
     return Limits{};
 }
-constexpr Kind kKinds[] = {Kind::Limits, Kind::Classes, Kind::Headers, Kind::Partners, Kind::Servers};
+constexpr Kind kAllKinds[] = {Kind::Limits, Kind::Classes, Kind::Headers, Kind::Partners, Kind::Servers};
 
 // ---- Documents
 
-TEST(Document, WhatContradicts) {
+TEST(Document, ConflictsOfEachKind) {
     auto servers = [](ListSource source, std::vector<Server> all) {
         return Content(Servers{source, 0, std::move(all)});
     };
     struct Row {
         Content a, b;
-        bool clash;
+        bool conflict;
     } rows[] = {
         {limits(400, 600), limits(500, 500), true},  // 500 and 600 pass 1000
         {limits(400, 500), limits(500, 400), false},
@@ -128,21 +128,22 @@
         {servers(ListSource::Operator, {{"s", ServerUse::Out, ""}}), limits(1, 1), false},
     };
     for (const Row& row : rows) {
-        EXPECT_EQ(conflicts(row.a, row.b), row.clash) << to_text(row.a) << to_text(row.b);
-        EXPECT_EQ(conflicts(row.b, row.a), row.clash);
+        EXPECT_EQ(conflicts(row.a, row.b), row.conflict) << to_text(row.a) << to_text(row.b);
+        EXPECT_EQ(conflicts(row.b, row.a), row.conflict);
     }
 }
 
-TEST(Document, PartsContradictNothing) {
-    std::size_t clashes = 0, followed = 0;
+TEST(Document, PartialContentsConflictWithNothing) {
+    std::size_t conflict_count = 0, successor_count = 0;
     EXPECT_TRUE(rc::check([&](std::uint64_t seed) {
         std::mt19937_64 random(seed);
-        for (Kind kind : kKinds) {
-            Content a = drawn(random, kind), b = drawn(random, kind), c = drawn(random, kind);
+        for (Kind kind : kAllKinds) {
+            Content a = random_content(random, kind), b = random_content(random, kind),
+                    c = random_content(random, kind);
             RC_ASSERT(!validate(a));
             RC_ASSERT(conflicts(a, b) == conflicts(b, a));
             RC_ASSERT(!conflicts(a, a));
-            clashes += conflicts(a, b);
+            conflict_count += conflicts(a, b);
             if (const auto* s = std::get_if<Servers>(&a))
                 std::get<Servers>(b).source = std::get<Servers>(c).source = s->source;
             for (const Content* x : {&a, &b}) {
@@ -154,33 +155,33 @@
             for (const Content& part : {conservative_subset(a), deny_all(a)}) {
                 RC_ASSERT(!conflicts(part, a));
                 if (check_successor(a, b)) continue;
-                ++followed;
+                ++successor_count;
                 RC_ASSERT(!conflicts(part, b));
                 if (!check_successor(b, c)) RC_ASSERT(!conflicts(part, c));
             }
         }
     }));
-    EXPECT_GT(clashes, 50u);
-    EXPECT_GT(followed, 50u);
+    EXPECT_GT(conflict_count, 50u);
+    EXPECT_GT(successor_count, 50u);
 }
 
-TEST(Document, OctetsAndText) {
+TEST(Document, BytesAndTextRoundTrip) {
     EXPECT_TRUE(rc::check([](std::uint64_t seed) {
         std::mt19937_64 random(seed);
-        for (Kind kind : kKinds) {
-            Content a = drawn(random, kind), b = drawn(random, kind);
+        for (Kind kind : kAllKinds) {
+            Content a = random_content(random, kind), b = random_content(random, kind);
             RC_ASSERT(decode(encode(a)) == canonical(a));
             auto read = parse_text(to_text(a));
             RC_ASSERT(std::get<Content>(read) == canonical(a));
             RC_ASSERT((digest(encode(a)) == digest(encode(b))) == (canonical(a) == canonical(b)));
             RC_ASSERT(diff(a, b).empty() == (canonical(a) == canonical(b)));
-            std::string octets = encode(a);  // cut or changed: another content, or none; never out of bounds
-            for (std::size_t i = 0; i < octets.size(); ++i) {
-                if (auto cut = decode(std::string_view(octets).substr(0, i)))
-                    RC_ASSERT(encode(*cut) == octets.substr(0, i));
-                octets[i] ^= char(1 << seed % 8);
-                if (auto other = decode(octets)) RC_ASSERT(encode(*other) == octets);
-                octets[i] ^= char(1 << seed % 8);
+            std::string bytes = encode(a);  // cut or changed: another content, or none; never out of bounds
+            for (std::size_t i = 0; i < bytes.size(); ++i) {
+                if (auto cut = decode(std::string_view(bytes).substr(0, i)))
+                    RC_ASSERT(encode(*cut) == bytes.substr(0, i));
+                bytes[i] ^= char(1 << seed % 8);
+                if (auto other = decode(bytes)) RC_ASSERT(encode(*other) == bytes);
+                bytes[i] ^= char(1 << seed % 8);
             }
         }
     }));
@@ -188,7 +189,7 @@
               "- limit a rate 1.5 burst 5 floor 0.01\n+ limit a rate 1 burst 5 floor 0.01\n");
 }
 
-TEST(Document, WrongContentsNameThePlace) {
+TEST(Document, InvalidContentNamesTheLine) {
     auto bad = [](std::string text) { return failure(parse_text(text)); };
     EXPECT_TRUE(is(bad("kind weather\n"), Error::UnknownKind));
     EXPECT_TRUE(is(bad(""), Error::Malformed));
@@ -211,21 +212,21 @@
     EXPECT_FALSE(decode(std::string(10 << 20, '\n')));
 }
 
-TEST(Document, ListsJoin) {
+TEST(Document, OperatorListOverridesDiscovery) {
     Servers list{ListSource::Discovery,
                  7,
                  {{"a", ServerUse::In, ""}, {"b", ServerUse::In, ""}, {"c", ServerUse::Out, ""}}};
-    Servers hand{ListSource::Operator, 0, {{"a", ServerUse::Out, ""}, {"c", ServerUse::In, ""}}};
-    Servers both = merge_lists(list, hand);
-    EXPECT_EQ(both.servers[0].use, ServerUse::Out);  // by hand, whatever discovery says
-    EXPECT_EQ(both.servers[1].use, ServerUse::In);
-    EXPECT_EQ(both.servers[2].use, ServerUse::Out);  // by hand nothing is put in that discovery has let go
-    both = merge_lists(list, std::get<Servers>(conservative_subset(hand)));
-    EXPECT_EQ(both.servers[0].use, ServerUse::Out);
-    EXPECT_EQ(both.servers[1].use, ServerUse::LastResort);
+    Servers operator_list{ListSource::Operator, 0, {{"a", ServerUse::Out, ""}, {"c", ServerUse::In, ""}}};
+    Servers merged = merge_lists(list, operator_list);
+    EXPECT_EQ(merged.servers[0].use, ServerUse::Out);  // by hand, whatever discovery says
+    EXPECT_EQ(merged.servers[1].use, ServerUse::In);
+    EXPECT_EQ(merged.servers[2].use, ServerUse::Out);  // by hand nothing is put in that discovery has let go
+    merged = merge_lists(list, std::get<Servers>(conservative_subset(operator_list)));
+    EXPECT_EQ(merged.servers[0].use, ServerUse::Out);
+    EXPECT_EQ(merged.servers[1].use, ServerUse::LastResort);
 }
 
-TEST(StatedTime, IsWhatTheSettingsHold) {
+TEST(MaxInconsistency, FollowsFromLeaseTiming) {
     EXPECT_EQ(max_inconsistency(lease_timing(3000ms), ConsistencyMode::Strict), 0ms);
     EXPECT_NEAR(max_inconsistency(lease_timing(3000ms), ConsistencyMode::Bounded).count(), 2949.2, 0.1);
     EXPECT_FALSE(validate(lease_timing(3000ms, 3000ms)));
@@ -235,28 +236,28 @@
 
 // ---- The machine
 
-struct Keepers {
-    ConfigStateMachine machine;
-    ConfigResponse ask(const std::string& command, coordinator::SessionId session = 0) {
+struct StateMachineFixture {
+    ConfigStateMachine state_machine;
+    ConfigResponse apply(const std::string& command, coordinator::SessionId session = 0) {
         // Every state passes through a snapshot: what is not in it would show.
         ConfigStateMachine other;
-        EXPECT_TRUE(other.restore(1, machine.snapshot()));
-        EXPECT_EQ(other.snapshot(), machine.snapshot());
-        std::string answer = machine.apply({session, command});
-        EXPECT_EQ(other.apply({session, command}), answer);
-        EXPECT_EQ(other.snapshot(), machine.snapshot());
-        auto read = decode_response(answer);
+        EXPECT_TRUE(other.restore(1, state_machine.snapshot()));
+        EXPECT_EQ(other.snapshot(), state_machine.snapshot());
+        std::string response = state_machine.apply({session, command});
+        EXPECT_EQ(other.apply({session, command}), response);
+        EXPECT_EQ(other.snapshot(), state_machine.snapshot());
+        auto read = decode_response(response);
         EXPECT_TRUE(read);
         return read.value_or(ConfigResponse{});
     }
     ConfigResponse propose(Content content, std::uint64_t base,
                            ConsistencyMode mode = ConsistencyMode::Strict, std::string name = "rates",
                            std::uint64_t token = 0) {
-        return ask(config_distribution::propose(
-            {as(std::move(content), mode, std::move(name)), base, token, true, 30s}));
+        return apply(config_distribution::propose_command(
+            {document(std::move(content), mode, std::move(name)), base, token, true, 30s}));
     }
-    static Document as(Content content, ConsistencyMode mode = ConsistencyMode::Strict,
-                       std::string name = "rates") {
+    static Document document(Content content, ConsistencyMode mode = ConsistencyMode::Strict,
+                             std::string name = "rates") {
         return {std::move(name),
                 0,
                 std::move(content),
@@ -268,153 +269,160 @@
                 0};
     }
     void join(coordinator::SessionId id, const std::string& name, const std::string& zone) {
-        machine.session_opened(id, name, zone);
-        EXPECT_TRUE(is(ask(said("rates", 1, true, ""), id).failure, Error::Unknown));  // not one that attends
-        EXPECT_EQ(machine.session_update(id), "");
-        ask(subscribe_command(), id);
+        state_machine.session_opened(id, name, zone);
+        EXPECT_TRUE(is(apply(ack_command("rates", 1, true, ""), id).failure,
+                       Error::Unknown));  // not one that attends
+        EXPECT_EQ(state_machine.session_update(id), "");
+        apply(subscribe_command(), id);
     }
-    ConfigResponse look(const std::string& name) {
-        return decode_response(machine.query(status_query(name))).value_or(ConfigResponse{});
+    ConfigResponse query(const std::string& name) {
+        return decode_response(state_machine.query(status_query(name))).value_or(ConfigResponse{});
     }
     DocumentStatus status(const std::string& name = "rates") {
-        auto answer = look(name);
-        return answer.documents.empty() ? DocumentStatus{} : answer.documents.front();
+        auto response = query(name);
+        return response.documents.empty() ? DocumentStatus{} : response.documents.front();
     }
-    void over(Duration = {}) {
+    void expire_timeout(Duration = {}) {
         std::vector<coordinator::Timeout> armed;
-        machine.timeouts(armed);
+        state_machine.timeouts(armed);
         ASSERT_EQ(armed.size(), 1u);
-        ask(machine.on_timeout(armed[0].key, armed[0].revision));
+        apply(state_machine.on_timeout(armed[0].key, armed[0].revision));
     }
-    Failure ended(const std::string& name = "rates") { return status(name).aborted.back().failure; }
+    Failure last_failure(const std::string& name = "rates") { return status(name).aborted.back().failure; }
 };
 
-TEST(Machine, StrictIsInForceOnceOlderOnesAreGivenBack) {
-    Keepers k;
-    EXPECT_EQ(k.propose(limits(400, 600), 0).version, 1u);  // nobody is there: at once
-    EXPECT_EQ(k.machine.in_force("rates"), 1u);
-    k.join(1, "n1", "a");
-    k.join(2, "n2", "b");
-    EXPECT_EQ(k.propose(limits(500, 500), 1).version, 2u);
-    k.ask(said("rates", 2, true, ""), 1);
-    EXPECT_EQ(k.status().phase, Phase::Staging);
-    k.ask(said("rates", 2, true, ""), 2);
-    EXPECT_EQ(k.status().phase, Phase::Draining);
-    k.join(3, "n3", "a");  // never had the older one
-    k.ask(release_command("rates", 2), 1);
-    EXPECT_TRUE(is(k.ask(release_command("rates", 1), 2).failure, Error::Unknown));  // of another version
-    EXPECT_EQ(k.machine.in_force("rates"), 1u);
-    EXPECT_TRUE(k.status().nodes[1].blocks_drain);
-    k.machine.session_ended(2);
-    EXPECT_EQ(k.machine.in_force("rates"), 2u);
+TEST(ConfigStateMachine, StrictVersionWaitsForAllReleases) {
+    StateMachineFixture fixture;
+    EXPECT_EQ(fixture.propose(limits(400, 600), 0).version, 1u);  // nobody is there: at once
+    EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
+    fixture.join(1, "n1", "a");
+    fixture.join(2, "n2", "b");
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1).version, 2u);
+    fixture.apply(ack_command("rates", 2, true, ""), 1);
+    EXPECT_EQ(fixture.status().phase, Phase::Staging);
+    fixture.apply(ack_command("rates", 2, true, ""), 2);
+    EXPECT_EQ(fixture.status().phase, Phase::Draining);
+    fixture.join(3, "n3", "a");  // never had the older one
+    fixture.apply(release_command("rates", 2), 1);
+    EXPECT_TRUE(
+        is(fixture.apply(release_command("rates", 1), 2).failure, Error::Unknown));  // of another version
+    EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
+    EXPECT_TRUE(fixture.status().nodes[1].blocks_drain);
+    fixture.state_machine.session_ended(2);
+    EXPECT_EQ(fixture.state_machine.in_force("rates"), 2u);
     // Back: a new version with the old content, known by where it is from.
-    Proposal as{Keepers::as(limits(0, 0)), 2, 0, true, 30s};
-    EXPECT_TRUE(is(k.ask(rollback_command("rates", 9, as)).failure, Error::NoVersion));
-    EXPECT_EQ(k.ask(rollback_command("rates", 1, as)).version, 3u);
-    EXPECT_EQ(k.status().next->rollback_of, 1u);
-    EXPECT_EQ(k.status().next->content, Content(limits(400, 600)));
+    Proposal rollback{StateMachineFixture::document(limits(0, 0)), 2, 0, true, 30s};
+    EXPECT_TRUE(is(fixture.apply(rollback_command("rates", 9, rollback)).failure, Error::NoVersion));
+    EXPECT_EQ(fixture.apply(rollback_command("rates", 1, rollback)).version, 3u);
+    EXPECT_EQ(fixture.status().next->rollback_of, 1u);
+    EXPECT_EQ(fixture.status().next->content, Content(limits(400, 600)));
 }
 
-TEST(Machine, RefusesWithTheReason) {
-    Keepers k;
+TEST(ConfigStateMachine, RejectsInvalidProposalWithReason) {
+    StateMachineFixture fixture;
     auto bad = [&](Document d, std::uint64_t base, Error error) {
-        EXPECT_TRUE(is(k.ask(propose({std::move(d), base, 0, true, 30s})).failure, error));
-        EXPECT_EQ(k.machine.in_force("rates"), base == 7 ? 1u : k.machine.in_force("rates"));
+        EXPECT_TRUE(is(fixture.apply(propose_command({std::move(d), base, 0, true, 30s})).failure, error));
+        EXPECT_EQ(fixture.state_machine.in_force("rates"),
+                  base == 7 ? 1u : fixture.state_machine.in_force("rates"));
     };
-    k.propose(limits(400, 600), 0);
-    k.join(1, "n1", "a");
-    bad(Keepers::as(limits(400, 600)), 1, Error::Same);
-    bad(Keepers::as(limits(400, 5, 1000, 5)), 1, Error::Floor);
-    bad(Keepers::as(limits(400, 700)), 1, Error::OverBudget);
-    bad(Keepers::as(limits(500, 500)), 0, Error::BaseMoved);
-    bad(Keepers::as(limits(500, 500), ConsistencyMode::Bounded), 1, Error::ModeChanged);
-    bad(Keepers::as(Headers{}, ConsistencyMode::Strict), 1, Error::KindChanged);
-    bad(Keepers::as(Classes{}, ConsistencyMode::Bounded, "classes"), 0, Error::Mode);
-    bad(Keepers::as(Servers{ListSource::Discovery, 1, {}}, ConsistencyMode::Strict, "list"), 0, Error::Mode);
-    Document canary = Keepers::as(limits(500, 500));
-    canary.scope = CanaryScope{"", "n1", 60s};
+    fixture.propose(limits(400, 600), 0);
+    fixture.join(1, "n1", "a");
+    bad(StateMachineFixture::document(limits(400, 600)), 1, Error::Same);
+    bad(StateMachineFixture::document(limits(400, 5, 1000, 5)), 1, Error::Floor);
+    bad(StateMachineFixture::document(limits(400, 700)), 1, Error::OverBudget);
+    bad(StateMachineFixture::document(limits(500, 500)), 0, Error::BaseMoved);
+    bad(StateMachineFixture::document(limits(500, 500), ConsistencyMode::Bounded), 1, Error::ModeChanged);
+    bad(StateMachineFixture::document(Headers{}, ConsistencyMode::Strict), 1, Error::KindChanged);
+    bad(StateMachineFixture::document(Classes{}, ConsistencyMode::Bounded, "classes"), 0, Error::Mode);
+    bad(StateMachineFixture::document(Servers{ListSource::Discovery, 1, {}}, ConsistencyMode::Strict, "list"),
+        0, Error::Mode);
+    Document canary = StateMachineFixture::document(limits(500, 500));
+    canary.canary_scope = CanaryScope{"", "n1", 60s};
     bad(canary, 1, Error::Canary);  // strict, and at odds with what is in force
-    EXPECT_TRUE(is(k.ask("\xff\xff").failure, Error::Malformed));
-    EXPECT_TRUE(is(k.look("other").failure, Error::Unknown));
-    EXPECT_TRUE(is(k.ask(said("rates", 1, true, ""), 1).failure, Error::Unknown));
+    EXPECT_TRUE(is(fixture.apply("\xff\xff").failure, Error::Malformed));
+    EXPECT_TRUE(is(fixture.query("other").failure, Error::Unknown));
+    EXPECT_TRUE(is(fixture.apply(ack_command("rates", 1, true, ""), 1).failure, Error::Unknown));
     for (int i = 0; i < 63; ++i)
-        EXPECT_FALSE(k.propose(Headers{}, 0, ConsistencyMode::Strict, "d" + std::to_string(i)).version == 0);
-    k.machine.session_ended(1);
-    EXPECT_TRUE(is(k.propose(Headers{}, 0, ConsistencyMode::Strict, "one more").failure, Error::Malformed));
-    EXPECT_TRUE(is(k.propose(Headers{}, 0, ConsistencyMode::Strict, "one-more").failure, Error::Full));
+        EXPECT_FALSE(
+            fixture.propose(Headers{}, 0, ConsistencyMode::Strict, "d" + std::to_string(i)).version == 0);
+    fixture.state_machine.session_ended(1);
+    EXPECT_TRUE(
+        is(fixture.propose(Headers{}, 0, ConsistencyMode::Strict, "one more").failure, Error::Malformed));
+    EXPECT_TRUE(is(fixture.propose(Headers{}, 0, ConsistencyMode::Strict, "one-more").failure, Error::Full));
 }
 
-TEST(Machine, TwoAtOnceAndOneTwice) {
-    Keepers k;
-    k.propose(limits(400, 600), 0);
-    k.join(1, "n1", "a");
-    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
+TEST(ConfigStateMachine, ConcurrentAndRepeatedProposals) {
+    StateMachineFixture fixture;
+    fixture.propose(limits(400, 600), 0);
+    fixture.join(1, "n1", "a");
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
     EXPECT_TRUE(
-        is(k.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::Busy));
-    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version,
+        is(fixture.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::Busy));
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version,
               2u);  // its answer was lost
-    k.ask(said("rates", 2, true, ""), 1), k.ask(release_command("rates", 2), 1);
-    EXPECT_TRUE(
-        is(k.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::BaseMoved));
-    EXPECT_EQ(k.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
+    fixture.apply(ack_command("rates", 2, true, ""), 1), fixture.apply(release_command("rates", 2), 1);
+    EXPECT_TRUE(is(fixture.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure,
+                   Error::BaseMoved));
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version, 2u);
 }
 
-TEST(Machine, StopsAtANoItsTimeOrAWord) {
-    Keepers k;
-    k.propose(limits(400, 600), 0);
-    k.join(1, "n1", "a");
-    k.join(2, "n2", "a");
-    k.propose(limits(500, 500), 1);
-    k.ask(said("rates", 2, false, "no such class"), 2);
-    EXPECT_TRUE(is(k.ended(), Error::NodeRefused));
-    EXPECT_EQ(k.ended().about, "rates 2: n2: no such class");
-    EXPECT_EQ(k.propose(limits(500, 500), 1).version, 3u);  // never the same number
-    k.ask(said("rates", 3, true, ""), 1);
-    k.over();
-    EXPECT_TRUE(is(k.ended(), Error::TimeOver));
-    EXPECT_EQ(k.ended().about, "rates 3: waits for n2");
-    k.propose(limits(500, 500), 1);
-    EXPECT_TRUE(is(k.ask(withdraw_command("rates", 9, "bob")).failure, Error::Unknown));
-    k.ask(withdraw_command("rates", 4, "bob"));
-    EXPECT_TRUE(is(k.ended(), Error::Withdrawn));
+TEST(ConfigStateMachine, AbortsOnNackTimeoutOrWithdrawal) {
+    StateMachineFixture fixture;
+    fixture.propose(limits(400, 600), 0);
+    fixture.join(1, "n1", "a");
+    fixture.join(2, "n2", "a");
+    fixture.propose(limits(500, 500), 1);
+    fixture.apply(ack_command("rates", 2, false, "no such class"), 2);
+    EXPECT_TRUE(is(fixture.last_failure(), Error::NodeRefused));
+    EXPECT_EQ(fixture.last_failure().about, "rates 2: n2: no such class");
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1).version, 3u);  // never the same number
+    fixture.apply(ack_command("rates", 3, true, ""), 1);
+    fixture.expire_timeout();
+    EXPECT_TRUE(is(fixture.last_failure(), Error::TimeOver));
+    EXPECT_EQ(fixture.last_failure().about, "rates 3: waits for n2");
+    fixture.propose(limits(500, 500), 1);
+    EXPECT_TRUE(is(fixture.apply(withdraw_command("rates", 9, "bob")).failure, Error::Unknown));
+    fixture.apply(withdraw_command("rates", 4, "bob"));
+    EXPECT_TRUE(is(fixture.last_failure(), Error::Withdrawn));
     // Where one no does not stop it, the no of all does.
     for (bool yes : {true, false}) {
-        k.ask(propose({Keepers::as(limits(500, 500)), 1, 0, false, 30s}));
-        std::uint64_t version = k.status().next->version;
-        k.ask(said("rates", version, false, "no"), 1);
-        EXPECT_EQ(k.status().phase, Phase::Staging);
-        k.ask(said("rates", version, yes, "no"), 2);
-        EXPECT_EQ(k.status().phase, yes ? Phase::Draining : Phase::None);
-        if (yes) k.over();
+        fixture.apply(propose_command({StateMachineFixture::document(limits(500, 500)), 1, 0, false, 30s}));
+        std::uint64_t version = fixture.status().next->version;
+        fixture.apply(ack_command("rates", version, false, "no"), 1);
+        EXPECT_EQ(fixture.status().phase, Phase::Staging);
+        fixture.apply(ack_command("rates", version, yes, "no"), 2);
+        EXPECT_EQ(fixture.status().phase, yes ? Phase::Draining : Phase::None);
+        if (yes) fixture.expire_timeout();
     }
-    EXPECT_EQ(k.machine.in_force("rates"), 1u);
+    EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
 }
 
-TEST(Machine, CanaryIsOfItsScopeAndEnds) {
-    Keepers k;
-    k.propose(limits(400, 600), 0, ConsistencyMode::Bounded);
-    k.join(1, "n1", "a");
-    k.join(2, "n2", "b");
-    Document canary = Keepers::as(limits(500, 500), ConsistencyMode::Bounded);
-    canary.scope = CanaryScope{"a", "", 60s};
-    k.ask(propose({canary, 1, 0, true, 30s}));
-    k.ask(said("rates", 2, true, ""), 2);  // was not asked
-    EXPECT_EQ(k.status().phase, Phase::Staging);
-    k.ask(said("rates", 2, true, ""), 1);
-    EXPECT_EQ(k.status().phase, Phase::Canary);
+TEST(ConfigStateMachine, CanaryIsLimitedToItsScopeAndDuration) {
+    StateMachineFixture fixture;
+    fixture.propose(limits(400, 600), 0, ConsistencyMode::Bounded);
+    fixture.join(1, "n1", "a");
+    fixture.join(2, "n2", "b");
+    Document canary = StateMachineFixture::document(limits(500, 500), ConsistencyMode::Bounded);
+    canary.canary_scope = CanaryScope{"a", "", 60s};
+    fixture.apply(propose_command({canary, 1, 0, true, 30s}));
+    fixture.apply(ack_command("rates", 2, true, ""), 2);  // was not asked
+    EXPECT_EQ(fixture.status().phase, Phase::Staging);
+    fixture.apply(ack_command("rates", 2, true, ""), 1);
+    EXPECT_EQ(fixture.status().phase, Phase::Canary);
     std::vector<coordinator::Timeout> armed;
-    k.machine.timeouts(armed);
+    fixture.state_machine.timeouts(armed);
     EXPECT_EQ(armed.at(0).length, 60s);
-    EXPECT_EQ(k.machine.in_force("rates"), 1u);
-    EXPECT_EQ(k.machine.session_update(1).find("\x18\x02"), std::string::npos);  // contents have come
-    k.over();
-    EXPECT_EQ(k.status().phase, Phase::None);
+    EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
+    EXPECT_EQ(fixture.state_machine.session_update(1).find("\x18\x02"),
+              std::string::npos);  // contents have come
+    fixture.expire_timeout();
+    EXPECT_EQ(fixture.status().phase, Phase::None);
 }
 
-TEST(Machine, RestoresNothingOfAnotherSchemaOrCut) {
-    Keepers k;
-    k.propose(limits(400, 600), 0);
-    std::string whole = k.machine.snapshot();
+TEST(ConfigStateMachine, RestoreRejectsOtherSchemaAndTruncation) {
+    StateMachineFixture fixture;
+    fixture.propose(limits(400, 600), 0);
+    std::string whole = fixture.state_machine.snapshot();
     ConfigStateMachine other;
     EXPECT_FALSE(other.restore(2, whole));
     for (std::size_t i = 1; i < whole.size(); ++i) other.restore(1, std::string_view(whole).substr(0, i));
@@ -426,146 +434,149 @@
 
 /// One node beside a machine, without a network.
 struct Node {
-    Keepers keepers;
+    StateMachineFixture fixture;
     TimePoint now{};
     Actions actions;
-    std::optional<Holder> holder;
-    std::map<std::string, Apply> acted;
-    std::string written;
-    bool confirms = true, takes = true;
+    std::optional<ConfigSubscriber> subscriber;
+    std::map<std::string, ApplyConfig> applied;
+    std::string file;
+    bool confirms_apply = true, accepts = true;
     int said_no = 0;
 
-    explicit Node(std::vector<Document> kept = {}) {
-        holder.emplace(HolderSettings{}, std::move(kept), now, actions);
-        carry_out();
+    explicit Node(std::vector<Document> stored = {}) {
+        subscriber.emplace(ConfigSubscriberSettings{}, std::move(stored), now, actions);
+        execute();
     }
     void handle(const Event& event) {
-        holder->handle(now, event, actions);
-        carry_out();
+        subscriber->handle(now, event, actions);
+        execute();
     }
     void renew(coordinator::SessionId session, Duration lease = 2920ms) {
-        handle(Renewed{session, now + lease, keepers.machine.session_update(session)});
+        handle(LeaseRenewed{session, now + lease, fixture.state_machine.session_update(session)});
     }
-    void carry_out() {
+    void execute() {
         while (!actions.empty()) {
             for (Action& action : std::exchange(actions, {})) {
-                if (auto* apply = std::get_if<Apply>(&action)) {
-                    acted[apply->document] = *apply;
-                    if (confirms) holder->handle(now, Switched{apply->serial}, actions);
-                } else if (auto* extend = std::get_if<Extend>(&action)) {
-                    for (auto& [name, a] : acted) a.permit.until = extend->until;
-                } else if (auto* check = std::get_if<Check>(&action)) {
-                    holder->handle(now,
-                                   Verdict{check->document.name, check->document.version, takes, "not here"},
-                                   actions);
-                } else if (auto* say = std::get_if<Say>(&action)) {
-                    keepers.ask(say->command, 1);
-                } else if (auto* write = std::get_if<Write>(&action)) {
-                    written = write->octets;
+                if (auto* apply = std::get_if<ApplyConfig>(&action)) {
+                    applied[apply->document] = *apply;
+                    if (confirms_apply) subscriber->handle(now, ConfigApplied{apply->serial}, actions);
+                } else if (auto* extend = std::get_if<ExtendLeases>(&action)) {
+                    for (auto& [name, a] : applied) a.lease.expires_at = extend->expires_at;
+                } else if (auto* check = std::get_if<CheckDocument>(&action)) {
+                    subscriber->handle(
+                        now,
+                        CheckCompleted{check->document.name, check->document.version, accepts, "not here"},
+                        actions);
+                } else if (auto* send = std::get_if<SendCommand>(&action)) {
+                    fixture.apply(send->command, 1);
+                } else if (auto* write = std::get_if<WriteFile>(&action)) {
+                    file = write->bytes;
                 }
             }
         }
     }
-    const EffectiveConfig& at(const std::string& name = "rates") { return acted[name].permit.at(now); }
+    const EffectiveConfig& effective(const std::string& name = "rates") {
+        return applied[name].lease.at(now);
+    }
 };
 
-TEST(Holder, ActsUnderItsPermitAlone) {
+TEST(ConfigSubscriber, FullConfigOnlyUnderLease) {
     Node n;
-    n.keepers.join(1, "n1", "a");
-    n.keepers.propose(limits(400, 600), 0);
+    n.fixture.join(1, "n1", "a");
+    n.fixture.propose(limits(400, 600), 0);
     n.renew(1);
     n.renew(1);
-    EXPECT_EQ(n.at().mode, ConfigMode::Full);
-    EXPECT_EQ(n.at().version, 1u);
-    EXPECT_EQ(*n.at().content, Content(limits(400, 600)));
+    EXPECT_EQ(n.effective().mode, ConfigMode::Full);
+    EXPECT_EQ(n.effective().version, 1u);
+    EXPECT_EQ(*n.effective().content, Content(limits(400, 600)));
     n.now += 2919ms;
-    EXPECT_EQ(n.at().mode, ConfigMode::Full);
+    EXPECT_EQ(n.effective().mode, ConfigMode::Full);
     n.now += 2ms;  // nobody told the holder: the permit itself ends
-    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
-    EXPECT_EQ(*n.at().content, conservative_subset(limits(400, 600)));
-    n.handle(Woken{});
-    EXPECT_EQ(n.holder->lapses(), 1u);
+    EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
+    EXPECT_EQ(*n.effective().content, conservative_subset(limits(400, 600)));
+    n.handle(TimerFired{});
+    EXPECT_EQ(n.subscriber->lease_expirations(), 1u);
     n.renew(1);
-    EXPECT_EQ(n.at().mode, ConfigMode::Full);
-    n.handle(Lost{});
-    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
+    EXPECT_EQ(n.effective().mode, ConfigMode::Full);
+    n.handle(SessionLost{});
+    EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
     n.renew(1);  // a late answer of a session that is over
-    EXPECT_EQ(n.at().mode, ConfigMode::Conservative);
-    EXPECT_EQ(n.holder->refused_news(), 1u);
+    EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
+    EXPECT_EQ(n.subscriber->rejected_updates(), 1u);
 }
 
-TEST(Holder, GivesBackOnlyWhatNobodyActsOn) {
+TEST(ConfigSubscriber, ReleasesOnlyAfterConfigApplied) {
     Node n;
-    n.keepers.join(1, "n1", "a");
-    n.keepers.propose(limits(400, 600), 0);
+    n.fixture.join(1, "n1", "a");
+    n.fixture.propose(limits(400, 600), 0);
     n.renew(1), n.renew(1);
-    n.confirms = false;
-    std::string old = n.keepers.machine.session_update(1);
-    n.keepers.propose(limits(500, 500), 1);
+    n.confirms_apply = false;
+    std::string old = n.fixture.state_machine.session_update(1);
+    n.fixture.propose(limits(500, 500), 1);
     n.renew(1);
-    EXPECT_EQ(n.at().mode, ConfigMode::Full);
+    EXPECT_EQ(n.effective().mode, ConfigMode::Full);
     n.renew(1);
-    EXPECT_EQ(n.at().mode, ConfigMode::Transitional);
-    EXPECT_EQ(*n.at().content, intersection(limits(400, 600), limits(500, 500)));
+    EXPECT_EQ(n.effective().mode, ConfigMode::Transitional);
+    EXPECT_EQ(*n.effective().content, intersection(limits(400, 600), limits(500, 500)));
     n.renew(1);
-    EXPECT_EQ(n.keepers.machine.in_force("rates"), 1u);  // nothing was confirmed
-    n.handle(Switched{n.acted["rates"].serial - 1});     // of an older one
-    EXPECT_EQ(n.keepers.machine.in_force("rates"), 1u);
-    n.handle(Switched{n.acted["rates"].serial});
-    EXPECT_EQ(n.keepers.machine.in_force("rates"), 2u);
-    n.handle(Renewed{1, n.now + 2920ms, old});  // came late
-    EXPECT_EQ(n.at().mode, ConfigMode::Transitional);
+    EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 1u);  // nothing was confirmed
+    n.handle(ConfigApplied{n.applied["rates"].serial - 1});    // of an older one
+    EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 1u);
+    n.handle(ConfigApplied{n.applied["rates"].serial});
+    EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 2u);
+    n.handle(LeaseRenewed{1, n.now + 2920ms, old});  // came late
+    EXPECT_EQ(n.effective().mode, ConfigMode::Transitional);
     n.renew(1);
-    EXPECT_EQ(n.at().version, 2u);
-    auto kept = read_file(n.written);
-    ASSERT_TRUE(std::holds_alternative<std::vector<Document>>(kept));
-    EXPECT_EQ(std::get<0>(kept).at(0).version, 2u);
+    EXPECT_EQ(n.effective().version, 2u);
+    auto stored = decode_file(n.file);
+    ASSERT_TRUE(std::holds_alternative<std::vector<Document>>(stored));
+    EXPECT_EQ(std::get<0>(stored).at(0).version, 2u);
 }
 
-TEST(Holder, StartsFromItsFileByItsChoice) {
+TEST(ConfigSubscriber, StartsFromFileByExpiryPolicy) {
     for (ExpiryPolicy expiry_policy :
          {ExpiryPolicy::KeepCurrent, ExpiryPolicy::Conservative, ExpiryPolicy::DenyAll}) {
-        Document d = Keepers::as(limits(400, 600));
+        Document d = StateMachineFixture::document(limits(400, 600));
         d.version = 3, d.expiry_policy = expiry_policy;
         Node n({d});
-        EXPECT_EQ(n.at().mode,
+        EXPECT_EQ(n.effective().mode,
                   expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll : ConfigMode::Conservative);
         n.now += 5s;
-        n.handle(Woken{});
-        EXPECT_EQ(n.at().mode, expiry_policy == ExpiryPolicy::KeepCurrent    ? ConfigMode::KeepCurrent
-                               : expiry_policy == ExpiryPolicy::Conservative ? ConfigMode::Conservative
-                                                                             : ConfigMode::DenyAll);
+        n.handle(TimerFired{});
+        EXPECT_EQ(n.effective().mode, expiry_policy == ExpiryPolicy::KeepCurrent    ? ConfigMode::KeepCurrent
+                                      : expiry_policy == ExpiryPolicy::Conservative ? ConfigMode::Conservative
+                                                                                    : ConfigMode::DenyAll);
         // The keepers know of another version, and this node's check does not take it.
-        n.takes = false;
-        n.keepers.join(1, "n1", "a");
-        n.keepers.propose(limits(500, 500), 0);
+        n.accepts = false;
+        n.fixture.join(1, "n1", "a");
+        n.fixture.propose(limits(500, 500), 0);
         n.renew(1);
-        EXPECT_TRUE(is(n.keepers.ended(), Error::NodeRefused));
-        EXPECT_EQ(n.at().mode,
+        EXPECT_TRUE(is(n.fixture.last_failure(), Error::NodeRefused));
+        EXPECT_EQ(n.effective().mode,
                   expiry_policy == ExpiryPolicy::DenyAll ? ConfigMode::DenyAll : ConfigMode::Conservative);
     }
 }
 
-TEST(HolderFile, IsWholeOrNotUsed) {
-    Document d = Keepers::as(limits(400, 600));
+TEST(DocumentFile, RejectsTruncatedOrChangedFile) {
+    Document d = StateMachineFixture::document(limits(400, 600));
     d.version = 3;
-    std::string octets = file_octets({d});
-    EXPECT_EQ(std::get<0>(read_file(octets)).at(0), d);
-    for (std::size_t i = 0; i < octets.size(); ++i) {
-        EXPECT_TRUE(std::holds_alternative<Failure>(read_file(octets.substr(0, i))));
-        std::string changed = octets;
+    std::string bytes = encode_file({d});
+    EXPECT_EQ(std::get<0>(decode_file(bytes)).at(0), d);
+    for (std::size_t i = 0; i < bytes.size(); ++i) {
+        EXPECT_TRUE(std::holds_alternative<Failure>(decode_file(bytes.substr(0, i))));
+        std::string changed = bytes;
         changed[i] ^= 4;
-        auto read = read_file(changed);
+        auto read = decode_file(changed);
         ASSERT_TRUE(std::holds_alternative<Failure>(read));
         EXPECT_TRUE(is(std::get<Failure>(read), Error::FileDamaged));
     }
 }
 
 /// A disk that fails at its nth call.
-struct Disk : store::Files {
+struct FailingDisk : store::Files {
     std::map<std::string, std::string> files;
-    int left = 1 << 30;
-    bool ok() { return left-- > 0; }
+    int calls_left = 1 << 30;
+    bool ok() { return calls_left-- > 0; }
     store::Error lock() override { return 0; }
     store::Error list(std::vector<std::string>&) override { return 0; }
     store::Error read(const std::string& name, std::string& bytes) override {
@@ -590,41 +601,43 @@
     store::Error sync_names() override { return ok() ? 0 : EIO; }
 };
 
-TEST(HolderFile, EveryCallMayFail) {
-    Document d = Keepers::as(limits(400, 600)), e = Keepers::as(limits(500, 500));
+TEST(DocumentFile, SaveIsAtomicWhenAnyCallFails) {
+    Document d = StateMachineFixture::document(limits(400, 600)),
+             e = StateMachineFixture::document(limits(500, 500));
     d.version = 3, e.version = 4;
     int failed = 0;
     for (int n = 0; n < 6; ++n) {
-        Disk disk;
-        EXPECT_FALSE(save(disk, "rules", file_octets({d})));
-        disk.left = n;
-        auto bad = save(disk, "rules", file_octets({e}));
+        FailingDisk disk;
+        EXPECT_FALSE(save(disk, "rules", encode_file({d})));
+        disk.calls_left = n;
+        auto bad = save(disk, "rules", encode_file({e}));
         EXPECT_TRUE(!bad || is(bad, Error::FileFailed));
         failed += bad.has_value();
-        disk.left = 1 << 30;
+        disk.calls_left = 1 << 30;
         auto read = load(disk, "rules");
         ASSERT_TRUE(std::holds_alternative<std::vector<Document>>(read));
         EXPECT_EQ(std::get<0>(read).at(0).version, n < 4 ? 3u : 4u);
-        EXPECT_FALSE(save(disk, "rules", file_octets({e})));  // what was left does not stand in the way
+        EXPECT_FALSE(save(disk, "rules", encode_file({e})));  // what was left does not stand in the way
     }
     EXPECT_EQ(failed, 5);
-    Disk disk;
+    FailingDisk disk;
     EXPECT_TRUE(std::get<0>(load(disk, "rules")).empty());
-    disk.left = 0;
+    disk.calls_left = 0;
     EXPECT_TRUE(is(std::get<Failure>(load(disk, "rules")), Error::FileFailed));
 }
 
 /// Last of all, by its name: each error was caused by a test above (in one process; alone it says nothing).
-TEST(ZErrors, EachIsCausedAndHasItsRow) {
+TEST(ZErrors, EveryErrorIsCausedAndHasARow) {
     std::set<std::string_view> codes;
-    for (std::size_t i = 0; i < kErrors; ++i) {
+    for (std::size_t i = 0; i < kErrorCount; ++i) {
         const fleet::ErrorRow& r = row(Error(i));
         EXPECT_TRUE(r.code.starts_with("agreement.") && !r.what.empty() && !r.operators.empty());
         codes.insert(r.code);
-        EXPECT_TRUE(testing::UnitTest::GetInstance()->test_to_run_count() < 10 || seen().contains(Error(i)))
+        EXPECT_TRUE(testing::UnitTest::GetInstance()->test_to_run_count() < 10 ||
+                    seen_errors().contains(Error(i)))
             << r.code;
     }
-    EXPECT_EQ(codes.size(), kErrors);
+    EXPECT_EQ(codes.size(), kErrorCount);
 }
 
 }  // namespace
