--- a/lab/config_distribution/invariant_checker.h
+++ b/lab/config_distribution/invariant_checker.h
@@ -1,6 +1,6 @@
-// Who acted on what, and when, as seen from outside: each decision of a node is told to it with the world's
-// time. It holds documents to their promise: strict ones are never acted on by two in contents that
-// contradict each other, quick ones at most for the stated time.
+// Records which node used which content when, in the simulation's time, and finds the intervals in which two
+// nodes used conflicting contents. Strict documents must have none; for Bounded documents they last at most
+// max_inconsistency.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +19,19 @@
 public:
     using Contradict =
         std::function<bool(const config_distribution::Content&, const config_distribution::Content&)>;
-    /// `contradict`: another one proves that this judge needs it.
+    /// `contradict`: replaced by a test, to show that the checker depends on it.
     explicit ConfigInvariantChecker(Contradict contradict = config_distribution::conflicts)
         : contradict_(std::move(contradict)) {}
 
     void record(std::size_t node, const std::string& document,
                 const config_distribution::EffectiveConfig& effective, TimePoint now);
-    /// Its process is gone: it acts on nothing.
+    /// The node has stopped and uses nothing.
     void node_stopped(std::size_t node);
-    /// A version that is tried out in a part of the fleet for so long.
+    /// The version is a canary of this duration.
     void canary(const std::string& document, std::uint64_t version, Duration length) {
         canaries_[{document, version}] = length;
     }
-    /// Some node's own check did not take it: nobody may ever act on it, where that node is there all the
-    /// time.
+    /// A node's local check rejected the version: no node may use it, if that node is up all the time.
     void refused(const std::string& document, std::uint64_t version) { refused_.emplace(document, version); }
 
     struct Conflict {
@@ -42,15 +41,14 @@
         config_distribution::ConfigMode mode_a{}, mode_b{};
         TimePoint from{};
         Duration length{};
-        Duration canary_allowance{};  ///< by a canary's length
+        Duration canary_allowance{};  ///< additional time that a canary's duration permits
     };
-    /// Each time in which two nodes acted on contents that contradict each other, without those that chose to
-    /// go on (Keep).
+    /// All intervals in which two nodes used conflicting contents, except under KeepCurrent.
     std::vector<Conflict> conflicts() const;
     std::uint64_t decisions() const { return decisions_; }
-    /// By How.
+    /// Decisions by mode.
     const std::map<config_distribution::ConfigMode, std::uint64_t>& by_mode() const { return by_mode_; }
-    /// Versions that were acted on by anybody as such.
+    /// Versions that any node used in full.
     const std::set<std::pair<std::string, std::uint64_t>>& versions() const { return versions_; }
     const std::set<std::pair<std::string, std::uint64_t>>& refused() const { return refused_; }
 
--- a/lab/config_distribution/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -1,8 +1,9 @@
-// Days of a fleet that agrees on documents, many at once: what docs/design/agreement.md has its figures from.
-//   days SEEDS [FIRST]     each kind of fault in turn: instants at which strict documents contradicted each
-//   other, the longest of quick ones copied SEEDS           the same days with settings copied by a script
-//   and a signal saboteurs SEEDS        each of them under each kind of fault, until the judge has found it
-//   change                 a strict change among three: a crash and a stop of each process at each event
+// Runs config distribution simulations in parallel, for the figures of docs/design/agreement.md.
+//   days SEEDS [FIRST]   a run for each seed, cycling through the faults: violations, longest Bounded
+//   conflict copied SEEDS         the same runs with files copied by a script and a signal to reload
+//   saboteurs SEEDS      each mutant under each kind of fault, until the invariant checker finds it
+//   change               one Strict change among three nodes: a crash and a pause of each process at each
+//   event
 #include <atomic>
 #include <cstdio>
 #include <cstdlib>
@@ -63,7 +64,7 @@
     });
     std::printf(
         "| fault | days | days with a broken promise | proposed | in force | longest of quick, ms | stated, "
-        "ms | by a version | without a permit |\n");
+        "ms | by a version | without a lease |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     std::map<std::string, int> stopped;
     for (auto& [fault, s] : sums) {
@@ -82,7 +83,7 @@
     return bad != 0 && !copied;
 }
 
-/// The first day of each kind of fault that shows it; `days` is how many were played until then.
+/// Prints, for each mutant and kind of fault, the first seed whose run violates an invariant.
 int saboteurs(std::uint64_t seeds) {
     int missed = 0;
     for (std::size_t i = 1; i < kConfigMutants; ++i) {
--- a/lab/config_distribution/mutants.cpp
+++ b/lab/config_distribution/mutants.cpp
@@ -1,4 +1,4 @@
-// Machines that err on purpose, each in one way.
+// State machines with one planted fault each.
 #include <config_distribution.pb.h>
 
 #include <set>
--- a/lab/config_distribution/simulated_processes.cpp
+++ b/lab/config_distribution/simulated_processes.cpp
@@ -10,8 +10,8 @@
 namespace ochrehub::lab {
 namespace {
 
-constexpr Duration kDecisionInterval{100};  // between two decisions, where nothing else happens
-constexpr Duration kMaxPostDelay{20};       // so long, at most, what is posted to a node's loop waits
+constexpr Duration kDecisionInterval{100};  // between two recorded decisions without other events
+constexpr Duration kMaxPostDelay{20};       // maximum delay of a function posted to a node's event loop
 
 std::string address(std::size_t coordinator_index) {
     return std::string("k").append(std::to_string(coordinator_index));
@@ -20,7 +20,7 @@
 std::string tagged(char tag, const std::string& body) {
     return std::string(1, tag).append(body);
 }
-/// What a saboteur asks for instead.
+/// The request as changed by the mutant ShorterServerLease.
 std::string shortened(const std::string& body, ConfigMutant mutant) {
     coordinator::wire::Request ask;
     if (mutant != ConfigMutant::ShorterServerLease || !ask.ParseFromString(body) || !ask.has_open())
@@ -38,7 +38,7 @@
     return {};
 }
 
-// ---- Keepers
+// Coordinators
 
 CoordinatorProcess::CoordinatorProcess(Wire& net, std::size_t self, std::size_t coordinators,
                                        ConfigMutant mutant, std::uint64_t seed)
@@ -119,7 +119,7 @@
                     : nullptr;
 }
 
-// ---- What has a session
+// Processes with a session
 
 void SessionProcess::begin() {
     coordinator::SessionSettings settings;
@@ -186,7 +186,7 @@
     if (had) held(*had, update);
 }
 
-// ---- Nodes
+// Nodes
 
 void NodeProcess::start() {
     last_ = net_.own(set_.self);
@@ -226,7 +226,7 @@
                         set_.mutant == ConfigMutant::ClockNotChecked ? lease.current : lease.at(now),
                         net_.now());
     next_decision_ = now + kDecisionInterval;
-    for (const auto& [name, lease] : leases_)  // once more just before it ends
+    for (const auto& [name, lease] : leases_)  // one more decision just before each expiry
         if (lease.expires_at > now + Duration{0.02})
             next_decision_ = std::min(next_decision_, lease.expires_at - Duration{0.01});
 }
@@ -260,7 +260,7 @@
     if (set_.mutant == ConfigMutant::LeaseTooLong) until += set_.lease * 0.1;
     std::string told = update;
     if (set_.mutant == ConfigMutant::AcceptsStaleUpdate && !update.empty()) {
-        // The revision is the first field: tag 8, then its digits.
+        // The revision is the first field: tag 8 and a varint.
         auto revision_bytes = [](const std::string& n) {
             std::size_t end = 1;
             while (n[end] & 0x80) ++end;
@@ -327,7 +327,7 @@
                        : std::vector<config_distribution::ConfigSubscriber::Status>{};
 }
 
-// ---- Operators
+// Operators
 
 void OperatorProcess::query_document(const std::string& document, ConfigResponse then) {
     waiting_[++calls_] = std::move(then);
--- a/lab/config_distribution/simulated_processes.h
+++ b/lab/config_distribution/simulated_processes.h
@@ -1,4 +1,4 @@
-// The processes of the world: what surrounds the cores as shipped. For world.cpp alone.
+// The simulated processes that run the shipped cores. Private to simulation.cpp.
 #pragma once
 
 #include <deque>
@@ -22,12 +22,12 @@
 namespace ochrehub::lab {
 
 using Wire =
-    Net<std::string>;  ///< first octet: r (raft), a (ask), w (answer), f (a file that a script copies)
+    Net<std::string>;  ///< first byte: r (Raft), a (request), w (response), f (a file that a script copies)
 
-/// Agreement, or one that errs.
+/// Creates a ConfigStateMachine, or the mutant of it.
 coordinator::StateMachineFactory state_machine_factory(ConfigMutant mutant);
 
-/// Whatever is bad about a content, for a node of this zone. Empty: it takes it.
+/// Why a node of this zone rejects the content; empty if it accepts it.
 std::string local_check(const config_distribution::Content& content, const std::string& zone);
 
 class CoordinatorProcess {
@@ -65,7 +65,7 @@
     std::uint64_t seed = 1;
 };
 
-/// A process with a session: a node or an operator's command.
+/// A process with a session: a node or an operator's command line tool.
 class SessionProcess {
 public:
     SessionProcess(Wire& net, const ProcessSettings& settings) : net_(net), set_(settings) {}
@@ -80,7 +80,7 @@
     TimePoint own();
     void session(const coordinator::SessionEvent& event);
     void wake();
-    virtual void before() {}  ///< whatever comes, it may decide something first
+    virtual void before() {}  ///< called before each event, so that decisions may precede it
     virtual void look(TimePoint) {}
     virtual void held(const coordinator::SessionRenewed&, const std::string& /*update*/) {}
     virtual void lost() {}
@@ -101,7 +101,7 @@
     void start();
     void crash();
     void lose_file() { file_.clear(); }
-    /// What it decides by now, told to the judge.
+    /// Reports the configuration in effect to the invariant checker.
     void record_decisions();
     std::vector<config_distribution::ConfigSubscriber::Status> status();
 
@@ -123,7 +123,7 @@
     std::map<std::string, config_distribution::ConfigLease> leases_;
     std::deque<std::pair<TimePoint,
                          std::variant<config_distribution::ApplyConfig, config_distribution::ExtendLeases>>>
-        loop_;  ///< posted, and not done yet
+        loop_;  ///< posted to the event loop, not executed yet
     TimePoint subscriber_timer_ = TimePoint::max(), next_decision_{};
     std::uint64_t calls_ = 0;
 };
@@ -133,7 +133,7 @@
     using ConfigResponse = std::function<void(const config_distribution::ConfigResponse&)>;
     using SessionProcess::SessionProcess;
     void start() { begin(); }
-    /// Neither is told of if it cannot be asked.
+    /// `then` is not called if the request fails.
     void query_document(const std::string& document, ConfigResponse then);
     void ask(const std::string& command, ConfigResponse then);
 
--- a/lab/config_distribution/simulation.cpp
+++ b/lab/config_distribution/simulation.cpp
@@ -16,8 +16,8 @@
 using config_distribution::Content;
 using config_distribution::ExpiryPolicy;
 
-constexpr Duration kChangeInterval{4000};  // between two changes
-constexpr Duration kSettlePhase{40'000};   // behind the last fault
+constexpr Duration kChangeInterval{4000};  // between two proposals
+constexpr Duration kSettlePhase{40'000};   // after the last fault
 
 struct Kind {
     std::string name;
@@ -45,7 +45,7 @@
     bool chance(double p) { return uniform() < p; }
 };
 
-/// Another content for a document: most contradict the one before.
+/// A random content for a document; most conflict with the previous one.
 Content random_content(RandomSource& random_source, const std::string& name, const std::string& bad) {
     if (name == "rates") {
         config_distribution::Limits c{900'000, {}};
@@ -102,7 +102,7 @@
     return c;
 }
 
-/// What breaks when: the same for a day with keepers and one with copied settings.
+/// The faults of a run by time, the same for a run with coordinators and one with copied files.
 struct FaultPlan {
     struct Event {
         TimePoint at;
@@ -125,7 +125,7 @@
         auto with = [&](ConfigFault fault) {
             return set.fault == fault || (every && random_source.chance(0.6));
         };
-        // Always: no two clocks run alike; the fastest and the slowest are a hundredth apart.
+        // Clock rates always differ, by up to 1 %.
         for (std::size_t i = 0; i < all; ++i)
             add(Duration{0}, Event::What::Clock, i, 0, 0.995 + 0.01 * random_source.uniform());
         if (set.fault == ConfigFault::None) return;
@@ -135,9 +135,8 @@
             for (int i = 0; i < 30; ++i) {
                 std::size_t a = node(), k = random_source.below(set.coordinators);
                 double most =
-                    50 +
-                    800 * random_source
-                              .uniform();  // a draw a statement: compilers differ in the order of arguments
+                    50 + 800 * random_source.uniform();  // one random number per statement: compilers differ
+                                                         // in the order of evaluation of arguments
                 std::size_t to = random_source.chance(0.5) ? k : a, from = random_source.chance(0.5) ? a : k;
                 add(when(), Event::What::Delay, from, to, most);
             }
@@ -145,9 +144,10 @@
             for (int i = 0; i < 25; ++i) {
                 std::size_t n = node();
                 Duration from = when(), till = from + Duration{500 + 9000 * random_source.uniform()};
-                int way = set.fault == ConfigFault::Partitions
-                              ? 0
-                              : int(random_source.below(3));  // both, to the node, from it
+                int way =
+                    set.fault == ConfigFault::Partitions
+                        ? 0
+                        : int(random_source.below(3));  // 0: both directions, 1: to the node, 2: from it
                 for (std::size_t k = 0; k < set.coordinators; ++k) {
                     if (way != 1) add(from, Event::What::Cut, n, k), add(till, Event::What::Mend, n, k);
                     if (way != 2) add(from, Event::What::Cut, k, n), add(till, Event::What::Mend, k, n);
@@ -181,11 +181,11 @@
                     case 1:
                         add(from, Event::What::Stop, k), add(till, Event::What::GoOn, k);
                         break;
-                    case 2:  // one way: what it sends to the others is lost
+                    case 2:  // one way: messages that it sends to the others are lost
                         for (std::size_t o = 0; o < set.coordinators; ++o)
                             if (o != k) add(from, Event::What::Cut, k, o), add(till, Event::What::Mend, k, o);
                         break;
-                    case 3:  // the majority, once a day or so
+                    case 3:  // a majority, about once per run
                         if (random_source.chance(0.5)) break;
                         for (std::size_t o = 0; o <= set.coordinators / 2; ++o)
                             add(from, Event::What::Crash, o), add(till, Event::What::Start, o);
@@ -307,7 +307,7 @@
         }
     }
 
-    /// One operator looks at a document, and proposes something of it.
+    /// An operator queries a document and proposes a change.
     void change(OperatorProcess& by, const Kind& kind, const std::string& who) {
         std::uint64_t token = ++tokens;
         by.query_document(kind.name, [this, &by, &kind, who,
@@ -357,15 +357,15 @@
         net.heal(), net.loss(0), net.doubled(0);
         for (std::size_t p = 0; p < net.size(); ++p) net.go_on(p), start(p);
     }
-    /// Behind the faults everybody acts on the newest version of each document.
+    /// After the faults, all nodes must use the newest version of each document.
     void check_settled() {
         const config_distribution::ConfigStateMachine* m = machine();
-        if (!m) return result.violations.push_back("nobody leads the keepers"), void();
+        if (!m) return result.violations.push_back("no coordinator leads"), void();
         auto seen = config_distribution::decode_response(m->query(config_distribution::status_query("")));
         for (const auto& d : seen->documents) {
             if (d.phase == config_distribution::Phase::Staging ||
                 d.phase == config_distribution::Phase::Draining)
-                result.violations.push_back(d.name + ": hangs");
+                result.violations.push_back(d.name + ": its proposal is stuck");
             for (const auto& ended : d.aborted)
                 ++result.stopped[std::string(config_distribution::row(ended.failure.error).code)];
             if (!d.in_force) continue;
@@ -374,8 +374,8 @@
                     ->documents.at(0)
                     .in_force->content;
             for (std::size_t i = 0; i < nodes.size(); ++i) {
-                // It came in force while none was there whose check refuses it: whoever does goes on without
-                // it.
+                // The version came into force while no node that rejects it was present; such nodes do not
+                // apply it.
                 if (!local_check(content, std::string(1, char('a' + i % 3))).empty()) continue;
                 for (const auto& s : nodes[i]->status())
                     if (s.document == d.name &&
@@ -413,7 +413,8 @@
                 result.violations.push_back(version.first + " " + std::to_string(version.second) +
                                             ": acted on, and some node's check had refused it");
         for (const auto& k : coordinators)
-            if (!k->stopped().empty()) result.violations.push_back("a keeper stopped at " + k->stopped());
+            if (!k->stopped().empty())
+                result.violations.push_back("a coordinator stopped at " + k->stopped());
     }
 };
 
@@ -462,7 +463,7 @@
     };
     for (int i = 0; i < settings.changes; ++i) {
         run_to(TimePoint{Duration{5000} + kChangeInterval * i});
-        // The first ones bring each document into being.
+        // The first changes create each document.
         const Kind& kind =
             kinds()[std::size_t(i) < kinds().size() ? std::size_t(i) : w.random_source.below(kinds().size())];
         std::size_t who = w.random_source.below(2);
@@ -494,7 +495,7 @@
     };
     std::multimap<TimePoint, Copy> copies;
     auto fault = plan.events.begin();
-    std::vector<std::vector<Copy>> signalled(settings.nodes);  // while it stood still
+    std::vector<std::vector<Copy>> signalled(settings.nodes);  // reloads pending while the node is paused
     std::set<std::pair<std::size_t, std::size_t>> cut;
     TimePoint now{}, decide{};
     auto reload = [&](const Copy& c) {
@@ -508,7 +509,7 @@
         now = std::min({decide, next_change, fault == plan.events.end() ? TimePoint{length} : fault->at,
                         copies.empty() ? TimePoint{length} : copies.begin()->first, TimePoint{length}});
         for (; fault != plan.events.end() && fault->at <= now; ++fault) {
-            // Where the keepers' side of a link is cut, the operators' machine stands there too.
+            // The script runs on the coordinators' side of a partition.
             using What = FaultPlan::Event::What;
             std::size_t n = w.is_node(fault->a) ? fault->a : fault->b;
             if (fault->what == What::Cut && w.is_node(n)) cut.emplace(fault->a, fault->b);
@@ -529,7 +530,7 @@
             const Copy& c = copies.begin()->second;
             std::size_t p = settings.coordinators + c.node;
             if (!w.net.up(p) || cut.contains({0, p}) || cut.contains({p, 0}))
-                continue;  // missed: the script says so, and goes on
+                continue;  // the copy fails; the script reports it and continues
             if (w.net.stopped(p))
                 signalled[c.node].push_back(c);
             else
@@ -547,7 +548,7 @@
                                                             change < int(kinds().size()) ? "" : bad_entry))};
                 for (std::size_t i = 0; i < settings.nodes; ++i) {
                     std::size_t node =
-                        by == 0 ? i : settings.nodes - 1 - i;  // another operator's script, another order
+                        by == 0 ? i : settings.nodes - 1 - i;  // a second script copies in the reverse order
                     copies.emplace(now + Duration{100.0 * double(i) + 100 * w.random_source.uniform()},
                                    Copy{node, 0, kind.name, file});
                 }
@@ -574,7 +575,7 @@
     settings.coordinators = 3, settings.nodes = 3, settings.seed = seed, settings.fault = ConfigFault::None;
     ConfigSimulation w(settings);
     w.begin();
-    const Kind& kind = kinds()[5];  // rates, strict
+    const Kind& kind = kinds()[5];  // `rates`, Strict
     RandomSource other{std::mt19937_64(seed + 1)};
     w.net.run_to(TimePoint{Duration{5000}});
     auto propose = [&](std::uint64_t base) {
--- a/lab/config_distribution/simulation.h
+++ b/lab/config_distribution/simulation.h
@@ -1,6 +1,7 @@
-// A fleet that agrees on documents, in virtual time: keepers over Raft as shipped, processes with their
-// sessions and holders, operators who propose, take back and try out, on a network that loses, delays,
-// doubles and cuts, with pauses, crashes and clocks that run apart. The judge sees each decision.
+// Config distribution in virtual time: coordinators over Raft as shipped, nodes with their sessions and
+// subscribers, and operators who propose versions, roll back and run canaries, on a network that loses,
+// delays, duplicates and partitions, with pauses, crashes and clock drift. The invariant checker sees each
+// decision.
 #pragma once
 
 #include <cstdint>
@@ -27,22 +28,21 @@
 inline constexpr std::size_t kConfigFaults = 9;
 std::string_view name(ConfigFault fault);
 
-/// Something wrong on purpose, to see whether the judge finds it.
+/// A planted fault, to test that the invariant checker finds it.
 enum class ConfigMutant : std::uint8_t {
     None,
-    LeaseFromResponse,     ///< a process counts its lease from when the answer came
-    LeaseTooLong,          ///< ... and forgets the margin, by a tenth of the lease
-    ClockNotChecked,       ///< a process does not look at the clock behind a pause, until it is told
-    ReleaseBeforeApply,    ///< it says that older versions are given back, and goes on with them
-    AcceptsStaleUpdate,    ///< news that were overtaken are taken for the newest
-    ActsFromFile,          ///< what its file says is acted on as though it had a permit
-    LeaseOutlivesSession,  ///< a session that is lost takes no permit along
-    SkipsDraining,         ///< keepers bring a strict version in force once all have said yes
-    ReleaseByMajority,     ///< ... once most have given older ones back
-    ExtendsBeforeApply,    ///< permits are lengthened at once, and what replaces them comes to the loop by a
-                         ///< slower path
-    ShorterServerLease,  ///< keepers count a shorter lease than the process does
-    NackAsAck,           ///< a node's no is taken for a yes
+    LeaseFromResponse,     ///< a node counts its lease from the response instead of the request
+    LeaseTooLong,          ///< a node extends its lease by a tenth
+    ClockNotChecked,       ///< a node does not check the clock after a pause
+    ReleaseBeforeApply,    ///< a node reports a release but keeps using the older version
+    AcceptsStaleUpdate,    ///< a node accepts a stale update as the newest
+    ActsFromFile,          ///< a node uses its file as if it had a lease
+    LeaseOutlivesSession,  ///< a lost session does not end its leases
+    SkipsDraining,         ///< coordinators put a Strict version in force without draining
+    ReleaseByMajority,     ///< draining ends once a majority has released
+    ExtendsBeforeApply,    ///< leases are extended at once, while their replacements arrive later
+    ShorterServerLease,    ///< coordinators count a shorter lease than the node
+    NackAsAck,             ///< a node's rejection counts as an acknowledgement
 };
 inline constexpr std::size_t kConfigMutants = 13;
 std::string_view name(ConfigMutant mutant);
@@ -60,23 +60,23 @@
 struct ConfigSimulationResult {
     std::uint64_t events = 0, decisions = 0;
     int proposed = 0, in_force = 0;
-    std::map<std::string, int> stopped;  ///< by the error's code
+    std::map<std::string, int> stopped;  ///< by error code
     std::map<config_distribution::ConfigMode, std::uint64_t> by_mode;
-    Duration max_inconsistency{}, longest_bounded{};  ///< without what a canary's length allows
-    std::vector<std::string> violations;              ///< which promise, and how
+    Duration max_inconsistency{}, longest_bounded{};  ///< not counting the duration of canaries
+    std::vector<std::string> violations;              ///< of invariants
 };
 
 ConfigSimulationResult run(const ConfigSimulationSettings& settings);
-/// A smaller day with something wrong in it.
+/// Settings of a smaller run with a mutant.
 ConfigSimulationSettings mutant_settings(ConfigMutant mutant, ConfigFault fault, std::uint64_t seed);
 
-/// The same nodes, faults and changes, with settings copied by a script that goes from node to node, and a
-/// signal.
+/// A comparison run with the same nodes, faults and changes, in which a script copies files from node to node
+/// and signals each to reload.
 ConfigSimulationResult run_copied_files(const ConfigSimulationSettings& settings);
 
-/// One strict change among three keepers and three nodes; at the `event`th thing that happens from the
-/// proposal on, `process` is crashed (and started a second later) or stopped (for 8 s). Zero: nothing is done
-/// to anybody; `Day::events` is how many there are.
+/// One Strict change among three coordinators and three nodes. At the `event`th event after the proposal,
+/// `process` crashes (and restarts a second later) or is paused for 8 s. 0: no fault; the result's `events`
+/// is their number.
 ConfigSimulationResult run_single_change(std::uint64_t seed, std::uint64_t event, std::size_t process,
                                          bool crash);
 
--- a/lab/equivalence/config_distribution.cpp
+++ b/lab/equivalence/config_distribution.cpp
@@ -1,4 +1,4 @@
-// Decisions of the processes that act on distributed documents, under each kind of fault.
+// Decisions of config distribution under three kinds of fault.
 #include "lab/config_distribution/simulation.h"
 #include "lab/equivalence/runner.h"
 
--- a/lab/tests/config_distribution_test.cpp
+++ b/lab/tests/config_distribution_test.cpp
@@ -1,6 +1,6 @@
-// A fleet that agrees on documents, in virtual time: its promises under each kind of fault, each saboteur
-// found on a day that shows it, a strict change with a crash and a stop at events of it, and the same day
-// with copied settings, which contradicts itself.
+// Config distribution in virtual time: its invariants under each kind of fault, each mutant found in a run
+// that shows it, a Strict change with crashes and pauses during it, and a run with copied files, which must
+// show conflicts.
 #include <gtest/gtest.h>
 
 #include "lab/config_distribution/simulation.h"
@@ -8,8 +8,8 @@
 namespace ochrehub::lab {
 namespace {
 
-// A day takes fifty times as long with sanitizers: there a small one with all faults stands for those that
-// are played whole without.
+// A run takes fifty times as long with sanitizers: those builds use one small run with all faults in place of
+// the full ones.
 #if defined(__has_feature)
 #if __has_feature(address_sanitizer)
 #define OCHREHUB_SMALL_SIMULATIONS
@@ -27,7 +27,7 @@
     return out;
 }
 
-TEST(ConfigStateMachine, KeepsItsPromisesUnderEachFault) {
+TEST(ConfigDistribution, HoldsInvariantsUnderEachFault) {
     if (kSmallSimulations) {
         ConfigSimulationSettings settings;
         settings.nodes = 4, settings.changes = 4, settings.fault = ConfigFault::All;
@@ -42,20 +42,21 @@
         EXPECT_TRUE(result.violations.empty()) << name(settings.fault) << "\n" << lines(result);
         EXPECT_GE(result.in_force, 8) << name(settings.fault);
         EXPECT_GT(result.longest_bounded, Duration{0})
-            << name(settings.fault);  // quick ones do contradict for a while
+            << name(settings.fault);  // Bounded documents do conflict for a while
         EXPECT_LE(result.longest_bounded, result.max_inconsistency);
     }
 }
 
-TEST(ConfigStateMachine, ACanaryEndsThoughLeadersFall) {
-    ConfigSimulationSettings settings;  // 15.8 s of two lists, while the keepers alone counted
+TEST(ConfigDistribution, CanaryEndsAcrossLeaderChanges) {
+    ConfigSimulationSettings
+        settings;  // conflicted for 15.8 s when only the coordinators counted the canary's duration
     settings.seed = 80, settings.fault = ConfigFault::Coordinators;
     ConfigSimulationResult result = run(settings);
     EXPECT_TRUE(result.violations.empty()) << lines(result);
 }
 
-TEST(ConfigStateMachine, FindsEachSaboteur) {
-    if (kSmallSimulations) GTEST_SKIP() << "played without sanitizers";
+TEST(ConfigDistribution, CheckerFindsEachMutant) {
+    if (kSmallSimulations) GTEST_SKIP() << "runs without sanitizers only";
     struct Row {
         ConfigMutant mutant;
         ConfigFault fault;
@@ -81,7 +82,7 @@
     EXPECT_EQ(std::size(rows), kConfigMutants - 1);
 }
 
-TEST(ConfigStateMachine, TheJudgeNeedsToKnowWhatContradicts) {
+TEST(ConfigDistribution, CheckerDependsOnConflictRule) {
     ConfigSimulationSettings settings = mutant_settings(ConfigMutant::SkipsDraining, ConfigFault::None, 1);
     settings.contradict = [](const config_distribution::Content&, const config_distribution::Content&) {
         return false;
@@ -89,7 +90,7 @@
     EXPECT_TRUE(run(settings).violations.empty());
 }
 
-TEST(ConfigStateMachine, CopiedSettingsContradictThemselves) {
+TEST(ConfigDistribution, CopiedFilesConflict) {
     ConfigSimulationSettings settings;
     settings.nodes = 10, settings.changes = 20, settings.fault = ConfigFault::None;
     ConfigSimulationResult result = run_copied_files(settings);
@@ -97,7 +98,7 @@
     EXPECT_GT(result.longest_bounded, result.max_inconsistency);
 }
 
-TEST(ConfigStateMachine, ACrashOrAStopAtAnEventOfAChange) {
+TEST(ConfigDistribution, SurvivesCrashOrStopDuringChange) {
     std::uint64_t events = run_single_change(1, 0, 0, false).events;
     ASSERT_GT(events, 200u);
     for (std::uint64_t event = 1; event <= events; event += 61)
--- a/src/fleet/config_distribution/config_state_machine.cpp
+++ b/src/fleet/config_distribution/config_state_machine.cpp
@@ -66,8 +66,8 @@
 
 ConfigResponse ConfigStateMachine::handle(const wire::Command& command, coordinator::SessionId session) {
     using CommandCase = wire::Command::WhatCase;
-    // Of a session that is over nothing counts: what it says of itself now is about a time in which others
-    // hold its permits.
+    // Commands of an ended session are ignored: what they report may have changed since, as the session no
+    // longer counts as using a version.
     auto sender = sessions_.find(session);
     bool is_subscribed = sender != sessions_.end() && sender->second.subscribed;
     auto find_document = [&](const std::string& name) {
@@ -137,7 +137,7 @@
                                                             (who.empty() ? "" : ": waits for " + who)});
                 return {};
             }
-            return {};  // something has happened meanwhile
+            return {};  // the proposal has advanced since
         }
         case CommandCase::kWithdraw: {
             const auto& c = command.withdraw();
@@ -161,7 +161,7 @@
     return error_response(Error::Malformed, "a command");
 }
 
-// ---- Proposals
+// Proposals
 
 ConfigResponse ConfigStateMachine::handle(const wire::Propose& c) {
     auto document = from_wire(c.document());
@@ -228,7 +228,7 @@
     auto found = documents_.find(p.document.name);
     if (found != documents_.end() && p.token != 0)
         for (const auto& [token, version] : found->second.tokens)
-            if (token == p.token) return {{}, version, {}};  // its answer was lost
+            if (token == p.token) return {{}, version, {}};  // a retry whose first response was lost
     if (auto bad = check_proposal(p, found == documents_.end() ? nullptr : &found->second))
         return {std::move(bad), 0, {}};
     ++revision_;
@@ -306,7 +306,7 @@
     forget_received(state);
 }
 
-/// Who has octets of versions that nobody speaks of any more.
+/// Drops the records of received contents, except of the version in force.
 void ConfigStateMachine::forget_received(DocumentState& state) {
     std::uint64_t in_force = state.in_force ? state.in_force->version : 0;
     for (auto it = state.received.begin(); it != state.received.end();) {
@@ -330,7 +330,7 @@
     return found == documents_.end() || !found->second.in_force ? 0 : found->second.in_force->version;
 }
 
-// ---- Sessions and times
+// Sessions and timeouts
 
 void ConfigStateMachine::session_opened(coordinator::SessionId session, std::string_view name,
                                         std::string_view zone) {
--- a/src/fleet/config_distribution/config_state_machine.h
+++ b/src/fleet/config_distribution/config_state_machine.h
@@ -1,18 +1,17 @@
-// What the keepers agree on about documents: which version is in force, which is on its way, who has said
-// what of it and who may still act on an older one. A machine of theirs (fleet/coordinator/state_machine.h),
-// so it knows no time.
+// The coordinators' state machine for documents: which version is in force, which is proposed, which sessions
+// have acknowledged it and which may still use an older one. It has no clock
+// (fleet/coordinator/state_machine.h).
 //
-// A proposal is made on a version in force; another that was made on the same one is told that it came
-// second. It is staged: each live session has its octets and says yes or no. A `quick` one is in force then.
-// A `strict` one is drained first: every session that may act on what is older says that it does not any
-// more, or is over. The permit to act on a version hangs on the session and on nothing else. A version's
-// number is never given twice, whatever becomes of it.
+// A proposal is based on the version in force; a second one on the same base is rejected. First it is staged:
+// each active session receives its content and acknowledges or rejects it. With Bounded consistency it is
+// then in force. With Strict consistency older versions are drained first: every session that may use an
+// older version releases it or ends. The right to use a version depends on the session alone. Version numbers
+// are never reused, also those of aborted proposals.
 //
-// A session that acts on documents attends: others, of tools and of processes of other kinds, hold no permits
-// and hold nothing up.
+// Only sessions that subscribe use documents; the sessions of tools and of other processes have no leases on
+// documents and block nothing.
 //
-// A canary is acted on in its scope alone, and ends by itself; meanwhile the document takes no other
-// proposal.
+// A canary is used in its scope only and ends by itself; until then the document accepts no other proposal.
 #pragma once
 
 #include <deque>
@@ -36,46 +35,47 @@
 }  // namespace wire
 
 inline constexpr std::size_t kMaxDocuments = 64, kMaxHistory = 8, kMaxAborted = 8;
-inline constexpr std::size_t kMaxTotalContentBytes = 16 << 20;  ///< of all contents that are kept
+inline constexpr std::size_t kMaxTotalContentBytes = 16 << 20;  ///< sum over all stored contents
 inline constexpr std::size_t kMaxReasonBytes = 200;
 inline constexpr std::size_t kMaxUpdateBytes =
-    512 << 10;  ///< octets of contents in one renewal's answer; others follow
+    512 << 10;  ///< contents in one session update; the rest follows with later ones
 inline constexpr Duration kMinStagingTimeout{1000}, kMaxStagingTimeout{600'000};
 
 struct Proposal {
-    Document document;                 ///< its version is given by the machine
-    std::uint64_t base_version = 0;    ///< the version in force that it was made on; zero: the first
-    std::uint64_t token = 0;           ///< drawn by whoever asks: the same one again is the same proposal
-    bool any_nack_aborts = true;       ///< else only the no of all
-    Duration staging_timeout{30'000};  ///< in which every live node must have taken it
+    Document document;               ///< its version is assigned by the state machine
+    std::uint64_t base_version = 0;  ///< version in force that it is based on; 0: no version yet
+    std::uint64_t token =
+        0;  ///< random, of the proposer; a repeated token marks a retry of the same proposal
+    bool any_nack_aborts = true;       ///< false: only if all nodes reject it
+    Duration staging_timeout{30'000};  ///< within which all nodes must accept it
 };
 
-// Commands, as octets.
+// Encoded commands
 std::string propose_command(const Proposal& proposal);
 std::string rollback_command(std::string_view name, std::uint64_t to,
-                             const Proposal& as);  ///< of `as` all but its content counts
+                             const Proposal& as);  ///< the content of `as` is ignored
 std::string ack_command(std::string_view name, std::uint64_t version, bool acked, std::string_view reason);
 std::string release_command(std::string_view name, std::uint64_t next);
 std::string content_received_command(std::string_view name, std::uint64_t version, const Content& content);
 std::string withdraw_command(std::string_view name, std::uint64_t version, std::string_view by);
 std::string subscribe_command();
-/// For `read`. Empty: all documents, without their contents.
+/// For `query`. An empty name requests all documents, without contents.
 std::string status_query(std::string_view name);
 
 enum class Phase : std::uint8_t { None, Staging, Draining, Canary };
 enum class AckStatus : std::uint8_t { Pending, Ack, Nack };
 
-struct AbortedVersion {  ///< a version that never came in force
+struct AbortedVersion {  ///< a version that never came into force
     std::uint64_t version = 0;
     Failure failure;
     std::string proposer;
 };
 struct NodeStatus {
     std::string name, zone;
-    std::uint64_t version = 0;           ///< the newest whose content it has
-    AckStatus ack = AckStatus::Pending;  ///< on what is staged
+    std::uint64_t version = 0;           ///< newest version whose content the node has
+    AckStatus ack = AckStatus::Pending;  ///< for the staged version
     std::string reason;
-    bool blocks_drain = false;  ///< older versions are not given back yet
+    bool blocks_drain = false;  ///< older versions are not released yet
 };
 struct DocumentStatus {
     std::string name;
@@ -87,8 +87,8 @@
 };
 struct ConfigResponse {
     std::optional<Failure> failure;
-    std::uint64_t version = 0;              ///< what was proposed is now called
-    std::vector<DocumentStatus> documents;  ///< to a question; of all documents without contents
+    std::uint64_t version = 0;              ///< assigned to the proposal
+    std::vector<DocumentStatus> documents;  ///< for a status query; without contents if for all documents
 };
 std::optional<ConfigResponse> decode_response(std::string_view bytes);
 
@@ -107,14 +107,14 @@
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    // For figures.
+    // For metrics
     std::size_t documents() const { return documents_.size(); }
-    std::uint64_t in_force(std::string_view name) const;  ///< its version; zero: none
+    std::uint64_t in_force(std::string_view name) const;  ///< version; 0: none
 
 private:
     struct Session {
         std::string name, zone;
-        bool subscribed = false;  ///< others hold no permits and are not asked
+        bool subscribed = false;  ///< others have no leases and are not addressed
     };
     struct NodeAck {
         AckStatus ack = AckStatus::Pending;
@@ -133,7 +133,8 @@
         std::set<coordinator::SessionId> awaiting_release;
         std::map<coordinator::SessionId, std::set<std::uint64_t>> received;
         std::deque<AbortedVersion> aborted;
-        std::deque<std::pair<std::uint64_t, std::uint64_t>> tokens;  ///< and their versions
+        std::deque<std::pair<std::uint64_t, std::uint64_t>>
+            tokens;  ///< recent tokens with the versions assigned
     };
     using DocumentStates = std::map<std::string, DocumentState, std::less<>>;
 
@@ -143,7 +144,7 @@
     ConfigResponse start_staging(Proposal&& proposal);
     std::optional<Failure> check_proposal(const Proposal& proposal, const DocumentState* state) const;
     ConfigResponse status(std::string_view name) const;
-    /// Whoever must take `next` of this document: all, or who is in its scope.
+    /// Whether the session must acknowledge `next`: all subscribed sessions, or those in its canary scope.
     bool is_addressed(const DocumentState& state, const Session& session) const;
     void advance(DocumentState& state);
     void put_in_force(DocumentState& state);
--- a/src/fleet/config_distribution/config_state_machine_codec.cpp
+++ b/src/fleet/config_distribution/config_state_machine_codec.cpp
@@ -1,4 +1,4 @@
-// The machine's snapshots, commands and answers as octets.
+// Encodes the state machine's commands, responses and snapshots.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 
 namespace ochrehub::config_distribution {
 
-// ---- Commands
+// Commands and responses
 
 std::string propose_command(const Proposal& p) {
     wire::Command out;
@@ -91,7 +91,7 @@
     return out;
 }
 
-// ---- Snapshots
+// Snapshots
 
 void ConfigStateMachine::encode_state(const std::string& name, const DocumentState& s,
                                       wire::DocumentState& to) const {
--- a/src/fleet/config_distribution/config_subscriber.cpp
+++ b/src/fleet/config_distribution/config_subscriber.cpp
@@ -38,7 +38,7 @@
 }
 
 void ConfigSubscriber::handle(TimePoint now, const Event& event, Actions& actions) {
-    // The clock first: whatever has come, the permit may have ended while it waited.
+    // The clock is checked first: the lease may have expired while the event was queued.
     expire_lease(now, actions);
     if (const auto* renewed = std::get_if<LeaseRenewed>(&event)) {
         handle_renewal(now, *renewed, actions);
@@ -85,14 +85,13 @@
 
 void ConfigSubscriber::handle_renewal(TimePoint now, const LeaseRenewed& renewed, Actions& actions) {
     if (renewed.update.empty() && renewed.session >= min_session_) {
-        // The keepers don't know yet that this session acts on documents.
+        // The coordinators don't know yet that this session subscribes to documents.
         actions.push_back(SendCommand{subscribe_command()});
         return;
     }
     wire::News received;
     bool parsed = received.ParseFromArray(renewed.update.data(), int(renewed.update.size()));
-    // What brings no news, or old ones, proves nothing about what is in force: it does not lengthen the
-    // permit either.
+    // A malformed or stale update proves nothing about what is in force, so it does not extend the lease.
     if (!parsed || renewed.session < min_session_ || renewed.expires_at <= now ||
         received.revision() < revision_) {
         ++rejected_updates_;
@@ -135,8 +134,8 @@
             document = state.in_force;
         else if (matches(state.next, announced))
             document = state.next;
-        // What cannot be read here is in force all the same: whatever older one is known must not be acted
-        // on.
+        // A version that cannot be decoded here is in force all the same: an older known version must not be
+        // used.
         if (document && document->name == name) {
             if (!announced.content().empty())
                 actions.push_back(
@@ -156,7 +155,7 @@
         state.canary = news.canary(), state.draining = news.draining(), state.acked = news.said(),
         state.released = news.gave_back();
         if (!next && !news.next().content().empty()) {
-            // Not to be read by this release: that is a no.
+            // A version that this release cannot decode is rejected.
             if (!state.acked && !state.draining && !state.canary)
                 actions.push_back(SendCommand{
                     ack_command(name, news.next().version(), false, "cannot be read by this release")});
@@ -184,15 +183,15 @@
         return result != state.check_results.end() && result->second.value_or(false);
     };
     bool permitted = has_session(now) && state.confirmed && is_accepted(state.in_force);
-    // The keepers count a canary's end anew with each leader; a process holds it for its length at most.
+    // Each new leader restarts the timeout of a canary; a node therefore limits it to its duration by its own
+    // clock.
     bool canary = permitted && state.canary && is_accepted(state.next);
     if (canary && state.canary_version != state.next->version)
         state.canary_version = state.next->version,
         state.canary_ends_at = now + state.next->canary_scope->duration;
     canary &= now < state.canary_ends_at;
     const std::optional<Document>& document = canary ? state.next : state.in_force;
-    // What a version is never changes: where the same is acted on in the same way, nothing is to be handed
-    // out anew.
+    // The content of a version never changes: with the same version and mode, no new lease is needed.
     ConfigMode mode = !permitted       ? mode_without_lease(state)
                       : state.draining ? ConfigMode::Transitional
                                        : ConfigMode::Full;
@@ -219,8 +218,8 @@
     if (has_session(now)) send_commands(name, state, actions);
 }
 
-/// How to act without a permit. Whoever has a session and no word on a document must not go on with what
-/// others may have left.
+/// The mode without a lease. A node that has a session without confirmation of a document must not keep a
+/// version that others may have released.
 ConfigMode ConfigSubscriber::mode_without_lease(const DocumentState& state) const {
     if (!state.in_force) return ConfigMode::None;
     switch (state.in_force->expiry_policy) {
@@ -257,7 +256,7 @@
                                   : d.expiry_policy == ExpiryPolicy::KeepCurrent && !in_startup_
                                       ? ConfigMode::KeepCurrent
                                       : ConfigMode::Conservative;
-        // A canary is kept by nobody beyond its end.
+        // No node keeps a canary beyond its end.
         lease.after_expiry = {expired_mode, d.version,
                               expired_mode == ConfigMode::KeepCurrent && effective.version == d.version
                                   ? effective.content
--- a/src/fleet/config_distribution/config_subscriber.h
+++ b/src/fleet/config_distribution/config_subscriber.h
@@ -1,14 +1,13 @@
-// A node's side of documents: what it may act on, by its session with the keepers. A core without I/O: handed
-// the session's renewals, the local check's verdicts and times, it says what to act on, what to tell the
-// keepers and what to keep on disk.
+// A node's subscription to the fleet's documents: decides which configuration the node may use, under its
+// session with the coordinators. A core without I/O: it receives the session's renewals, the results of the
+// local check and timers, and returns what to apply, what to send to the coordinators and what to store.
 //
-// A permit is as long as the session's lease, which whoever runs the session counts from before it asked,
-// less its margin
-// (`until`). What is acted on is handed out together with what takes its place at that time (`Permit`), and
-// whoever decides something asks the permit with the time first: a process that stood still finds out before
-// it decides, not after.
+// A ConfigLease lasts as long as the session's lease, which the session counts from before it sent the
+// renewal, less a margin. It carries the configuration in effect together with the one that replaces it at
+// expiry, and the node compares it with the clock before each decision: a process that was paused notices the
+// expiry before it decides, not after.
 //
-// Older versions are given back only once whoever acts says that it has switched (`Switched`).
+// Older versions are released only after the node has reported that it uses the new lease (`ConfigApplied`).
 #pragma once
 
 #include <cstdint>
@@ -29,10 +28,10 @@
 }
 
 enum class ConfigMode : std::uint8_t {
-    None,  ///< no version was ever known: the node's own settings
+    None,  ///< no version is known: the node's own settings apply
     Full,
-    Transitional,  ///< what contradicts neither the older version nor the next one
-    KeepCurrent,   ///< its permit is over, and the operators' choice is to go on
+    Transitional,  ///< the part that conflicts with neither the version in force nor the next one
+    KeepCurrent,   ///< the lease has expired, and the expiry policy keeps the last version
     Conservative,
     DenyAll,
 };
@@ -40,60 +39,60 @@
 
 struct EffectiveConfig {
     ConfigMode mode = ConfigMode::None;
-    std::uint64_t version = 0;               ///< that it is, or is a part of
-    std::shared_ptr<const Content> content;  ///< never null but with Nothing
+    std::uint64_t version = 0;               ///< that `content` is, or is a part of
+    std::shared_ptr<const Content> content;  ///< null with mode None only
 };
-/// What to act on, by the process's own clock. Copied freely; whoever decides asks it with the time of the
-/// decision.
+/// Which configuration is in effect, by the process's own clock. Cheap to copy; must be evaluated with the
+/// time of each decision.
 struct ConfigLease {
-    EffectiveConfig current, after_expiry;  ///< then: once `until` or `most` is there
+    EffectiveConfig current, after_expiry;  ///< `after_expiry`: from `expires_at` or `canary_ends_at` on
     TimePoint expires_at{};
-    TimePoint canary_ends_at = TimePoint::max();  ///< a canary's own end, which no renewal puts off
+    TimePoint canary_ends_at = TimePoint::max();  ///< end of a canary; renewals do not extend it
     const EffectiveConfig& at(TimePoint time) const {
         return time < expires_at && time < canary_ends_at ? current : after_expiry;
     }
 };
 
 struct ConfigSubscriberSettings {
-    /// After its start a node that keeps on (`Choice::Keep`) is cautious for so long: others may be ahead of
-    /// what its disk says.
+    /// Time after the start in which ExpiryPolicy::KeepCurrent acts as Conservative: other nodes may already
+    /// use a newer version than the one in this node's file.
     Duration conservative_startup{5000};
 };
 
-// ---- What happens
-/// The session's lease was renewed, or the first of a new session. `news`: what this machine had to tell with
-/// that same answer; empty: nothing.
+// Events
+/// The session was opened or renewed. `update`: the state machine's session_update in the same response;
+/// empty: none.
 struct LeaseRenewed {
     coordinator::SessionId session = 0;
     TimePoint expires_at{};
     std::string update;
 };
-/// The keepers say that it is over, whatever is left of its lease.
+/// The coordinators have ended the session, even if its lease has not expired yet.
 struct SessionLost {};
-/// To a Check.
+/// Result of a CheckDocument.
 struct CheckCompleted {
     std::string document;
     std::uint64_t version = 0;
     bool accepted = true;
     std::string reason;
 };
-/// Whoever acts does so by the permit with this serial, and by no older one.
+/// The node uses the lease with this serial, and no older one.
 struct ConfigApplied {
     std::uint64_t serial = 0;
 };
 struct TimerFired {};
 using Event = std::variant<LeaseRenewed, SessionLost, CheckCompleted, ConfigApplied, TimerFired>;
 
-// ---- What is to be done about it
-/// From now on act by this. `how` of `permit.now` says whether on a version, between two, or without a
-/// permit.
+// Actions
+/// Replaces the lease of the document. `lease.current.mode` tells whether it is a version, the common part of
+/// two, or the configuration without a lease.
 struct ApplyConfig {
     std::string document;
     std::uint64_t serial = 0;
     ConfigLease lease;
 };
-/// All permits count until then. Whoever acts carries out Apply and Extend in their order, by one and the
-/// same path: a permit that is longer before what replaces it has come would be acted on for too long.
+/// Extends all leases. ApplyConfig and ExtendLeases must be executed in their order, on the same path: a
+/// lease that is extended before its replacement has arrived would be used for too long.
 struct ExtendLeases {
     TimePoint expires_at{};
 };
@@ -101,10 +100,10 @@
     Document document;
 };
 struct SendCommand {
-    std::string command;  ///< to the machine, on this session
+    std::string command;  ///< for the state machine, on this session
 };
 struct WriteFile {
-    std::string bytes;  ///< to holder_file; not needed for anything that follows
+    std::string bytes;  ///< for document_file.h; no later action depends on it
 };
 struct SetTimer {
     TimePoint at;
@@ -114,18 +113,16 @@
 
 class ConfigSubscriber {
 public:
-    /// `kept`: from its file, as far as the local check takes them. It acts on these by their choice until
-    /// the keepers have said more.
+    /// `stored`: the documents of the node's file that the local check accepts. They apply under their expiry
+    /// policy until the coordinators have sent an update.
     ConfigSubscriber(const ConfigSubscriberSettings& settings, std::vector<Document> stored, TimePoint now,
                      Actions& actions);
 
     void handle(TimePoint now, const Event& event, Actions& actions);
 
-    std::uint64_t rejected_updates() const {
-        return rejected_updates_;
-    }  ///< that could not be read, or were old
+    std::uint64_t rejected_updates() const { return rejected_updates_; }  ///< malformed or stale
     std::uint64_t lease_expirations() const { return lease_expirations_; }
-    /// Each document's version in force as far as is known, and how it is acted on.
+    /// The version of each document in force, as far as known, and the one in effect.
     struct Status {
         std::string document;
         std::uint64_t in_force = 0;
@@ -136,19 +133,20 @@
 
 private:
     struct DocumentState {
-        std::optional<Document> in_force;  ///< the last that is known with its content
-        bool confirmed = false;            ///< in this session: it may be acted on
+        std::optional<Document> in_force;  ///< the last version whose content is known
+        bool confirmed = false;            ///< by the coordinators, in this session
         std::optional<Document> next;
-        std::uint64_t next_version = 0;  ///< also where its content is not known
+        std::uint64_t next_version = 0;  ///< known even if the content is not
         bool draining = false, canary = false, acked = false, released = false;
         std::uint64_t canary_version = 0;
-        TimePoint canary_ends_at{};  ///< counted from when this process first heard that it is to act on it
-        std::map<std::uint64_t, std::optional<bool>>
-            check_results;  ///< by version; without a value: asked for
+        TimePoint canary_ends_at{};  ///< counted from when this process was first notified of the canary
+        std::map<std::uint64_t, std::optional<bool>> check_results;  ///< by version; no value: check pending
         std::map<std::uint64_t, std::string> nack_reasons;
         ConfigLease lease;
-        std::uint64_t transition_to = 0;               ///< with Between: the version that is coming
-        std::uint64_t serial = 0, applied_serial = 0;  ///< of its last Apply, and the last that was confirmed
+        std::uint64_t transition_to = 0;  ///< with Transitional: the next version
+        std::uint64_t serial = 0,
+                      applied_serial =
+                          0;  ///< of the last ApplyConfig, and the last one reported by ConfigApplied
     };
 
     void expire_lease(TimePoint now, Actions& actions);
--- a/src/fleet/config_distribution/config_subscriber_thread.cpp
+++ b/src/fleet/config_distribution/config_subscriber_thread.cpp
@@ -90,8 +90,8 @@
     if (thread_.joinable()) thread_.join();
 }
 
-/// On the session's thread. A renewal's news come right behind its Held; that there were none shows with the
-/// next one.
+/// Runs on the session's thread. SessionUpdate follows its SessionRenewed; a renewal without one is
+/// recognized at the next renewal.
 void ConfigSubscriberThread::on_notification(const coordinator::SessionThread::Notification& notification) {
     if (const auto* renewal = std::get_if<coordinator::SessionRenewed>(&notification)) {
         if (!last_renewal_ || last_renewal_->session != renewal->session || !had_update_)
@@ -133,8 +133,8 @@
                 handle(CheckCompleted{name, version, bad.empty(), bad});
             });
         } else if (auto* send = std::get_if<SendCommand>(&action)) {
-            session_.submit("rules", std::move(send->command),
-                            [](coordinator::Error, const std::string&) {});  // the news say what came of it
+            session_.submit("rules", std::move(send->command), [](coordinator::Error, const std::string&) {
+            });  // the next update shows the result
         } else if (auto* write = std::get_if<WriteFile>(&action)) {
             auto bad = files_ ? save(*files_, kFileName, write->bytes) : std::nullopt;
             if (bad && !std::exchange(file_error_logged_, true)) log_failure(*bad);
@@ -169,7 +169,7 @@
                      std::string(name(s.mode)) + "\"} " + std::to_string(s.effective_version) + "\n";
     }
     effective +=
-        "# HELP ochrehub_rules_lapses_total Times that the permit to act on documents ended\n# TYPE "
+        "# HELP ochrehub_rules_lapses_total Times that the lease on documents expired\n# TYPE "
         "ochrehub_rules_lapses_total counter\nochrehub_rules_lapses_total " +
         std::to_string(subscriber_->lease_expirations()) + "\n";
     std::lock_guard lock(metrics_mutex_);
--- a/src/fleet/config_distribution/config_subscriber_thread.h
+++ b/src/fleet/config_distribution/config_subscriber_thread.h
@@ -1,5 +1,6 @@
-// Documents in a process: a Holder on a thread and a loop of its own beside the session's, its file, and what
-// it hands to the loop that acts. The shell of Holder; it decides nothing, and nobody who acts waits for it.
+// Runs a ConfigSubscriber on its own thread and event loop: connects it to the session, stores its file, and
+// posts leases to the event loop that uses the configuration, which never waits for this thread. Decides
+// nothing itself.
 #pragma once
 
 #include <atomic>
@@ -22,21 +23,21 @@
 
 namespace ochrehub::config_distribution {
 
-/// What the acting loop knows: asked before each decision, on that loop alone.
+/// The leases on the event loop that uses the configuration. Used on that loop only; checked before each
+/// decision.
 class EffectiveConfigs {
 public:
-    /// Called where what is to be acted on has become another: by word of the holder, or since a permit is
-    /// over.
+    /// Called when the configuration in effect changes: by a new lease, or because a lease has expired.
     using ChangeCallback = std::function<void(const std::string& document, const EffectiveConfig&)>;
     explicit EffectiveConfigs(ChangeCallback on_change) : on_change_(std::move(on_change)) {}
 
     void apply(const ApplyConfig& action, TimePoint now);
     void extend(const ExtendLeases& action);
-    /// The clock first: cheap where no permit has ended meanwhile.
+    /// Call before each decision. Cheap if no lease has expired.
     void check_expiry(TimePoint now) {
         if (now >= next_expiry_) expire(now);
     }
-    TimePoint next_expiry() const { return next_expiry_; }  ///< when a permit ends
+    TimePoint next_expiry() const { return next_expiry_; }  ///< earliest expiry of a lease
 
 private:
     struct Entry {
@@ -53,25 +54,25 @@
 
 class ConfigSubscriberThread {
 public:
-    static constexpr std::size_t kDescriptors = 8;  ///< its loop's, the session's, the folder's
+    static constexpr std::size_t kDescriptors = 8;  ///< of its event loop, the session and the folder
 
     struct Callbacks {
-        /// Whether this node can act on it: empty, or why not. On the side's own thread.
+        /// Empty if this node can apply the document, else the reason. Called on the subscriber's thread.
         std::function<std::string(const Document&)> check;
-        /// Runs what it is given on the acting loop, in order.
+        /// Runs the function on the event loop that owns `configs`, in order.
         std::function<void(std::function<void()>)> post;
     };
-    /// `folder` may be empty: nothing is kept. `acting` is touched through `post` alone. `session` must not
-    /// have been started.
+    /// `folder` may be empty: nothing is stored. `configs` is not owned, and used through `post` only.
+    /// `session` must not have been started.
     ConfigSubscriberThread(coordinator::SessionThread& session, Clock clock, std::string folder,
                            EffectiveConfigs& configs, Callbacks callbacks);
     ~ConfigSubscriberThread() { stop(); }
-    /// Waits for its thread's end; nothing is said on the session any more. To be called before the session
-    /// goes, which goes before this.
+    /// Joins the thread; no command is sent on the session afterwards. Must be called before the session is
+    /// destroyed, which must happen before this object is.
     void stop();
 
-    /// For the metrics of the node: versions in force, how they are acted on, how often a permit ended. From
-    /// any thread.
+    /// Prometheus text: versions in force, versions in effect with their mode, lease expirations. From any
+    /// thread.
     std::string metrics() const;
 
 private:
@@ -85,10 +86,10 @@
     EffectiveConfigs& configs_;
     Callbacks callbacks_;
     std::unique_ptr<store::Files> files_;
-    // On the session's thread.
+    // Used on the session's thread
     std::optional<coordinator::SessionRenewed> last_renewal_;
     bool had_update_ = false;
-    // On the side's.
+    // Used on the subscriber's thread
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
     boost::asio::steady_timer timer_;
--- a/src/fleet/config_distribution/document.cpp
+++ b/src/fleet/config_distribution/document.cpp
@@ -20,7 +20,7 @@
     auto it = std::find_if(entries.begin(), entries.end(), [&](const auto& e) { return e.name == name; });
     return it == entries.end() ? nullptr : &*it;
 }
-/// By name, for contents of thousands of entries.
+/// Index by name, for contents with thousands of entries.
 template <class Entries>
 auto index_by_name(const Entries& entries) {
     std::map<std::string_view, const typename Entries::value_type*> out;
@@ -36,7 +36,7 @@
     return {error, std::move(about)};
 }
 
-/// Names, doubles and the number of entries.
+/// Checks names, duplicates and the number of entries.
 template <class Entries>
 std::optional<Failure> check_names(const Entries& entries, std::string_view what) {
     if (entries.size() > kMaxEntries)
@@ -132,7 +132,7 @@
     return {};
 }
 
-/// What a header comes to: whether its first value stays, and what is put behind it.
+/// Effect of all rules on one header: whether the received value is kept, and which values are added.
 struct HeaderEffect {
     bool keeps_received_value = true;
     std::vector<std::string_view> values;
@@ -317,7 +317,7 @@
     if (auto bad = std::visit([](const auto& c) { return check_content(c); }, content)) return bad;
     if (std::size_t size = encode(content).size(); size > kMaxContentBytes)
         return failure(Error::TooLong,
-                       std::to_string(size) + " octets of " + std::to_string(kMaxContentBytes));
+                       std::to_string(size) + " bytes of " + std::to_string(kMaxContentBytes));
     return {};
 }
 
--- a/src/fleet/config_distribution/document.h
+++ b/src/fleet/config_distribution/document.h
@@ -1,7 +1,7 @@
-// Documents on which a fleet agrees: a kind, a name, a content, and a version that rises for ever. What it
-// means that two contents contradict each other, what of two contradicts neither, and what of one contradicts
-// no possible successor is code, for each kind. Functions without state; a content that `checked` took is
-// what all of them expect.
+// Documents that are distributed to a fleet: a kind, a name, a content and an increasing version. Each kind
+// defines which contents conflict, the part of two contents that conflicts with neither, and the part of one
+// that conflicts with no possible successor. All functions are stateless and expect contents that `validate`
+// accepts.
 #pragma once
 
 #include <array>
@@ -17,48 +17,48 @@
 
 namespace ochrehub::config_distribution {
 
-inline constexpr std::size_t kMaxContentBytes =
-    256 << 10;  ///< octets of a content; with room for it in one message of a channel
+inline constexpr std::size_t kMaxContentBytes = 256
+                                                << 10;  ///< encoded size; fits into one message of a channel
 inline constexpr std::size_t kMaxEntries = 20'000, kMaxNameBytes = 64, kMaxValueBytes = 1024,
                              kMaxKeysPerPartner = 16;
-inline constexpr std::uint64_t kMaxRate = 1'000'000'000'000;  ///< thousandths of a request a second
+inline constexpr std::uint64_t kMaxRate = 1'000'000'000'000;  ///< thousandths of a request per second
 
 enum class Kind : std::uint8_t { Limits = 1, Classes, Headers, Partners, Servers };
 enum class ConsistencyMode : std::uint8_t {
-    Strict,   ///< no two processes ever act on versions that contradict each other
-    Bounded,  ///< at most for the stated time
+    Strict,   ///< no two processes ever use conflicting versions
+    Bounded,  ///< written "quick": conflicting versions are used for at most max_inconsistency
 };
-/// What a process does whose permit is over.
+/// What a process uses once its lease has expired.
 enum class ExpiryPolicy : std::uint8_t {
-    KeepCurrent,   ///< goes on: what the mode promises then holds only for those whom a majority of keepers
-                   ///< reaches
-    Conservative,  ///< acts on the part that contradicts no possible successor
-    DenyAll,       ///< acts on nothing that the document allows
+    KeepCurrent,   ///< the last version: the consistency mode then only holds among processes that reach a
+                   ///< majority of coordinators
+    Conservative,  ///< the part that conflicts with no possible successor
+    DenyAll,       ///< nothing that the document allows
 };
 
-/// The most that whoever it names may use over the whole fleet. `floor` is what a process out of reach goes
-/// on with; it never falls.
+/// The maximum rate of one name over the whole fleet. `floor` is the rate that a disconnected process keeps;
+/// it never decreases.
 struct Limit {
     std::string name;
-    std::uint64_t rate = 0;  ///< thousandths of a request a second
+    std::uint64_t rate = 0;  ///< thousandths of a request per second
     std::uint64_t burst = 0, floor = 0;
     friend bool operator==(const Limit&, const Limit&) = default;
 };
 struct Limits {
-    std::uint64_t budget = 0;  ///< the sum of rates that is never passed; zero: nothing is said of it
+    std::uint64_t budget = 0;  ///< limit of the sum of rates; 0: unlimited
     std::vector<Limit> limits;
     friend bool operator==(const Limits&, const Limits&) = default;
 };
 
 enum class RetryRule : std::uint8_t {
-    Unspecified,  ///< is not repeated, and no other is forbidden to
+    Unspecified,  ///< not retried here, but allowed elsewhere
     Allowed,
     Forbidden,
 };
 struct ClassRule {
     std::string name;
     RetryRule retry = RetryRule::Forbidden;
-    std::uint32_t max_attempts = 1;  ///< at most; of May alone more than one
+    std::uint32_t max_attempts = 1;  ///< more than 1 only if retries are Allowed
     friend bool operator==(const ClassRule&, const ClassRule&) = default;
 };
 struct Classes {
@@ -73,19 +73,19 @@
     friend bool operator==(const HeaderRule&, const HeaderRule&) = default;
 };
 struct Headers {
-    std::vector<HeaderRule> rules;  ///< carried out in this order
+    std::vector<HeaderRule> rules;  ///< applied in this order
     friend bool operator==(const Headers&, const Headers&) = default;
 };
 
 enum class PartnerStatus : std::uint8_t {
-    OnHold,  ///< told to come back later, which contradicts nothing
+    OnHold,  ///< asked to retry later; conflicts with nothing
     Open,
     Closed,
 };
 struct Partner {
     std::string name;
     PartnerStatus status = PartnerStatus::Open;
-    std::vector<std::string> keys;  ///< a key is one partner's
+    std::vector<std::string> keys;  ///< each key belongs to one partner
     friend bool operator==(const Partner&, const Partner&) = default;
 };
 struct Partners {
@@ -94,15 +94,16 @@
 };
 
 enum class ServerUse : std::uint8_t {
-    Unspecified,  ///< not used, and no other is forbidden to
+    Unspecified,  ///< not used here, but allowed elsewhere
     In,
     Out,
-    LastResort,  ///< used where nothing else is there
+    LastResort,  ///< used only if no other server is available
 };
 enum class ListSource : std::uint8_t {
-    Static,     ///< a whole list: who is not in it is out
-    Operator,   ///< what operators have said: who is not in it is in, as far as this list goes
-    Discovery,  ///< a whole list, proposed by the one that watches discovery
+    Static,     ///< a complete list: other servers are out
+    Operator,   ///< operators' overrides, written "hand": servers not listed are in, as far as this list
+                ///< decides
+    Discovery,  ///< a complete list, proposed by the process that watches discovery
 };
 struct Server {
     std::string name;
@@ -112,19 +113,19 @@
 };
 struct Servers {
     ListSource source = ListSource::Static;
-    std::uint64_t revision = 0;  ///< discovery's own
+    std::uint64_t revision = 0;  ///< of discovery
     std::vector<Server> servers;
     bool partial =
-        false;  ///< what `caution` leaves: others are neither in nor out, they are used last. Never proposed
+        false;  ///< result of conservative_subset: servers not listed are a last resort. Never proposed
     friend bool operator==(const Servers&, const Servers&) = default;
 };
 
 using Content = std::variant<Limits, Classes, Headers, Partners, Servers>;
 using Digest = std::array<std::uint8_t, 16>;
 
-/// Where a canary is acted on, and for how long: it ends by itself.
+/// Where a canary applies, and for how long; it ends by itself.
 struct CanaryScope {
-    std::string zone, node;  ///< one of the two
+    std::string zone, node;  ///< exactly one of the two is set
     Duration duration{};
     friend bool operator==(const CanaryScope&, const CanaryScope&) = default;
 };
@@ -137,9 +138,9 @@
     ConsistencyMode mode = ConsistencyMode::Strict;
     ExpiryPolicy expiry_policy = ExpiryPolicy::Conservative;
     std::string proposer;
-    std::uint64_t proposed_at_s = 0;  ///< seconds since 1970 by the proposer's clock: for people
+    std::uint64_t proposed_at_s = 0;  ///< Unix time in seconds by the proposer's clock; informative
     std::optional<CanaryScope> canary_scope;
-    std::uint64_t rollback_of = 0;  ///< a step back: the version whose content this is
+    std::uint64_t rollback_of = 0;  ///< of a rollback: the version whose content this is; else 0
     friend bool operator==(const Document&, const Document&) = default;
 };
 
@@ -149,43 +150,43 @@
 std::string_view name(ConsistencyMode mode);
 std::string_view name(ExpiryPolicy expiry_policy);
 
-/// Lists are quick, as drains must not wait; whether something runs twice is strict.
+/// Discovery lists must be Bounded, as drains must not wait; retry rules must be Strict.
 bool is_mode_allowed(const Content& content, ConsistencyMode mode);
 bool is_valid_name(std::string_view name);
 
-/// Nothing where it is sound: sizes, doubles, values, sums; else what is wrong, and where in it.
+/// Checks sizes, duplicates, values and sums. Returns what is wrong and where, or nothing.
 std::optional<Failure> validate(const Content& content);
-/// Whether `next` may come behind `old` under one name: the same kind, and nothing below a floor.
+/// Whether `next` may succeed `old` under one name: it needs the same kind, and no floor may decrease.
 std::optional<Failure> check_successor(const Content& old, const Content& next);
 
-/// Two processes that act on one each do harm: see docs/design/agreement.md for each kind. Symmetric; of two
-/// kinds, never.
+/// Whether two processes that use one content each do harm; docs/design/agreement.md defines it for each
+/// kind. Symmetric; false for different kinds.
 bool conflicts(const Content& a, const Content& b);
-/// The part that contradicts neither, nor what `caution` leaves of either.
+/// The part that conflicts with neither content, nor with the conservative_subset of either.
 Content intersection(const Content& a, const Content& b);
-/// The part that contradicts no content that `follows` it, whenever.
+/// The part that conflicts with no valid successor of the content.
 Content conservative_subset(const Content& content);
-/// What acts on nothing that the document allows.
+/// What nothing that the document allows.
 Content deny_all(const Content& content);
 
-/// How the lists of one fleet join: who is out by hand is out, whatever discovery says; else discovery's
-/// word, else the static list's.
+/// Applies the operators' list to another list: a server that operators put out is out, else the other list
+/// decides.
 Servers merge_lists(const Servers& list, const Servers& operator_list);
 
-/// Entries by name (header rules by their order), so that equal contents are equal octets.
+/// Sorts entries by name, except header rules, so that equal contents have equal encodings.
 Content canonical(Content content);
 std::string encode(const Content& content);
-/// Nothing where the octets are not what `encode` gives for it: cut, changed, of an unknown kind or of a
-/// later release.
+/// Empty if the bytes are not an exact result of `encode`: truncated, changed, or of an unknown kind or later
+/// release.
 std::optional<Content> decode(std::string_view bytes);
 Digest digest(std::string_view bytes);
 
-/// One entry a line, `kind limits` first.
+/// One entry per line; the first line is the kind, such as `kind limits`.
 std::string to_text(const Content& content);
-/// Reads what `text` writes, and files by hand: blank lines and `#` are skipped. `Failure::about` names the
-/// line.
+/// Parses the output of `to_text`, and handwritten files: blank lines and `#` comments are skipped.
+/// `Failure::about` names the line.
 std::variant<Content, Failure> parse_text(std::string_view text);
-/// Lines of `b` that are not in `a` behind `+ `, the reverse behind `- `. Empty: the same.
+/// Lines only in `b` are prefixed with `+ `, lines only in `a` with `- `. Empty if equal.
 std::string diff(const Content& a, const Content& b);
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/document_file.cpp
+++ b/src/fleet/config_distribution/document_file.cpp
@@ -46,7 +46,7 @@
 
 std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view bytes) {
     std::string fresh = name + ".new";
-    store::Error why = files.remove(fresh);  // what an earlier attempt left
+    store::Error why = files.remove(fresh);  // left by an earlier attempt
     if (why == 0 || why == ENOENT) why = files.append(fresh, bytes);
     if (why == 0) why = files.sync(fresh);
     if (why == 0) why = files.rename(fresh, name);
--- a/src/fleet/config_distribution/document_file.h
+++ b/src/fleet/config_distribution/document_file.h
@@ -1,4 +1,4 @@
-// A node's file of the last versions in force: whole, or not used.
+// A node's file of the last versions in force. A damaged file is not used at all.
 #pragma once
 
 #include <string>
@@ -11,13 +11,13 @@
 
 namespace ochrehub::config_distribution {
 
-/// `ochrehub rules 1`, a line's end, the digest of what follows, the documents.
+/// Format: the line `ochrehub rules 1`, the digest of the rest, the documents as wire::Kept.
 std::string encode_file(const std::vector<Document>& documents);
 std::variant<std::vector<Document>, Failure> decode_file(std::string_view bytes);
 
-/// Blocks as long as the disk does. Nothing where it lasts. The old file stands until the new one does.
+/// Blocks on the disk. Empty once the file is durable; the old file stays until the new one is complete.
 std::optional<Failure> save(store::Files& files, const std::string& name, std::string_view bytes);
-/// No file: no documents.
+/// Without a file: no documents.
 std::variant<std::vector<Document>, Failure> load(store::Files& files, const std::string& name);
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/document_text.cpp
+++ b/src/fleet/config_distribution/document_text.cpp
@@ -1,4 +1,4 @@
-// Contents as text: one entry a line.
+// Text form of contents: one entry per line.
 #include <charconv>
 #include <map>
 
@@ -13,7 +13,7 @@
                            kListSourceNames[] = {"static", "hand", "discovery"},
                            kRetryRuleNames[] = {"unsaid", "may", "may-not"};
 
-/// Requests a second, with the thousandths that there are.
+/// Requests per second, without trailing zeros.
 std::string format_rate(std::uint64_t thousandths) {
     std::string out = std::to_string(thousandths / 1000);
     if (thousandths % 1000 != 0) {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The words of a line, one after the other.
+/// Splits a line into words.
 struct WordReader {
     std::string_view rest;
     std::string_view next() {
@@ -70,7 +70,7 @@
         return word;
     }
     bool at_end() const { return rest.find_first_not_of(' ') == rest.npos; }
-    /// All that is left, without blanks around it.
+    /// The rest of the line without surrounding blanks.
     std::string_view remainder() {
         rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
         rest = rest.substr(0, rest.find_last_not_of(' ') + 1);
@@ -102,7 +102,7 @@
     return false;
 }
 
-/// One line into the content; false: it is not one of its kind.
+/// Parses one line into the content; false if the line is not valid for its kind.
 bool parse_line(Limits& c, std::string_view first, WordReader& words) {
     if (first == "budget")
         return c.budget == 0 && parse_thousandths(words.next(), c.budget) && words.at_end();
@@ -180,7 +180,7 @@
 
 std::variant<Content, Failure> parse_text(std::string_view text) {
     if (text.size() > 2 * kMaxContentBytes)
-        return Failure{Error::TooLong, std::to_string(text.size()) + " octets of text"};
+        return Failure{Error::TooLong, std::to_string(text.size()) + " bytes of text"};
     std::optional<Content> content;
     for (std::size_t line = 1; !text.empty(); ++line) {
         std::size_t end = text.find('\n');
@@ -242,7 +242,7 @@
         if (count[line] > 0) --count[line], out += "- " + line + "\n";
     for (const std::string& line : is)
         if (count[line] < 0) ++count[line], out += "+ " + line + "\n";
-    // Header rules in another order are another content with the same lines.
+    // Header rules in a different order have the same lines but are a different content.
     if (out.empty() && was != is) {
         for (const std::string& line : was) out += "- " + line + "\n";
         for (const std::string& line : is) out += "+ " + line + "\n";
--- a/src/fleet/config_distribution/error.h
+++ b/src/fleet/config_distribution/error.h
@@ -1,4 +1,4 @@
-// What may go wrong with a document, a proposal, a node's file or a stated time.
+// Errors of documents, proposals, a node's document file and lease timing.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/config_distribution/max_inconsistency.h
+++ b/src/fleet/config_distribution/max_inconsistency.h
@@ -1,5 +1,5 @@
-// The stated time: the longest that two processes may act on versions of one document that contradict each
-// other, from the settings alone. It is what `check` prints and what the world's judge holds the code to.
+// The longest time for which two processes may use conflicting versions of one document, computed from the
+// settings. `ochrehub check` prints it, and the lab's invariant checker enforces it.
 #pragma once
 
 #include <optional>
@@ -10,19 +10,20 @@
 
 struct LeaseTiming {
     Duration lease{3000};
-    Duration margin{
-        80};  ///< how much earlier a process takes its session for over: a hundredth of the lease and 50 ms
-    double max_clock_drift = 0.01;      ///< how far apart two monotonic clocks may run
-    std::optional<Duration> requested;  ///< what operators ask for, of quick documents
+    Duration margin{80};  ///< how much earlier than the coordinators a process ends its lease: 1 % of the
+                          ///< lease plus 50 ms
+    double max_clock_drift = 0.01;      ///< maximum relative rate difference of two monotonic clocks
+    std::optional<Duration> requested;  ///< the operators' limit for Bounded documents
 };
-/// With the margin that a session of this lease has.
+/// With the margin that a session with this lease uses.
 LeaseTiming lease_timing(Duration lease, std::optional<Duration> requested = {});
 
-/// Strict: zero. Quick: what the lease of a process is that was renewed just before the next version was in
-/// force, and hears nothing any more; where all is well, a renewal and its round trip. A canary of a quick
-/// document adds its own length.
+/// Strict: zero. Bounded: the lease of a process that renewed just before the next version came into force
+/// and was then cut off; without faults, one renewal interval and its round trip. A canary of a Bounded
+/// document adds its own duration.
 Duration max_inconsistency(const LeaseTiming& timing, ConsistencyMode mode);
-/// A stated time that these cannot hold, or a margin that does not cover the clocks.
+/// Fails if the requested limit is shorter than the lease allows, or the margin does not cover the clock
+/// drift.
 std::optional<Failure> validate(const LeaseTiming& timing);
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/wire_codec.cpp
+++ b/src/fleet/config_distribution/wire_codec.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-/// False: a number that names nothing.
+/// False if the number is no value of the enum.
 template <class Enum>
 bool to_enum(std::uint32_t number, Enum max_value, Enum& into) {
     into = Enum(number);
@@ -105,7 +105,7 @@
     wire::Content in;
     if (bytes.size() > kMaxContentBytes || !in.ParseFromArray(bytes.data(), int(bytes.size()))) return {};
     auto content = decode_fields(in);
-    // What a later release knows and this one doesn't would be lost in silence.
+    // Rejects fields of a later release, which would be dropped silently.
     if (!content || encode(*content) != bytes) return {};
     return content;
 }
--- a/src/fleet/config_distribution/wire_codec.h
+++ b/src/fleet/config_distribution/wire_codec.h
@@ -1,4 +1,4 @@
-// Documents as they are kept and sent (proto/agreement.proto). For this module and its tests alone.
+// Conversion of documents to and from proto/config_distribution.proto. Private to this module and its tests.
 #pragma once
 
 #include <config_distribution.pb.h>
@@ -9,10 +9,9 @@
 
 namespace ochrehub::config_distribution {
 
-/// With or without its content; its digest always.
+/// Includes the content only if `with_content`, the digest always.
 void to_wire(const Document& document, bool with_content, wire::Document& into);
-/// Nothing where name, mode, scope or content are none. `empty_content`: a content that is left out is taken
-/// as Limits{}.
+/// Empty if name, mode, scope or content is invalid. `empty_content`: accepts a missing content, as Limits{}.
 std::optional<Document> from_wire(const wire::Document& from, bool empty_content = false);
 std::string content_digest(const Content& content);
 
--- a/tests/fleet/config_distribution_test.cpp
+++ b/tests/fleet/config_distribution_test.cpp
@@ -1,5 +1,4 @@
-// Documents, the keepers' machine and a node's holder, each by itself. What they do together is judged in
-// lab/agreement.
+// Unit tests of documents, the state machine and the subscriber. lab/config_distribution tests them together.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -22,7 +21,7 @@
     static std::set<Error> all;
     return all;
 }
-/// Whether it failed so; notes that this error was caused.
+/// Whether the failure is this error; records that it was caused.
 testing::AssertionResult is(const std::optional<Failure>& failure, Error error) {
     if (!failure) return testing::AssertionFailure() << "no failure";
     seen_errors().insert(failure->error);
@@ -37,7 +36,7 @@
     return {budget, {{"a", a, 5, floor}, {"b", b, 5, floor}}};
 }
 
-/// Any sound content of a kind, over so few names that two of them meet.
+/// A random valid content of a kind, over few names, so that two contents overlap.
 Content random_content(std::mt19937_64& random, Kind kind) {
     auto below = [&](std::uint64_t n) { return random() % n; };
     auto names = [&] {
@@ -94,7 +93,7 @@
 }
 constexpr Kind kAllKinds[] = {Kind::Limits, Kind::Classes, Kind::Headers, Kind::Partners, Kind::Servers};
 
-// ---- Documents
+// Documents
 
 TEST(Document, ConflictsOfEachKind) {
     auto servers = [](ListSource source, std::vector<Server> all) {
@@ -104,7 +103,7 @@
         Content a, b;
         bool conflict;
     } rows[] = {
-        {limits(400, 600), limits(500, 500), true},  // 500 and 600 pass 1000
+        {limits(400, 600), limits(500, 500), true},  // 500 + 600 exceed 1000
         {limits(400, 500), limits(500, 400), false},
         {limits(400, 500), limits(400, 100, 500), true},  // the budget was cut
         {limits(400, 500, 0), limits(900, 900, 0), false},
@@ -175,7 +174,8 @@
             RC_ASSERT(std::get<Content>(read) == canonical(a));
             RC_ASSERT((digest(encode(a)) == digest(encode(b))) == (canonical(a) == canonical(b)));
             RC_ASSERT(diff(a, b).empty() == (canonical(a) == canonical(b)));
-            std::string bytes = encode(a);  // cut or changed: another content, or none; never out of bounds
+            std::string bytes =
+                encode(a);  // truncated or changed: another content or none, and no access out of bounds
             for (std::size_t i = 0; i < bytes.size(); ++i) {
                 if (auto cut = decode(std::string_view(bytes).substr(0, i)))
                     RC_ASSERT(encode(*cut) == bytes.substr(0, i));
@@ -218,9 +218,9 @@
                  {{"a", ServerUse::In, ""}, {"b", ServerUse::In, ""}, {"c", ServerUse::Out, ""}}};
     Servers operator_list{ListSource::Operator, 0, {{"a", ServerUse::Out, ""}, {"c", ServerUse::In, ""}}};
     Servers merged = merge_lists(list, operator_list);
-    EXPECT_EQ(merged.servers[0].use, ServerUse::Out);  // by hand, whatever discovery says
+    EXPECT_EQ(merged.servers[0].use, ServerUse::Out);  // operators override discovery
     EXPECT_EQ(merged.servers[1].use, ServerUse::In);
-    EXPECT_EQ(merged.servers[2].use, ServerUse::Out);  // by hand nothing is put in that discovery has let go
+    EXPECT_EQ(merged.servers[2].use, ServerUse::Out);  // operators cannot add what discovery has removed
     merged = merge_lists(list, std::get<Servers>(conservative_subset(operator_list)));
     EXPECT_EQ(merged.servers[0].use, ServerUse::Out);
     EXPECT_EQ(merged.servers[1].use, ServerUse::LastResort);
@@ -234,12 +234,13 @@
     EXPECT_TRUE(is(validate(LeaseTiming{3000ms, 10ms, 0.01, {}}), Error::Margin));
 }
 
-// ---- The machine
+// State machine
 
 struct StateMachineFixture {
     ConfigStateMachine state_machine;
     ConfigResponse apply(const std::string& command, coordinator::SessionId session = 0) {
-        // Every state passes through a snapshot: what is not in it would show.
+        // Each command also runs on a copy restored from a snapshot, which finds state that the snapshot
+        // lacks.
         ConfigStateMachine other;
         EXPECT_TRUE(other.restore(1, state_machine.snapshot()));
         EXPECT_EQ(other.snapshot(), state_machine.snapshot());
@@ -271,7 +272,7 @@
     void join(coordinator::SessionId id, const std::string& name, const std::string& zone) {
         state_machine.session_opened(id, name, zone);
         EXPECT_TRUE(is(apply(ack_command("rates", 1, true, ""), id).failure,
-                       Error::Unknown));  // not one that attends
+                       Error::Unknown));  // not subscribed yet
         EXPECT_EQ(state_machine.session_update(id), "");
         apply(subscribe_command(), id);
     }
@@ -293,7 +294,7 @@
 
 TEST(ConfigStateMachine, StrictVersionWaitsForAllReleases) {
     StateMachineFixture fixture;
-    EXPECT_EQ(fixture.propose(limits(400, 600), 0).version, 1u);  // nobody is there: at once
+    EXPECT_EQ(fixture.propose(limits(400, 600), 0).version, 1u);  // no sessions: in force at once
     EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
     fixture.join(1, "n1", "a");
     fixture.join(2, "n2", "b");
@@ -302,15 +303,15 @@
     EXPECT_EQ(fixture.status().phase, Phase::Staging);
     fixture.apply(ack_command("rates", 2, true, ""), 2);
     EXPECT_EQ(fixture.status().phase, Phase::Draining);
-    fixture.join(3, "n3", "a");  // never had the older one
+    fixture.join(3, "n3", "a");  // never used the older version
     fixture.apply(release_command("rates", 2), 1);
     EXPECT_TRUE(
-        is(fixture.apply(release_command("rates", 1), 2).failure, Error::Unknown));  // of another version
+        is(fixture.apply(release_command("rates", 1), 2).failure, Error::Unknown));  // of a different version
     EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
     EXPECT_TRUE(fixture.status().nodes[1].blocks_drain);
     fixture.state_machine.session_ended(2);
     EXPECT_EQ(fixture.state_machine.in_force("rates"), 2u);
-    // Back: a new version with the old content, known by where it is from.
+    // A rollback is a new version with the old content, and names the version it is from.
     Proposal rollback{StateMachineFixture::document(limits(0, 0)), 2, 0, true, 30s};
     EXPECT_TRUE(is(fixture.apply(rollback_command("rates", 9, rollback)).failure, Error::NoVersion));
     EXPECT_EQ(fixture.apply(rollback_command("rates", 1, rollback)).version, 3u);
@@ -338,7 +339,7 @@
         0, Error::Mode);
     Document canary = StateMachineFixture::document(limits(500, 500));
     canary.canary_scope = CanaryScope{"", "n1", 60s};
-    bad(canary, 1, Error::Canary);  // strict, and at odds with what is in force
+    bad(canary, 1, Error::Canary);  // Strict, and conflicting with the version in force
     EXPECT_TRUE(is(fixture.apply("\xff\xff").failure, Error::Malformed));
     EXPECT_TRUE(is(fixture.query("other").failure, Error::Unknown));
     EXPECT_TRUE(is(fixture.apply(ack_command("rates", 1, true, ""), 1).failure, Error::Unknown));
@@ -359,7 +360,7 @@
     EXPECT_TRUE(
         is(fixture.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure, Error::Busy));
     EXPECT_EQ(fixture.propose(limits(500, 500), 1, ConsistencyMode::Strict, "rates", 77).version,
-              2u);  // its answer was lost
+              2u);  // a retry
     fixture.apply(ack_command("rates", 2, true, ""), 1), fixture.apply(release_command("rates", 2), 1);
     EXPECT_TRUE(is(fixture.propose(limits(300, 600), 1, ConsistencyMode::Strict, "rates", 78).failure,
                    Error::BaseMoved));
@@ -375,7 +376,7 @@
     fixture.apply(ack_command("rates", 2, false, "no such class"), 2);
     EXPECT_TRUE(is(fixture.last_failure(), Error::NodeRefused));
     EXPECT_EQ(fixture.last_failure().about, "rates 2: n2: no such class");
-    EXPECT_EQ(fixture.propose(limits(500, 500), 1).version, 3u);  // never the same number
+    EXPECT_EQ(fixture.propose(limits(500, 500), 1).version, 3u);  // version numbers are not reused
     fixture.apply(ack_command("rates", 3, true, ""), 1);
     fixture.expire_timeout();
     EXPECT_TRUE(is(fixture.last_failure(), Error::TimeOver));
@@ -384,7 +385,7 @@
     EXPECT_TRUE(is(fixture.apply(withdraw_command("rates", 9, "bob")).failure, Error::Unknown));
     fixture.apply(withdraw_command("rates", 4, "bob"));
     EXPECT_TRUE(is(fixture.last_failure(), Error::Withdrawn));
-    // Where one no does not stop it, the no of all does.
+    // If one rejection does not abort the proposal, the rejection of all nodes does.
     for (bool yes : {true, false}) {
         fixture.apply(propose_command({StateMachineFixture::document(limits(500, 500)), 1, 0, false, 30s}));
         std::uint64_t version = fixture.status().next->version;
@@ -405,7 +406,7 @@
     Document canary = StateMachineFixture::document(limits(500, 500), ConsistencyMode::Bounded);
     canary.canary_scope = CanaryScope{"a", "", 60s};
     fixture.apply(propose_command({canary, 1, 0, true, 30s}));
-    fixture.apply(ack_command("rates", 2, true, ""), 2);  // was not asked
+    fixture.apply(ack_command("rates", 2, true, ""), 2);  // outside of the scope
     EXPECT_EQ(fixture.status().phase, Phase::Staging);
     fixture.apply(ack_command("rates", 2, true, ""), 1);
     EXPECT_EQ(fixture.status().phase, Phase::Canary);
@@ -414,7 +415,7 @@
     EXPECT_EQ(armed.at(0).length, 60s);
     EXPECT_EQ(fixture.state_machine.in_force("rates"), 1u);
     EXPECT_EQ(fixture.state_machine.session_update(1).find("\x18\x02"),
-              std::string::npos);  // contents have come
+              std::string::npos);  // the node has the contents
     fixture.expire_timeout();
     EXPECT_EQ(fixture.status().phase, Phase::None);
 }
@@ -430,9 +431,9 @@
     EXPECT_EQ(other.snapshot(), whole);
 }
 
-// ---- The holder
+// Subscriber
 
-/// One node beside a machine, without a network.
+/// One node and the state machine, without a network.
 struct Node {
     StateMachineFixture fixture;
     TimePoint now{};
@@ -491,7 +492,7 @@
     EXPECT_EQ(*n.effective().content, Content(limits(400, 600)));
     n.now += 2919ms;
     EXPECT_EQ(n.effective().mode, ConfigMode::Full);
-    n.now += 2ms;  // nobody told the holder: the permit itself ends
+    n.now += 2ms;  // the lease expires without an event to the subscriber
     EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
     EXPECT_EQ(*n.effective().content, conservative_subset(limits(400, 600)));
     n.handle(TimerFired{});
@@ -500,7 +501,7 @@
     EXPECT_EQ(n.effective().mode, ConfigMode::Full);
     n.handle(SessionLost{});
     EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
-    n.renew(1);  // a late answer of a session that is over
+    n.renew(1);  // a late response for an ended session
     EXPECT_EQ(n.effective().mode, ConfigMode::Conservative);
     EXPECT_EQ(n.subscriber->rejected_updates(), 1u);
 }
@@ -519,12 +520,12 @@
     EXPECT_EQ(n.effective().mode, ConfigMode::Transitional);
     EXPECT_EQ(*n.effective().content, intersection(limits(400, 600), limits(500, 500)));
     n.renew(1);
-    EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 1u);  // nothing was confirmed
-    n.handle(ConfigApplied{n.applied["rates"].serial - 1});    // of an older one
+    EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 1u);  // no ConfigApplied yet
+    n.handle(ConfigApplied{n.applied["rates"].serial - 1});    // of an older lease
     EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 1u);
     n.handle(ConfigApplied{n.applied["rates"].serial});
     EXPECT_EQ(n.fixture.state_machine.in_force("rates"), 2u);
-    n.handle(LeaseRenewed{1, n.now + 2920ms, old});  // came late
+    n.handle(LeaseRenewed{1, n.now + 2920ms, old});  // stale
     EXPECT_EQ(n.effective().mode, ConfigMode::Transitional);
     n.renew(1);
     EXPECT_EQ(n.effective().version, 2u);
@@ -546,7 +547,7 @@
         EXPECT_EQ(n.effective().mode, expiry_policy == ExpiryPolicy::KeepCurrent    ? ConfigMode::KeepCurrent
                                       : expiry_policy == ExpiryPolicy::Conservative ? ConfigMode::Conservative
                                                                                     : ConfigMode::DenyAll);
-        // The keepers know of another version, and this node's check does not take it.
+        // The coordinators know another version, which this node's check rejects.
         n.accepts = false;
         n.fixture.join(1, "n1", "a");
         n.fixture.propose(limits(500, 500), 0);
@@ -572,7 +573,7 @@
     }
 }
 
-/// A disk that fails at its nth call.
+/// A disk that fails once `calls_left` is used up.
 struct FailingDisk : store::Files {
     std::map<std::string, std::string> files;
     int calls_left = 1 << 30;
@@ -617,7 +618,7 @@
         auto read = load(disk, "rules");
         ASSERT_TRUE(std::holds_alternative<std::vector<Document>>(read));
         EXPECT_EQ(std::get<0>(read).at(0).version, n < 4 ? 3u : 4u);
-        EXPECT_FALSE(save(disk, "rules", encode_file({e})));  // what was left does not stand in the way
+        EXPECT_FALSE(save(disk, "rules", encode_file({e})));  // an earlier attempt's file does not interfere
     }
     EXPECT_EQ(failed, 5);
     FailingDisk disk;
@@ -626,7 +627,7 @@
     EXPECT_TRUE(is(std::get<Failure>(load(disk, "rules")), Error::FileFailed));
 }
 
-/// Last of all, by its name: each error was caused by a test above (in one process; alone it says nothing).
+/// Runs last, by its name: each error must have been caused by a test above, if all run in one process.
 TEST(ZErrors, EveryErrorIsCausedAndHasARow) {
     std::set<std::string_view> codes;
     for (std::size_t i = 0; i < kErrorCount; ++i) {
