--- a/lab/config_distribution/main.cpp
+++ b/lab/config_distribution/main.cpp
@@ -1,9 +1,8 @@
 // Runs config distribution simulations in parallel, for the figures of docs/design/agreement.md.
-//   days SEEDS [FIRST]   a run for each seed, cycling through the faults: violations, longest Bounded
-//   conflict copied SEEDS         the same runs with files copied by a script and a signal to reload
-//   saboteurs SEEDS      each mutant under each kind of fault, until the invariant checker finds it
-//   change               one Strict change among three nodes: a crash and a pause of each process at each
-//   event
+//   days SEEDS [FIRST]   runs under each fault in turn: violations, longest Bounded conflict
+//   copied SEEDS         the same runs with files copied by a script and a signal to reload
+//   saboteurs SEEDS      each mutant under each fault, until the invariant checker finds it
+//   change               a Strict change among three nodes, with a crash or pause at each event
 #include <atomic>
 #include <cstdio>
 #include <cstdlib>
