--- a/src/fleet/config_distribution/config_subscriber.h
+++ b/src/fleet/config_distribution/config_subscriber.h
@@ -1,14 +1,13 @@
-// A node's side of documents: what it may act on, by its session with the keepers. A core without I/O: handed
-// the session's renewals, the local check's verdicts and times, it says what to act on, what to tell the
-// keepers and what to keep on disk.
+// A node's subscription to the fleet's documents: decides which configuration the node may use, under its
+// session with the coordinators. A core without I/O: it receives the session's renewals, the results of the
+// local check and timers, and returns what to apply, what to send to the coordinators and what to store.
 //
-// A permit is as long as the session's lease, which whoever runs the session counts from before it asked,
-// less its margin
-// (`until`). What is acted on is handed out together with what takes its place at that time (`Permit`), and
-// whoever decides something asks the permit with the time first: a process that stood still finds out before
-// it decides, not after.
+// A ConfigLease lasts as long as the session's lease, which the session counts from before it sent the
+// renewal, less a margin. It carries the configuration in effect together with the one that replaces it at
+// expiry, and the node compares it with the clock before each decision: a process that was paused notices the
+// expiry before it decides, not after.
 //
-// Older versions are given back only once whoever acts says that it has switched (`Switched`).
+// Older versions are released only after the node has reported that it uses the new lease (`ConfigApplied`).
 #pragma once
 
 #include <cstdint>
@@ -29,10 +28,10 @@
 }
 
 enum class ConfigMode : std::uint8_t {
-    None,  ///< no version was ever known: the node's own settings
+    None,  ///< no version is known: the node's own settings apply
     Full,
-    Transitional,  ///< what contradicts neither the older version nor the next one
-    KeepCurrent,   ///< its permit is over, and the operators' choice is to go on
+    Transitional,  ///< the part that conflicts with neither the version in force nor the next one
+    KeepCurrent,   ///< the lease has expired, and the expiry policy keeps the last version
     Conservative,
     DenyAll,
 };
@@ -40,132 +39,139 @@
 
 struct EffectiveConfig {
     ConfigMode mode = ConfigMode::None;
-    std::uint64_t version = 0;               ///< that it is, or is a part of
-    std::shared_ptr<const Content> content;  ///< never null but with Nothing
+    std::uint64_t version = 0;               ///< that `content` is, or is a part of
+    std::shared_ptr<const Content> content;  ///< null with mode None only
 };
-/// What to act on, by the process's own clock. Copied freely; whoever decides asks it with the time of the
-/// decision.
-struct Permit {
-    EffectiveConfig now, then;  ///< then: once `until` or `most` is there
-    TimePoint until{};
-    TimePoint most = TimePoint::max();  ///< a canary's own end, which no renewal puts off
-    const EffectiveConfig& at(TimePoint time) const { return time < until && time < most ? now : then; }
+/// Which configuration is in effect, by the process's own clock. Cheap to copy; must be evaluated with the
+/// time of each decision.
+struct ConfigLease {
+    EffectiveConfig current, after_expiry;  ///< `after_expiry`: from `expires_at` or `canary_ends_at` on
+    TimePoint expires_at{};
+    TimePoint canary_ends_at = TimePoint::max();  ///< end of a canary; renewals do not extend it
+    const EffectiveConfig& at(TimePoint time) const {
+        return time < expires_at && time < canary_ends_at ? current : after_expiry;
+    }
 };
 
-struct HolderSettings {
-    /// After its start a node that keeps on (`Choice::Keep`) is cautious for so long: others may be ahead of
-    /// what its disk says.
-    Duration patience{5000};
+struct ConfigSubscriberSettings {
+    /// Time after the start in which ExpiryPolicy::KeepCurrent acts as Conservative: other nodes may already
+    /// use a newer version than the one in this node's file.
+    Duration conservative_startup{5000};
 };
 
-// ---- What happens
-/// The session's lease was renewed, or the first of a new session. `news`: what this machine had to tell with
-/// that same answer; empty: nothing.
-struct Renewed {
+// Events
+/// The session was opened or renewed. `update`: the state machine's session_update in the same response;
+/// empty: none.
+struct LeaseRenewed {
     coordinator::SessionId session = 0;
-    TimePoint until{};
-    std::string news;
+    TimePoint expires_at{};
+    std::string update;
 };
-/// The keepers say that it is over, whatever is left of its lease.
-struct Lost {};
-/// To a Check.
-struct Verdict {
+/// The coordinators have ended the session, even if its lease has not expired yet.
+struct SessionLost {};
+/// Result of a CheckDocument.
+struct CheckCompleted {
     std::string document;
     std::uint64_t version = 0;
-    bool yes = true;
+    bool accepted = true;
     std::string reason;
 };
-/// Whoever acts does so by the permit with this serial, and by no older one.
-struct Switched {
+/// The node uses the lease with this serial, and no older one.
+struct ConfigApplied {
     std::uint64_t serial = 0;
 };
-struct Woken {};
-using Event = std::variant<Renewed, Lost, Verdict, Switched, Woken>;
+struct TimerFired {};
+using Event = std::variant<LeaseRenewed, SessionLost, CheckCompleted, ConfigApplied, TimerFired>;
 
-// ---- What is to be done about it
-/// From now on act by this. `how` of `permit.now` says whether on a version, between two, or without a
-/// permit.
-struct Apply {
+// Actions
+/// Replaces the lease of the document. `lease.current.mode` tells whether it is a version, the common part of
+/// two, or the configuration without a lease.
+struct ApplyConfig {
     std::string document;
     std::uint64_t serial = 0;
-    Permit permit;
+    ConfigLease lease;
 };
-/// All permits count until then. Whoever acts carries out Apply and Extend in their order, by one and the
-/// same path: a permit that is longer before what replaces it has come would be acted on for too long.
-struct Extend {
-    TimePoint until{};
+/// Extends all leases. ApplyConfig and ExtendLeases must be executed in their order, on the same path: a
+/// lease that is extended before its replacement has arrived would be used for too long.
+struct ExtendLeases {
+    TimePoint expires_at{};
 };
-struct Check {
+struct CheckDocument {
     Document document;
 };
-struct Say {
-    std::string command;  ///< to the machine, on this session
+struct SendCommand {
+    std::string command;  ///< for the state machine, on this session
 };
-struct Write {
-    std::string octets;  ///< to holder_file; not needed for anything that follows
+struct WriteFile {
+    std::string bytes;  ///< for document_file.h; no later action depends on it
 };
-struct WakeAt {
+struct SetTimer {
     TimePoint at;
 };
-using Action = std::variant<Apply, Extend, Check, Say, Write, WakeAt>;
+using Action = std::variant<ApplyConfig, ExtendLeases, CheckDocument, SendCommand, WriteFile, SetTimer>;
 using Actions = std::vector<Action>;
 
-class Holder {
+class ConfigSubscriber {
 public:
-    /// `kept`: from its file, as far as the local check takes them. It acts on these by their choice until
-    /// the keepers have said more.
-    Holder(const HolderSettings& settings, std::vector<Document> kept, TimePoint now, Actions& actions);
+    /// `stored`: the documents of the node's file that the local check accepts. They apply under their expiry
+    /// policy until the coordinators have sent an update.
+    ConfigSubscriber(const ConfigSubscriberSettings& settings, std::vector<Document> stored, TimePoint now,
+                     Actions& actions);
 
     void handle(TimePoint now, const Event& event, Actions& actions);
 
-    std::uint64_t refused_news() const { return refused_news_; }  ///< that could not be read, or were old
-    std::uint64_t lapses() const { return lapses_; }
-    /// Each document's version in force as far as is known, and how it is acted on.
+    std::uint64_t rejected_updates() const { return rejected_updates_; }  ///< malformed or stale
+    std::uint64_t lease_expirations() const { return lease_expirations_; }
+    /// The version of each document in force, as far as known, and the one in effect.
     struct Status {
         std::string document;
         std::uint64_t in_force = 0;
         ConfigMode mode = ConfigMode::None;
-        std::uint64_t acted = 0;
+        std::uint64_t effective_version = 0;
     };
     std::vector<Status> status(TimePoint now) const;
 
 private:
-    struct Held {
-        std::optional<Document> in_force;  ///< the last that is known with its content
-        bool told = false;                 ///< in this session: it may be acted on
+    struct DocumentState {
+        std::optional<Document> in_force;  ///< the last version whose content is known
+        bool confirmed = false;            ///< by the coordinators, in this session
         std::optional<Document> next;
-        std::uint64_t next_version = 0;  ///< also where its content is not known
-        bool draining = false, canary = false, said = false, gave_back = false;
+        std::uint64_t next_version = 0;  ///< known even if the content is not
+        bool draining = false, canary = false, acked = false, released = false;
         std::uint64_t canary_version = 0;
-        TimePoint canary_ends{};  ///< counted from when this process first heard that it is to act on it
-        std::map<std::uint64_t, std::optional<bool>> verdicts;  ///< by version; without a value: asked for
-        std::map<std::uint64_t, std::string> reasons;
-        Permit permit;
-        std::uint64_t beside = 0;                ///< with Between: the version that is coming
-        std::uint64_t serial = 0, switched = 0;  ///< of its last Apply, and the last that was confirmed
+        TimePoint canary_ends_at{};  ///< counted from when this process was first notified of the canary
+        std::map<std::uint64_t, std::optional<bool>> check_results;  ///< by version; no value: check pending
+        std::map<std::uint64_t, std::string> nack_reasons;
+        ConfigLease lease;
+        std::uint64_t transition_to = 0;  ///< with Transitional: the next version
+        std::uint64_t serial = 0,
+                      applied_serial =
+                          0;  ///< of the last ApplyConfig, and the last one reported by ConfigApplied
     };
 
-    void lapse(TimePoint now, Actions& actions);
-    void take(TimePoint now, const Renewed& renewed, Actions& actions);
-    void take(const std::string& name, const wire::DocumentNews& news, Actions& actions, bool& changed);
-    void settle(TimePoint now, const std::string& name, Held& held, Actions& actions);
-    void say(const std::string& name, Held& held, Actions& actions);
-    ConfigMode without(const Held& held) const;
-    static std::shared_ptr<const Content> whole(const Document& document, ConfigMode mode);
-    void apply(const std::string& name, Held& held, EffectiveConfig acted, TimePoint most, Actions& actions);
-    void write(Actions& actions) const;
-    void wake(TimePoint now, Actions& actions) const;
-    bool held(TimePoint now) const { return session_ != 0 && now < until_; }
-
-    HolderSettings set_;
-    TimePoint patient_until_;
-    bool patient_ = true;
+    void expire_lease(TimePoint now, Actions& actions);
+    void handle_renewal(TimePoint now, const LeaseRenewed& renewed, Actions& actions);
+    void update_document(const std::string& name, const wire::DocumentNews& news, Actions& actions,
+                         bool& changed);
+    void update_config(TimePoint now, const std::string& name, DocumentState& state, Actions& actions);
+    void send_commands(const std::string& name, DocumentState& state, Actions& actions);
+    ConfigMode mode_without_lease(const DocumentState& state) const;
+    static std::shared_ptr<const Content> content_for(const Document& document, ConfigMode mode);
+    void apply_config(const std::string& name, DocumentState& state, EffectiveConfig effective,
+                      TimePoint canary_ends_at, Actions& actions);
+    void write_file(Actions& actions) const;
+    void set_timer(TimePoint now, Actions& actions) const;
+    bool has_session(TimePoint now) const { return session_ != 0 && now < expires_at_; }
+
+    ConfigSubscriberSettings settings_;
+    TimePoint startup_ends_at_;
+    bool in_startup_ = true;
     coordinator::SessionId session_ = 0;
-    TimePoint until_{};
+    TimePoint expires_at_{};
     std::uint64_t revision_ = 0;
-    coordinator::SessionId least_ = 1;  ///< sessions before this one are over
-    std::uint64_t serial_ = 0, refused_news_ = 0, lapses_ = 0;
-    std::map<std::string, Held> documents_;
+    coordinator::SessionId min_session_ = 1;  ///< sessions before this one are over
+    std::uint64_t serial_ = 0, rejected_updates_ = 0, lease_expirations_ = 0;
+    std::map<std::string, DocumentState> documents_;
 };
 
 }  // namespace ochrehub::config_distribution
--- a/src/fleet/config_distribution/error.h
+++ b/src/fleet/config_distribution/error.h
@@ -1,4 +1,4 @@
-// What may go wrong with a document, a proposal, a node's file or a stated time.
+// Errors of documents, proposals, a node's document file and lease timing.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
     FileDamaged,
     FileFailed,
 };
-inline constexpr std::size_t kErrors = 24;
+inline constexpr std::size_t kErrorCount = 24;
 
 const fleet::ErrorRow& row(Error error);
 using Failure = fleet::Failure<Error>;
