--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -60,7 +60,7 @@
     Relay relay{kAny, far.listen_address()};
 };
 
-TEST(Relay, CutsOneWayWhileTheOtherGoesOn) {
+TEST(Relay, CutsOneDirectionOnly) {
     World world(Duration{400});
     ASSERT_TRUE(world.both_up(1));
     world.relay.cut(Direction::Forth, true);
@@ -75,7 +75,7 @@
     EXPECT_TRUE(world.both_up(2));
 }
 
-TEST(Relay, HoldsWhatComesUntilTheLinkIsWhole) {
+TEST(Relay, HoldsBytesUntilTheCutEnds) {
     World world;
     ASSERT_TRUE(world.both_up(1));
     world.relay.stall(true);
@@ -86,7 +86,7 @@
     EXPECT_TRUE(world.until([&] { return world.got[1] == 10; }));
 }
 
-TEST(Relay, DropsAndTheTornStreamIsSeenForWhatItIs) {
+TEST(Relay, DroppedBytesAreDetectedAsForged) {
     World world;
     ASSERT_TRUE(world.both_up(1));
     world.relay.cut(Direction::Back, true, Lost::Dropped);
@@ -102,7 +102,7 @@
     EXPECT_EQ(world.got[0], 0);
 }
 
-TEST(Relay, ResetsDelaysRefusesAndLeadsElsewhere) {
+TEST(Relay, ResetsDelaysRefusesAndChangesTarget) {
     World world;
     ASSERT_TRUE(world.both_up(1));
     world.relay.reset();
--- a/src/fleet/channel/channel.cpp
+++ b/src/fleet/channel/channel.cpp
@@ -11,20 +11,21 @@
 namespace ochrehub::channel {
 namespace {
 
-constexpr std::size_t kLength = 4;  // octets, big-endian, of all that follows of a frame: protobuf and tag
+constexpr std::size_t kLengthBytes =
+    4;  // bytes, big-endian, of all that follows of a frame: protobuf and tag
 constexpr std::string_view kHelloLabel = "ochrehub channel hello", kFramesLabel = "ochrehub channel frames";
 
-void put_number(std::uint32_t value, std::string& out) {
+void append_uint32(std::uint32_t value, std::string& out) {
     for (int shift = 24; shift >= 0; shift -= 8) out += char(value >> shift & 0xff);
 }
-std::uint32_t number_at(std::string_view octets) {
+std::uint32_t read_uint32(std::string_view bytes) {
     std::uint32_t value = 0;
-    for (std::size_t i = 0; i < kLength; ++i) value = value << 8 | std::uint8_t(octets[i]);
+    for (std::size_t i = 0; i < kLengthBytes; ++i) value = value << 8 | std::uint8_t(bytes[i]);
     return value;
 }
 
 /// Names reach logs and terminals.
-bool sound(std::string_view name) {
+bool is_valid_name(std::string_view name) {
     return name.size() <= Channel::kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char c) {
                return c > ' ' && c < 127 && c != '"' && c != '\\';
            });
@@ -69,27 +70,29 @@
     Actions& actions;
 
     /// A frame with its length and tag into what is put. `mac`: keyed already; none: no tag.
-    void seal(const wire::Frame& frame, fleet::Mac* mac, std::uint64_t number) const {
-        std::string& out = channel.put_;
+    void append_frame(const wire::Frame& frame, fleet::Mac* mac, std::uint64_t number) const {
+        std::string& out = channel.outgoing_;
         std::size_t size = frame.ByteSizeLong(), before = out.size();
-        put_number(std::uint32_t(size + (mac ? fleet::kTagBytes : 0)), out);
+        append_uint32(std::uint32_t(size + (mac ? fleet::kTagBytes : 0)), out);
         out.resize(out.size() + size);
-        frame.SerializeWithCachedSizesToArray(reinterpret_cast<std::uint8_t*>(out.data() + before + kLength));
+        frame.SerializeWithCachedSizesToArray(
+            reinterpret_cast<std::uint8_t*>(out.data() + before + kLengthBytes));
         if (mac) {
-            fleet::Tag tag = mac->update(number).update(std::string_view(out).substr(before + kLength)).tag();
+            fleet::Tag tag =
+                mac->update(number).update(std::string_view(out).substr(before + kLengthBytes)).tag();
             out.append(reinterpret_cast<const char*>(tag.data()), tag.size());
         }
-        channel.queued_ += out.size() - before;
+        channel.queued_bytes_ += out.size() - before;
     }
     void send(const wire::Frame& frame) const {
-        seal(frame, channel.signs_ ? &*channel.signs_ : nullptr, ++channel.sent_);
+        append_frame(frame, channel.send_mac_ ? &*channel.send_mac_ : nullptr, ++channel.frames_sent_);
     }
     fleet::Mac hello_mac(const std::string& key) const {
         fleet::Mac mac(key);
         mac.update(kHelloLabel).update(channel.own_preamble());
         return mac;
     }
-    void hello() const {
+    void send_hello() const {
         const Settings& set = channel.settings_;
         wire::Frame frame;
         wire::Hello& hello = *frame.mutable_hello();
@@ -101,20 +104,21 @@
         hello.set_schema_least(set.self.min_schema);
         hello.set_schema_most(set.self.max_schema);
         hello.set_nonce(set.nonce);
-        if (set.keys.empty()) return seal(frame, nullptr, 0);
+        if (set.keys.empty()) return append_frame(frame, nullptr, 0);
         fleet::Mac mac = hello_mac(set.keys.front());
-        seal(frame, &mac, 0);
+        append_frame(frame, &mac, 0);
     }
 
     /// What was signed, of one whole frame; nothing where its tag is wrong. Of a Hello: also by which key.
-    std::optional<std::string_view> open(std::string_view octets, const std::string*& key) const {
+    std::optional<std::string_view> open(std::string_view bytes, const std::string*& key) const {
         const std::vector<std::string>& keys = channel.settings_.keys;
-        if (keys.empty()) return octets;
-        if (octets.size() < fleet::kTagBytes) return std::nullopt;
-        std::string_view body = octets.substr(0, octets.size() - fleet::kTagBytes),
-                         tag = octets.substr(body.size());
-        if (channel.opens_) {
-            if (!fleet::tags_equal(channel.opens_->update(channel.taken_ + 1).update(body).tag(), tag))
+        if (keys.empty()) return bytes;
+        if (bytes.size() < fleet::kTagBytes) return std::nullopt;
+        std::string_view body = bytes.substr(0, bytes.size() - fleet::kTagBytes),
+                         tag = bytes.substr(body.size());
+        if (channel.receive_mac_) {
+            if (!fleet::tags_equal(
+                    channel.receive_mac_->update(channel.frames_received_ + 1).update(body).tag(), tag))
                 return std::nullopt;
             return body;
         }
@@ -126,17 +130,17 @@
         return std::nullopt;
     }
 
-    void take(std::string_view octets) const {
+    void receive(std::string_view bytes) const {
         const std::string* key = nullptr;
-        auto body = open(octets, key);
-        if (!body) return channel.end(Error::Forged, actions);
+        auto body = open(bytes, key);
+        if (!body) return channel.close(Error::Forged, actions);
         wire::Frame frame;
         if (!frame.ParseFromArray(body->data(), int(body->size())))
-            return channel.end(Error::Malformed, actions);
-        if (channel.stage_ == Stage::Hello) return take_hello(frame, key);
-        ++channel.taken_;
+            return channel.close(Error::Malformed, actions);
+        if (channel.stage_ == Stage::Hello) return receive_hello(frame, key);
+        ++channel.frames_received_;
         if (channel.stage_ == Stage::Ready) {
-            if (!frame.has_ready()) return channel.end(Error::Malformed, actions);
+            if (!frame.has_ready()) return channel.close(Error::Malformed, actions);
             channel.stage_ = Stage::Connected;
             actions.emplace_back(Connected{channel.peer_});
             return;
@@ -146,45 +150,46 @@
             // Which kinds a peer knows goes by its release: one that sends others is faulty.
             bool known = message.kind() >= std::uint32_t(MessageKind::Raft) &&
                          message.kind() <= std::uint32_t(MessageKind::Migration);
-            if (!known) return channel.end(Error::Malformed, actions);
+            if (!known) return channel.close(Error::Malformed, actions);
             if (message.body().size() > channel.settings_.max_message_bytes)
-                return channel.end(Error::TooLong, actions);
+                return channel.close(Error::TooLong, actions);
             actions.emplace_back(
                 DeliverMessage{MessageKind(message.kind()), std::move(*message.mutable_body())});
         } else if (frame.has_ping()) {
-            wire::Frame answer;
-            answer.mutable_pong()->set_number(frame.ping().number());
+            wire::Frame response;
+            response.mutable_pong()->set_number(frame.ping().number());
             // Where much waits to be written, that will show this one's life; and whoever asks and never
             // reads gets no more room.
-            if (channel.queued_ + answer.ByteSizeLong() + kLength + channel.tag_size() <=
+            if (channel.queued_bytes_ + response.ByteSizeLong() + kLengthBytes + channel.tag_size() <=
                 channel.settings_.max_queued_bytes)
-                send(answer);
+                send(response);
         } else if (!frame.has_pong()) {
-            channel.end(Error::Malformed, actions);
+            channel.close(Error::Malformed, actions);
         }
     }
 
-    void take_hello(const wire::Frame& frame, const std::string* key) const {
+    void receive_hello(const wire::Frame& frame, const std::string* key) const {
         const Settings& set = channel.settings_;
         const wire::Hello& hello = frame.hello();
         bool has_nonce = hello.nonce().size() == kNonceBytes || (!key && hello.nonce().empty());
-        if (!frame.has_hello() || !has_nonce || !sound(hello.name()) || !sound(hello.zone()) ||
-            hello.instance() == 0)
-            return channel.end(Error::Malformed, actions);
+        if (!frame.has_hello() || !has_nonce || !is_valid_name(hello.name()) ||
+            !is_valid_name(hello.zone()) || hello.instance() == 0)
+            return channel.close(Error::Malformed, actions);
         if (key && hello.nonce() == set.nonce)
-            return channel.end(Error::Forged, actions);  // its own, turned around
-        if (hello.instance() == set.self.instance) return channel.end(Error::Replaced, actions);
+            return channel.close(Error::Forged, actions);  // its own, turned around
+        if (hello.instance() == set.self.instance) return channel.close(Error::Replaced, actions);
         channel.peer_ = {hello.name(),    hello.zone(),         hello.instance(),   hello.keeper(),
                          hello.release(), hello.schema_least(), hello.schema_most()};
         if (key) {
             // The sender's nonce first: the two directions have nothing in common.
-            auto keyed = [&](const std::string& by, const std::string& sender, const std::string& receiver) {
+            auto connection_mac = [&](const std::string& by, const std::string& sender,
+                                      const std::string& receiver) {
                 fleet::Mac mac(by);
                 mac.update(kFramesLabel).update(channel.own_preamble()).update(sender).update(receiver);
                 return fleet::Mac(mac.digest());
             };
-            channel.opens_ = keyed(*key, hello.nonce(), set.nonce);
-            channel.signs_ = keyed(set.keys.front(), set.nonce, hello.nonce());
+            channel.receive_mac_ = connection_mac(*key, hello.nonce(), set.nonce);
+            channel.send_mac_ = connection_mac(set.keys.front(), set.nonce, hello.nonce());
         }
         channel.stage_ = Stage::Ready;
         wire::Frame ready;
@@ -196,152 +201,156 @@
 Channel::Channel(const Settings& settings) : settings_(settings) {}
 
 std::string Channel::own_preamble() const {
-    std::string octets = "och";
-    octets += char(kProtocolVersion);
-    put_number(settings_.cluster, octets);
-    octets += char(settings_.keys.empty() ? 0 : 1);
-    return octets;
+    std::string bytes = "och";
+    bytes += char(kProtocolVersion);
+    append_uint32(settings_.cluster, bytes);
+    bytes += char(settings_.keys.empty() ? 0 : 1);
+    return bytes;
 }
 
 void Channel::handle(TimePoint now, const Event& event, Actions& actions) {
-    if (const auto* what = std::get_if<SendMessage>(&event); what && !connected()) {
-        actions.emplace_back(SendRejected{what->kind, Error::Closed});
+    if (const auto* message = std::get_if<SendMessage>(&event); message && !connected()) {
+        actions.emplace_back(SendRejected{message->kind, Error::Closed});
         return;
     }
-    if (stage_ == Stage::Over || (stage_ == Stage::New) != std::holds_alternative<Opened>(event)) return;
-    std::size_t first = actions.size(), before = queued_;
+    if (stage_ == Stage::Closed || (stage_ == Stage::New) != std::holds_alternative<Opened>(event)) return;
+    std::size_t first = actions.size(), before = queued_bytes_;
     if (std::holds_alternative<Opened>(event)) {
         open(now);
-        actions.emplace_back(SetTimer{wake_});
-    } else if (const auto* octets = std::get_if<BytesReceived>(&event)) {
-        take(now, octets->bytes, actions);
-    } else if (const auto* flushed = std::get_if<BytesWritten>(&event)) {
-        queued_ -= std::min(queued_, flushed->bytes);
-        if (flushed->bytes > 0) left_ = now;
+        actions.emplace_back(SetTimer{timer_at_});
+    } else if (const auto* received = std::get_if<BytesReceived>(&event)) {
+        receive(now, received->bytes, actions);
+    } else if (const auto* written = std::get_if<BytesWritten>(&event)) {
+        queued_bytes_ -= std::min(queued_bytes_, written->bytes);
+        if (written->bytes > 0) last_written_ = now;
     } else if (std::holds_alternative<Closed>(event)) {
-        end(Error::Closed, actions);
+        close(Error::Closed, actions);
     } else if (std::holds_alternative<TimerFired>(event)) {
-        woken(now, actions);
+        handle_timer(now, actions);
     } else {
-        say(std::get<SendMessage>(event), actions);
+        send_message(std::get<SendMessage>(event), actions);
     }
-    if (put_.empty()) return;
-    if (before == 0) left_ = now;
-    actions.insert(actions.begin() + std::ptrdiff_t(first), WriteBytes{std::exchange(put_, {})});
+    if (outgoing_.empty()) return;
+    if (before == 0) last_written_ = now;
+    actions.insert(actions.begin() + std::ptrdiff_t(first), WriteBytes{std::exchange(outgoing_, {})});
 }
 
 void Channel::open(TimePoint now) {
     stage_ = Stage::Preamble;
-    heard_ = left_ = now;
-    wake_ = now + settings_.dead_timeout;
-    put_ = own_preamble();
-    queued_ = put_.size();
+    last_received_ = last_written_ = now;
+    timer_at_ = now + settings_.dead_timeout;
+    outgoing_ = own_preamble();
+    queued_bytes_ = outgoing_.size();
     Actions none;
-    Wire{*this, none}.hello();
+    Wire{*this, none}.send_hello();
 }
 
-void Channel::take(TimePoint now, std::string_view octets, Actions& actions) {
-    if (octets.empty()) return;
+void Channel::receive(TimePoint now, std::string_view bytes, Actions& actions) {
+    if (bytes.empty()) return;
     bool was_up = connected();
-    if (in_.empty()) {
-        std::size_t done = consume(octets, actions);
-        if (stage_ != Stage::Over) in_ = octets.substr(done);
+    if (incoming_.empty()) {
+        std::size_t done = consume(bytes, actions);
+        if (stage_ != Stage::Closed) incoming_ = bytes.substr(done);
     } else {
-        in_ += octets;
-        std::size_t done = consume(in_, actions);
-        in_.erase(0, done);
-        if (in_.empty() && in_.capacity() > kMaxHelloBytes)
-            in_ = {};  // a long message now and then is not held for ever
+        incoming_ += bytes;
+        std::size_t done = consume(incoming_, actions);
+        incoming_.erase(0, done);
+        if (incoming_.empty() && incoming_.capacity() > kMaxHelloBytes)
+            incoming_ = {};  // a long message now and then is not held for ever
     }
-    if (stage_ == Stage::Over) in_ = {};
+    if (stage_ == Stage::Closed) incoming_ = {};
     // Before Connected nobody has shown who they are: what they send gives them no more time.
     if (!connected()) return;
-    heard_ = now, asked_ = false;
-    if (!was_up) actions.emplace_back(SetTimer{wake_ = now + settings_.idle_timeout});
+    last_received_ = now, ping_pending_ = false;
+    if (!was_up) actions.emplace_back(SetTimer{timer_at_ = now + settings_.idle_timeout});
 }
 
-std::size_t Channel::consume(std::string_view octets, Actions& actions) {
+std::size_t Channel::consume(std::string_view bytes, Actions& actions) {
     std::size_t at = 0;
-    while (stage_ != Stage::Over) {
-        std::string_view rest = octets.substr(at);
+    while (stage_ != Stage::Closed) {
+        std::string_view rest = bytes.substr(at);
         if (stage_ == Stage::Preamble) {
             if (rest.size() < kPreambleBytes) break;
-            preamble(rest.substr(0, kPreambleBytes), actions);
+            check_preamble(rest.substr(0, kPreambleBytes), actions);
             at += kPreambleBytes;
             continue;
         }
-        if (rest.size() < kLength) break;
-        std::size_t size = number_at(rest);
-        if (size > most()) {  // seen before any of it is waited for
-            end(Error::TooLong, actions);
+        if (rest.size() < kLengthBytes) break;
+        std::size_t size = read_uint32(rest);
+        if (size > max_frame_bytes()) {  // seen before any of it is waited for
+            close(Error::TooLong, actions);
             break;
         }
-        if (rest.size() < kLength + size) break;
-        Wire{*this, actions}.take(rest.substr(kLength, size));
-        at += kLength + size;
+        if (rest.size() < kLengthBytes + size) break;
+        Wire{*this, actions}.receive(rest.substr(kLengthBytes, size));
+        at += kLengthBytes + size;
     }
     return at;
 }
 
-void Channel::preamble(std::string_view octets, Actions& actions) {
+void Channel::check_preamble(std::string_view bytes, Actions& actions) {
     std::string own = own_preamble();
-    if (octets.substr(0, 3) != own.substr(0, 3)) return end(Error::Malformed, actions);
-    if (octets[3] != own[3]) return end(Error::Version, actions);
-    if (octets.substr(4, 4) != own.substr(4, 4)) return end(Error::Cluster, actions);
-    if (octets[8] != own[8]) return end(Error::Forged, actions);
+    if (bytes.substr(0, 3) != own.substr(0, 3)) return close(Error::Malformed, actions);
+    if (bytes[3] != own[3]) return close(Error::Version, actions);
+    if (bytes.substr(4, 4) != own.substr(4, 4)) return close(Error::Cluster, actions);
+    if (bytes[8] != own[8]) return close(Error::Forged, actions);
     stage_ = Stage::Hello;
 }
 
-void Channel::say(const SendMessage& say, Actions& actions) {
-    if (say.body.size() > settings_.max_message_bytes) {
-        actions.emplace_back(SendRejected{say.kind, Error::TooLong});
+void Channel::send_message(const SendMessage& request, Actions& actions) {
+    if (request.body.size() > settings_.max_message_bytes) {
+        actions.emplace_back(SendRejected{request.kind, Error::TooLong});
         return;
     }
-    if (queued_ + say.body.size() + kFrameOverheadBytes > settings_.max_queued_bytes) {
-        actions.emplace_back(SendRejected{say.kind, Error::Full});
+    if (queued_bytes_ + request.body.size() + kFrameOverheadBytes > settings_.max_queued_bytes) {
+        actions.emplace_back(SendRejected{request.kind, Error::Full});
         return;
     }
     wire::Frame frame;
-    frame.mutable_message()->set_kind(std::uint32_t(say.kind));
-    frame.mutable_message()->set_body(say.body);
+    frame.mutable_message()->set_kind(std::uint32_t(request.kind));
+    frame.mutable_message()->set_body(request.body);
     Wire{*this, actions}.send(frame);
 }
 
-void Channel::woken(TimePoint now, Actions& actions) {
-    if (now < wake_) {
-        actions.emplace_back(SetTimer{wake_});
+void Channel::handle_timer(TimePoint now, Actions& actions) {
+    if (now < timer_at_) {
+        actions.emplace_back(SetTimer{timer_at_});
         return;
     }
-    // This process stood still itself: what came meanwhile has not been read yet, and says nothing against
-    // the peer.
-    bool stood = now - wake_ > settings_.idle_timeout;
+    // This process was_paused still itself: what came meanwhile has not been read yet, and says nothing
+    // against the peer.
+    bool was_paused = now - timer_at_ > settings_.idle_timeout;
     if (stage_ != Stage::Connected) {
-        if (!stood) return end(Error::Silent, actions);
-        wake_ = now + settings_.dead_timeout;
-        actions.emplace_back(SetTimer{wake_});
+        if (!was_paused) return close(Error::Silent, actions);
+        timer_at_ = now + settings_.dead_timeout;
+        actions.emplace_back(SetTimer{timer_at_});
         return;
     }
-    if (stood) {
-        heard_ = std::max(heard_, now - settings_.idle_timeout);
-        left_ = now, asked_ = false;
+    if (was_paused) {
+        last_received_ = std::max(last_received_, now - settings_.idle_timeout);
+        last_written_ = now, ping_pending_ = false;
     }
-    if (now - heard_ >= settings_.dead_timeout || (queued_ > 0 && now - left_ >= settings_.dead_timeout))
-        return end(Error::Silent, actions);
-    if (!asked_ && now - heard_ >= settings_.idle_timeout) {
-        asked_ = true;
+    if (now - last_received_ >= settings_.dead_timeout ||
+        (queued_bytes_ > 0 && now - last_written_ >= settings_.dead_timeout))
+        return close(Error::Silent, actions);
+    if (!ping_pending_ && now - last_received_ >= settings_.idle_timeout) {
+        ping_pending_ = true;
         wire::Frame ping;
-        ping.mutable_ping()->set_number(++pings_);
-        if (queued_ + kFrameOverheadBytes <= settings_.max_queued_bytes) Wire{*this, actions}.send(ping);
+        ping.mutable_ping()->set_number(++pings_sent_);
+        if (queued_bytes_ + kFrameOverheadBytes <= settings_.max_queued_bytes)
+            Wire{*this, actions}.send(ping);
     }
-    wake_ = asked_ ? heard_ + settings_.dead_timeout : heard_ + settings_.idle_timeout;
-    if (queued_ > 0)
-        wake_ = std::min(wake_, std::max(left_ + settings_.dead_timeout, now + settings_.idle_timeout));
-    actions.emplace_back(SetTimer{wake_});
+    timer_at_ =
+        ping_pending_ ? last_received_ + settings_.dead_timeout : last_received_ + settings_.idle_timeout;
+    if (queued_bytes_ > 0)
+        timer_at_ = std::min(timer_at_,
+                             std::max(last_written_ + settings_.dead_timeout, now + settings_.idle_timeout));
+    actions.emplace_back(SetTimer{timer_at_});
 }
 
-void Channel::end(Error error, Actions& actions) {
-    if (stage_ == Stage::Over) return;
-    stage_ = Stage::Over;
+void Channel::close(Error error, Actions& actions) {
+    if (stage_ == Stage::Closed) return;
+    stage_ = Stage::Closed;
     actions.emplace_back(CloseConnection{error});
 }
 
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -41,9 +41,9 @@
     std::vector<std::string>
         keys;  ///< the first signs, any is taken; none: whoever reaches the port is believed
     std::string
-        nonce;  ///< of this connection: kNonceBytes octets that never come again. Without keys: may be empty
-    std::size_t max_message_bytes = 1 << 20;  ///< octets of one's body, at most
-    std::size_t max_queued_bytes = 4 << 20;   ///< octets that wait to be written, at most
+        nonce;  ///< of this connection: kNonceBytes bytes that never come again. Without keys: may be empty
+    std::size_t max_message_bytes = 1 << 20;  ///< bytes of one's body, at most
+    std::size_t max_queued_bytes = 4 << 20;   ///< bytes that wait to be written, at most
     Duration idle_timeout{1000};              ///< silence after which one asks; below `dead_timeout`
     Duration dead_timeout{
         3000};  ///< ... and after which the connection is given up; also for all up to Connected
@@ -69,7 +69,7 @@
 struct BytesReceived {
     std::string_view bytes;
 };
-struct BytesWritten {  ///< so many octets have left
+struct BytesWritten {  ///< so many bytes have left
     std::size_t bytes = 0;
 };
 struct Closed {};
@@ -113,15 +113,14 @@
 /// as have come (up to Connected kMaxHelloBytes, then `message` and kFrameOverheadBytes, and what was read
 /// with them), and twice that while a string grows.
 ///
-/// Whose own process stood still for longer than `idle` behind a time that it asked for takes no silence for
-/// the peer's; it asks and waits anew.
+/// Whose own process was_paused still for longer than `idle` behind a time that it asked for takes no silence
+/// for the peer's; it asks and waits anew.
 class Channel {
 public:
     static constexpr std::size_t kPreambleBytes = 9;        ///< "och", version 1, cluster 4, signs 1
-    static constexpr std::size_t kMaxHelloBytes = 1024;     ///< octets of a frame before Connected
+    static constexpr std::size_t kMaxHelloBytes = 1024;     ///< bytes of a frame before Connected
     static constexpr std::size_t kFrameOverheadBytes = 64;  ///< of a frame, beyond its message's body
-    static constexpr std::size_t kMaxNameBytes =
-        64;  ///< octets of a name or zone: printable ASCII, no quotes
+    static constexpr std::size_t kMaxNameBytes = 64;  ///< bytes of a name or zone: printable ASCII, no quotes
     static constexpr std::uint8_t kProtocolVersion = 1;
 
     explicit Channel(const Settings& settings);
@@ -129,27 +128,29 @@
     void handle(TimePoint now, const Event& event, Actions& actions);
 
     bool connected() const { return stage_ == Stage::Connected; }
-    bool closed() const { return stage_ == Stage::Over; }
-    const Peer& peer() const { return peer_; }                 ///< once Connected
-    std::size_t queued_bytes() const { return queued_; }       ///< octets put that have not left
-    std::size_t buffered_bytes() const { return in_.size(); }  ///< octets of a frame that is not whole yet
+    bool closed() const { return stage_ == Stage::Closed; }
+    const Peer& peer() const { return peer_; }                  ///< once Connected
+    std::size_t queued_bytes() const { return queued_bytes_; }  ///< bytes put that have not left
+    std::size_t buffered_bytes() const {
+        return incoming_.size();
+    }  ///< bytes of a frame that is not whole yet
 
 private:
-    enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Connected, Over };
+    enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Connected, Closed };
     struct Wire;  // what needs protobuf
 
     void open(TimePoint now);
-    void take(TimePoint now, std::string_view octets, Actions& actions);
+    void receive(TimePoint now, std::string_view bytes, Actions& actions);
     /// How many of the octets it was done with; fewer than all only where more must come. Ends where they are
     /// wrong.
-    std::size_t consume(std::string_view octets, Actions& actions);
-    void preamble(std::string_view octets, Actions& actions);
-    void say(const SendMessage& say, Actions& actions);
-    void woken(TimePoint now, Actions& actions);
-    void end(Error error, Actions& actions);
+    std::size_t consume(std::string_view bytes, Actions& actions);
+    void check_preamble(std::string_view bytes, Actions& actions);
+    void send_message(const SendMessage& request, Actions& actions);
+    void handle_timer(TimePoint now, Actions& actions);
+    void close(Error error, Actions& actions);
     std::string own_preamble() const;
     std::size_t tag_size() const { return settings_.keys.empty() ? 0 : fleet::kTagBytes; }
-    std::size_t most() const {
+    std::size_t max_frame_bytes() const {
         return stage_ == Stage::Connected ? settings_.max_message_bytes + kFrameOverheadBytes
                                           : kMaxHelloBytes;
     }
@@ -157,15 +158,16 @@
     Settings settings_;
     Stage stage_ = Stage::New;
     Peer peer_;
-    std::string put_;  // of the call under way
-    std::string in_;   // of a frame that is not whole
-    std::size_t queued_ = 0;
-    std::optional<fleet::Mac> signs_,
-        opens_;  // keyed for this connection and direction, once both nonces are known
-    std::uint64_t sent_ = 0, taken_ = 0;  // frames behind the Hello
-    std::uint64_t pings_ = 0;
-    TimePoint heard_{}, left_{}, wake_{};  // left_: octets last left, or nothing waited
-    bool asked_ = false;
+    std::string outgoing_;  // of the call under way
+    std::string incoming_;  // of a frame that is not whole
+    std::size_t queued_bytes_ = 0;
+    std::optional<fleet::Mac> send_mac_,
+        receive_mac_;  // keyed for this connection and direction, once both nonces are known
+    std::uint64_t frames_sent_ = 0, frames_received_ = 0;  // frames behind the Hello
+    std::uint64_t pings_sent_ = 0;
+    TimePoint last_received_{}, last_written_{},
+        timer_at_{};  // last_written_: bytes last left, or nothing waited
+    bool ping_pending_ = false;
 };
 
 }  // namespace ochrehub::channel
--- a/src/fleet/channel/dialer.h
+++ b/src/fleet/channel/dialer.h
@@ -1,7 +1,7 @@
 // Which addresses to connect to and when, and which of two connections between the same processes stays. A
 // core without I/O: `Dialer` is told what became of its connections and of everybody's, and draws on its seed
-// alone. Whoever has lost a connection tries again behind a wait that doubles up to a bound, each wait drawn
-// from its upper half, so that those who lost the same peer do not come back to it at once.
+// alone. Whoever has lost a connection tries again behind a wait that doubles up to a bound, each wait
+// random_fraction from its upper half, so that those who lost the same peer do not come back to it at once.
 #pragma once
 
 #include <cstdint>
@@ -81,29 +81,29 @@
     /// Of the process that answers there, connected by this or another way; zero: none is.
     std::uint64_t instance_at(const std::string& address) const {
         auto found = entries_.find(address);
-        bool there = found != entries_.end() &&
-                     (found->second.state == State::Connected || found->second.state == State::Held);
-        return there ? found->second.instance : 0;
+        bool is_connected = found != entries_.end() && (found->second.state == State::Connected ||
+                                                        found->second.state == State::PeerConnected);
+        return is_connected ? found->second.instance : 0;
     }
 
 private:
     /// Held: the process that answered there last is connected by another way.
-    enum class State : std::uint8_t { Waiting, Dialing, Connected, Held, Self };
+    enum class State : std::uint8_t { Waiting, Dialing, Connected, PeerConnected, Self };
     struct Entry {
         State state = State::Waiting;
-        TimePoint due{};    // Waiting, Dialing
-        TimePoint since{};  // Connected, Held
-        Duration wait{};    // the last one
+        TimePoint deadline{};  // Waiting, Dialing
+        TimePoint since{};     // Connected, Held
+        Duration backoff{};    // the last one
         std::uint64_t instance = 0;
     };
-    void lost(TimePoint now, Entry& entry);
-    void again(TimePoint now, Entry& entry);
+    void handle_lost(TimePoint now, Entry& entry);
+    void schedule_retry(TimePoint now, Entry& entry);
 
     DialSettings settings_;
     std::mt19937_64 random_;
     std::map<std::string, Entry> entries_;
-    std::set<std::uint64_t> present_;
-    TimePoint wake_ = TimePoint::max();
+    std::set<std::uint64_t> connected_peers_;
+    TimePoint timer_at_ = TimePoint::max();
 };
 
 }  // namespace ochrehub::channel
--- a/src/fleet/channel/peer_connections.h
+++ b/src/fleet/channel/peer_connections.h
@@ -7,7 +7,7 @@
 // but the destructor. Memory of a connection: about 2 KB, one frame that is not whole, and what waits to be
 // written, in pieces of 64 KiB: a reader that stands still costs `max_queued_bytes` and little more. What was
 // sent before `on_disconnected` may have arrived or not; what comes behind the next `on_connected` is in
-// order, each message once.
+// id, each message once.
 #pragma once
 
 #include <array>
@@ -29,7 +29,7 @@
 namespace ochrehub::channel {
 
 struct PeerConnectionsSettings {
-    Settings channel;  ///< its nonce is drawn for each connection
+    Settings channel;  ///< its nonce is random for each connection
     DialSettings dial;
     std::size_t max_accepted_peers =
         256;  ///< connections of others' that are up, at most; more are closed (Full)
@@ -61,7 +61,7 @@
                addresses;  // the listener, and one that is just accepted
     }
 
-    Endpoint listen_address() const { return at_; }
+    Endpoint listen_address() const { return listen_address_; }
 
     /// Keeps a connection to this address from now on. False: it is no address.
     bool dial(const std::string& address);
@@ -85,45 +85,46 @@
     /// Of the process that is connected and answers at this address, which is dialled; zero: none.
     std::uint64_t instance_at(const std::string& address) const { return dialer_.instance_at(address); }
     std::size_t peer_count() const { return peers_.size(); }
-    std::size_t connection_count() const { return links_.size(); }
-    std::size_t unauthenticated_count() const { return strangers_; }
+    std::size_t connection_count() const { return connections_.size(); }
+    std::size_t unauthenticated_count() const { return unauthenticated_; }
     /// Bytes that wait to be written to this process.
     std::size_t queued_bytes(std::uint64_t instance) const;
     /// Connections that ended by it.
-    std::uint64_t ended_count(Error error) const { return ended_[std::size_t(error)]; }
+    std::uint64_t ended_count(Error error) const { return ended_counts_[std::size_t(error)]; }
     /// Messages that `send` did not take, by why: Closed, TooLong, Full.
-    std::uint64_t rejected_count(Error error) const { return refused_[std::size_t(error)]; }
+    std::uint64_t rejected_count(Error error) const { return rejected_counts_[std::size_t(error)]; }
 
 private:
-    class Link;
+    class Connection;
     static constexpr std::size_t kErrors = std::size_t(Error::Unreachable) + 1;
 
     void accept();
-    void tell_dialer(const Dialer::Event& event);
+    void notify_dialer(const Dialer::Event& event);
     void carry_out(const Dialer::Action& action);
     void connect(const std::string& address);
-    std::shared_ptr<Link> link(boost::asio::ip::tcp::socket socket, const std::string& address);
-    void came_up(const std::shared_ptr<Link>& link);
-    void end(const std::shared_ptr<Link>& link, Error error);
+    std::shared_ptr<Connection> make_connection(boost::asio::ip::tcp::socket socket,
+                                                const std::string& address);
+    void handle_connected(const std::shared_ptr<Connection>& connection);
+    void end(const std::shared_ptr<Connection>& connection, Error error);
     std::string nonce();
 
     boost::asio::io_context& io_;
     Scheduler& scheduler_;
     PeerConnectionsSettings settings_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    Endpoint at_;
+    Endpoint listen_address_;
     Dialer dialer_;
-    std::deque<Dialer::Event> told_;
+    std::deque<Dialer::Event> dialer_events_;
     TimerId dial_timer_ = 0, accept_timer_ = 0;
-    std::uint64_t order_ = 0;
-    std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // in the order in which they began
-    std::map<std::uint64_t, std::shared_ptr<Link>> peers_;  // by instance: the one that is used
-    std::map<std::string, std::weak_ptr<Link>> dialled_;
-    std::size_t strangers_ = 0, accepted_ = 0;
-    std::vector<char> octets_;  // what is read, one connection at a time
-    std::array<std::uint64_t, kErrors> ended_{}, refused_{};
+    std::uint64_t next_id_ = 0;
+    std::map<std::uint64_t, std::shared_ptr<Connection>> connections_;  // in the id in which they began
+    std::map<std::uint64_t, std::shared_ptr<Connection>> peers_;        // by instance: the one that is used
+    std::map<std::string, std::weak_ptr<Connection>> dialed_;
+    std::size_t unauthenticated_ = 0, accepted_peers_ = 0;
+    std::vector<char> read_buffer_;  // what is read, one connection at a time
+    std::array<std::uint64_t, kErrors> ended_counts_{}, rejected_counts_{};
     bool closed_ = false;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // until it goes
+    std::shared_ptr<bool> alive_token_ = std::make_shared<bool>(true);  // until it goes
 };
 
 }  // namespace ochrehub::channel
--- a/src/fleet/keys/keys.h
+++ b/src/fleet/keys/keys.h
@@ -26,8 +26,8 @@
 public:
     explicit Mac(std::string_view key);
 
-    Mac& update(std::string_view octets);
-    Mac& update(std::uint64_t number);  ///< eight octets, big-endian
+    Mac& update(std::string_view bytes);
+    Mac& update(std::uint64_t number);  ///< eight bytes, big-endian
     /// The tag of all that was given since the last one.
     Tag tag();
     /// The whole digest instead, to serve as a key.
@@ -38,7 +38,7 @@
 };
 
 /// In a time that does not depend on where they differ. False as well where `octets` are not kTagBytes many.
-bool tags_equal(const Tag& tag, std::string_view octets);
+bool tags_equal(const Tag& tag, std::string_view bytes);
 
 /// The first signs, any is taken, so that a key can be rolled one instance after the other. None: what is
 /// sent bears no tag, and whoever reaches the port is believed.
@@ -49,9 +49,9 @@
 
     bool empty() const { return keys_.empty(); }
     const std::vector<std::string>& keys() const { return keys_; }
-    void sign(std::string& octets) const;
+    void sign(std::string& bytes) const;
     /// What was signed, without its tag; nothing where no key fits.
-    std::optional<std::string_view> verify(std::string_view octets) const;
+    std::optional<std::string_view> verify(std::string_view bytes) const;
 
 private:
     std::vector<std::string> keys_;
--- a/tests/fleet/channel_fuzz.cpp
+++ b/tests/fleet/channel_fuzz.cpp
@@ -25,21 +25,22 @@
 }
 /// What a sends at the beginning, without keys, and a message.
 std::string some() {
-    Pair pair(set("a", {}), set("b", {}));
-    pair.a.hand(Opened{});
-    pair.b.hand(Opened{});
-    std::string all = pair.a.leave();
-    pair.b.hand(BytesReceived{all});
-    pair.a.hand(BytesReceived{pair.b.leave()});
-    all += pair.a.leave();
-    pair.a.hand(SendMessage{MessageKind::Shard, "some"});
-    return all + pair.a.leave();
+    ChannelPair pair(set("a", {}), set("b", {}));
+    pair.a.handle(Opened{});
+    pair.b.handle(Opened{});
+    std::string all = pair.a.take_outgoing();
+    pair.b.handle(BytesReceived{all});
+    pair.a.handle(BytesReceived{pair.b.take_outgoing()});
+    all += pair.a.take_outgoing();
+    pair.a.handle(SendMessage{MessageKind::Shard, "some"});
+    return all + pair.a.take_outgoing();
 }
-void bounded(const Side& side) {
+void bounded(const TestChannel& side) {
     must(side.channel.buffered_bytes() <= Channel::kMaxHelloBytes + kMessage + Channel::kFrameOverheadBytes);
-    must(side.out.size() <= 2000 && side.ends <= 1 && side.end_last && side.put_first);
-    must(!side.end || (side.channel.buffered_bytes() == 0 && side.channel.closed()));
-    for (const DeliverMessage& one : side.got) must(one.body.size() <= kMessage);
+    must(side.outgoing.size() <= 2000 && side.close_count <= 1 && side.close_was_last &&
+         side.write_was_first);
+    must(!side.close_error || (side.channel.buffered_bytes() == 0 && side.channel.closed()));
+    for (const DeliverMessage& one : side.delivered) must(one.body.size() <= kMessage);
 }
 
 }  // namespace
@@ -55,20 +56,20 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     if (size == 0) return 0;
-    std::string octets(reinterpret_cast<const char*>(data + 1), size - 1);
+    std::string bytes(reinterpret_cast<const char*>(data + 1), size - 1);
     std::size_t piece = std::size_t(data[0]) + 1;
-    Side whole(set("b", {})), torn(set("b", {})), keyed(set("b", {"a key that nobody guesses"}));
-    for (Side* side : {&whole, &torn, &keyed}) side->hand(Opened{});
-    whole.hand(BytesReceived{octets});
-    keyed.hand(BytesReceived{octets});
-    for (std::size_t at = 0; at < octets.size(); at += piece) {
-        torn.hand(BytesReceived{std::string_view(octets).substr(at, piece)});
+    TestChannel whole(set("b", {})), torn(set("b", {})), keyed(set("b", {"a key that nobody guesses"}));
+    for (TestChannel* side : {&whole, &torn, &keyed}) side->handle(Opened{});
+    whole.handle(BytesReceived{bytes});
+    keyed.handle(BytesReceived{bytes});
+    for (std::size_t at = 0; at < bytes.size(); at += piece) {
+        torn.handle(BytesReceived{std::string_view(bytes).substr(at, piece)});
         bounded(torn);
     }
     bounded(whole);
-    must(keyed.ups == 0 && keyed.got.empty());
-    must(whole.end == torn.end && whole.out == torn.out && whole.got.size() == torn.got.size() &&
-         whole.ups == torn.ups);
+    must(keyed.connected_count == 0 && keyed.delivered.empty());
+    must(whole.close_error == torn.close_error && whole.outgoing == torn.outgoing &&
+         whole.delivered.size() == torn.delivered.size() && whole.connected_count == torn.connected_count);
     must(whole.channel.buffered_bytes() == torn.channel.buffered_bytes());
     return 0;
 }
--- a/tests/fleet/channel_mutants.cmake
+++ b/tests/fleet/channel_mutants.cmake
@@ -13,44 +13,44 @@
   set_tests_properties(channel_mutant.${name} PROPERTIES PASS_REGULAR_EXPRESSION "FAILED  . ${test}" TIMEOUT 60)
 endfunction()
 
-channel_mutant(counts_no_frames channel Channel.FramesLeftOutDoubledSwappedOrCutAreSeen
-  "s/update(channel.taken_ + 1)/update(std::uint64_t{0})/; s/mac->update(number)/mac->update(std::uint64_t{0})/")
-channel_mutant(takes_any_cluster channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself "/Error::Cluster, actions/d")
-channel_mutant(takes_any_version channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself "/Error::Version, actions/d")
-channel_mutant(takes_unsigned channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself
-  "/octets.8. != own.8./d; s/if (octets.size() < fleet::kTagBytes) return std::nullopt/if (octets.size() < 300) return octets/")
-channel_mutant(compares_no_tag channel Channel.ChangedOctetsNeverArriveWhereThereAreKeys 
-  "/opens_->update(channel.taken_ + 1)/{n;s/return std::nullopt;/return body;/}")
-channel_mutant(knows_no_connection channel Channel.WhatWasRecordedElsewhereGetsNobodyUp "s/.update(sender).update(receiver)//")
-channel_mutant(knows_no_direction channel Channel.WhatWasRecordedElsewhereGetsNobodyUp
+channel_mutant(ignores_frame_numbers channel Channel.DetectsOmittedDuplicatedReorderedOrTruncatedFrames
+  "s/update(channel.frames_received_ + 1)/update(std::uint64_t{0})/; s/mac->update(number)/mac->update(std::uint64_t{0})/")
+channel_mutant(accepts_any_cluster channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance "/Error::Cluster, actions/d")
+channel_mutant(accepts_any_version channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance "/Error::Version, actions/d")
+channel_mutant(accepts_unsigned_frames channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance
+  "/bytes.8. != own.8./d; s/if (bytes.size() < fleet::kTagBytes) return std::nullopt/if (octets.size() < 300) return bytes/")
+channel_mutant(skips_tag_check channel Channel.NeverDeliversCorruptedBytesWithKeys 
+  "/receive_mac_->update(channel.frames_received_ + 1)/{n;s/return std::nullopt;/return body;/}")
+channel_mutant(shares_keys_between_connections channel Channel.RefusesFramesReplayedFromAnotherConnection "s/.update(sender).update(receiver)//")
+channel_mutant(shares_keys_between_directions channel Channel.RefusesFramesReplayedFromAnotherConnection
   "s/.update(sender).update(receiver)/.update(std::min(sender, receiver)).update(std::max(sender, receiver))/")
-channel_mutant(takes_its_own_hello channel Channel.WhatWasRecordedElsewhereGetsNobodyUp "/hello.nonce() == set.nonce/d")
-channel_mutant(talks_to_itself channel Channel.EndsOnOtherVersionsClustersKeysAndOnItself "/== set.self.instance/d")
-channel_mutant(takes_the_first_key_alone channel Channel.KeysAreRolledOneSideAfterTheOther "s/one : keys)/one : keys) if (\\&one == \\&keys.front())/")
-channel_mutant(signs_by_the_last_key channel Channel.KeysAreRolledOneSideAfterTheOther "s/set.keys.front()/set.keys.back()/")
-channel_mutant(bounds_no_queue channel Channel.ASlowReaderIsSentNoMoreThanTheQueueHolds "s/say.body.size() + kFrameOverheadBytes > settings_.max_queued_bytes/false/")
-channel_mutant(answers_without_bound channel Channel.ASlowReaderIsSentNoMoreThanTheQueueHolds 
-  "/if (channel.queued_ + answer/,/send(answer)/s/channel.settings_.max_queued_bytes)/std::size_t(-1))/")
-channel_mutant(forgets_what_left channel Channel.ASlowReaderIsSentNoMoreThanTheQueueHolds "s/queued_ -= .*;/;/")
-channel_mutant(bounds_no_frame channel Channel.LongFramesEndItBeforeTheyAreHeld "s/size > most()/false/")
-channel_mutant(bounds_strangers_as_peers channel Channel.LongFramesEndItBeforeTheyAreHeld "s/size > most()/size > settings_.max_message_bytes + kFrameOverheadBytes/")
-channel_mutant(bounds_no_message channel Channel.LongFramesEndItBeforeTheyAreHeld "s/message.body().size() > channel.settings_.max_message_bytes/false/")
-channel_mutant(never_asks channel Channel.AsksInSilenceAndGivesUpWhatIsSilent "s/!asked_ \\&\\& now - heard_ >= settings_.idle_timeout/false/")
-channel_mutant(never_gives_up channel Channel.AsksInSilenceAndGivesUpWhatIsSilent "s/now - heard_ >= settings_.dead_timeout ||/false ||/")
-channel_mutant(never_sees_that_nothing_leaves channel Channel.WhoSaysNothingAtTheBeginningOrTakesNothingIsGivenUp
-  "s/|| (queued_ > 0 .* settings_.dead_timeout))/)/")
-channel_mutant(gives_strangers_time channel Channel.WhoSaysNothingAtTheBeginningOrTakesNothingIsGivenUp
-  "s/if (!connected()) return;/if (!connected()) return void(actions.emplace_back(SetTimer{wake_ = now + settings_.dead_timeout}));/")
-channel_mutant(takes_its_own_pause_for_silence channel Channel.WhoStoodStillItselfAsksBeforeItGivesUp "s/bool stood = .*;/bool stood = false;/")
-channel_mutant(speaks_too_early channel Channel.SaysNothingBeforeItIsUpNorBehindItsEnd
-  "s/what \\&\\& !connected()/what \\&\\& (stage_ == Stage::New || stage_ == Stage::Over)/")
-channel_mutant(believes_names channel Channel.RefusesPeersThatDoNotSayWhoTheyAre "s/!sound(hello.name()) ||//")
-channel_mutant(loses_what_is_not_whole channel Channel.TakesOctetsInWhateverPiecesTheyCome "s/in_ = octets.substr(done)/in_ = {}/")
-channel_mutant(takes_all_strangers peer_connections PeerConnections.StrangersThatSayNothingGoAndAFloodOfThemDoesNotKeepPeersOut "s/strangers_ >= settings_.max_unauthenticated/false/")
-channel_mutant(takes_all_peers peer_connections PeerConnections.TakesInNoMorePeersThanItMay "s/accepted_ >= settings_.max_accepted_peers/accepted_ >= 9/")
-channel_mutant(uses_two_connections peer_connections PeerConnections.TheConnectionThatTheLowerInstanceDialledStaysWhicheverCameFirst "s/end(older, Error::Replaced);//")
-channel_mutant(forgets_to_dial_again peer_connections PeerConnections.ComesBackToWhoeverWasAway "s/tell_dialer(Dialer::ConnectionEnded{link->address()});/;/")
-channel_mutant(comes_back_all_at_once dialer Dialer.WaitsTwiceAsLongEachTimeAndEachSeedOtherwise "s/(0.5 + 0.5 . drawn)/1.0/")
-channel_mutant(forgets_its_waits dialer Dialer.WaitsTwiceAsLongEachTimeAndEachSeedOtherwise "s/now - entry.since >= settings_.backoff_reset_after/true/")
-channel_mutant(dials_who_is_there dialer Dialer.GivesUpWhatIsLateAndLeavesWhoIsThere "s/present_.contains(entry.instance)/false/")
-channel_mutant(waits_for_ever dialer Dialer.GivesUpWhatIsLateAndLeavesWhoIsThere "s/entry.state == State::Dialing .. entry.due <= now/false/")
+channel_mutant(accepts_its_own_hello channel Channel.RefusesFramesReplayedFromAnotherConnection "/hello.nonce() == set.nonce/d")
+channel_mutant(connects_to_itself channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance "/== set.self.instance/d")
+channel_mutant(verifies_with_first_key_only channel Channel.KeysCanBeRotatedOneSideAtATime "s/one : keys)/one : keys) if (\\&one == \\&keys.front())/")
+channel_mutant(signs_with_last_key channel Channel.KeysCanBeRotatedOneSideAtATime "s/set.keys.front()/set.keys.back()/")
+channel_mutant(unbounded_queue channel Channel.BoundsTheQueueForASlowReader "s/request.body.size() + kFrameOverheadBytes > settings_.max_queued_bytes/false/")
+channel_mutant(unbounded_pongs channel Channel.BoundsTheQueueForASlowReader 
+  "/if (channel.queued_bytes_ + response/,/send(response)/s/channel.settings_.max_queued_bytes)/std::size_t(-1))/")
+channel_mutant(never_frees_the_queue channel Channel.BoundsTheQueueForASlowReader "s/queued_bytes_ -= .*;/;/")
+channel_mutant(unbounded_frames channel Channel.ClosesOnOversizedFrameBeforeBufferingIt "s/size > max_frame_bytes()/false/")
+channel_mutant(peer_limit_before_handshake channel Channel.ClosesOnOversizedFrameBeforeBufferingIt "s/size > max_frame_bytes()/size > settings_.max_message_bytes + kFrameOverheadBytes/")
+channel_mutant(unbounded_messages channel Channel.ClosesOnOversizedFrameBeforeBufferingIt "s/message.body().size() > channel.settings_.max_message_bytes/false/")
+channel_mutant(never_pings channel Channel.PingsIdlePeerAndClosesWhenItStaysSilent "s/!ping_pending_ \\&\\& now - last_received_ >= settings_.idle_timeout/false/")
+channel_mutant(ignores_silent_peer channel Channel.PingsIdlePeerAndClosesWhenItStaysSilent "s/now - last_received_ >= settings_.dead_timeout ||/false ||/")
+channel_mutant(ignores_stalled_writes channel Channel.ClosesWhenHandshakeOrWritesStall
+  "s/(queued_bytes_ > 0 .* settings_.dead_timeout))/false)/")
+channel_mutant(extends_handshake_deadline channel Channel.ClosesWhenHandshakeOrWritesStall
+  "s/if (!connected()) return;/if (!connected()) return void(actions.emplace_back(SetTimer{timer_at_ = now + settings_.dead_timeout}));/")
+channel_mutant(ignores_its_own_pause channel Channel.PingsBeforeClosingAfterItsOwnPause "s/bool was_paused = .*;/bool was_paused = false;/")
+channel_mutant(sends_before_connected channel Channel.RejectsMessagesBeforeConnectedAndAfterClose
+  "s/message \\&\\& !connected()/message \\&\\& (stage_ == Stage::New || stage_ == Stage::Closed)/")
+channel_mutant(accepts_invalid_names channel Channel.RefusesPeersWithInvalidHello "s/!is_valid_name(hello.name()) ||//")
+channel_mutant(drops_partial_frames channel Channel.ParsesBytesSplitAtAnyPosition "s/incoming_ = bytes.substr(done)/incoming_ = {}/")
+channel_mutant(unbounded_unauthenticated peer_connections PeerConnections.FloodOfUnauthenticatedConnectionsDoesNotBlockPeers "s/unauthenticated_ >= settings_.max_unauthenticated/false/")
+channel_mutant(unbounded_accepted_peers peer_connections PeerConnections.LimitsAcceptedPeers "s/accepted_peers_ >= settings_.max_accepted_peers/accepted_peers_ >= 9/")
+channel_mutant(keeps_two_connections peer_connections PeerConnections.KeepsConnectionDialedByLowerInstance "s/end(older, Error::Replaced);//")
+channel_mutant(never_redials peer_connections PeerConnections.ReconnectsAfterPeerRestart "s/notify_dialer(Dialer::ConnectionEnded{connection->address()});/;/")
+channel_mutant(no_backoff_jitter dialer Dialer.BackoffDoublesAndVariesBySeed "s/(0.5 + 0.5 . random_fraction)/1.0/")
+channel_mutant(always_resets_backoff dialer Dialer.BackoffDoublesAndVariesBySeed "s/now - entry.since >= settings_.backoff_reset_after/true/")
+channel_mutant(dials_connected_peers dialer Dialer.AbortsSlowDialsAndSkipsConnectedPeers "s/connected_peers_.contains(entry.instance)/false/")
+channel_mutant(no_connect_timeout dialer Dialer.AbortsSlowDialsAndSkipsConnectedPeers "s/entry.state == State::Dialing .. entry.deadline <= now/false/")
--- a/tests/fleet/channel_pair.h
+++ b/tests/fleet/channel_pair.h
@@ -10,51 +10,51 @@
 
 namespace ochrehub::channel {
 
-inline TimePoint at_ms(double ms) {
+inline TimePoint time_ms(double ms) {
     return TimePoint{Duration{ms}};
 }
 
 /// One channel and what it wanted done.
-struct Side {
-    explicit Side(const Settings& settings) : channel(settings) {}
+struct TestChannel {
+    explicit TestChannel(const Settings& settings) : channel(settings) {}
 
-    void hand(const Event& event) {
+    void handle(const Event& event) {
         Actions actions;
         channel.handle(now, event, actions);
         for (std::size_t i = 0; i < actions.size(); ++i) {
             Action& action = actions[i];
             if (auto* put = std::get_if<WriteBytes>(&action)) {
-                put_first = put_first && i == 0;
-                out += put->bytes;
+                write_was_first = write_was_first && i == 0;
+                outgoing += put->bytes;
             } else if (auto* message = std::get_if<DeliverMessage>(&action)) {
-                got.push_back(std::move(*message));
+                delivered.push_back(std::move(*message));
             } else if (const auto* refusal = std::get_if<SendRejected>(&action)) {
-                refused.push_back(refusal->error);
+                rejected.push_back(refusal->error);
             } else if (const auto* over = std::get_if<CloseConnection>(&action)) {
-                ends += 1, end = over->error;
-                end_last = end_last && i + 1 == actions.size();
+                close_count += 1, close_error = over->error;
+                close_was_last = close_was_last && i + 1 == actions.size();
             } else if (const auto* later = std::get_if<SetTimer>(&action)) {
-                wake = later->at;
+                timer_at = later->at;
             } else {
-                ++ups;
+                ++connected_count;
             }
         }
     }
     /// All that waits to be written, as if it left now.
-    std::string leave() {
-        std::string octets = std::exchange(out, {});
-        if (!octets.empty()) hand(BytesWritten{octets.size()});
-        return octets;
+    std::string take_outgoing() {
+        std::string bytes = std::exchange(outgoing, {});
+        if (!bytes.empty()) handle(BytesWritten{bytes.size()});
+        return bytes;
     }
 
     Channel channel;
-    TimePoint now = at_ms(0), wake{};
-    std::string out;
-    std::vector<DeliverMessage> got;
-    std::vector<Error> refused;
-    std::optional<Error> end;
-    int ups = 0, ends = 0;
-    bool put_first = true, end_last = true;
+    TimePoint now = time_ms(0), timer_at{};
+    std::string outgoing;
+    std::vector<DeliverMessage> delivered;
+    std::vector<Error> rejected;
+    std::optional<Error> close_error;
+    int connected_count = 0, close_count = 0;
+    bool write_was_first = true, close_was_last = true;
 };
 
 inline Settings settings_of(const std::string& name, std::vector<std::string> keys) {
@@ -68,27 +68,27 @@
     return set;
 }
 
-struct Pair {
-    explicit Pair(std::vector<std::string> keys = {})
-        : Pair(settings_of("a", keys), settings_of("b", keys)) {}
-    Pair(const Settings& one, const Settings& other) : a(one), b(other) {}
+struct ChannelPair {
+    explicit ChannelPair(std::vector<std::string> keys = {})
+        : ChannelPair(settings_of("a", keys), settings_of("b", keys)) {}
+    ChannelPair(const Settings& one, const Settings& other) : a(one), b(other) {}
 
     void open() {
-        a.hand(Opened{});
-        b.hand(Opened{});
-        flow();
+        a.handle(Opened{});
+        b.handle(Opened{});
+        exchange_all();
     }
     /// Till nothing is on its way.
-    void flow() {
-        while (!a.out.empty() || !b.out.empty()) {
-            std::string forth = a.leave(), back = b.leave();
-            if (!forth.empty()) b.hand(BytesReceived{forth});
-            if (!back.empty()) a.hand(BytesReceived{back});
+    void exchange_all() {
+        while (!a.outgoing.empty() || !b.outgoing.empty()) {
+            std::string forth = a.take_outgoing(), back = b.take_outgoing();
+            if (!forth.empty()) b.handle(BytesReceived{forth});
+            if (!back.empty()) a.handle(BytesReceived{back});
         }
     }
-    void go_to(TimePoint now) { a.now = b.now = now; }
+    void set_time(TimePoint now) { a.now = b.now = now; }
 
-    Side a, b;
+    TestChannel a, b;
 };
 
 }  // namespace ochrehub::channel
--- a/tests/fleet/channel_test.cpp
+++ b/tests/fleet/channel_test.cpp
@@ -18,7 +18,7 @@
 const std::vector<std::string> kNoKeys, kOneKey{"k1"};
 
 /// What a sent to b in one life of a connection: each frame by itself, the preamble and Hello in front.
-struct Recorded {
+struct RecordedStream {
     std::string hello, ready;
     std::vector<std::string> frames;
     std::string whole() const {
@@ -28,108 +28,111 @@
     }
 };
 
-Recorded recorded(const std::vector<std::string>& keys, int messages = 5) {
-    Pair pair(keys);
-    Recorded out;
-    pair.a.hand(Opened{});
-    pair.b.hand(Opened{});
-    pair.b.hand(BytesReceived{out.hello = pair.a.leave()});
-    pair.a.hand(BytesReceived{pair.b.leave()});
-    pair.b.hand(BytesReceived{out.ready = pair.a.leave()});
+RecordedStream record(const std::vector<std::string>& keys, int messages = 5) {
+    ChannelPair pair(keys);
+    RecordedStream stream;
+    pair.a.handle(Opened{});
+    pair.b.handle(Opened{});
+    pair.b.handle(BytesReceived{stream.hello = pair.a.take_outgoing()});
+    pair.a.handle(BytesReceived{pair.b.take_outgoing()});
+    pair.b.handle(BytesReceived{stream.ready = pair.a.take_outgoing()});
     for (int i = 0; i < messages; ++i) {
-        pair.a.hand(SendMessage{MessageKind(1 + i % 7), std::string(std::size_t(i) * 37, char('a' + i))});
-        out.frames.push_back(pair.a.leave());
+        pair.a.handle(SendMessage{MessageKind(1 + i % 7), std::string(std::size_t(i) * 37, char('a' + i))});
+        stream.frames.push_back(pair.a.take_outgoing());
     }
-    return out;
+    return stream;
 }
 
 /// The other side as it was when that was recorded, and what becomes of these octets there.
-Side fed(const std::vector<std::string>& keys, std::string_view octets) {
-    Side b(settings_of("b", keys));
-    b.hand(Opened{});
-    b.hand(BytesReceived{octets});
+TestChannel receive_all(const std::vector<std::string>& keys, std::string_view bytes) {
+    TestChannel b(settings_of("b", keys));
+    b.handle(Opened{});
+    b.handle(BytesReceived{bytes});
     return b;
 }
 
-TEST(Channel, TakesMessagesInOrderBothWaysWithKeysAndWithout) {
+TEST(Channel, DeliversMessagesInOrderBothWaysWithAndWithoutKeys) {
     for (const auto& keys : {kNoKeys, kOneKey}) {
-        Pair pair(keys);
+        ChannelPair pair(keys);
         pair.open();
-        ASSERT_TRUE(pair.a.ups == 1 && pair.b.ups == 1);
+        ASSERT_TRUE(pair.a.connected_count == 1 && pair.b.connected_count == 1);
         EXPECT_EQ(pair.a.channel.peer(), settings_of("b", keys).self);
         EXPECT_EQ(pair.b.channel.peer(), settings_of("a", keys).self);
         for (int i = 0; i < 100; ++i) {
-            pair.a.hand(SendMessage{MessageKind::Raft, "a" + std::to_string(i)});
-            pair.b.hand(SendMessage{MessageKind::Request, "b" + std::to_string(i)});
+            pair.a.handle(SendMessage{MessageKind::Raft, "a" + std::to_string(i)});
+            pair.b.handle(SendMessage{MessageKind::Request, "b" + std::to_string(i)});
         }
-        pair.flow();
-        ASSERT_TRUE(pair.a.got.size() == 100 && pair.b.got.size() == 100);
+        pair.exchange_all();
+        ASSERT_TRUE(pair.a.delivered.size() == 100 && pair.b.delivered.size() == 100);
         for (std::size_t i = 0; i < 100; ++i) {
-            EXPECT_EQ(pair.a.got[i].body, "b" + std::to_string(i));
-            EXPECT_EQ(pair.b.got[i].body, "a" + std::to_string(i));
-            EXPECT_EQ(pair.a.got[i].kind, MessageKind::Request);
+            EXPECT_EQ(pair.a.delivered[i].body, "b" + std::to_string(i));
+            EXPECT_EQ(pair.b.delivered[i].body, "a" + std::to_string(i));
+            EXPECT_EQ(pair.a.delivered[i].kind, MessageKind::Request);
         }
-        EXPECT_TRUE(pair.a.put_first && pair.b.put_first);
+        EXPECT_TRUE(pair.a.write_was_first && pair.b.write_was_first);
         EXPECT_EQ(pair.a.channel.queued_bytes(), 0u);
     }
 }
 
-TEST(Channel, TakesOctetsInWhateverPiecesTheyCome) {
+TEST(Channel, ParsesBytesSplitAtAnyPosition) {
     setenv("RC_PARAMS", "max_success=1000", 0);  // read once, at the first check
     auto holds = rc::check("pieces", [] {
         const auto& keys = *rc::gen::arbitrary<bool>() ? kOneKey : kNoKeys;
-        Recorded one = recorded(keys, 8);
-        std::string octets = one.whole();
+        RecordedStream one = record(keys, 8);
+        std::string bytes = one.whole();
         if (*rc::gen::inRange(0, 3) == 0) {  // also where they are wrong somewhere
-            auto at = *rc::gen::inRange<std::size_t>(0, octets.size());
-            octets[at] = char(octets[at] ^ *rc::gen::inRange(1, 255));
+            auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
+            bytes[at] = char(bytes[at] ^ *rc::gen::inRange(1, 255));
         }
-        Side whole = fed(keys, octets);
-        Side torn(settings_of("b", keys));
-        torn.hand(Opened{});
+        TestChannel whole = receive_all(keys, bytes);
+        TestChannel torn(settings_of("b", keys));
+        torn.handle(Opened{});
         auto most = *rc::gen::element<std::size_t>(2, 5, 40, 300);
-        for (std::size_t at = 0; at < octets.size();) {
-            auto size = std::min(octets.size() - at, *rc::gen::inRange<std::size_t>(1, most));
-            torn.hand(BytesReceived{std::string_view(octets).substr(at, size)});
+        for (std::size_t at = 0; at < bytes.size();) {
+            auto size = std::min(bytes.size() - at, *rc::gen::inRange<std::size_t>(1, most));
+            torn.handle(BytesReceived{std::string_view(bytes).substr(at, size)});
             at += size;
         }
-        RC_ASSERT(torn.end == whole.end && torn.ups == whole.ups && torn.got.size() == whole.got.size());
-        RC_ASSERT(torn.ends <= 1 && torn.end_last && whole.end_last);
-        for (std::size_t i = 0; i < torn.got.size(); ++i)
-            RC_ASSERT(torn.got[i].kind == whole.got[i].kind && torn.got[i].body == whole.got[i].body);
-        RC_ASSERT(torn.out == whole.out && torn.channel.buffered_bytes() == whole.channel.buffered_bytes());
+        RC_ASSERT(torn.close_error == whole.close_error && torn.connected_count == whole.connected_count &&
+                  torn.delivered.size() == whole.delivered.size());
+        RC_ASSERT(torn.close_count <= 1 && torn.close_was_last && whole.close_was_last);
+        for (std::size_t i = 0; i < torn.delivered.size(); ++i)
+            RC_ASSERT(torn.delivered[i].kind == whole.delivered[i].kind &&
+                      torn.delivered[i].body == whole.delivered[i].body);
+        RC_ASSERT(torn.outgoing == whole.outgoing &&
+                  torn.channel.buffered_bytes() == whole.channel.buffered_bytes());
     });
     EXPECT_TRUE(holds);
 }
 
-TEST(Channel, SaysNothingBeforeItIsUpNorBehindItsEnd) {
-    Pair pair;
-    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
-    pair.a.hand(Opened{});
-    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
-    pair.b.hand(Opened{});
-    pair.b.hand(BytesReceived{pair.a.leave()});
-    pair.b.hand(SendMessage{MessageKind::Raft, "x"});  // it has a Hello, and nobody has answered its own
-    EXPECT_EQ(pair.a.refused, std::vector<Error>(2, Error::Closed));
-    EXPECT_EQ(pair.b.refused, std::vector<Error>(1, Error::Closed));
-    pair.flow();
+TEST(Channel, RejectsMessagesBeforeConnectedAndAfterClose) {
+    ChannelPair pair;
+    pair.a.handle(SendMessage{MessageKind::Raft, "x"});
+    pair.a.handle(Opened{});
+    pair.a.handle(SendMessage{MessageKind::Raft, "x"});
+    pair.b.handle(Opened{});
+    pair.b.handle(BytesReceived{pair.a.take_outgoing()});
+    pair.b.handle(SendMessage{MessageKind::Raft, "x"});  // it has a Hello, and nobody has answered its own
+    EXPECT_EQ(pair.a.rejected, std::vector<Error>(2, Error::Closed));
+    EXPECT_EQ(pair.b.rejected, std::vector<Error>(1, Error::Closed));
+    pair.exchange_all();
     ASSERT_TRUE(pair.a.channel.connected());
-    pair.a.hand(Closed{});
-    EXPECT_EQ(pair.a.end, Error::Closed);
-    pair.a.hand(SendMessage{MessageKind::Raft, "x"});
-    pair.a.hand(BytesReceived{"more"});
-    pair.a.hand(TimerFired{});
-    pair.a.hand(Closed{});
-    EXPECT_TRUE(pair.a.refused.size() == 3 && pair.a.ends == 1 && pair.a.out.empty());
+    pair.a.handle(Closed{});
+    EXPECT_EQ(pair.a.close_error, Error::Closed);
+    pair.a.handle(SendMessage{MessageKind::Raft, "x"});
+    pair.a.handle(BytesReceived{"more"});
+    pair.a.handle(TimerFired{});
+    pair.a.handle(Closed{});
+    EXPECT_TRUE(pair.a.rejected.size() == 3 && pair.a.close_count == 1 && pair.a.outgoing.empty());
 }
 
-TEST(Channel, EndsOnOtherVersionsClustersKeysAndOnItself) {
+TEST(Channel, ClosesOnOtherVersionClusterKeyOrOwnInstance) {
     auto both = [](const Settings& one, const Settings& other) {
-        Pair pair(one, other);
+        ChannelPair pair(one, other);
         pair.open();
-        EXPECT_TRUE(pair.a.ups == 0 && pair.b.ups == 0);
-        EXPECT_EQ(pair.a.end, pair.b.end);
-        return pair.a.end;
+        EXPECT_TRUE(pair.a.connected_count == 0 && pair.b.connected_count == 0);
+        EXPECT_EQ(pair.a.close_error, pair.b.close_error);
+        return pair.a.close_error;
     };
     Settings a = settings_of("a", kOneKey), b = settings_of("b", kOneKey);
     Settings cluster = b, key = b, none = b, itself = b;
@@ -141,51 +144,51 @@
     EXPECT_EQ(both(a, none), Error::Forged);
     itself.self.instance = a.self.instance;
     EXPECT_EQ(both(a, itself), Error::Replaced);
-    std::string version = recorded(kNoKeys).whole(), other = version;
+    std::string version = record(kNoKeys).whole(), other = version;
     ++version[3];
-    EXPECT_EQ(fed(kNoKeys, version).end, Error::Version);
-    EXPECT_EQ(fed(kNoKeys, "GET / HTTP/1.1\r\n").end, Error::Malformed);
+    EXPECT_EQ(receive_all(kNoKeys, version).close_error, Error::Version);
+    EXPECT_EQ(receive_all(kNoKeys, "GET / HTTP/1.1\r\n").close_error, Error::Malformed);
 }
 
-TEST(Channel, RefusesPeersThatDoNotSayWhoTheyAre) {
+TEST(Channel, RefusesPeersWithInvalidHello) {
     for (int what = 0; what < 4; ++what) {
         Settings a = settings_of("a", kOneKey);
         if (what == 0) a.self.instance = 0;
         if (what == 1) a.self.name = "line\nbreak";
         if (what == 2) a.self.zone = std::string(Channel::kMaxNameBytes + 1, 'z');
         if (what == 3) a.nonce = "short";
-        Pair pair(a, settings_of("b", kOneKey));
+        ChannelPair pair(a, settings_of("b", kOneKey));
         pair.open();
-        EXPECT_EQ(pair.b.end, Error::Malformed) << what;
+        EXPECT_EQ(pair.b.close_error, Error::Malformed) << what;
     }
 }
 
-TEST(Channel, ChangedOctetsNeverArriveWhereThereAreKeys) {
-    Recorded one = recorded(kOneKey);
+TEST(Channel, NeverDeliversCorruptedBytesWithKeys) {
+    RecordedStream one = record(kOneKey);
     std::string sound = one.whole();
     for (std::size_t at = 0; at < sound.size(); ++at)
         for (int bit : {0, 3, 7}) {
             std::string changed = sound;
             changed[at] = char(changed[at] ^ 1 << bit);
-            Side b = fed(kOneKey, changed);
-            for (std::size_t i = 0; i < b.got.size(); ++i)
-                ASSERT_EQ(b.got[i].body, std::string(i * 37, char('a' + i)));
-            ASSERT_LT(b.got.size(), 5u) << at;
-            if (b.end) continue;
+            TestChannel b = receive_all(kOneKey, changed);
+            for (std::size_t i = 0; i < b.delivered.size(); ++i)
+                ASSERT_EQ(b.delivered[i].body, std::string(i * 37, char('a' + i)));
+            ASSERT_LT(b.delivered.size(), 5u) << at;
+            if (b.close_error) continue;
             // A length that says more than comes: it waits, holds no more than has come, and gives up in
             // time.
             ASSERT_LT(b.channel.buffered_bytes(), sound.size());
-            for (int i = 0; i < 10 && !b.end; ++i) b.now = b.wake, b.hand(TimerFired{});
-            ASSERT_EQ(b.end, Error::Silent);
+            for (int i = 0; i < 10 && !b.close_error; ++i) b.now = b.timer_at, b.handle(TimerFired{});
+            ASSERT_EQ(b.close_error, Error::Silent);
         }
 }
 
-TEST(Channel, FramesLeftOutDoubledSwappedOrCutAreSeen) {
-    Recorded one = recorded(kOneKey);
+TEST(Channel, DetectsOmittedDuplicatedReorderedOrTruncatedFrames) {
+    RecordedStream one = record(kOneKey);
     std::string begin = one.hello + one.ready;
     const auto& f = one.frames;
-    ASSERT_EQ(fed(kOneKey, one.whole()).got.size(), 5u);
-    for (const auto& [octets, got] :
+    ASSERT_EQ(receive_all(kOneKey, one.whole()).delivered.size(), 5u);
+    for (const auto& [bytes, delivered] :
          std::vector<std::pair<std::string, std::size_t>>{{begin + f[1], 0},
                                                           {begin + f[0] + f[2], 1},
                                                           {begin + f[0] + f[0], 1},
@@ -194,106 +197,108 @@
                                                           {begin + one.ready, 0},
                                                           {one.hello + f[0], 0},
                                                           {begin + f[0].substr(0, 8) + f[1], 0}}) {
-        Side b = fed(kOneKey, octets);
-        if (!b.end)
-            b.hand(BytesReceived{f[2] + f[3] + f[4]});  // a cut one is only whole with what comes behind it
-        EXPECT_EQ(b.end, Error::Forged);
-        EXPECT_EQ(b.got.size(), got);
+        TestChannel b = receive_all(kOneKey, bytes);
+        if (!b.close_error)
+            b.handle(BytesReceived{f[2] + f[3] + f[4]});  // a cut one is only whole with what comes behind it
+        EXPECT_EQ(b.close_error, Error::Forged);
+        EXPECT_EQ(b.delivered.size(), delivered);
     }
     // Without keys nothing tells who sent what: only what is no frame is seen.
-    std::string none = recorded(kNoKeys).hello;
-    EXPECT_EQ(fed(kNoKeys, none + none.substr(Channel::kPreambleBytes)).end, Error::Malformed);
+    std::string none = record(kNoKeys).hello;
+    EXPECT_EQ(receive_all(kNoKeys, none + none.substr(Channel::kPreambleBytes)).close_error,
+              Error::Malformed);
 }
 
-TEST(Channel, WhatWasRecordedElsewhereGetsNobodyUp) {
-    Recorded one = recorded(kOneKey);
+TEST(Channel, RefusesFramesReplayedFromAnotherConnection) {
+    RecordedStream one = record(kOneKey);
     Settings later = settings_of("b", kOneKey);
     later.nonce = std::string(kNonceBytes, 'x');  // the next connection of the same process
-    Side b(later);
-    b.hand(Opened{});
-    b.hand(BytesReceived{one.hello});
-    EXPECT_TRUE(!b.end && b.ups == 0);  // a Hello may be any connection's
-    b.hand(BytesReceived{one.ready});
-    EXPECT_TRUE(b.end == Error::Forged && b.ups == 0);
+    TestChannel b(later);
+    b.handle(Opened{});
+    b.handle(BytesReceived{one.hello});
+    EXPECT_TRUE(!b.close_error && b.connected_count == 0);  // a Hello may be any connection's
+    b.handle(BytesReceived{one.ready});
+    EXPECT_TRUE(b.close_error == Error::Forged && b.connected_count == 0);
 
     // Its own octets, turned around; as they are, and with a Hello that was recorded from the other side in
     // front.
-    Side a(settings_of("a", kOneKey));
-    a.hand(Opened{});
-    a.hand(BytesReceived{a.leave()});
-    EXPECT_EQ(a.end, Error::Forged);
-    Pair pair(kOneKey);
-    pair.a.hand(Opened{});
-    pair.b.hand(Opened{});
-    pair.a.leave();
-    pair.a.hand(BytesReceived{pair.b.leave()});
-    pair.a.hand(BytesReceived{pair.a.leave()});  // its Ready
-    EXPECT_TRUE(pair.a.end == Error::Forged && pair.a.ups == 0);
+    TestChannel a(settings_of("a", kOneKey));
+    a.handle(Opened{});
+    a.handle(BytesReceived{a.take_outgoing()});
+    EXPECT_EQ(a.close_error, Error::Forged);
+    ChannelPair pair(kOneKey);
+    pair.a.handle(Opened{});
+    pair.b.handle(Opened{});
+    pair.a.take_outgoing();
+    pair.a.handle(BytesReceived{pair.b.take_outgoing()});
+    pair.a.handle(BytesReceived{pair.a.take_outgoing()});  // its Ready
+    EXPECT_TRUE(pair.a.close_error == Error::Forged && pair.a.connected_count == 0);
 }
 
-TEST(Channel, KeysAreRolledOneSideAfterTheOther) {
+TEST(Channel, KeysCanBeRotatedOneSideAtATime) {
     std::vector<std::vector<std::string>> steps{{"old"}, {"old", "new"}, {"new", "old"}, {"new"}};
     for (std::size_t i = 0; i < steps.size(); ++i)
         for (std::size_t j = 0; j < steps.size(); ++j) {
-            Pair pair(settings_of("a", steps[i]), settings_of("b", steps[j]));
+            ChannelPair pair(settings_of("a", steps[i]), settings_of("b", steps[j]));
             pair.open();
-            pair.a.hand(SendMessage{MessageKind::Raft, "x"});
-            pair.b.hand(SendMessage{MessageKind::Raft, "y"});
-            pair.flow();
+            pair.a.handle(SendMessage{MessageKind::Raft, "x"});
+            pair.b.handle(SendMessage{MessageKind::Raft, "y"});
+            pair.exchange_all();
             // Neighbours speak, and those whose first keys each know of the other.
             auto knows = [](const auto& keys, const std::string& one) {
                 return std::find(keys.begin(), keys.end(), one) != keys.end();
             };
             bool speak = knows(steps[j], steps[i].front()) && knows(steps[i], steps[j].front());
-            EXPECT_EQ(pair.a.got.size() == 1 && pair.b.got.size() == 1, speak) << i << j;
-            EXPECT_EQ(pair.a.ups + pair.b.ups, speak ? 2 : 0) << i << j;
+            EXPECT_EQ(pair.a.delivered.size() == 1 && pair.b.delivered.size() == 1, speak) << i << j;
+            EXPECT_EQ(pair.a.connected_count + pair.b.connected_count, speak ? 2 : 0) << i << j;
         }
 }
 
-TEST(Channel, LongFramesEndItBeforeTheyAreHeld) {
+TEST(Channel, ClosesOnOversizedFrameBeforeBufferingIt) {
     std::string huge =
-        recorded(kNoKeys).hello + recorded(kNoKeys).ready + "\x7f\xff\xff\xff" + std::string(100, 'x');
-    Side b = fed(kNoKeys, huge);
-    EXPECT_TRUE(b.ups == 1 && b.end == Error::TooLong && b.channel.buffered_bytes() == 0);
+        record(kNoKeys).hello + record(kNoKeys).ready + "\x7f\xff\xff\xff" + std::string(100, 'x');
+    TestChannel b = receive_all(kNoKeys, huge);
+    EXPECT_TRUE(b.connected_count == 1 && b.close_error == Error::TooLong && b.channel.buffered_bytes() == 0);
     // Who is not up is allowed less.
-    Side c = fed(kNoKeys, huge.substr(0, Channel::kPreambleBytes) + std::string("\0\0\x04\x01", 4));
-    EXPECT_EQ(c.end, Error::TooLong);
+    TestChannel c =
+        receive_all(kNoKeys, huge.substr(0, Channel::kPreambleBytes) + std::string("\0\0\x04\x01", 4));
+    EXPECT_EQ(c.close_error, Error::TooLong);
 
     Settings a = settings_of("a", kOneKey), small = settings_of("b", kOneKey);
     small.max_message_bytes = 1000;
-    Pair pair(a, small);
+    ChannelPair pair(a, small);
     pair.open();
-    pair.b.hand(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
-    EXPECT_EQ(pair.b.refused, std::vector<Error>(1, Error::TooLong));
-    pair.a.hand(SendMessage{MessageKind::Raft, std::string(1000, 'x')});
-    pair.flow();
-    EXPECT_EQ(pair.b.got.size(), 1u);
-    pair.a.hand(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
-    pair.flow();
-    EXPECT_TRUE(pair.b.got.size() == 1 && pair.b.end == Error::TooLong);
+    pair.b.handle(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
+    EXPECT_EQ(pair.b.rejected, std::vector<Error>(1, Error::TooLong));
+    pair.a.handle(SendMessage{MessageKind::Raft, std::string(1000, 'x')});
+    pair.exchange_all();
+    EXPECT_EQ(pair.b.delivered.size(), 1u);
+    pair.a.handle(SendMessage{MessageKind::Raft, std::string(1001, 'x')});
+    pair.exchange_all();
+    EXPECT_TRUE(pair.b.delivered.size() == 1 && pair.b.close_error == Error::TooLong);
 }
 
-TEST(Channel, ASlowReaderIsSentNoMoreThanTheQueueHolds) {
+TEST(Channel, BoundsTheQueueForASlowReader) {
     Settings set = settings_of("a", kOneKey);
     set.max_queued_bytes = 10000;
-    Pair pair(set, settings_of("b", kOneKey));
+    ChannelPair pair(set, settings_of("b", kOneKey));
     pair.open();
     for (int i = 0; i < 1000; ++i)
-        pair.a.hand(SendMessage{MessageKind::Quota, std::string(100, char('a' + i % 26))});
-    EXPECT_LE(pair.a.out.size(), set.max_queued_bytes);
-    EXPECT_EQ(pair.a.channel.queued_bytes(), pair.a.out.size());
-    std::size_t taken = 1000 - pair.a.refused.size();
+        pair.a.handle(SendMessage{MessageKind::Quota, std::string(100, char('a' + i % 26))});
+    EXPECT_LE(pair.a.outgoing.size(), set.max_queued_bytes);
+    EXPECT_EQ(pair.a.channel.queued_bytes(), pair.a.outgoing.size());
+    std::size_t taken = 1000 - pair.a.rejected.size();
     EXPECT_GT(taken, 60u);
-    EXPECT_EQ(std::set<Error>(pair.a.refused.begin(), pair.a.refused.end()), std::set<Error>{Error::Full});
+    EXPECT_EQ(std::set<Error>(pair.a.rejected.begin(), pair.a.rejected.end()), std::set<Error>{Error::Full});
     // What was taken arrives, whole and in order; then there is room again.
-    std::string octets = pair.a.leave();
-    pair.b.hand(BytesReceived{octets});
-    EXPECT_EQ(pair.b.got.size(), taken);
-    pair.a.hand(SendMessage{MessageKind::Quota, "again"});
-    EXPECT_EQ(pair.a.refused.size(), 1000 - taken);
+    std::string bytes = pair.a.take_outgoing();
+    pair.b.handle(BytesReceived{bytes});
+    EXPECT_EQ(pair.b.delivered.size(), taken);
+    pair.a.handle(SendMessage{MessageKind::Quota, "again"});
+    EXPECT_EQ(pair.a.rejected.size(), 1000 - taken);
 
     // Nor can one that asks and never reads make it grow.
-    Pair other(settings_of("a", kNoKeys), set);
+    ChannelPair other(settings_of("a", kNoKeys), set);
     other.b.channel = Channel([&] {
         auto b = settings_of("b", kNoKeys);
         b.max_queued_bytes = 10000;
@@ -301,86 +306,87 @@
     }());
     other.open();
     std::string ping("\0\0\0\x04\x1a\x02\x08\x01", 8);
-    for (int i = 0; i < 5000; ++i) other.b.hand(BytesReceived{ping});
-    EXPECT_FALSE(other.b.end);
-    EXPECT_GT(other.b.out.size(), 1000u);
-    EXPECT_LE(other.b.out.size(), 10000u);
+    for (int i = 0; i < 5000; ++i) other.b.handle(BytesReceived{ping});
+    EXPECT_FALSE(other.b.close_error);
+    EXPECT_GT(other.b.outgoing.size(), 1000u);
+    EXPECT_LE(other.b.outgoing.size(), 10000u);
 }
 
-TEST(Channel, AsksInSilenceAndGivesUpWhatIsSilent) {
-    Pair pair(kOneKey);
+TEST(Channel, PingsIdlePeerAndClosesWhenItStaysSilent) {
+    ChannelPair pair(kOneKey);
     pair.open();
     for (int i = 0; i < 100; ++i) {  // two that have nothing to say stay together
-        pair.go_to(std::min(pair.a.wake, pair.b.wake));
-        for (Side* side : {&pair.a, &pair.b})
-            if (side->wake <= side->now) side->hand(TimerFired{});
-        pair.flow();
+        pair.set_time(std::min(pair.a.timer_at, pair.b.timer_at));
+        for (TestChannel* side : {&pair.a, &pair.b})
+            if (side->timer_at <= side->now) side->handle(TimerFired{});
+        pair.exchange_all();
     }
-    EXPECT_TRUE(!pair.a.end && !pair.b.end);
-    EXPECT_GT(pair.a.now, at_ms(40000));
+    EXPECT_TRUE(!pair.a.close_error && !pair.b.close_error);
+    EXPECT_GT(pair.a.now, time_ms(40000));
     // One way is cut: the deaf side gives up, within `dead` and not before.
     TimePoint cut = pair.a.now;
-    for (int i = 0; i < 100 && !pair.b.end; ++i) {
-        pair.go_to(std::min(pair.a.wake, pair.b.wake));
-        for (Side* side : {&pair.a, &pair.b})
-            if (side->wake <= side->now) side->hand(TimerFired{});
-        pair.a.leave();
-        if (std::string back = pair.b.leave(); !back.empty()) pair.a.hand(BytesReceived{back});
+    for (int i = 0; i < 100 && !pair.b.close_error; ++i) {
+        pair.set_time(std::min(pair.a.timer_at, pair.b.timer_at));
+        for (TestChannel* side : {&pair.a, &pair.b})
+            if (side->timer_at <= side->now) side->handle(TimerFired{});
+        pair.a.take_outgoing();
+        if (std::string back = pair.b.take_outgoing(); !back.empty()) pair.a.handle(BytesReceived{back});
     }
-    EXPECT_EQ(pair.b.end, Error::Silent);
+    EXPECT_EQ(pair.b.close_error, Error::Silent);
     EXPECT_GE(pair.b.now - cut, Duration{2000});
     EXPECT_LE(pair.b.now - cut, Duration{3000});
-    EXPECT_FALSE(pair.a.end);
+    EXPECT_FALSE(pair.a.close_error);
 }
 
-TEST(Channel, WhoSaysNothingAtTheBeginningOrTakesNothingIsGivenUp) {
-    Side a(settings_of("a", kOneKey));
-    a.hand(Opened{});
-    std::string hello = recorded(kOneKey).hello;
+TEST(Channel, ClosesWhenHandshakeOrWritesStall) {
+    TestChannel a(settings_of("a", kOneKey));
+    a.handle(Opened{});
+    std::string hello = record(kOneKey).hello;
     for (int i = 0; i < 29; ++i) {  // octets alone give it no more time
         a.now += Duration{100};
-        a.hand(BytesReceived{std::string_view(hello).substr(std::size_t(i), 1)});
+        a.handle(BytesReceived{std::string_view(hello).substr(std::size_t(i), 1)});
     }
-    EXPECT_EQ(a.wake, at_ms(3000));
-    a.now = a.wake;
-    a.hand(TimerFired{});
-    EXPECT_EQ(a.end, Error::Silent);
+    EXPECT_EQ(a.timer_at, time_ms(3000));
+    a.now = a.timer_at;
+    a.handle(TimerFired{});
+    EXPECT_EQ(a.close_error, Error::Silent);
 
-    Pair pair;
+    ChannelPair pair;
     pair.open();
-    pair.a.hand(SendMessage{MessageKind::Raft, "x"});  // and none of it leaves, though the other speaks on
-    for (int i = 0; i < 100 && !pair.a.end; ++i) {
-        pair.go_to(std::min(pair.a.now + Duration{500}, pair.a.wake));
-        pair.b.hand(SendMessage{MessageKind::Raft, "y"});
-        pair.a.hand(BytesReceived{pair.b.leave()});
-        if (pair.a.now >= pair.a.wake) pair.a.hand(TimerFired{});
+    pair.a.handle(SendMessage{MessageKind::Raft, "x"});  // and none of it leaves, though the other speaks on
+    for (int i = 0; i < 100 && !pair.a.close_error; ++i) {
+        pair.set_time(std::min(pair.a.now + Duration{500}, pair.a.timer_at));
+        pair.b.handle(SendMessage{MessageKind::Raft, "y"});
+        pair.a.handle(BytesReceived{pair.b.take_outgoing()});
+        if (pair.a.now >= pair.a.timer_at) pair.a.handle(TimerFired{});
     }
-    EXPECT_EQ(pair.a.end, Error::Silent);
-    EXPECT_LE(pair.a.now, at_ms(4000));
+    EXPECT_EQ(pair.a.close_error, Error::Silent);
+    EXPECT_LE(pair.a.now, time_ms(4000));
 }
 
-TEST(Channel, WhoStoodStillItselfAsksBeforeItGivesUp) {
-    Pair pair(kOneKey);
+TEST(Channel, PingsBeforeClosingAfterItsOwnPause) {
+    ChannelPair pair(kOneKey);
     pair.open();
-    pair.go_to(at_ms(30000));
-    pair.a.hand(TimerFired{});
-    EXPECT_FALSE(pair.a.end);
-    pair.flow();  // the other answers
-    pair.go_to(pair.a.wake);
-    pair.a.hand(TimerFired{});
-    EXPECT_FALSE(pair.a.end);
-    for (int i = 0; i < 100 && !pair.a.end; ++i)
-        pair.a.now = pair.a.wake, pair.a.hand(TimerFired{}), pair.a.leave();
-    EXPECT_EQ(pair.a.end, Error::Silent);  // and now it does not
+    pair.set_time(time_ms(30000));
+    pair.a.handle(TimerFired{});
+    EXPECT_FALSE(pair.a.close_error);
+    pair.exchange_all();  // the other answers
+    pair.set_time(pair.a.timer_at);
+    pair.a.handle(TimerFired{});
+    EXPECT_FALSE(pair.a.close_error);
+    for (int i = 0; i < 100 && !pair.a.close_error; ++i)
+        pair.a.now = pair.a.timer_at, pair.a.handle(TimerFired{}), pair.a.take_outgoing();
+    EXPECT_EQ(pair.a.close_error, Error::Silent);  // and now it does not
 }
 
-TEST(Channel, UnknownKindsAndEmptyFramesAreMalformed) {
-    std::string begin = recorded(kNoKeys).hello + recorded(kNoKeys).ready;
-    EXPECT_EQ(fed(kNoKeys, begin + std::string("\0\0\0\0", 4)).end, Error::Malformed);
-    EXPECT_EQ(fed(kNoKeys, begin + std::string("\0\0\0\4\x2a\2\x08\x08", 8)).end,
+TEST(Channel, RefusesUnknownKindsAndEmptyFrames) {
+    std::string begin = record(kNoKeys).hello + record(kNoKeys).ready;
+    EXPECT_EQ(receive_all(kNoKeys, begin + std::string("\0\0\0\0", 4)).close_error, Error::Malformed);
+    EXPECT_EQ(receive_all(kNoKeys, begin + std::string("\0\0\0\4\x2a\2\x08\x08", 8)).close_error,
               Error::Malformed);  // kind 8
-    EXPECT_FALSE(fed(kNoKeys, begin + std::string("\0\0\0\4\x2a\2\x08\x07", 8)).end);
-    EXPECT_EQ(fed(kNoKeys, begin + std::string("\0\0\0\3\xff\xff\xff", 7)).end, Error::Malformed);
+    EXPECT_FALSE(receive_all(kNoKeys, begin + std::string("\0\0\0\4\x2a\2\x08\x07", 8)).close_error);
+    EXPECT_EQ(receive_all(kNoKeys, begin + std::string("\0\0\0\3\xff\xff\xff", 7)).close_error,
+              Error::Malformed);
 }
 
 }  // namespace
--- a/tests/fleet/peer_connections_test.cpp
+++ b/tests/fleet/peer_connections_test.cpp
@@ -21,7 +21,7 @@
 
 const PeerConnections::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
-struct World {
+struct EventLoop {
     /// Turns the loop till it holds; false where that takes far too long.
     bool until(const std::function<bool()>& holds, Duration most = Duration{10000}) {
         for (TimePoint end = clock.now() + most; !holds();) {
@@ -36,20 +36,21 @@
 };
 
 struct Process {
-    Process(World& world, std::uint64_t instance, PeerConnectionsSettings settings = {},
+    Process(EventLoop& loop, std::uint64_t instance, PeerConnectionsSettings settings = {},
             const std::optional<PeerConnections::Endpoint>& listen = kAny)
-        : peer_connections(world.io, world.clock, listen, named(settings, instance), instance) {
-        peer_connections.on_connected = [this](const Peer& peer) { ++ups[peer.instance]; };
+        : peer_connections(loop.io, loop.clock, listen, named(settings, instance), instance) {
+        peer_connections.on_connected = [this](const Peer& peer) { ++connected[peer.instance]; };
         peer_connections.on_disconnected = [this](const Peer& peer, Error error) {
-            ++downs[peer.instance], last_down = error;
+            ++disconnected[peer.instance], last_error = error;
         };
         peer_connections.on_message = [this](const Peer& peer, MessageKind kind, std::string body) {
-            got.emplace_back(peer.instance, kind, std::move(body));
-            if (answers && kind == MessageKind::Request)
-                peer_connections.send(peer.instance, MessageKind::Response, "re " + std::get<2>(got.back()));
+            received.emplace_back(peer.instance, kind, std::move(body));
+            if (responds && kind == MessageKind::Request)
+                peer_connections.send(peer.instance, MessageKind::Response,
+                                      "re " + std::get<2>(received.back()));
         };
         peer_connections.on_dial_failed = [this](const std::string&, Error error) {
-            unreached.push_back(error);
+            dial_errors.push_back(error);
         };
     }
     ~Process() { peer_connections.close(); }
@@ -62,32 +63,32 @@
         return "127.0.0.1:" + std::to_string(peer_connections.listen_address().port());
     }
 
-    std::map<std::uint64_t, int> ups, downs;
-    std::vector<std::tuple<std::uint64_t, MessageKind, std::string>> got;
-    std::vector<Error> unreached;
-    std::optional<Error> last_down;
-    bool answers = false;
+    std::map<std::uint64_t, int> connected, disconnected;
+    std::vector<std::tuple<std::uint64_t, MessageKind, std::string>> received;
+    std::vector<Error> dial_errors;
+    std::optional<Error> last_error;
+    bool responds = false;
     PeerConnections peer_connections;
 };
 
-TEST(PeerConnections, DialsAndIsAnsweredOnTheSameConnection) {
-    World world;
+TEST(PeerConnections, ReceivesResponsesOnTheDialedConnection) {
+    EventLoop loop;
     PeerConnectionsSettings set;
     set.channel.keys = {"k1"};
-    Process keeper(world, 1, set), node(world, 2, set, std::nullopt);
-    keeper.answers = true;
-    ASSERT_TRUE(node.peer_connections.dial(keeper.address()));
-    ASSERT_TRUE(world.until([&] { return node.ups[1] == 1 && keeper.ups[2] == 1; }));
+    Process coordinator(loop, 1, set), node(loop, 2, set, std::nullopt);
+    coordinator.responds = true;
+    ASSERT_TRUE(node.peer_connections.dial(coordinator.address()));
+    ASSERT_TRUE(loop.until([&] { return node.connected[1] == 1 && coordinator.connected[2] == 1; }));
     for (int i = 0; i < 1000; ++i)
         ASSERT_TRUE(node.peer_connections.send(1, MessageKind::Request, std::to_string(i)));
-    ASSERT_TRUE(world.until([&] { return node.got.size() == 1000; }));
+    ASSERT_TRUE(loop.until([&] { return node.received.size() == 1000; }));
     for (std::size_t i = 0; i < 1000; ++i)
-        EXPECT_EQ(node.got[i],
+        EXPECT_EQ(node.received[i],
                   std::make_tuple(std::uint64_t{1}, MessageKind::Response, "re " + std::to_string(i)));
     EXPECT_FALSE(node.peer_connections.send(3, MessageKind::Request, "nobody"));
 }
 
-PeerConnectionsSettings quick() {
+PeerConnectionsSettings fast_settings() {
     PeerConnectionsSettings set;
     set.channel.keys = {"k1"};
     set.channel.idle_timeout = Duration{100};
@@ -98,319 +99,323 @@
 }
 
 /// A connection that only does what it is told.
-struct Raw {
-    Raw(World& world, const PeerConnections& to) : socket(world.io) { socket.connect(to.listen_address()); }
+struct RawConnection {
+    RawConnection(EventLoop& loop, const PeerConnections& to) : socket(loop.io) {
+        socket.connect(to.listen_address());
+    }
     /// The other end has closed it.
     bool closed() {
         socket.non_blocking(true);
         boost::system::error_code error;
-        std::array<char, 4096> octets;
-        while (!error) socket.read_some(boost::asio::buffer(octets), error);
+        std::array<char, 4096> bytes;
+        while (!error) socket.read_some(boost::asio::buffer(bytes), error);
         return error != boost::asio::error::would_block;
     }
     boost::asio::ip::tcp::socket socket;
 };
 
-TEST(PeerConnections, KeepsOneConnectionWhereBothDialAtOnce) {
+TEST(PeerConnections, KeepsOneConnectionWhenBothDial) {
     for (int round = 0; round < 20; ++round) {
-        World world;
-        PeerConnectionsSettings set = quick();
+        EventLoop loop;
+        PeerConnectionsSettings set = fast_settings();
         set.channel.dead_timeout = Duration{3000};
-        Process a(world, 1, set), b(world, 2, set);
+        Process a(loop, 1, set), b(loop, 2, set);
         a.peer_connections.dial(b.address());
         b.peer_connections.dial(a.address());
         // Until neither has more than one, and both have the same.
-        ASSERT_TRUE(world.until([&] {
+        ASSERT_TRUE(loop.until([&] {
             return a.peer_connections.peer_count() == 1 && b.peer_connections.peer_count() == 1 &&
                    a.peer_connections.connection_count() == 1 && b.peer_connections.connection_count() == 1;
         }));
-        a.got.clear(), b.got.clear();
+        a.received.clear(), b.received.clear();
         ASSERT_TRUE(a.peer_connections.send(2, MessageKind::Raft, "to b") &&
                     b.peer_connections.send(1, MessageKind::Raft, "to a"));
-        ASSERT_TRUE(world.until([&] { return a.got.size() == 1 && b.got.size() == 1; }));
-        EXPECT_EQ(a.ups[2] - a.downs[2], 1);
-        EXPECT_EQ(b.ups[1] - b.downs[1], 1);
+        ASSERT_TRUE(loop.until([&] { return a.received.size() == 1 && b.received.size() == 1; }));
+        EXPECT_EQ(a.connected[2] - a.disconnected[2], 1);
+        EXPECT_EQ(b.connected[1] - b.disconnected[1], 1);
     }
 }
 
-TEST(PeerConnections, TheConnectionThatTheLowerInstanceDialledStaysWhicheverCameFirst) {
+TEST(PeerConnections, KeepsConnectionDialedByLowerInstance) {
     for (bool lower_first : {false, true}) {
-        World world;
-        PeerConnectionsSettings set = quick();
+        EventLoop loop;
+        PeerConnectionsSettings set = fast_settings();
         set.channel.dead_timeout = Duration{3000};
-        Process low(world, 1, set), high(world, 2, set);
+        Process low(loop, 1, set), high(loop, 2, set);
         Process &first = lower_first ? low : high, &second = lower_first ? high : low;
         first.peer_connections.dial(second.address());
-        ASSERT_TRUE(world.until([&] { return low.ups[2] == 1 && high.ups[1] == 1; }));
+        ASSERT_TRUE(loop.until([&] { return low.connected[2] == 1 && high.connected[1] == 1; }));
         second.peer_connections.dial(first.address());
-        ASSERT_TRUE(world.until([&] {
+        ASSERT_TRUE(loop.until([&] {
             return low.peer_connections.ended_count(Error::Replaced) +
                        high.peer_connections.ended_count(Error::Replaced) >
                    0;
         }));
-        ASSERT_TRUE(world.until([&] {
+        ASSERT_TRUE(loop.until([&] {
             return low.peer_connections.connection_count() == 1 &&
                    high.peer_connections.connection_count() == 1;
         }));
-        EXPECT_EQ(low.ups[2], lower_first ? 1 : 2);
-        EXPECT_EQ(low.downs[2], lower_first ? 0 : 1);
+        EXPECT_EQ(low.connected[2], lower_first ? 1 : 2);
+        EXPECT_EQ(low.disconnected[2], lower_first ? 0 : 1);
         low.peer_connections.drop(high.address());  // and it is the one that the lower one dialled
-        ASSERT_TRUE(world.until([&] { return low.downs[2] > 0 && high.downs[1] > 0; }));
+        ASSERT_TRUE(loop.until([&] { return low.disconnected[2] > 0 && high.disconnected[1] > 0; }));
     }
 }
 
-TEST(PeerConnections, ManyThatAllDialEachOtherEndWithOneConnectionAPair) {
-    World world;
-    PeerConnectionsSettings set = quick();
+TEST(PeerConnections, AllPairsEndWithOneConnectionWhenAllDialEachOther) {
+    EventLoop loop;
+    PeerConnectionsSettings set = fast_settings();
     set.channel.dead_timeout = Duration{3000};
     std::vector<std::unique_ptr<Process>> all;
-    for (std::uint64_t i = 1; i <= 7; ++i) all.push_back(std::make_unique<Process>(world, i, set));
+    for (std::uint64_t i = 1; i <= 7; ++i) all.push_back(std::make_unique<Process>(loop, i, set));
     for (auto& one : all)
         for (auto& other : all) one->peer_connections.dial(other->address());  // itself among them
-    ASSERT_TRUE(world.until([&] {
+    ASSERT_TRUE(loop.until([&] {
         return std::all_of(all.begin(), all.end(), [](auto& p) {
             return p->peer_connections.peer_count() == 6 && p->peer_connections.connection_count() == 6;
         });
     }));
-    for (std::uint64_t i = 1; i <= 7; ++i) EXPECT_FALSE(all[i - 1]->ups.contains(i));
+    for (std::uint64_t i = 1; i <= 7; ++i) EXPECT_FALSE(all[i - 1]->connected.contains(i));
     // One of them starts anew, elsewhere: the others find it there once they are told.
     std::string was = all[3]->address();
-    all[3] = std::make_unique<Process>(world, 104, set);
+    all[3] = std::make_unique<Process>(loop, 104, set);
     for (auto& other : all)
         if (other != all[3])
             other->peer_connections.drop(was), other->peer_connections.dial(all[3]->address());
-    ASSERT_TRUE(world.until([&] {
+    ASSERT_TRUE(loop.until([&] {
         return std::all_of(all.begin(), all.end(), [](auto& p) {
             return p->peer_connections.peer_count() == 6 && p->peer_connections.connection_count() == 6;
         });
     }));
-    EXPECT_EQ(all[0]->ups[104] - all[0]->downs[104], 1);
-    EXPECT_EQ(all[0]->ups[4] - all[0]->downs[4], 0);
+    EXPECT_EQ(all[0]->connected[104] - all[0]->disconnected[104], 1);
+    EXPECT_EQ(all[0]->connected[4] - all[0]->disconnected[4], 0);
 }
 
-TEST(PeerConnections, ComesBackToWhoeverWasAway) {
-    World world;
-    auto keeper = std::make_unique<Process>(world, 1, quick());
-    Process node(world, 2, quick(), std::nullopt);
-    std::string address = keeper->address();
-    PeerConnections::Endpoint at = keeper->peer_connections.listen_address();
+TEST(PeerConnections, ReconnectsAfterPeerRestart) {
+    EventLoop loop;
+    auto coordinator = std::make_unique<Process>(loop, 1, fast_settings());
+    Process node(loop, 2, fast_settings(), std::nullopt);
+    std::string address = coordinator->address();
+    PeerConnections::Endpoint at = coordinator->peer_connections.listen_address();
     node.peer_connections.dial(address);
-    ASSERT_TRUE(world.until([&] { return node.ups[1] == 1; }));
-    keeper.reset();
-    ASSERT_TRUE(world.until([&] { return node.downs[1] == 1 && node.unreached.size() >= 3; }));
-    EXPECT_EQ(node.last_down, Error::Closed);
-    EXPECT_EQ(node.unreached.front(), Error::Unreachable);
+    ASSERT_TRUE(loop.until([&] { return node.connected[1] == 1; }));
+    coordinator.reset();
+    ASSERT_TRUE(loop.until([&] { return node.disconnected[1] == 1 && node.dial_errors.size() >= 3; }));
+    EXPECT_EQ(node.last_error, Error::Closed);
+    EXPECT_EQ(node.dial_errors.front(), Error::Unreachable);
     EXPECT_FALSE(node.peer_connections.send(1, MessageKind::Request, "nobody"));
     EXPECT_EQ(node.peer_connections.rejected_count(Error::Closed), 1u);
-    Process again(world, 3, quick(), at);
-    ASSERT_TRUE(world.until([&] { return node.ups[3] == 1; }));
+    Process again(loop, 3, fast_settings(), at);
+    ASSERT_TRUE(loop.until([&] { return node.connected[3] == 1; }));
     node.peer_connections.drop(address);
-    ASSERT_TRUE(world.until([&] { return node.downs[3] == 1 && again.downs[2] == 1; }));
+    ASSERT_TRUE(loop.until([&] { return node.disconnected[3] == 1 && again.disconnected[2] == 1; }));
     EXPECT_EQ(node.peer_connections.connection_count(), 0u);
 }
 
-TEST(PeerConnections, SaysWhyADialDidNotComeUp) {
-    World world;
-    Process keeper(world, 1, quick());
-    PeerConnectionsSettings other = quick();
+TEST(PeerConnections, ReportsWhyADialFailed) {
+    EventLoop loop;
+    Process coordinator(loop, 1, fast_settings());
+    PeerConnectionsSettings other = fast_settings();
     other.channel.cluster = 9;
-    Process stranger(world, 2, other, std::nullopt);
-    stranger.peer_connections.dial(keeper.address());
-    ASSERT_TRUE(world.until([&] { return !stranger.unreached.empty(); }));
+    Process other_cluster(loop, 2, other, std::nullopt);
+    other_cluster.peer_connections.dial(coordinator.address());
+    ASSERT_TRUE(loop.until([&] { return !other_cluster.dial_errors.empty(); }));
     // Whoever reads first sees it, and closes.
-    EXPECT_TRUE(stranger.unreached[0] == Error::Cluster || stranger.unreached[0] == Error::Closed);
-    ASSERT_TRUE(world.until([&] {
-        return keeper.peer_connections.ended_count(Error::Cluster) +
-                   stranger.peer_connections.ended_count(Error::Cluster) >
+    EXPECT_TRUE(other_cluster.dial_errors[0] == Error::Cluster ||
+                other_cluster.dial_errors[0] == Error::Closed);
+    ASSERT_TRUE(loop.until([&] {
+        return coordinator.peer_connections.ended_count(Error::Cluster) +
+                   other_cluster.peer_connections.ended_count(Error::Cluster) >
                0;
     }));
-    EXPECT_TRUE(keeper.ups.empty());
+    EXPECT_TRUE(coordinator.connected.empty());
     for (const char* wrong : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:1x",
                               "name:1", "::1:1", "[127.0.0.1]:1"})
-        EXPECT_FALSE(stranger.peer_connections.dial(wrong)) << wrong;
+        EXPECT_FALSE(other_cluster.peer_connections.dial(wrong)) << wrong;
     EXPECT_TRUE(PeerConnections::parse_endpoint("[::1]:1") &&
                 PeerConnections::parse_endpoint("127.0.0.1:65535"));
 }
 
-TEST(PeerConnections, StrangersThatSayNothingGoAndAFloodOfThemDoesNotKeepPeersOut) {
-    World world;
-    PeerConnectionsSettings set = quick();
+TEST(PeerConnections, FloodOfUnauthenticatedConnectionsDoesNotBlockPeers) {
+    EventLoop loop;
+    PeerConnectionsSettings set = fast_settings();
     set.max_unauthenticated = 5;
     set.channel.dead_timeout = Duration{2000};
-    Process keeper(world, 1, set);
-    std::vector<std::unique_ptr<Raw>> flood;
-    for (int i = 0; i < 50; ++i) flood.push_back(std::make_unique<Raw>(world, keeper.peer_connections));
-    Process node(world, 2, quick(), std::nullopt);
-    node.peer_connections.dial(keeper.address());
-    ASSERT_TRUE(world.until([&] {
-        EXPECT_LE(keeper.peer_connections.unauthenticated_count(), 5u);
-        EXPECT_LE(keeper.peer_connections.connection_count(), 6u);
-        return keeper.ups[2] == 1;
+    Process coordinator(loop, 1, set);
+    std::vector<std::unique_ptr<RawConnection>> flood;
+    for (int i = 0; i < 50; ++i)
+        flood.push_back(std::make_unique<RawConnection>(loop, coordinator.peer_connections));
+    Process node(loop, 2, fast_settings(), std::nullopt);
+    node.peer_connections.dial(coordinator.address());
+    ASSERT_TRUE(loop.until([&] {
+        EXPECT_LE(coordinator.peer_connections.unauthenticated_count(), 5u);
+        EXPECT_LE(coordinator.peer_connections.connection_count(), 6u);
+        return coordinator.connected[2] == 1;
     }));
     // Those that remain go by the time that they have, and the peer stays.
-    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.unauthenticated_count() == 0; }));
+    ASSERT_TRUE(loop.until([&] { return coordinator.peer_connections.unauthenticated_count() == 0; }));
     EXPECT_EQ(std::count_if(flood.begin(), flood.end(), [](auto& one) { return one->closed(); }), 50);
-    EXPECT_GE(keeper.peer_connections.ended_count(Error::Full), 45u);
-    EXPECT_GE(keeper.peer_connections.ended_count(Error::Silent), 1u);
-    EXPECT_TRUE(keeper.downs.empty() && keeper.peer_connections.peer_count() == 1);
+    EXPECT_GE(coordinator.peer_connections.ended_count(Error::Full), 45u);
+    EXPECT_GE(coordinator.peer_connections.ended_count(Error::Silent), 1u);
+    EXPECT_TRUE(coordinator.disconnected.empty() && coordinator.peer_connections.peer_count() == 1);
 }
 
-TEST(PeerConnections, TakesInNoMorePeersThanItMay) {
-    World world;
-    PeerConnectionsSettings set = quick();
+TEST(PeerConnections, LimitsAcceptedPeers) {
+    EventLoop loop;
+    PeerConnectionsSettings set = fast_settings();
     set.max_accepted_peers = 3;
-    Process keeper(world, 1, set);
+    Process coordinator(loop, 1, set);
     std::vector<std::unique_ptr<Process>> nodes;
     for (std::uint64_t i = 2; i < 8; ++i) {
-        nodes.push_back(std::make_unique<Process>(world, i, quick(), std::nullopt));
-        nodes.back()->peer_connections.dial(keeper.address());
+        nodes.push_back(std::make_unique<Process>(loop, i, fast_settings(), std::nullopt));
+        nodes.back()->peer_connections.dial(coordinator.address());
     }
-    ASSERT_TRUE(world.until([&] { return keeper.peer_connections.ended_count(Error::Full) >= 6; }));
-    EXPECT_EQ(keeper.peer_connections.peer_count(), 3u);
+    ASSERT_TRUE(loop.until([&] { return coordinator.peer_connections.ended_count(Error::Full) >= 6; }));
+    EXPECT_EQ(coordinator.peer_connections.peer_count(), 3u);
     // Where one leaves, another comes in.
-    std::uint64_t in = keeper.ups.begin()->first;
+    std::uint64_t in = coordinator.connected.begin()->first;
     nodes[in - 2].reset();
-    ASSERT_TRUE(
-        world.until([&] { return keeper.downs[in] == 1 && keeper.peer_connections.peer_count() == 3; }));
+    ASSERT_TRUE(loop.until(
+        [&] { return coordinator.disconnected[in] == 1 && coordinator.peer_connections.peer_count() == 3; }));
 }
 
-TEST(PeerConnections, AReaderThatStandsStillIsBoundedAndThenGivenUp) {
-    World world;
-    PeerConnectionsSettings set = quick();
+TEST(PeerConnections, BoundsAndThenClosesAStalledReader) {
+    EventLoop loop;
+    PeerConnectionsSettings set = fast_settings();
     set.channel.max_queued_bytes = 300000;
     set.channel.keys.clear();
-    Process keeper(world, 1, set);
-    Raw slow(world, keeper.peer_connections);
+    Process coordinator(loop, 1, set);
+    RawConnection slow(loop, coordinator.peer_connections);
     // A Hello and a Ready without keys, by a channel that nobody reads for.
     Settings own;
     own.self = {"slow", "z", 9};
     Channel channel(own);
     auto say = [&](const Event& event) {
         Actions actions;
-        channel.handle(world.clock.now(), event, actions);
+        channel.handle(loop.clock.now(), event, actions);
         for (const Action& action : actions)
             if (const auto* put = std::get_if<WriteBytes>(&action))
                 boost::asio::write(slow.socket, boost::asio::buffer(put->bytes));
     };
     say(Opened{});
-    std::array<char, 4096> octets;
+    std::array<char, 4096> bytes;
     while (!channel.connected()) {
-        world.io.poll();
+        loop.io.poll();
         slow.socket.non_blocking(true);
         boost::system::error_code error;
-        std::size_t got = slow.socket.read_some(boost::asio::buffer(octets), error);
+        std::size_t received_bytes = slow.socket.read_some(boost::asio::buffer(bytes), error);
         slow.socket.non_blocking(false);
-        if (got > 0) say(BytesReceived{{octets.data(), got}});
+        if (received_bytes > 0) say(BytesReceived{{bytes.data(), received_bytes}});
     }
-    ASSERT_TRUE(world.until([&] { return keeper.ups[9] == 1; }));
+    ASSERT_TRUE(loop.until([&] { return coordinator.connected[9] == 1; }));
     std::size_t sent = 0;
     bool full = false;
-    ASSERT_TRUE(world.until([&] {
+    ASSERT_TRUE(loop.until([&] {
         for (int i = 0; i < 10; ++i) {
-            bool taken = keeper.peer_connections.send(9, MessageKind::Rules, std::string(10000, 'x'));
+            bool taken = coordinator.peer_connections.send(9, MessageKind::Rules, std::string(10000, 'x'));
             sent += taken;
             full = full || !taken;
         }
-        EXPECT_LE(keeper.peer_connections.queued_bytes(9), 300000u);
-        return !keeper.downs.empty();
+        EXPECT_LE(coordinator.peer_connections.queued_bytes(9), 300000u);
+        return !coordinator.disconnected.empty();
     }));
     EXPECT_TRUE(full && sent > 20);
-    EXPECT_GT(keeper.peer_connections.rejected_count(Error::Full), 0u);
-    EXPECT_EQ(keeper.last_down, Error::Silent);
+    EXPECT_GT(coordinator.peer_connections.rejected_count(Error::Full), 0u);
+    EXPECT_EQ(coordinator.last_error, Error::Silent);
 }
 
-TEST(PeerConnections, MayBeClosedAndDialFromInsideOfCallbacks) {
-    World world;
-    Process keeper(world, 1, quick()), node(world, 2, quick());
-    int ups = 0;
+TEST(PeerConnections, AllowsCloseAndDialInCallbacks) {
+    EventLoop loop;
+    Process coordinator(loop, 1, fast_settings()), node(loop, 2, fast_settings());
+    int connected = 0;
     node.peer_connections.on_connected = [&](const Peer& peer) {
         node.peer_connections.send(peer.instance, MessageKind::Request, "first");
-        if (++ups == 2) return node.peer_connections.close();
-        node.peer_connections.drop(keeper.address());
-        node.peer_connections.dial(keeper.address());
+        if (++connected == 2) return node.peer_connections.close();
+        node.peer_connections.drop(coordinator.address());
+        node.peer_connections.dial(coordinator.address());
     };
-    node.peer_connections.dial(keeper.address());
-    ASSERT_TRUE(world.until([&] { return ups == 2; }));
-    world.until([&] { return keeper.peer_connections.peer_count() == 0; });
+    node.peer_connections.dial(coordinator.address());
+    ASSERT_TRUE(loop.until([&] { return connected == 2; }));
+    loop.until([&] { return coordinator.peer_connections.peer_count() == 0; });
     EXPECT_EQ(node.peer_connections.connection_count(), 0u);
 }
 
 // ---- The dialer by itself
 
-struct Dialled {
-    explicit Dialled(std::uint64_t seed) : dialer({}, seed) {}
-    int tell(const Dialer::Event& event) {
+struct TestDialer {
+    explicit TestDialer(std::uint64_t seed) : dialer({}, seed) {}
+    int handle(const Dialer::Event& event) {
         Dialer::Actions actions;
         dialer.handle(now, event, actions);
         int dials = 0;
         for (const auto& action : actions) {
             dials += std::holds_alternative<Dialer::Dial>(action);
             abandoned += std::holds_alternative<Dialer::CloseDialed>(action);
-            if (const auto* at = std::get_if<SetTimer>(&action)) wake = at->at;
+            if (const auto* at = std::get_if<SetTimer>(&action)) timer_at = at->at;
         }
         return dials;
     }
     Dialer dialer;
-    TimePoint now{}, wake{};
+    TimePoint now{}, timer_at{};
     int abandoned = 0;
 };
 
-TEST(Dialer, WaitsTwiceAsLongEachTimeAndEachSeedOtherwise) {
+TEST(Dialer, BackoffDoublesAndVariesBySeed) {
     std::set<double> first;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        Dialled one(seed);
-        ASSERT_EQ(one.tell(Dialer::AddressAdded{"x"}), 1);
-        EXPECT_EQ(one.tell(Dialer::AddressAdded{"x"}), 0);
+        TestDialer one(seed);
+        ASSERT_EQ(one.handle(Dialer::AddressAdded{"x"}), 1);
+        EXPECT_EQ(one.handle(Dialer::AddressAdded{"x"}), 0);
         double most = 100;
         for (int i = 0; i < 12; ++i, most = std::min(5000.0, 2 * most)) {
-            EXPECT_EQ(one.tell(Dialer::ConnectionEnded{"x"}), 0);
-            double wait = (one.wake - one.now).count();
+            EXPECT_EQ(one.handle(Dialer::ConnectionEnded{"x"}), 0);
+            double wait = (one.timer_at - one.now).count();
             if (i == 0) first.insert(wait);
             EXPECT_GE(wait, most / 2);
             EXPECT_LE(wait, most);
-            one.now = one.wake;
-            ASSERT_EQ(one.tell(TimerFired{}), 1);
+            one.now = one.timer_at;
+            ASSERT_EQ(one.handle(TimerFired{}), 1);
         }
         // One that came up and went at once goes on waiting; one that lived begins anew.
-        one.tell(Dialer::DialSucceeded{"x", 5});
-        one.tell(Dialer::ConnectionEnded{"x"});
-        EXPECT_GE((one.wake - one.now).count(), 2500);
-        one.now = one.wake;
-        one.tell(TimerFired{});
-        one.tell(Dialer::DialSucceeded{"x", 5});
+        one.handle(Dialer::DialSucceeded{"x", 5});
+        one.handle(Dialer::ConnectionEnded{"x"});
+        EXPECT_GE((one.timer_at - one.now).count(), 2500);
+        one.now = one.timer_at;
+        one.handle(TimerFired{});
+        one.handle(Dialer::DialSucceeded{"x", 5});
         one.now += Duration{1001};
-        one.tell(Dialer::ConnectionEnded{"x"});
-        EXPECT_LE((one.wake - one.now).count(), 100);
+        one.handle(Dialer::ConnectionEnded{"x"});
+        EXPECT_LE((one.timer_at - one.now).count(), 100);
     }
     EXPECT_GT(first.size(), 95u);
 }
 
-TEST(Dialer, GivesUpWhatIsLateAndLeavesWhoIsThere) {
-    Dialled one(1);
-    one.tell(Dialer::AddressAdded{"x"});
-    one.now = one.wake;
+TEST(Dialer, AbortsSlowDialsAndSkipsConnectedPeers) {
+    TestDialer one(1);
+    one.handle(Dialer::AddressAdded{"x"});
+    one.now = one.timer_at;
     EXPECT_EQ(one.now, TimePoint{Duration{3000}});
-    one.tell(TimerFired{});
+    one.handle(TimerFired{});
     EXPECT_EQ(one.abandoned, 1);
-    one.now = one.wake;
-    EXPECT_EQ(one.tell(TimerFired{}), 1);
-    one.tell(Dialer::DialSucceeded{"x", 5});
-    one.tell(Dialer::PeerConnected{5});
-    one.tell(Dialer::ConnectionEnded{"x"});  // it made way for one that the other side dialled
+    one.now = one.timer_at;
+    EXPECT_EQ(one.handle(TimerFired{}), 1);
+    one.handle(Dialer::DialSucceeded{"x", 5});
+    one.handle(Dialer::PeerConnected{5});
+    one.handle(Dialer::ConnectionEnded{"x"});  // it made way for one that the other side dialled
     one.now += Duration{60000};
-    EXPECT_EQ(one.tell(TimerFired{}), 0);
-    EXPECT_EQ(one.tell(Dialer::PeerDisconnected{5}), 0);
-    EXPECT_LE(one.wake - one.now, Duration{100});
-    one.now = one.wake;
-    EXPECT_EQ(one.tell(TimerFired{}), 1);
-    one.tell(Dialer::SelfReached{"x"});
+    EXPECT_EQ(one.handle(TimerFired{}), 0);
+    EXPECT_EQ(one.handle(Dialer::PeerDisconnected{5}), 0);
+    EXPECT_LE(one.timer_at - one.now, Duration{100});
+    one.now = one.timer_at;
+    EXPECT_EQ(one.handle(TimerFired{}), 1);
+    one.handle(Dialer::SelfReached{"x"});
     one.now += Duration{60000};
-    EXPECT_EQ(one.tell(TimerFired{}), 0);
-    one.tell(Dialer::AddressRemoved{"x"});
+    EXPECT_EQ(one.handle(TimerFired{}), 0);
+    one.handle(Dialer::AddressRemoved{"x"});
     EXPECT_TRUE(one.abandoned == 2 && one.dialer.size() == 0);
 }
 
-TEST(Dialer, BothEndsChooseTheSameConnection) {
+TEST(Dialer, BothEndsKeepTheSameConnection) {
     for (bool older : {false, true})
         for (bool newer : {false, true})
             for (auto [low, high] : {std::pair<std::uint64_t, std::uint64_t>{1, 2}, {7, 1ull << 63}}) {
