--- a/lab/equivalence/schema_migration.cpp
+++ b/lab/equivalence/schema_migration.cpp
@@ -1,6 +1,6 @@
 // Decisions of the process that leads a migration, with loss, duplicates, a crash and a stop.
 #include "lab/equivalence/runner.h"
-#include "lab/schema_migration/world.h"
+#include "lab/schema_migration/simulation.h"
 
 using namespace ochrehub;
 
--- a/lab/schema_migration/disk.h
+++ b/lab/schema_migration/file_records.h
@@ -54,14 +54,14 @@
     }
     bool any() const { return any_; }
 
-    Held read(std::uint32_t shard, std::string_view group) const override {
+    StoredGroup read(std::uint32_t shard, std::string_view group) const override {
         return memory_.read(shard, group);
     }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string octets) override {
         std::string record = framed(kGroup, shard, group, octets);
-        Wrote wrote = memory_.write(shard, group, version, std::move(octets));
-        if (wrote == Wrote::Done && !file_->add(record)) _exit(3);
+        WriteResult wrote = memory_.write(shard, group, version, std::move(octets));
+        if (wrote == WriteResult::Done && !file_->add(record)) _exit(3);
         return wrote;
     }
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -21,7 +21,7 @@
 #include "fleet/schema_migration/migration_state_machine.h"
 #include "fleet/schema_migration/owner.h"
 #include "fleet/schema_migration/receiver.h"
-#include "lab/schema_migration/disk.h"
+#include "lab/schema_migration/file_records.h"
 #include "lab/schema_migration/nodes.h"
 
 namespace ochrehub::lab::migration {
@@ -30,7 +30,7 @@
 namespace m = ochrehub::schema_migration;
 namespace wire = m::wire;
 constexpr Kind kKind = Kind::Sessions;
-constexpr Duration kPatience{2000}, kOp{20};
+constexpr Duration kOperationTimeout{2000}, kOperationInterval{20};
 
 class Member {
 public:
@@ -42,7 +42,7 @@
           shards_(shards),
           groups_(groups),
           records_(path("disk", index)),
-          book_(path("book", index)),
+          history_(path("book", index)),
           receiver_({kKind, m::MigrationStateMachine::kInitialVersions[std::size_t(kKind)], 50,
                      schema::convert, [this](std::uint32_t shard) { return shard % holders_ == index_; }},
                     records_),
@@ -68,18 +68,19 @@
         side.session.lease = Duration{3000}, side.cluster = "migration";
         session_ = std::make_unique<coordinator::SessionThread>(side, clock_);
         session_->add_listener([this](const coordinator::SessionThread::Notification& told) {
-            boost::asio::post(io_, [this, told] { hear(told); });
+            boost::asio::post(io_, [this, told] { handle_notification(told); });
         });
         session_->start();
-        look_around();
-        next_op();
+        connect_to_holders();
+        next_operation();
     }
     void run() { io_.run(); }
 
 private:
     static m::OwnerSettings owner_settings() {
         m::OwnerSettings set;
-        set.batch = 2, set.per_s = 60, set.window = 2;  // slow, so that there is time to kill somebody
+        set.groups_per_order = 2, set.groups_per_second = 60,
+        set.max_concurrent_shards = 2;  // slow, so that there is time to kill somebody
         return set;
     }
     std::string path(const char* what, std::size_t index) const {
@@ -98,7 +99,7 @@
             wire::Ask put;
             put.set_shard(shard_of(name)), put.set_group(name), put.set_writes(true);
             put.set_schema(m::MigrationStateMachine::kInitialVersions[0]);
-            for (const auto& r : beginning(kKind, put.schema(), name, i)) {
+            for (const auto& r : initial_group(kKind, put.schema(), name, i)) {
                 auto& to = *put.add_records();
                 to.set_key(r.key), to.set_value(r.value);
             }
@@ -107,7 +108,7 @@
     }
 
     // ---- Others
-    void look_around() {
+    void connect_to_holders() {
         for (std::size_t i = 0; i < holders_; ++i) {
             std::ifstream in(path("address", i));
             std::string address;
@@ -115,7 +116,7 @@
             if (!addresses_[i].empty()) peer_connections_->drop(addresses_[i]);
             peer_connections_->dial(addresses_[i] = address);
         }
-        scheduler_.call_at(scheduler_.now() + Duration{100}, [this] { look_around(); });
+        scheduler_.call_at(scheduler_.now() + Duration{100}, [this] { connect_to_holders(); });
     }
     void send(std::uint32_t shard, char what, const std::string& body) {
         std::size_t holder = shard % holders_;
@@ -140,12 +141,12 @@
             answer(from, 'R', receiver_.handle(order).SerializeAsString());
         if (what == 'A' && ask.ParseFromString(body))
             answer(from, 'G', receiver_.handle(ask).SerializeAsString());
-        if (what == 'R' && reply.ParseFromString(body)) own(m::Replied{std::move(reply)});
+        if (what == 'R' && reply.ParseFromString(body)) own(m::ReplyReceived{std::move(reply)});
         if (what == 'G' && given.ParseFromString(body)) take(given);
     }
 
     // ---- Keepers
-    void hear(const coordinator::SessionThread::Notification& told) {
+    void handle_notification(const coordinator::SessionThread::Notification& told) {
         if (const auto* held = std::get_if<coordinator::SessionRenewed>(&told)) {
             until_ = held->until;
             if (held->session == session_id_) return;
@@ -158,7 +159,7 @@
             submit(says);
         } else if (const auto* news = std::get_if<coordinator::SessionUpdate>(&told)) {
             wire::News is;
-            if (news->kind == "migration" && is.ParseFromString(news->bytes)) learn(is);
+            if (news->kind == "migration" && is.ParseFromString(news->bytes)) handle_news(is);
         } else {
             session_id_ = 0, said_ = false;
             owner_ = m::Owner(owner_settings());
@@ -170,11 +171,11 @@
                              boost::asio::post(io_, [this, error, result] {
                                  wire::Answer answer;
                                  if (error == coordinator::Error::None && answer.ParseFromString(result))
-                                     learn(answer.news());
+                                     handle_news(answer.news());
                              });
                          });
     }
-    void learn(const wire::News& news) {
+    void handle_news(const wire::News& news) {
         if (news.levels_size() != int(schema::kKindCount)) return;
         if (news.refused() && news.refused() != refused_)
             std::printf("refused: %s\n",
@@ -184,25 +185,25 @@
         said_ = said_ || refused_ != m::on_wire(m::Error::Silent);
         const auto& is = news.migration();
         if (is.revision() >= revision_ && !refused_) level_ = news.levels(0), revision_ = is.revision();
-        own(m::Told{news, until_});
+        own(m::NewsReceived{news, until_});
     }
     void own(const m::OwnerEvent& event) {
         m::OwnerActions actions;
         owner_.handle(scheduler_.now(), event, actions);
         for (m::OwnerAction& action : actions) {
-            if (auto* give = std::get_if<m::Give>(&action))
+            if (auto* give = std::get_if<m::SendOrder>(&action))
                 send(give->order.shard(), 'O', give->order.SerializeAsString());
-            if (auto* propose = std::get_if<m::Propose>(&action)) submit(propose->command);
-            if (auto* wake = std::get_if<m::WakeAt>(&action)) {
+            if (auto* propose = std::get_if<m::SubmitCommand>(&action)) submit(propose->command);
+            if (auto* wake = std::get_if<m::SetTimer>(&action)) {
                 if (timer_) scheduler_.cancel(timer_);
                 timer_ = scheduler_.call_at(std::max(wake->at, scheduler_.now() + Duration{1}),
-                                            [this] { timer_ = 0, own(m::Woken{}); });
+                                            [this] { timer_ = 0, own(m::TimerFired{}); });
             }
         }
     }
 
     // ---- A node
-    void next_op() {
+    void next_operation() {
         TimePoint now = scheduler_.now();
         if (busy_ && now >= op_ends_) busy_ = false;
         // By what it knew, without a look at its session: what is too old must be refused by whoever holds
@@ -212,10 +213,10 @@
             write_.id = (std::uint64_t(getpid()) << 24) + ++writes_;
             write_.group = "c" + std::to_string(below(groups_)), write_.tenant = kTenants[below(3)];
             write_.moves = below(3) == 0;
-            busy_ = true, writing_ = false, op_ends_ = now + kPatience;
+            busy_ = true, writing_ = false, op_ends_ = now + kOperationTimeout;
             ask();
         }
-        scheduler_.call_at(now + kOp, [this] { next_op(); });
+        scheduler_.call_at(now + kOperationInterval, [this] { next_operation(); });
     }
     bool said_once() { return said_ || (level_ && schema::supported_ranges()[0].contains(level_)); }
     void ask() {
@@ -229,22 +230,23 @@
         std::ostringstream line;
         if (given.error()) {
             line << "r " << std::string(m::row(m::from_wire(given.error())).code) << '\n';
-            book_.add(line.str());
+            history_.add(line.str());
             busy_ = false;
             if (schema::supported_ranges()[0].contains(given.schema()) && !refused_) level_ = given.schema();
             return;
         }
         if (writing_) {
             line << "a " << write_.id << ' ' << given.version() << ' ' << asked_in_ << '\n';
-            book_.add(line.str());
+            history_.add(line.str());
             busy_ = false;
             return;
         }
         Group group;
         for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
-        Seen seen;
-        if (!schema::supported_ranges()[0].contains(asked_in_) || !see(kKind, asked_in_, group, seen)) {
-            book_.add("x " + std::to_string(asked_in_) + '\n');
+        Contents contents;
+        if (!schema::supported_ranges()[0].contains(asked_in_) ||
+            !parse_contents(kKind, asked_in_, group, contents)) {
+            history_.add("x " + std::to_string(asked_in_) + '\n');
             busy_ = false;
             return;
         }
@@ -258,7 +260,7 @@
         }
         line << "t " << write_.id << ' ' << write_.group << ' ' << write_.tenant << ' ' << write_.moves
              << '\n';
-        if (!book_.add(line.str())) std::abort();
+        if (!history_.add(line.str())) std::abort();
         writing_ = true;
         send(put.shard(), 'A', put.SerializeAsString());
     }
@@ -271,7 +273,7 @@
     boost::asio::io_context io_{1};
     AsioScheduler scheduler_{io_, clock_};
     FileRecords records_;
-    Appender book_;
+    Appender history_;
     m::Receiver receiver_;
     m::Owner owner_;
     boost::random::taus88 random_;
--- a/lab/schema_migration/million.cpp
+++ b/lab/schema_migration/million.cpp
@@ -35,14 +35,14 @@
 
 }  // namespace
 
-bool million(Kind kind, Version from, Version to, std::size_t records, std::uint32_t batch) {
+bool run_large_migration(Kind kind, Version from, Version to, std::size_t records, std::uint32_t batch) {
     constexpr std::uint32_t kShards = 256;
     m::MemoryRecords disk;
     m::Receiver receiver({kind, from, batch, schema::convert, nullptr}, disk);
     const std::size_t clients = records / 2;  // of two tenants each
     for (std::size_t i = 0; i < clients; ++i) {
         std::string name = "client-" + std::to_string(i);
-        schema::Group group = beginning(kind, schema::newest_version(kind), name, i % 1000);
+        schema::Group group = initial_group(kind, schema::newest_version(kind), name, i % 1000);
         group.pop_back();
         group = std::get<schema::Group>(schema::convert(kind, schema::newest_version(kind), from, group));
         m::wire::Ask put;
@@ -56,7 +56,7 @@
     }
     auto octets = [&] {
         std::size_t sum = 0;
-        for (std::uint32_t s = 0; s < kShards; ++s) sum += disk.octets(s);
+        for (std::uint32_t s = 0; s < kShards; ++s) sum += disk.bytes(s);
         return double(sum) / 1e6;
     };
     std::printf(
--- a/lab/schema_migration/million.h
+++ b/lab/schema_migration/million.h
@@ -6,7 +6,7 @@
 
 namespace ochrehub::lab::migration {
 
-bool million(schema::Kind kind, schema::Version from, schema::Version to, std::size_t records,
-             std::uint32_t batch);
+bool run_large_migration(schema::Kind kind, schema::Version from, schema::Version to, std::size_t records,
+                         std::uint32_t batch);
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/nodes.cpp
+++ b/lab/schema_migration/nodes.cpp
@@ -110,7 +110,7 @@
     return group;
 }
 
-Group beginning(Kind kind, Version schema, const std::string& name, std::uint64_t seed) {
+Group initial_group(Kind kind, Version schema, const std::string& name, std::uint64_t seed) {
     // Made as the newest release would have, so that older forms have something to keep.
     Version newest = schema::newest_version(kind);
     Group group;
@@ -134,11 +134,11 @@
     return std::get<Group>(schema::convert(kind, newest, schema, group));
 }
 
-bool see(Kind kind, Version schema, const Group& group, Seen& seen) {
+bool parse_contents(Kind kind, Version schema, const Group& group, Contents& contents) {
     auto taken = schema::canonical(kind, schema, group);
     if (!std::holds_alternative<Group>(taken)) return false;
     auto session = [&](const std::string& tenant, const auto& m) {
-        Seen::Tenant& t = seen.tenants[tenant];
+        Contents::Tenant& t = contents.tenants[tenant];
         for (std::uint64_t order : m.under_way()) t.orders.insert(order);
         t.server = m.server();
         if constexpr (std::is_same_v<std::decay_t<decltype(m)>, wire::Session4>)
@@ -148,7 +148,7 @@
         ++t.records;
     };
     auto use = [&](const std::string& tenant, const wire::Use& u) {
-        Seen::Tenant& t = seen.tenants[tenant];
+        Contents::Tenant& t = contents.tenants[tenant];
         long double before =
             (long double)u.previous() * (long double)u.left_ms() / (long double)u.window_ms();
         t.spent += u.counted() * kMillion + std::uint64_t(before * kMillion);
@@ -161,7 +161,7 @@
             all.ParseFromString(r.value);
             for (const auto& one : all.bound()) session(one.tenant(), one.binding());
         } else if (kind == Kind::Sessions && schema == 2) {
-            Seen::Tenant& t = seen.tenants[tenant.substr(1)];
+            Contents::Tenant& t = contents.tenants[tenant.substr(1)];
             if (tenant[0] == 'p') {
                 wire::Place2 place;
                 place.ParseFromString(r.value);
@@ -190,18 +190,18 @@
         } else {
             wire::Bucket3 one;
             one.ParseFromString(r.value);
-            seen.tenants[tenant].spent += one.spent(), ++seen.tenants[tenant].records;
+            contents.tenants[tenant].spent += one.spent(), ++contents.tenants[tenant].records;
         }
     }
     return true;
 }
 
-void Book::tried(const Write& write) {
+void WriteHistory::attempted(const Write& write) {
     writes_[write.id] = {write};
     tried_by_group_[write.group].insert(write.id);
 }
 
-void Book::acked(const Write& write, std::uint64_t version, Version schema) {
+void WriteHistory::acked(const Write& write, std::uint64_t version, Version schema) {
     Done& done = writes_[write.id];
     done.acked = true, done.version = version, done.schema = schema;
     acked_by_group_[write.group].insert(write.id);
@@ -210,14 +210,14 @@
     ++acks_;
 }
 
-const std::set<std::uint64_t>& Book::acked_of(const std::string& group) const {
+const std::set<std::uint64_t>& WriteHistory::acked_of(const std::string& group) const {
     static const std::set<std::uint64_t> none;
     auto found = acked_by_group_.find(group);
     return found == acked_by_group_.end() ? none : found->second;
 }
 
-void Book::compare(const std::string& group, const Seen& seen, const std::set<std::uint64_t>& sure,
-                   const char* when) {
+void WriteHistory::compare(const std::string& group, const Contents& contents,
+                           const std::set<std::uint64_t>& sure, const char* when) {
     const std::set<std::uint64_t>& tried = tried_by_group_[group];
     std::map<std::string, std::uint64_t> acked, all;
     std::set<std::uint64_t> may_be_closed, closed;
@@ -230,17 +230,17 @@
         if (sure.contains(id)) closed.insert(done.write.closes);
     }
     auto say = [&](const std::string& tenant, const std::string& what) {
-        broken(std::string(when) + ": " + group + " of " + tenant + ": " + what);
+        violation(std::string(when) + ": " + group + " of " + tenant + ": " + what);
     };
     for (const auto& first : first_[group].tenants) {
         const std::string& tenant = first.first;
-        const Seen::Tenant& was = first.second;
-        auto found = seen.tenants.find(tenant);
-        if (found == seen.tenants.end()) {
+        const Contents::Tenant& was = first.second;
+        auto found = contents.tenants.find(tenant);
+        if (found == contents.tenants.end()) {
             say(tenant, "is gone");
             continue;
         }
-        const Seen::Tenant& is = found->second;
+        const Contents::Tenant& is = found->second;
         if (is.records != 1) say(tenant, "is there " + std::to_string(is.records) + " times");
         if (kind_ == Kind::Rates) {
             std::uint64_t least = was.spent + acked[tenant] * schema::kMillion,
@@ -269,20 +269,20 @@
             if (is.orders.count(order) > 1) say(tenant, "order " + std::to_string(order) + " is there twice");
         }
     }
-    for (const auto& [tenant, is] : seen.tenants)
+    for (const auto& [tenant, is] : contents.tenants)
         if (!first_[group].tenants.contains(tenant)) say(tenant, "came from nowhere");
 }
 
-void Book::read(const std::string& group, Version, const Seen& seen,
-                const std::set<std::uint64_t>& acked_before) {
-    compare(group, seen, acked_before, "read");
+void WriteHistory::read(const std::string& group, Version, const Contents& contents,
+                        const std::set<std::uint64_t>& acked_before) {
+    compare(group, contents, acked_before, "read");
 }
 
-void Book::end(const std::map<std::string, Seen>& groups, Version, bool exact_cells) {
+void WriteHistory::end(const std::map<std::string, Contents>& groups, Version, bool exact_cells) {
     for (const auto& [group, was] : first_) {
         auto found = groups.find(group);
         if (found == groups.end()) {
-            broken("end: " + group + " is gone");
+            violation("end: " + group + " is gone");
             continue;
         }
         compare(group, found->second, acked_by_group_[group], "end");
@@ -303,16 +303,16 @@
             if (unsure || first == was.tenants.end()) continue;
             std::string server = last ? server_of(writes_[last].write) : first->second.server;
             if (is.server != server)
-                broken("end: " + group + " of " + tenant + ": is with " + is.server + ", was bound to " +
-                       server);
+                violation("end: " + group + " of " + tenant + ": is with " + is.server + ", was bound to " +
+                          server);
             std::string cell =
                 moved ? cell_of(writes_[moved].write, writes_[moved].schema) : first->second.cell;
             if (exact_cells && is.cell != cell)
-                broken("end: " + group + " of " + tenant + ": is in " + is.cell + ", was in " + cell);
+                violation("end: " + group + " of " + tenant + ": is in " + is.cell + ", was in " + cell);
         }
     }
     for (const auto& [group, is] : groups)
-        if (!first_.contains(group)) broken("end: " + group + " came from nowhere");
+        if (!first_.contains(group)) violation("end: " + group + " came from nowhere");
 }
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/nodes.h
+++ b/lab/schema_migration/nodes.h
@@ -33,10 +33,10 @@
 Group applied(Kind kind, Version schema, Group group, const Write& write);
 /// As a group is at the beginning: of every tenant something, with a part of a request spent where the schema
 /// has such.
-Group beginning(Kind kind, Version schema, const std::string& name, std::uint64_t seed);
+Group initial_group(Kind kind, Version schema, const std::string& name, std::uint64_t seed);
 
 /// What a group says, whatever its schema. Nothing: it is no group of this schema.
-struct Seen {
+struct Contents {
     struct Tenant {
         std::multiset<std::uint64_t> orders;
         std::string server, cell;
@@ -45,26 +45,26 @@
     };
     std::map<std::string, Tenant> tenants;
 };
-bool see(Kind kind, Version schema, const Group& group, Seen& seen);
+bool parse_contents(Kind kind, Version schema, const Group& group, Contents& contents);
 
 /// The judge's book.
-class Book {
+class WriteHistory {
 public:
-    Book(Kind kind) : kind_(kind) {}
+    WriteHistory(Kind kind) : kind_(kind) {}
 
-    void begins(const std::string& group, const Seen& seen) { first_[group] = seen; }
-    void tried(const Write& write);
+    void set_initial(const std::string& group, const Contents& contents) { first_[group] = contents; }
+    void attempted(const Write& write);
     void acked(const Write& write, std::uint64_t version, Version schema);
     /// A node was given this, having read it in `schema`. `since`: writes acknowledged before it asked.
-    void read(const std::string& group, Version schema, const Seen& seen,
+    void read(const std::string& group, Version schema, const Contents& contents,
               const std::set<std::uint64_t>& acked_before);
-    void broken(std::string what) {
+    void violation(std::string what) {
         if (broken_.size() < 20) broken_.push_back(std::move(what));
     }
     const std::set<std::uint64_t>& acked_of(const std::string& group) const;
     /// What stands in the end, of all groups. `exact_cells`: the level has names for all cells that were
     /// written.
-    void end(const std::map<std::string, Seen>& groups, Version level, bool exact_cells);
+    void end(const std::map<std::string, Contents>& groups, Version level, bool exact_cells);
 
     const std::vector<std::string>& faults() const { return broken_; }
     std::uint64_t acks() const { return acks_; }
@@ -76,11 +76,11 @@
         std::uint64_t version = 0;
         Version schema = 0;
     };
-    void compare(const std::string& group, const Seen& seen, const std::set<std::uint64_t>& sure,
+    void compare(const std::string& group, const Contents& contents, const std::set<std::uint64_t>& sure,
                  const char* when);
 
     Kind kind_;
-    std::map<std::string, Seen> first_;
+    std::map<std::string, Contents> first_;
     std::map<std::uint64_t, Done> writes_;
     std::map<std::string, std::set<std::uint64_t>> acked_by_group_, tried_by_group_;
     std::map<std::string, std::map<std::string, std::uint64_t>>
--- a/lab/schema_migration/runs.cpp
+++ b/lab/schema_migration/runs.cpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "lab/schema_migration/million.h"
-#include "lab/schema_migration/world.h"
+#include "lab/schema_migration/simulation.h"
 
 using namespace ochrehub::lab::migration;
 namespace m = ochrehub::schema_migration;
@@ -38,7 +38,7 @@
                           {Kind::Sessions, 4, 3}, {Kind::Sessions, 2, 1}, {Kind::Rates, 1, 2},
                           {Kind::Rates, 2, 3},    {Kind::Rates, 3, 2}};
     if (what == "calm" || what == "faulty") {
-        int bad = 0, worlds = 0;
+        int bad = 0, runs = 0;
         unsigned long long acked = 0, messages = 0, epochs = 0;
         for (const Pair& pair : pairs)
             for (int seed = 1; seed <= number(2, 10); ++seed) {
@@ -57,21 +57,21 @@
                 }
                 Outcome outcome = run(settings);
                 bad += tell(settings, outcome);
-                ++worlds, acked += outcome.acked, messages += outcome.messages, epochs += outcome.epochs;
+                ++runs, acked += outcome.acked, messages += outcome.messages, epochs += outcome.epochs;
             }
         std::printf(
             "%d worlds, %d broken; %llu writes acknowledged, %llu messages of migrations, %llu owners\n",
-            worlds, bad, acked, messages, epochs);
+            runs, bad, acked, messages, epochs);
         return bad != 0;
     }
     if (what == "sweep") {
-        Sweep all;
+        FaultSweep all;
         all.settings.nodes = 2, all.settings.groups = 16, all.settings.op = ochrehub::Duration{30};
         all.step = std::uint64_t(number(2, 1)), all.second_step = std::uint64_t(number(3, 0)),
         all.jobs = number(4, 1);
-        Swept swept = sweep(all);
+        FaultSweepResult swept = sweep(all);
         std::printf("%llu worlds, %llu over, %llu broken, %llu messages of migrations, %llu in the longest\n",
-                    (unsigned long long)swept.worlds, (unsigned long long)swept.over,
+                    (unsigned long long)swept.runs, (unsigned long long)swept.over,
                     (unsigned long long)swept.broken, (unsigned long long)swept.messages,
                     (unsigned long long)swept.longest);
         for (const std::string& broken : swept.first_broken) std::printf("    %s\n", broken.c_str());
@@ -79,8 +79,8 @@
     }
     if (what == "million")
         for (const Pair& pair : {Pair{Kind::Sessions, 3, 4}, Pair{Kind::Rates, 2, 3}})
-            if (!million(pair.kind, pair.from, pair.to, std::size_t(number(2, 1'000'000)),
-                         std::uint32_t(number(3, 200))))
+            if (!run_large_migration(pair.kind, pair.from, pair.to, std::size_t(number(2, 1'000'000)),
+                                     std::uint32_t(number(3, 200))))
                 return 1;
     if (what == "million") return 0;
     std::fprintf(
--- a/lab/schema_migration/world.cpp
+++ b/lab/schema_migration/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/schema_migration/world.h"
+#include "lab/schema_migration/simulation.h"
 
 #include <algorithm>
 #include <deque>
@@ -24,14 +24,14 @@
 };
 using Type = Message::Type;
 
-constexpr Duration kPatience{120};
-constexpr std::size_t kKeepers = 0;
+constexpr Duration kOperationTimeout{120};
+constexpr std::size_t kCoordinators = 0;
 
 }  // namespace
 
-class World {
+class Simulation {
 public:
-    explicit World(const Settings& settings);
+    explicit Simulation(const Settings& settings);
     Outcome run();
 
     m::MigrationStateMachine& machine() { return *machine_; }
@@ -40,9 +40,9 @@
         command.set_steer(way);
         apply(0, command);
     }
-    void let_old_go() { net_.go_on(old_); }
+    void resume_old_process() { net_.go_on(old_); }
     void bound(std::size_t octets) {
-        for (auto& holder : holders_) holder.disk.bound(octets);
+        for (auto& holder : holders_) holder.disk.set_max_bytes(octets);
     }
     Duration since_start() const { return net_.now() - started_; }
 
@@ -85,16 +85,16 @@
     };
 
     void send(std::size_t from, std::size_t to, Message message) {
-        if (!mute_) net_.send(from, to, std::move(message));
+        if (!drops_messages_) net_.send(from, to, std::move(message));
     }
     void received(std::size_t to, std::size_t from, TimePoint own, const Message& message);
     void take(std::size_t to, std::size_t from, TimePoint own, const Message& message);
-    void woken(std::size_t process, TimePoint own);
+    void handle_timer(std::size_t process, TimePoint own);
     bool hit(std::size_t to, const Message& message, Fault::What& what, Duration& length);
 
-    void keepers(std::size_t from, TimePoint own, const Message& message);
-    void count_sessions(TimePoint own);
-    void move_leader();
+    void handle_at_coordinators(std::size_t from, TimePoint own, const Message& message);
+    void expire_sessions(TimePoint own);
+    void change_leader();
     std::string apply(std::uint64_t session, wire::Command command);
 
     void holder(std::size_t to, std::size_t from, const Message& message);
@@ -104,7 +104,7 @@
     void told(std::size_t process, TimePoint own, const std::string& news);
     void command(std::size_t process, const wire::Command& command);
     void give(std::size_t process, TimePoint own, const m::OwnerEvent& event);
-    void begin_op(std::size_t process, TimePoint own);
+    void start_operation(std::size_t process, TimePoint own);
     void ask(std::size_t process);
     void given(std::size_t process, TimePoint own, const wire::Given& given);
     std::size_t holder_of(std::uint32_t shard) const { return 1 + shard % set_.holders; }
@@ -113,8 +113,8 @@
     }
     void fill();
     void start();
-    void look();
-    void judge(Outcome& outcome);
+    void run_operators();
+    void check_invariants(Outcome& outcome);
 
     Settings set_;
     Net<Message> net_;
@@ -124,8 +124,8 @@
     std::vector<Process> processes_;
     std::vector<Holder> holders_;
     std::size_t old_ = 0;
-    Book book_;
-    bool mute_ = false, begun_ = false, began_again_ = false;
+    WriteHistory history_;
+    bool drops_messages_ = false, started_migration_ = false, restarted_ = false;
     TimePoint started_{};
     std::vector<std::pair<TimePoint, std::function<void()>>> plans_;
     std::set<Stage> steered_;
@@ -133,11 +133,11 @@
     std::map<std::uint64_t, bool> first_began_;
 };
 
-World::World(const Settings& settings)
+Simulation::Simulation(const Settings& settings)
     : set_(settings),
       net_({1 + settings.holders + settings.owners + settings.nodes + 1, Duration{0.2}, Duration{2},
             settings.loss, settings.doubled, false, settings.seed},
-           {[this](std::size_t p, TimePoint own) { woken(p, own); },
+           {[this](std::size_t p, TimePoint own) { handle_timer(p, own); },
             [this](std::size_t to, std::size_t from, TimePoint own, const Message& message) {
                 received(to, from, own, message);
             },
@@ -145,7 +145,7 @@
       processes_(net_.size()),
       holders_(settings.holders),
       old_(net_.size() - 1),
-      book_(settings.kind) {
+      history_(settings.kind) {
     m::MigrationStateMachine::WrittenVersions levels;
     for (std::size_t i = 0; i < schema::kKindCount; ++i) levels[i] = schema::newest_version(Kind(i));
     levels[std::size_t(set_.kind)] = set_.from;
@@ -167,15 +167,15 @@
     fill();
 }
 
-void World::fill() {
-    for (std::size_t i = 0; i < set_.holders; ++i) holders_[i].disk.bound(set_.octets);
+void Simulation::fill() {
+    for (std::size_t i = 0; i < set_.holders; ++i) holders_[i].disk.set_max_bytes(set_.octets);
     for (std::size_t i = 0; i < set_.groups; ++i) {
         std::string name = "c" + std::to_string(i);
         Version newest = schema::newest_version(set_.kind);
-        Group group = beginning(set_.kind, set_.from, name, i);
-        Seen seen;
-        see(set_.kind, newest, beginning(set_.kind, newest, name, i), seen);
-        book_.begins(name, seen);
+        Group group = initial_group(set_.kind, set_.from, name, i);
+        Contents contents;
+        parse_contents(set_.kind, newest, initial_group(set_.kind, newest, name, i), contents);
+        history_.set_initial(name, contents);
         wire::Ask put;
         put.set_kind(std::uint32_t(set_.kind)), put.set_shard(shard_of(name)), put.set_group(name);
         put.set_schema(set_.from), put.set_writes(true);
@@ -186,11 +186,11 @@
         Holder& holder = holders_[holder_of(put.shard()) - 1];
         wire::Given given =
             m::Receiver({set_.kind, set_.from, 1000, schema::convert, nullptr}, holder.disk).handle(put);
-        if (given.error()) book_.broken("the beginning could not be written");
+        if (given.error()) history_.violation("the beginning could not be written");
     }
 }
 
-void World::start_process(std::size_t i, bool anew) {
+void Simulation::start_process(std::size_t i, bool anew) {
     Process fresh;
     Process& p = processes_[i];
     fresh.name = p.name, fresh.is_old = p.is_old, fresh.is_node = p.is_node, fresh.tried = p.tried,
@@ -212,7 +212,8 @@
             m::Receiver::Settings{set_.kind, set_.from, 1000, set_.convert, nullptr}, records);
     } else if (!p.is_node) {
         m::OwnerSettings owner = set_.owner;
-        owner.patience = Duration{40}, owner.again = Duration{20}, owner.again_most = Duration{200};
+        owner.response_timeout = Duration{40}, owner.initial_retry_delay = Duration{20},
+        owner.max_retry_delay = Duration{200};
         p.owner.emplace(owner);
     }
     net_.start(i);
@@ -222,10 +223,10 @@
 
 // ---- What happens to whom
 
-bool World::hit(std::size_t, const Message& message, Fault::What& what, Duration& length) {
+bool Simulation::hit(std::size_t, const Message& message, Fault::What& what, Duration& length) {
     bool ours = message.type == Type::Order || message.type == Type::Reply || message.type == Type::Do ||
                 message.type == Type::Done;
-    if (!begun_ || !ours) return false;
+    if (!started_migration_ || !ours) return false;
     ++messages_;
     for (const Fault& fault : set_.faults)
         if (fault.at == messages_) {
@@ -235,7 +236,7 @@
     return false;
 }
 
-void World::received(std::size_t to, std::size_t from, TimePoint own, const Message& message) {
+void Simulation::received(std::size_t to, std::size_t from, TimePoint own, const Message& message) {
     Fault::What what{};
     Duration length{};
     if (!hit(to, message, what, length)) return take(to, from, own, message);
@@ -246,39 +247,39 @@
         return;
     }
     if (what == Fault::What::CrashBehind) {
-        mute_ = true;
+        drops_messages_ = true;
         take(to, from, own, message);
-        mute_ = false;
+        drops_messages_ = false;
     }
-    if (to == kKeepers) return move_leader();
+    if (to == kCoordinators) return change_leader();
     net_.crash(to);
     plans_.emplace_back(net_.now() + length, [this, to] { start_process(to, false); });
 }
 
-void World::take(std::size_t to, std::size_t from, TimePoint own, const Message& message) {
-    if (to == kKeepers)
-        keepers(from, own, message);
+void Simulation::take(std::size_t to, std::size_t from, TimePoint own, const Message& message) {
+    if (to == kCoordinators)
+        handle_at_coordinators(from, own, message);
     else if (to <= set_.holders && (message.type == Type::Order || message.type == Type::Ask))
         holder(to, from, message);
     else
         process(to, own, message);
 }
 
-void World::woken(std::size_t p, TimePoint own) {
-    if (p == kKeepers)
-        count_sessions(own);
+void Simulation::handle_timer(std::size_t p, TimePoint own) {
+    if (p == kCoordinators)
+        expire_sessions(own);
     else
         tick(p, own);
 }
 
 // ---- The keepers
 
-std::string World::apply(std::uint64_t session, wire::Command command) {
+std::string Simulation::apply(std::uint64_t session, wire::Command command) {
     std::string body = command.SerializeAsString();
     return machine_->apply({session, body});
 }
 
-void World::count_sessions(TimePoint own) {
+void Simulation::expire_sessions(TimePoint own) {
     for (auto it = sessions_.begin(); it != sessions_.end();) {
         if (it->second.until > own) {
             ++it;
@@ -287,22 +288,22 @@
         machine_->session_ended(it->first);
         it = sessions_.erase(it);
     }
-    net_.wake_at(kKeepers, own + Duration{25});
+    net_.wake_at(kCoordinators, own + Duration{25});
 }
 
 /// The log stays; who leads from now on has it from a snapshot, and gives everyone the whole length again.
-void World::move_leader() {
-    net_.crash(kKeepers), net_.start(kKeepers);
+void Simulation::change_leader() {
+    net_.crash(kCoordinators), net_.start(kCoordinators);
     std::string state = machine_->snapshot();
     auto next = std::make_unique<m::MigrationStateMachine>(m::MigrationStateMachine::WrittenVersions{});
     if (!next->restore(1, state) || next->snapshot() != state)
-        book_.broken("the machine's snapshot is not what it was");
+        history_.violation("the machine's snapshot is not what it was");
     machine_ = std::move(next);
-    for (auto& [id, session] : sessions_) session.until = net_.own(kKeepers) + set_.lease;
-    net_.wake_at(kKeepers, net_.own(kKeepers) + Duration{25});
+    for (auto& [id, session] : sessions_) session.until = net_.own(kCoordinators) + set_.lease;
+    net_.wake_at(kCoordinators, net_.own(kCoordinators) + Duration{25});
 }
 
-void World::keepers(std::size_t from, TimePoint own, const Message& message) {
+void Simulation::handle_at_coordinators(std::size_t from, TimePoint own, const Message& message) {
     Message answer;
     answer.number = message.number;
     if (message.type == Type::Open) {
@@ -346,12 +347,12 @@
             }
         }
     }
-    send(kKeepers, from, std::move(answer));
+    send(kCoordinators, from, std::move(answer));
 }
 
 // ---- Holders
 
-void World::holder(std::size_t to, std::size_t from, const Message& message) {
+void Simulation::holder(std::size_t to, std::size_t from, const Message& message) {
     Holder& holder = holders_[to - 1];
     Message answer;
     if (message.type == Type::Order) {
@@ -376,13 +377,13 @@
 
 // ---- Processes with a session
 
-void World::command(std::size_t i, const wire::Command& command) {
+void Simulation::command(std::size_t i, const wire::Command& command) {
     Process& p = processes_[i];
     p.commands.push_back(command.SerializeAsString());
     if (p.commands.size() == 1) p.resend = TimePoint{};
 }
 
-void World::tick(std::size_t i, TimePoint own) {
+void Simulation::tick(std::size_t i, TimePoint own) {
     Process& p = processes_[i];
     if (p.session && own >= p.until) {  // the clock first: what was held is gone
         p.session = 0, p.said = false, p.probing = false, p.commands.clear();
@@ -391,29 +392,29 @@
     if (!p.session) {
         if (!p.probing || own >= p.probe) {
             if (!p.probing) ++p.tried;
-            p.probing = true, p.asked = own, p.probe = own + kPatience;
-            send(i, kKeepers, {Type::Open, 0, p.tried, {}});
+            p.probing = true, p.asked = own, p.probe = own + kOperationTimeout;
+            send(i, kCoordinators, {Type::Open, 0, p.tried, {}});
         }
     } else if (own >= p.probe) {
-        p.probing = true, p.asked = own, p.probe = own + kPatience;
-        send(i, kKeepers, {Type::Renew, p.session, p.number, {}});
+        p.probing = true, p.asked = own, p.probe = own + kOperationTimeout;
+        send(i, kCoordinators, {Type::Renew, p.session, p.number, {}});
     }
     if (p.session && !p.commands.empty() && own >= p.resend) {
-        p.resend = own + kPatience;
-        send(i, kKeepers, {Type::Do, p.session, p.number + 1, p.commands.front()});
+        p.resend = own + kOperationTimeout;
+        send(i, kCoordinators, {Type::Do, p.session, p.number + 1, p.commands.front()});
     }
-    if (p.owner && own >= p.owner_wake) give(i, own, m::Woken{});
+    if (p.owner && own >= p.owner_wake) give(i, own, m::TimerFired{});
     if (p.is_node && own >= p.op) {
         if (p.busy && own >= p.op_ends) {
             bool again = set_.charges_again && p.writing && net_.up(i);
             p.busy = false;
             if (again) {  // wrongly: what became of the first is not known
-                p.busy = true, p.writing = false, p.op_ends = own + kPatience;
+                p.busy = true, p.writing = false, p.op_ends = own + kOperationTimeout;
                 ask(i);
             }
         }
         bool may = p.session && p.said && !p.refused;
-        if (!p.busy && (may || (p.is_old && set_.old_careless && p.level))) begin_op(i, own);
+        if (!p.busy && (may || (p.is_old && set_.old_careless && p.level))) start_operation(i, own);
         p.op = own + (p.busy ? Duration{5} : set_.op);
     }
     TimePoint next = p.probe;
@@ -424,7 +425,7 @@
     net_.wake_at(i, std::max(next, own + Duration{0.05}));
 }
 
-void World::told(std::size_t i, TimePoint own, const std::string& bytes) {
+void Simulation::told(std::size_t i, TimePoint own, const std::string& bytes) {
     Process& p = processes_[i];
     wire::News news;
     if (!news.ParseFromString(bytes) || news.levels_size() != int(schema::kKindCount)) return;
@@ -434,10 +435,10 @@
     p.refused = news.refused();
     p.said = p.said || (news.refused() != m::on_wire(Error::Silent));
     if (!older && !p.refused) p.level = news.levels(int(set_.kind));
-    if (p.owner) give(i, own, m::Told{news, p.until});
+    if (p.owner) give(i, own, m::NewsReceived{news, p.until});
 }
 
-void World::process(std::size_t i, TimePoint own, const Message& message) {
+void Simulation::process(std::size_t i, TimePoint own, const Message& message) {
     Process& p = processes_[i];
     switch (message.type) {
         case Type::Opened: {
@@ -478,7 +479,8 @@
         }
         case Type::Reply: {
             wire::Reply reply;
-            if (p.owner && reply.ParseFromString(message.body)) give(i, own, m::Replied{std::move(reply)});
+            if (p.owner && reply.ParseFromString(message.body))
+                give(i, own, m::ReplyReceived{std::move(reply)});
             break;
         }
         case Type::Given: {
@@ -492,25 +494,25 @@
     tick(i, own);
 }
 
-void World::give(std::size_t i, TimePoint own, const m::OwnerEvent& event) {
+void Simulation::give(std::size_t i, TimePoint own, const m::OwnerEvent& event) {
     Process& p = processes_[i];
     m::OwnerActions actions;
     p.owner_wake = TimePoint::max();
     p.owner->handle(own, event, actions);
     record_decision("migration", own, event, actions);
     for (m::OwnerAction& action : actions) {
-        if (auto* order = std::get_if<m::Give>(&action))
+        if (auto* order = std::get_if<m::SendOrder>(&action))
             send(i, holder_of(order->order.shard()), {Type::Order, 0, 0, order->order.SerializeAsString()});
-        if (auto* propose = std::get_if<m::Propose>(&action))
+        if (auto* propose = std::get_if<m::SubmitCommand>(&action))
             if (p.commands.size() < 64) command(i, propose->command);
-        if (auto* wake = std::get_if<m::WakeAt>(&action))
+        if (auto* wake = std::get_if<m::SetTimer>(&action))
             p.owner_wake = std::max(wake->at, own + Duration{0.1});
     }
 }
 
 // ---- Nodes
 
-void World::begin_op(std::size_t i, TimePoint own) {
+void Simulation::start_operation(std::size_t i, TimePoint own) {
     Process& p = processes_[i];
     p.write = {};
     p.write.id = next_write_++;
@@ -525,12 +527,12 @@
                 break;
             }
     p.busy = true, p.writing = false, p.retries = true;
-    p.op_ends = own + kPatience;
-    p.acked_before = book_.acked_of(p.write.group);
+    p.op_ends = own + kOperationTimeout;
+    p.acked_before = history_.acked_of(p.write.group);
     ask(i);
 }
 
-void World::ask(std::size_t i) {
+void Simulation::ask(std::size_t i) {
     Process& p = processes_[i];
     wire::Ask ask;
     ask.set_id(p.ask = next_ask_++);
@@ -540,7 +542,7 @@
     send(i, holder_of(ask.shard()), {Type::Ask, 0, 0, ask.SerializeAsString()});
 }
 
-void World::given(std::size_t i, TimePoint own, const wire::Given& given) {
+void Simulation::given(std::size_t i, TimePoint own, const wire::Given& given) {
     Process& p = processes_[i];
     if (!p.busy || given.id() != p.ask) return;
     if (given.error()) {
@@ -559,7 +561,7 @@
         return;
     }
     if (p.writing) {
-        book_.acked(p.write, given.version(), p.asked_in);
+        history_.acked(p.write, given.version(), p.asked_in);
         if (set_.kind == Kind::Sessions) p.open.emplace_back(p.write, false);
         p.busy = p.writing = false;
         return;
@@ -567,16 +569,17 @@
     Group group;
     for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
     const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
-    Seen seen;
+    Contents contents;
     if (!reads.contains(p.asked_in))
-        book_.broken(p.name + " was given schema " + std::to_string(p.asked_in) + ", which it does not know");
-    if (!see(set_.kind, p.asked_in, group, seen)) {
-        book_.broken(p.name + " was given a record of " + p.write.group + " that is none of schema " +
-                     std::to_string(p.asked_in));
+        history_.violation(p.name + " was given schema " + std::to_string(p.asked_in) +
+                           ", which it does not know");
+    if (!parse_contents(set_.kind, p.asked_in, group, contents)) {
+        history_.violation(p.name + " was given a record of " + p.write.group + " that is none of schema " +
+                           std::to_string(p.asked_in));
         p.busy = false;
         return;
     }
-    book_.read(p.write.group, p.asked_in, seen, p.acked_before);
+    history_.read(p.write.group, p.asked_in, contents, p.acked_before);
     wire::Ask put;
     put.set_id(p.ask = next_ask_++);
     put.set_kind(std::uint32_t(set_.kind)), put.set_shard(shard_of(p.write.group)),
@@ -586,35 +589,35 @@
         auto& to = *put.add_records();
         to.set_key(r.key), to.set_value(r.value);
     }
-    book_.tried(p.write);
+    history_.attempted(p.write);
     p.writing = true;
     send(i, holder_of(put.shard()), {Type::Ask, 0, 0, put.SerializeAsString()});
 }
 
 // ---- The whole
 
-void World::start() {
+void Simulation::start() {
     wire::Command command;
     auto& begin = *command.mutable_start();
     begin.set_kind(std::uint32_t(set_.kind)), begin.set_to(set_.to), begin.set_shards(set_.shards);
     begin.set_refusals(set_.refusals), begin.set_narrows(set_.narrows);
     apply(0, command);
     if (!m::ended(machine_->stage())) {
-        begun_ = true;
+        started_migration_ = true;
         started_ = net_.now();
     }
 }
 
-void World::look() {
+void Simulation::run_operators() {
     Stage stage = machine_->stage();
     for (const auto& [at, way] : set_.steers)
         if (at == stage && steered_.insert(at).second) steer(way);
-    if (set_.watches) set_.watches(*this);
-    if (set_.again && stage == Stage::Undone && !std::exchange(began_again_, true)) start();
+    if (set_.on_poll) set_.on_poll(*this);
+    if (set_.again && stage == Stage::Undone && !std::exchange(restarted_, true)) start();
 }
 
-Outcome World::run() {
-    net_.wake_at(kKeepers, net_.own(kKeepers) + Duration{25});
+Outcome Simulation::run() {
+    net_.wake_at(kCoordinators, net_.own(kCoordinators) + Duration{25});
     net_.run_to(TimePoint{Duration{150}});
     if (set_.old_node && set_.old_stops >= Duration{0}) {
         plans_.emplace_back(net_.now() + set_.old_stops, [this] { net_.stop(old_); });
@@ -635,19 +638,20 @@
             plans_.erase(plans_.begin() + std::ptrdiff_t(k));
             what();
         }
-        if (!begun_) start();
-        look();
-        bool over = begun_ && m::ended(machine_->stage()) && plans_.empty() && (!set_.again || began_again_);
+        if (!started_migration_) start();
+        run_operators();
+        bool over = started_migration_ && m::ended(machine_->stage()) && plans_.empty() &&
+                    (!set_.again || restarted_);
         if (over && quiet == most) quiet = net_.now() + Duration{200};
         if (!over) quiet = most;
         if (net_.now() >= quiet) break;
     }
     Outcome outcome;
-    judge(outcome);
+    check_invariants(outcome);
     return outcome;
 }
 
-void World::judge(Outcome& outcome) {
+void Simulation::check_invariants(Outcome& outcome) {
     const wire::Status& status = machine_->migration();
     outcome.stage = machine_->stage(), outcome.stopped = status.stopped(), outcome.about = status.about();
     outcome.level = machine_->written_versions()[std::size_t(set_.kind)];
@@ -656,18 +660,18 @@
     outcome.refused = refused_, outcome.old_refused = old_refused_,
     outcome.old_told = processes_[old_].refused;
     bool over = m::ended(outcome.stage);
-    std::map<std::string, Seen> groups;
+    std::map<std::string, Contents> groups;
     for (std::uint32_t shard = 0; shard < set_.shards; ++shard) {
         Holder& holder = holders_[holder_of(shard) - 1];
         m::Records::Page page;
         holder.disk.scan(shard, {}, ~std::size_t(0), page);
         for (const auto& [name, held] : page) {
             wire::Stored stored;
-            if (!stored.ParseFromString(held.octets)) book_.broken("end: " + name + " cannot be read");
+            if (!stored.ParseFromString(held.bytes)) history_.violation("end: " + name + " cannot be read");
             if (over && stored.forms_size() != 1)
-                book_.broken("end: " + name + " is there in " + std::to_string(stored.forms_size()) +
-                             " forms");
-            if (groups.contains(name)) book_.broken("end: " + name + " is there twice");
+                history_.violation("end: " + name + " is there in " + std::to_string(stored.forms_size()) +
+                                   " forms");
+            if (groups.contains(name)) history_.violation("end: " + name + " is there twice");
             // While it is under way: by the form that counts.
             Version counts = over ? outcome.level : holder.receiver->writes(shard);
             bool found = false;
@@ -675,33 +679,34 @@
                 if (form.schema() != counts) continue;
                 Group group;
                 for (const auto& r : form.records()) group.push_back({r.key(), r.value()});
-                found = see(set_.kind, counts, group, groups[name]);
+                found = parse_contents(set_.kind, counts, group, groups[name]);
             }
-            if (!found) book_.broken("end: " + name + " is not there in schema " + std::to_string(counts));
+            if (!found)
+                history_.violation("end: " + name + " is not there in schema " + std::to_string(counts));
         }
     }
-    book_.end(groups, outcome.level, outcome.level == schema::newest_version(Kind::Sessions) && over);
-    outcome.broken = book_.faults();
-    outcome.acked = book_.acks();
+    history_.end(groups, outcome.level, outcome.level == schema::newest_version(Kind::Sessions) && over);
+    outcome.broken = history_.faults();
+    outcome.acked = history_.acks();
 }
 
 Outcome run(const Settings& settings) {
-    return World(settings).run();
+    return Simulation(settings).run();
 }
-m::MigrationStateMachine& machine(World& world) {
-    return world.machine();
+m::MigrationStateMachine& machine(Simulation& simulation) {
+    return simulation.machine();
 }
-void steer(World& world, m::wire::Steer way) {
-    world.steer(way);
+void steer(Simulation& simulation, m::wire::Steer way) {
+    simulation.steer(way);
 }
-void let_old_go(World& world) {
-    world.let_old_go();
+void resume_old_process(Simulation& simulation) {
+    simulation.resume_old_process();
 }
-void bound(World& world, std::size_t octets) {
-    world.bound(octets);
+void bound(Simulation& simulation, std::size_t octets) {
+    simulation.bound(octets);
 }
-Duration since_start(const World& world) {
-    return world.since_start();
+Duration since_start(const Simulation& simulation) {
+    return simulation.since_start();
 }
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/world.h
+++ b/lab/schema_migration/simulation.h
@@ -43,7 +43,7 @@
     double loss = 0, doubled = 0;
     std::vector<Fault> faults;
     Duration lease{600}, op{12};  ///< a node does something each so often
-    Duration most{20'000};        ///< after which the world ends, whatever has come of it
+    Duration most{20'000};        ///< after which the simulation ends, whatever has come of it
     bool narrows = true;
     std::uint64_t refusals = 1000;
     m::OwnerSettings owner;
@@ -56,7 +56,7 @@
     /// What operators do when the migration first gets to a stage; once each.
     std::vector<std::pair<m::Stage, m::wire::Steer>> steers;
     /// By them too: called at each 20 ms.
-    std::function<void(class World&)> watches;
+    std::function<void(class Simulation&)> on_poll;
     bool again = false;  ///< behind a way back, it is begun once more
 
     // Those who do it wrong, to show that the judge sees it.
@@ -84,23 +84,23 @@
 
 /// Each kind of crash and stop at the Nth message, for N = first, first + step, ...; and for each N a second
 /// one at the Mth behind it, for each second_step-th M, the kinds of both by turns.
-struct Sweep {
+struct FaultSweep {
     Settings settings;
     std::uint64_t first = 1, step = 1, second_step = 0;  ///< second_step 0: no second fault
     int jobs = 1;
 };
-struct Swept {
-    std::uint64_t worlds = 0, over = 0, messages = 0, broken = 0, longest = 0;
+struct FaultSweepResult {
+    std::uint64_t runs = 0, over = 0, messages = 0, broken = 0, longest = 0;
     std::vector<std::string> first_broken;
 };
-Swept sweep(const Sweep& sweep);
+FaultSweepResult sweep(const FaultSweep& sweep);
 
-class World;
-/// For `watches`.
-m::MigrationStateMachine& machine(World& world);
-void steer(World& world, m::wire::Steer way);
-void let_old_go(World& world);
-void bound(World& world, std::size_t octets);
-Duration since_start(const World& world);
+class Simulation;
+/// For `on_poll`.
+m::MigrationStateMachine& machine(Simulation& simulation);
+void steer(Simulation& simulation, m::wire::Steer way);
+void resume_old_process(Simulation& simulation);
+void bound(Simulation& simulation, std::size_t octets);
+Duration since_start(const Simulation& simulation);
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/sweep.cpp
+++ b/lab/schema_migration/sweep.cpp
@@ -3,22 +3,22 @@
 #include <mutex>
 #include <thread>
 
-#include "lab/schema_migration/world.h"
+#include "lab/schema_migration/simulation.h"
 
 namespace ochrehub::lab::migration {
 
-Swept sweep(const Sweep& all) {
-    Swept swept;
+FaultSweepResult sweep(const FaultSweep& all) {
+    FaultSweepResult swept;
     std::mutex lock;
     using What = Fault::What;
     constexpr What kAll[] = {What::CrashBefore, What::CrashBehind, What::Stop};
-    auto world = [&](Fault one, Fault two) {
+    auto simulation = [&](Fault one, Fault two) {
         Settings settings = all.settings;
         settings.faults = {one};
         if (two.at) settings.faults.push_back(two);
         Outcome outcome = run(settings);
         std::lock_guard guard(lock);
-        ++swept.worlds;
+        ++swept.runs;
         swept.over += m::ended(outcome.stage);
         swept.messages += outcome.messages;
         swept.longest = std::max(swept.longest, outcome.messages);
@@ -45,10 +45,11 @@
             auto gone = [&](std::uint64_t k) { return all.settings.lease * (k % 2 ? 0.3 : 1.5); };
             std::uint64_t messages = 0;
             for (What what : kAll)
-                messages = std::max(messages, world({n, what, what == What::Stop ? gone(0) : gone(n)}, {}));
+                messages =
+                    std::max(messages, simulation({n, what, what == What::Stop ? gone(0) : gone(n)}, {}));
             for (std::uint64_t k = n + 1 + n % std::max<std::uint64_t>(1, all.second_step);
                  all.second_step && k <= messages; k += all.second_step)
-                world({n, kAll[(n + k) % 3], gone(n)}, {k, kAll[(n + k) / 3 % 3], gone(n + k)});
+                simulation({n, kAll[(n + k) % 3], gone(n)}, {k, kAll[(n + k) / 3 % 3], gone(n + k)});
         }
     };
     std::vector<std::thread> threads;
--- a/lab/tests/schema_migration_processes_test.cpp
+++ b/lab/tests/schema_migration_processes_test.cpp
@@ -22,7 +22,7 @@
 #include <thread>
 #include <vector>
 
-#include "lab/schema_migration/disk.h"
+#include "lab/schema_migration/file_records.h"
 #include "lab/schema_migration/nodes.h"
 
 extern char** environ;
@@ -167,13 +167,13 @@
 
     /// What stands in the end against what was acknowledged.
     std::vector<std::string> judge(Version level, std::size_t& acks) {
-        Book all(Kind::Sessions);
-        std::map<std::string, Seen> groups;
+        WriteHistory all(Kind::Sessions);
+        std::map<std::string, Contents> groups;
         for (std::size_t i = 0; i < kGroups; ++i) {
             std::string name = "c" + std::to_string(i);
-            Seen seen;
-            see(Kind::Sessions, 4, beginning(Kind::Sessions, 4, name, i), seen);
-            all.begins(name, seen);
+            Contents contents;
+            parse_contents(Kind::Sessions, 4, initial_group(Kind::Sessions, 4, name, i), contents);
+            all.set_initial(name, contents);
         }
         for (std::size_t i = 0; i <= kHolders; ++i) {
             std::map<std::uint64_t, Write> tried;
@@ -186,9 +186,10 @@
                 Version schema = 0;
                 words >> what;
                 if (what == 'x')
-                    all.broken("member " + std::to_string(i) + " was given what it does not read: " + line);
+                    all.violation("member " + std::to_string(i) +
+                                  " was given what it does not read: " + line);
                 if (what == 't' && words >> write.id >> write.group >> write.tenant >> write.moves)
-                    all.tried(tried[write.id] = write);
+                    all.attempted(tried[write.id] = write);
                 if (what == 'a' && words >> write.id >> version >> schema)
                     all.acked(tried.at(write.id), version, schema);
             }
@@ -201,14 +202,14 @@
                 for (const auto& [name, held] : page) {
                     schema_migration::wire::Stored stored;
                     Group group;
-                    if (!stored.ParseFromString(held.octets) || stored.forms_size() != 1 ||
+                    if (!stored.ParseFromString(held.bytes) || stored.forms_size() != 1 ||
                         stored.forms(0).schema() != level) {
-                        all.broken(name + " is not there in schema " + std::to_string(level) + " alone");
+                        all.violation(name + " is not there in schema " + std::to_string(level) + " alone");
                         continue;
                     }
                     for (const auto& r : stored.forms(0).records()) group.push_back({r.key(), r.value()});
-                    if (!see(Kind::Sessions, level, group, groups[name]))
-                        all.broken(name + " cannot be read");
+                    if (!parse_contents(Kind::Sessions, level, group, groups[name]))
+                        all.violation(name + " cannot be read");
                 }
             }
         }
--- a/lab/tests/schema_migration_test.cpp
+++ b/lab/tests/schema_migration_test.cpp
@@ -1,5 +1,5 @@
 // Migrations in virtual time: none of the promises breaks whatever crashes, stops, is lost or comes late, and
-// each of those who do it wrong is seen. The long runs are lab_migration_runs'.
+// each of those who do it wrong is contents. The long runs are lab_migration_runs'.
 #include <gtest/gtest.h>
 #include <records.pb.h>
 #include <schema_migration.pb.h>
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "lab/schema_migration/nodes.h"
-#include "lab/schema_migration/world.h"
+#include "lab/schema_migration/simulation.h"
 
 namespace ochrehub::lab::migration {
 namespace {
@@ -17,7 +17,7 @@
 using m::Error;
 using m::Stage;
 
-Settings of(Kind kind, Version from, Version to, std::uint64_t seed = 1) {
+Settings settings_for(Kind kind, Version from, Version to, std::uint64_t seed = 1) {
     Settings settings;
     settings.kind = kind, settings.from = from, settings.to = to, settings.seed = seed;
     return settings;
@@ -28,7 +28,7 @@
     for (const std::string& broken : outcome.broken) text += "\n    " + broken;
     return text;
 }
-void sound(const Outcome& outcome, Stage stage) {
+void expect_success(const Outcome& outcome, Stage stage) {
     EXPECT_TRUE(outcome.broken.empty()) << all(outcome);
     EXPECT_EQ(outcome.stage, stage) << all(outcome);
     EXPECT_GT(outcome.acked, 50u);
@@ -37,77 +37,80 @@
 TEST(Migrations, EveryPairOfNeighboursUpAndDown) {
     for (Kind kind : {Kind::Sessions, Kind::Rates})
         for (Version from = 1; from < schema::newest_version(kind); ++from) {
-            sound(run(of(kind, from, from + 1)), Stage::Done);
-            sound(run(of(kind, from + 1, from)), Stage::Done);
+            expect_success(run(settings_for(kind, from, from + 1)), Stage::Done);
+            expect_success(run(settings_for(kind, from + 1, from)), Stage::Done);
         }
 }
 TEST(Migrations, LostAndDoubledMessages) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        Settings settings = of(seed % 2 ? Kind::Sessions : Kind::Rates, 2, 3, seed);
+        Settings settings = settings_for(seed % 2 ? Kind::Sessions : Kind::Rates, 2, 3, seed);
         settings.loss = 0.05, settings.doubled = 0.1;
-        sound(run(settings), Stage::Done);
+        expect_success(run(settings), Stage::Done);
     }
 }
 TEST(Migrations, BackAtEachStageBeforeNarrowAndThenOnceMore) {
     for (Stage stage : {Stage::Widen, Stage::Convert, Stage::Compare, Stage::Switch, Stage::Hold})
         for (bool again : {false, true}) {
-            Settings settings = of(Kind::Sessions, 3, 4, std::uint64_t(stage));
+            Settings settings = settings_for(Kind::Sessions, 3, 4, std::uint64_t(stage));
             settings.steers = {{stage, m::wire::BACK}};
             settings.narrows = again && stage != Stage::Hold;
             settings.again = again;
             if (stage == Stage::Hold) settings.steers = {{Stage::Hold, m::wire::BACK}};
             if (again && stage == Stage::Hold) {
                 bool once = false;
-                settings.watches = [once](World& world) mutable {
-                    if (machine(world).migration().id() == 2 && machine(world).stage() == Stage::Hold &&
-                        !std::exchange(once, true))
-                        steer(world, m::wire::NARROW);
+                settings.on_poll = [once](Simulation& simulation) mutable {
+                    if (machine(simulation).migration().id() == 2 &&
+                        machine(simulation).stage() == Stage::Hold && !std::exchange(once, true))
+                        steer(simulation, m::wire::NARROW);
                 };
             }
             Outcome outcome = run(settings);
-            sound(outcome, again ? Stage::Done : Stage::Undone);
+            expect_success(outcome, again ? Stage::Done : Stage::Undone);
             EXPECT_EQ(outcome.level, again ? 4u : 3u);
         }
 }
 TEST(Migrations, AnOldProcessThatWasStoppedBeforeTheSwitchAndWritesAfterItDoesNoHarm) {
     for (bool careless : {false, true}) {
-        Settings settings = of(Kind::Sessions, 3, 4, careless);
+        Settings settings = settings_for(Kind::Sessions, 3, 4, careless);
         settings.old_node = true, settings.old_careless = careless;
         settings.old_stops = Duration{0};
         settings.narrows = false;
         bool let_go = false, narrowed = false;
         TimePoint at{};
-        settings.watches = [=](World& world) mutable {
-            if (machine(world).stage() != Stage::Hold) return;
-            if (!std::exchange(let_go, true)) let_old_go(world), at = TimePoint{since_start(world)};
-            if (since_start(world) > at.time_since_epoch() + Duration{700} && !std::exchange(narrowed, true))
-                steer(world, m::wire::NARROW);
+        settings.on_poll = [=](Simulation& simulation) mutable {
+            if (machine(simulation).stage() != Stage::Hold) return;
+            if (!std::exchange(let_go, true))
+                resume_old_process(simulation), at = TimePoint{since_start(simulation)};
+            if (since_start(simulation) > at.time_since_epoch() + Duration{700} &&
+                !std::exchange(narrowed, true))
+                steer(simulation, m::wire::NARROW);
         };
         Outcome outcome = run(settings);
-        sound(outcome, Stage::Done);
+        expect_success(outcome, Stage::Done);
         EXPECT_EQ(outcome.old_told, m::on_wire(Error::OldRelease));
         EXPECT_EQ(outcome.old_refused > 0, careless);
     }
 }
 TEST(Migrations, AnOldProcessThatComesBackBeforeTheSwitchStopsItAndIsServed) {
-    Settings settings = of(Kind::Rates, 2, 3);
+    Settings settings = settings_for(Kind::Rates, 2, 3);
     settings.old_node = true;
     settings.old_stops = Duration{0};
     bool let_go = false, back = false;
-    settings.watches = [=](World& world) mutable {
-        if (machine(world).stage() == Stage::Convert && !std::exchange(let_go, true)) let_old_go(world);
-        if (machine(world).migration().stopped() == m::on_wire(Error::OldProcess) &&
+    settings.on_poll = [=](Simulation& simulation) mutable {
+        if (machine(simulation).stage() == Stage::Convert && !std::exchange(let_go, true))
+            resume_old_process(simulation);
+        if (machine(simulation).migration().stopped() == m::on_wire(Error::OldProcess) &&
             !std::exchange(back, true))
-            steer(world, m::wire::BACK);
+            steer(simulation, m::wire::BACK);
     };
-    settings.owner.per_s = 200;  // so that it takes a while
+    settings.owner.groups_per_second = 200;  // so that it takes a while
     settings.groups = 128;
     Outcome outcome = run(settings);
-    sound(outcome, Stage::Undone);
+    expect_success(outcome, Stage::Undone);
     EXPECT_EQ(outcome.old_told, 0u);
 }
 TEST(Migrations, AConversionThatThrowsOnOneRecordStopsItAndTheWayBackLosesNothing) {
-    Settings settings = of(Kind::Sessions, 2, 3);
+    Settings settings = settings_for(Kind::Sessions, 2, 3);
     settings.convert = [](Kind kind, Version from, Version to, schema::Group group) -> schema::Result {
         for (const auto& r : group)
             if (from < to && r.key.ends_with("c17")) throw std::runtime_error("one of a million");
@@ -115,51 +118,51 @@
     };
     std::uint32_t stopped = 0;
     std::string about;
-    settings.watches = [&](World& world) {
-        if (!machine(world).migration().stopped()) return;
-        stopped = machine(world).migration().stopped(), about = machine(world).migration().about();
-        steer(world, m::wire::BACK);
+    settings.on_poll = [&](Simulation& simulation) {
+        if (!machine(simulation).migration().stopped()) return;
+        stopped = machine(simulation).migration().stopped(), about = machine(simulation).migration().about();
+        steer(simulation, m::wire::BACK);
     };
-    sound(run(settings), Stage::Undone);
+    expect_success(run(settings), Stage::Undone);
     EXPECT_EQ(stopped, m::on_wire(Error::Conversion));
     EXPECT_NE(about.find("c17"), std::string::npos) << about;
 }
 TEST(Migrations, ADiskThatIsFullInTheMiddleStopsItAndItGoesOnWhereThereIsRoom) {
-    Settings settings = of(Kind::Sessions, 3, 4);
-    settings.owner.per_s = 500, settings.groups = 128;
+    Settings settings = settings_for(Kind::Sessions, 3, 4);
+    settings.owner.groups_per_second = 500, settings.groups = 128;
     bool full = false, room = false;
     std::uint32_t stopped = 0;
-    settings.watches = [&](World& world) {
-        const auto& now = machine(world).migration();
-        if (Stage(now.stage()) == Stage::Convert && !std::exchange(full, true)) bound(world, 1);
+    settings.on_poll = [&](Simulation& simulation) {
+        const auto& now = machine(simulation).migration();
+        if (Stage(now.stage()) == Stage::Convert && !std::exchange(full, true)) bound(simulation, 1);
         if (now.stopped() && !std::exchange(room, true))
-            stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::GO_ON);
+            stopped = now.stopped(), bound(simulation, ~std::size_t(0)), steer(simulation, m::wire::GO_ON);
     };
     settings.refusals = 100'000;
-    sound(run(settings), Stage::Done);
+    expect_success(run(settings), Stage::Done);
     EXPECT_EQ(stopped, m::on_wire(Error::Full));
 }
 TEST(Migrations, RefusalsThatRiseStopIt) {
-    Settings settings = of(Kind::Sessions, 3, 4);
+    Settings settings = settings_for(Kind::Sessions, 3, 4);
     settings.refusals = 0;
     settings.op = Duration{3};
     std::uint32_t stopped = 0;
-    settings.watches = [&](World& world) {
-        const auto& now = machine(world).migration();
-        if (Stage(now.stage()) == Stage::Widen) bound(world, 1);  // no write that grows has room
+    settings.on_poll = [&](Simulation& simulation) {
+        const auto& now = machine(simulation).migration();
+        if (Stage(now.stage()) == Stage::Widen) bound(simulation, 1);  // no write that grows has room
         if (now.stopped() && !stopped)
-            stopped = now.stopped(), bound(world, ~std::size_t(0)), steer(world, m::wire::BACK);
+            stopped = now.stopped(), bound(simulation, ~std::size_t(0)), steer(simulation, m::wire::BACK);
     };
-    settings.owner.per_s = 500, settings.owner.tries = 1000;
-    sound(run(settings), Stage::Undone);
+    settings.owner.groups_per_second = 500, settings.owner.max_attempts = 1000;
+    expect_success(run(settings), Stage::Undone);
     EXPECT_EQ(stopped, m::on_wire(Error::Refusals));
 }
 TEST(Migrations, CrashAndStopAtSomeMessagesAndASecondBehind) {
-    Sweep all;
+    FaultSweep all;
     all.settings.groups = 16;
     all.first = 3, all.step = 61, all.second_step = 83;
-    Swept swept = sweep(all);
-    EXPECT_GT(swept.worlds, 40u);
+    FaultSweepResult swept = sweep(all);
+    EXPECT_GT(swept.runs, 40u);
     EXPECT_EQ(swept.broken, 0u);
     for (const std::string& broken : swept.first_broken) ADD_FAILURE() << broken;
 }
@@ -167,12 +170,14 @@
 // ---- Those who do it wrong
 
 /// Holders' records that err.
-struct Wrong : m::Records {
+struct FaultyRecords : m::Records {
     m::MemoryRecords& disk;
-    explicit Wrong(m::MemoryRecords& to) : disk(to) {}
-    Held read(std::uint32_t shard, std::string_view group) const override { return disk.read(shard, group); }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+    explicit FaultyRecords(m::MemoryRecords& to) : disk(to) {}
+    StoredGroup read(std::uint32_t shard, std::string_view group) const override {
+        return disk.read(shard, group);
+    }
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string octets) override {
         return disk.write(shard, group, version, std::move(octets));
     }
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
@@ -192,7 +197,7 @@
     std::string half(std::uint32_t shard, std::string_view group, const std::string& octets,
                      Version schema) const {
         m::wire::Stored is, was;
-        is.ParseFromString(octets), was.ParseFromString(disk.read(shard, group).octets);
+        is.ParseFromString(octets), was.ParseFromString(disk.read(shard, group).bytes);
         if (is.forms_size() < 2 || was.forms_size() < 2) return octets;
         for (int i = 0; i < is.forms_size(); ++i) {
             if (is.forms(i).schema() != schema) continue;
@@ -209,8 +214,8 @@
     settings.records = [](m::MemoryRecords& disk) { return std::make_unique<W>(disk); };
 }
 
-/// Whether it is seen, by the judge or by the migration itself, which stops. With the comparison left out the
-/// judge alone is asked.
+/// Whether it is contents, by the judge or by the migration itself, which stops. With the comparison left out
+/// the judge alone is asked.
 struct Found {
     std::string judge, itself;
 };
@@ -218,7 +223,7 @@
             bool compares = true) {
     Found result;
     for (std::uint64_t seed = 1; seed <= 6 && result.judge.empty() && result.itself.empty(); ++seed) {
-        Settings settings = of(kind, from, to, seed);
+        Settings settings = settings_for(kind, from, to, seed);
         settings.op = Duration{6};
         settings.most = Duration{4000};
         errs(settings);
@@ -235,10 +240,10 @@
     }
     return result;
 }
-void judged(const Found& result) {
+void expect_violation(const Found& result) {
     EXPECT_FALSE(result.judge.empty());
 }
-void stopped(const Found& result, const char* code) {
+void expect_stopped(const Found& result, const char* code) {
     EXPECT_EQ(result.itself, code) << result.judge;
 }
 bool rises(Version from, Version to) {
@@ -283,86 +288,90 @@
     };
 }
 
-TEST(Saboteurs, AConversionThatRoundsSpentDown) {
-    stopped(found(rounds_down, Kind::Rates, 2, 3), "migration.differs");
-    judged(found(rounds_down, Kind::Rates, 2, 3, false));
-}
-TEST(Saboteurs, AConversionThatLosesARecord) {
-    stopped(found(drops_the_last, Kind::Sessions, 3, 4), "migration.differs");
-    judged(found(drops_the_last, Kind::Sessions, 3, 4, false));
-}
-TEST(Saboteurs, AConversionThatDoublesARecord) {
-    stopped(found(doubles_one, Kind::Sessions, 3, 4), "migration.differs");
-    judged(found(doubles_one, Kind::Sessions, 3, 4, false));
-}
-struct OldFormAlone : Wrong {  // a write while wide leaves the new form as it was
-    using Wrong::Wrong;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+TEST(SchemaMigrationMutants, AConversionThatRoundsSpentDown) {
+    expect_stopped(found(rounds_down, Kind::Rates, 2, 3), "migration.differs");
+    expect_violation(found(rounds_down, Kind::Rates, 2, 3, false));
+}
+TEST(SchemaMigrationMutants, AConversionThatLosesARecord) {
+    expect_stopped(found(drops_the_last, Kind::Sessions, 3, 4), "migration.differs");
+    expect_violation(found(drops_the_last, Kind::Sessions, 3, 4, false));
+}
+TEST(SchemaMigrationMutants, AConversionThatDoublesARecord) {
+    expect_stopped(found(doubles_one, Kind::Sessions, 3, 4), "migration.differs");
+    expect_violation(found(doubles_one, Kind::Sessions, 3, 4, false));
+}
+struct OldFormAlone : FaultyRecords {  // a write while wide leaves the new form as it was
+    using FaultyRecords::FaultyRecords;
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string octets) override {
         return disk.write(shard, group, version,
                           form(shard) == m::ShardForm::Wide ? half(shard, group, octets, 4) : octets);
     }
 };
-TEST(Saboteurs, AHolderThatWritesTheOldFormAloneWhileItIsWide) {
-    stopped(found(use<OldFormAlone>, Kind::Sessions, 3, 4), "migration.differs");
-    judged(
-        found([](Settings& s) { use<OldFormAlone>(s), s.owner.per_s = 200; }, Kind::Sessions, 3, 4, false));
-}
-struct NewFormAlone : Wrong {  // behind the switch the old form is let go stale
-    using Wrong::Wrong;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+TEST(SchemaMigrationMutants, AHolderThatWritesTheOldFormAloneWhileItIsWide) {
+    expect_stopped(found(use<OldFormAlone>, Kind::Sessions, 3, 4), "migration.differs");
+    expect_violation(found([](Settings& s) { use<OldFormAlone>(s), s.owner.groups_per_second = 200; },
+                           Kind::Sessions, 3, 4, false));
+}
+struct NewFormAlone : FaultyRecords {  // behind the switch the old form is let go stale
+    using FaultyRecords::FaultyRecords;
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string octets) override {
         return disk.write(shard, group, version,
                           form(shard) == m::ShardForm::Switched ? half(shard, group, octets, 3) : octets);
     }
 };
 void back_from_hold(Settings& settings) {
     settings.narrows = false;
-    settings.watches = [](World& world) {
-        if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{500})
-            steer(world, m::wire::BACK);
+    settings.on_poll = [](Simulation& simulation) {
+        if (machine(simulation).stage() == Stage::Hold && since_start(simulation) > Duration{500})
+            steer(simulation, m::wire::BACK);
     };
 }
-TEST(Saboteurs, AHolderThatForgetsTheOldFormBehindTheSwitch) {
-    judged(found([](Settings& s) { use<NewFormAlone>(s), back_from_hold(s); }, Kind::Sessions, 3, 4));
+TEST(SchemaMigrationMutants, AHolderThatForgetsTheOldFormBehindTheSwitch) {
+    expect_violation(
+        found([](Settings& s) { use<NewFormAlone>(s), back_from_hold(s); }, Kind::Sessions, 3, 4));
 }
-struct NoVersions : Wrong {  // whoever writes last wins
-    using Wrong::Wrong;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t, std::string octets) override {
+struct NoVersions : FaultyRecords {  // whoever writes last wins
+    using FaultyRecords::FaultyRecords;
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t,
+                      std::string octets) override {
         return disk.write(shard, group, disk.read(shard, group).version, std::move(octets));
     }
 };
-TEST(Saboteurs, AHolderThatDoesNotCompareVersions) {
-    judged(found([](Settings& s) { use<NoVersions>(s), s.nodes = 6, s.groups = 2, s.op = Duration{2}; },
-                 Kind::Rates, 2, 3));
+TEST(SchemaMigrationMutants, AHolderThatDoesNotCompareVersions) {
+    expect_violation(
+        found([](Settings& s) { use<NoVersions>(s), s.nodes = 6, s.groups = 2, s.op = Duration{2}; },
+              Kind::Rates, 2, 3));
 }
-struct Forgets : Wrong {  // says that it wrote, and every twentieth write is gone
-    using Wrong::Wrong;
+struct Forgets : FaultyRecords {  // says that it wrote, and every twentieth write is gone
+    using FaultyRecords::FaultyRecords;
     int writes = 0;
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
-        if (++writes % 20 == 0 && disk.read(shard, group).version == version) return Wrote::Done;
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string octets) override {
+        if (++writes % 20 == 0 && disk.read(shard, group).version == version) return WriteResult::Done;
         return disk.write(shard, group, version, std::move(octets));
     }
 };
-TEST(Saboteurs, AHolderThatAnswersBeforeItHasWritten) {
-    judged(found(use<Forgets>, Kind::Sessions, 3, 4));
+TEST(SchemaMigrationMutants, AHolderThatAnswersBeforeItHasWritten) {
+    expect_violation(found(use<Forgets>, Kind::Sessions, 3, 4));
 }
-TEST(Saboteurs, AHolderThatTakesTheOldSchemaBehindTheSwitch) {
+TEST(SchemaMigrationMutants, AHolderThatTakesTheOldSchemaBehindTheSwitch) {
     auto errs = [](Settings& s) {
         s.old_node = s.old_careless = true, s.old_stops = Duration{0}, s.narrows = false;
         bool let_go = false;
-        s.watches = [let_go](World& world) mutable {
-            if (machine(world).stage() == Stage::Hold && !std::exchange(let_go, true)) let_old_go(world);
-            if (machine(world).stage() == Stage::Hold && since_start(world) > Duration{1500})
-                steer(world, m::wire::NARROW);
+        s.on_poll = [let_go](Simulation& simulation) mutable {
+            if (machine(simulation).stage() == Stage::Hold && !std::exchange(let_go, true))
+                resume_old_process(simulation);
+            if (machine(simulation).stage() == Stage::Hold && since_start(simulation) > Duration{1500})
+                steer(simulation, m::wire::NARROW);
         };
         s.ask = [](m::wire::Ask& ask, m::Receiver& receiver,
                    m::Records& records) -> std::optional<m::wire::Given> {
             if (ask.schema() != 3 || receiver.form(ask.shard()) != m::ShardForm::Switched) return {};
-            m::Records::Held held = records.read(ask.shard(), ask.group());
+            m::Records::StoredGroup held = records.read(ask.shard(), ask.group());
             m::wire::Stored stored;
-            stored.ParseFromString(held.octets);
+            stored.ParseFromString(held.bytes);
             m::wire::Given given;
             for (auto& form : *stored.mutable_forms()) {
                 if (form.schema() != 3) continue;
@@ -376,9 +385,9 @@
             return given;
         };
     };
-    judged(found(errs, Kind::Sessions, 3, 4));
+    expect_violation(found(errs, Kind::Sessions, 3, 4));
 }
-TEST(Saboteurs, KeepersThatBelieveEveryProcessReadsEverything) {
+TEST(SchemaMigrationMutants, KeepersThatBelieveEveryProcessReadsEverything) {
     auto errs = [](Settings& s) {
         s.old_node = true;
         s.command = [](m::wire::Command& command) {
@@ -388,9 +397,9 @@
             return true;
         };
     };
-    judged(found(errs, Kind::Sessions, 3, 4));
+    expect_violation(found(errs, Kind::Sessions, 3, 4));
 }
-TEST(Saboteurs, AnOwnerThatSaysConvertedOfWhatItNeverOrdered) {
+TEST(SchemaMigrationMutants, AnOwnerThatSaysConvertedOfWhatItNeverOrdered) {
     auto errs = [](Settings& s) {
         s.order = [](m::wire::Order& order, const m::Receiver&) {
             if (Stage(order.stage()) == Stage::Convert && order.shard() == 5)
@@ -401,7 +410,7 @@
     Found result = found(errs, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty()) << result.judge;
 }
-TEST(Saboteurs, AHolderThatBelievesOrdersOfAnyEpochAndStage) {
+TEST(SchemaMigrationMutants, AHolderThatBelievesOrdersOfAnyEpochAndStage) {
     // What was sent for the way back comes once more in the next migration.
     auto errs = [](Settings& s) {
         auto late = std::make_shared<std::vector<m::wire::Order>>();
@@ -422,17 +431,17 @@
     Found result = found(errs, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty() && result.judge.empty());
 }
-TEST(Saboteurs, ANodeThatChargesOnceMoreWhereAnAnswerIsLost) {
-    judged(found([](Settings& s) { s.charges_again = true, s.loss = 0.1; }, Kind::Rates, 2, 3));
+TEST(SchemaMigrationMutants, ANodeThatChargesOnceMoreWhereAnAnswerIsLost) {
+    expect_violation(found([](Settings& s) { s.charges_again = true, s.loss = 0.1; }, Kind::Rates, 2, 3));
 }
-struct DropsUnconverted : Wrong {  // a shard's last group is never seen by a scan
-    using Wrong::Wrong;
+struct DropsUnconverted : FaultyRecords {  // a shard's last group is never contents by a scan
+    using FaultyRecords::FaultyRecords;
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
         disk.scan(shard, after, most, page);
         if (form(shard) == m::ShardForm::Wide && !page.empty()) page.pop_back();
     }
 };
-TEST(Saboteurs, AScanThatLeavesAGroupOut) {
+TEST(SchemaMigrationMutants, AScanThatLeavesAGroupOut) {
     // Neither converted nor compared; dropping the old form meets a group that has no other, and does not
     // drop it.
     Found result = found(use<DropsUnconverted>, Kind::Sessions, 3, 4);
--- a/src/app/migrate.cpp
+++ b/src/app/migrate.cpp
@@ -190,7 +190,7 @@
         possible = possible && fits;
     }
     // Converted, compared, dropped: three passes at the owner's pace.
-    double seconds = groups * 3 / schema_migration::OwnerSettings().per_s;
+    double seconds = groups * 3 / schema_migration::OwnerSettings().groups_per_second;
     if (as_json_text) {
         json::object plan{{"kind", text},         {"level", level},        {"to", next},
                           {"possible", possible}, {"can", std::move(can)}, {"cannot", std::move(cannot)}};
--- a/src/fleet/schema_migration/migration_state_machine.h
+++ b/src/fleet/schema_migration/migration_state_machine.h
@@ -45,12 +45,12 @@
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    const WrittenVersions& written_versions() const { return levels_; }
-    const wire::Status& migration() const { return now_; }
-    Stage stage() const { return Stage(now_.stage()); }
+    const WrittenVersions& written_versions() const { return written_versions_; }
+    const wire::Status& migration() const { return migration_; }
+    Stage stage() const { return Stage(migration_.stage()); }
 
 private:
-    struct Live {
+    struct SessionInfo {
         std::string name, zone, about;
         bool said = false;
         schema::Ranges ranges;
@@ -58,29 +58,29 @@
     };
     using Answer = wire::Answer;
 
-    void says(coordinator::SessionId session, const wire::Says& said, Answer& answer);
-    void start(const wire::Start& start, Answer& answer);
-    void want(coordinator::SessionId session, Answer& answer);
-    void did(coordinator::SessionId session, const wire::Did& did, Answer& answer);
-    void trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& answer);
-    void steer(wire::Steer way, Answer& answer);
+    void handle_says(coordinator::SessionId session, const wire::Says& said, Answer& response);
+    void handle_start(const wire::Start& start, Answer& response);
+    void handle_want(coordinator::SessionId session, Answer& response);
+    void handle_did(coordinator::SessionId session, const wire::Did& did, Answer& response);
+    void handle_trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& response);
+    void handle_steer(wire::Steer way, Answer& response);
 
-    bool of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
-                  std::uint64_t revision, std::uint32_t shard) const;
+    bool is_from_current_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
+                               std::uint64_t revision, std::uint32_t shard) const;
     /// Whether this one may read and write by the levels of now.
-    void judge(Live& live) const;
+    void check_compatibility(SessionInfo& info) const;
     /// The first live session that does not read this, or has not said: fills `why`.
-    bool someone_cannot(schema::Kind kind, schema::Version number, Failure& why) const;
-    void enter(Stage stage);
-    void advance();
-    void stop(Error error, std::string_view about);
-    void fill(wire::News& news, coordinator::SessionId session) const;
-    bool all_done() const;
+    bool find_incompatible_session(schema::Kind kind, schema::Version number, Failure& why) const;
+    void enter_stage(Stage stage);
+    void advance_stage();
+    void pause_with_error(Error error, std::string_view about);
+    void fill_news(wire::News& news, coordinator::SessionId session) const;
+    bool all_shards_done() const;
 
-    WrittenVersions levels_;
-    std::map<coordinator::SessionId, Live> sessions_;
-    wire::Status now_;
-    std::uint64_t epochs_ = 0, ids_ = 0, revisions_ = 0;
+    WrittenVersions written_versions_;
+    std::map<coordinator::SessionId, SessionInfo> sessions_;
+    wire::Status migration_;
+    std::uint64_t last_epoch_ = 0, last_id_ = 0, last_revision_ = 0;
 };
 
 }  // namespace ochrehub::schema_migration
--- a/src/fleet/schema_migration/owner.h
+++ b/src/fleet/schema_migration/owner.h
@@ -21,76 +21,77 @@
 namespace ochrehub::schema_migration {
 
 struct OwnerSettings {
-    bool willing = true;        ///< asks for what nobody owns
-    std::uint32_t batch = 200;  ///< groups in one order
-    std::size_t window = 2;     ///< shards at once
-    double per_s = 20'000;      ///< groups a second, over all shards
-    double yields_from = 0.7,
-           yields_to = 0.95;  ///< load at which it begins to slow down, and at which it is at its least
-    double least = 0.05;      ///< part of its pace that it never goes below
-    Duration patience{1000};  ///< for an answer, then it asks again
-    Duration again{200},
-        again_most{5000};  ///< between tries of a shard that could not go on, doubled each time
-    int tries = 6;         ///< then the migration is stopped
+    bool can_own = true;                    ///< asks for what nobody owns
+    std::uint32_t groups_per_order = 200;   ///< groups in one order
+    std::size_t max_concurrent_shards = 2;  ///< shards at once
+    double groups_per_second = 20'000;      ///< groups a second, over all shards
+    double slowdown_start_load = 0.7,
+           slowdown_end_load =
+               0.95;         ///< load at which it begins to slow down, and at which it is at its least
+    double min_pace = 0.05;  ///< part of its pace that it never goes below
+    Duration response_timeout{1000};  ///< for an answer, then it asks again
+    Duration initial_retry_delay{200},
+        max_retry_delay{5000};  ///< between tries of a shard that could not go on, doubled each time
+    int max_attempts = 6;       ///< then the migration is stopped
 };
 
 // ---- What happens
-struct Woken {};
-struct Told {  ///< by the keepers: with a renewal's answer or that to a command
+struct TimerFired {};
+struct NewsReceived {  ///< by the keepers: with a renewal's answer or that to a command
     wire::News news;
     TimePoint until;  ///< the session's end, by this process's clock, its margin taken off
 };
-struct Replied {
+struct ReplyReceived {
     wire::Reply reply;
 };
-using OwnerEvent = std::variant<Woken, Told, Replied>;
+using OwnerEvent = std::variant<TimerFired, NewsReceived, ReplyReceived>;
 
 // ---- What is to be done about it
-struct Give {  ///< to whoever holds the shard now
+struct SendOrder {  ///< to whoever holds the shard now
     wire::Order order;
 };
-struct Propose {  ///< to the keepers; what they answer comes back as Told
+struct SubmitCommand {  ///< to the keepers; what they answer comes back as NewsReceived
     wire::Command command;
 };
-struct WakeAt {
+struct SetTimer {
     TimePoint at;
 };
-using OwnerAction = std::variant<Give, Propose, WakeAt>;
+using OwnerAction = std::variant<SendOrder, SubmitCommand, SetTimer>;
 using OwnerActions = std::vector<OwnerAction>;
 
 class Owner {
 public:
-    explicit Owner(const OwnerSettings& settings) : set_(settings) {}
+    explicit Owner(const OwnerSettings& settings) : settings_(settings) {}
     void handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions);
 
-    bool owns() const { return owns_; }
-    std::uint64_t orders() const { return orders_; }
+    bool is_owner() const { return is_owner_; }
+    std::uint64_t orders() const { return orders_sent_; }
 
 private:
     struct Shard {
-        bool looked = false, done = false;  ///< under this epoch and stage
-        bool out = false;                   ///< an order is
-        TimePoint next{};                   ///< out: when it is given up; else when it may be asked again
-        int failed = 0;
-        std::uint64_t groups = 0;           ///< that it is known to be through with
-        std::optional<wire::Command> said;  ///< to the keepers, and not yet seen in what they tell
+        bool is_state_known = false, done = false;  ///< under this epoch and stage
+        bool is_order_pending = false;              ///< an order is
+        TimePoint next_at{};  ///< out: when it is given up; else when it may be asked again
+        int failures = 0;
+        std::uint64_t groups = 0;                     ///< that it is known to be through with
+        std::optional<wire::Command> pending_report;  ///< to the keepers, and not yet seen in what they tell
     };
 
-    void on(const Woken&) {}
-    void on(const Told& told);
-    void on(const Replied& replied);
-    void act(OwnerActions& actions);
-    void order(std::uint32_t shard, OwnerActions& actions);
-    Duration pause(std::uint64_t groups) const;
+    void handle_event(const TimerFired&) {}
+    void handle_event(const NewsReceived& event);
+    void handle_event(const ReplyReceived& event);
+    void produce_actions(OwnerActions& actions);
+    void send_order(std::uint32_t shard, OwnerActions& actions);
+    Duration pacing_delay(std::uint64_t groups) const;
 
-    OwnerSettings set_;
-    TimePoint now_{}, until_{}, next_order_{}, asked_{};
-    bool owns_ = false, asks_ = false, asked_once_ = false;
+    OwnerSettings settings_;
+    TimePoint now_{}, until_{}, next_order_{}, requested_at_{};
+    bool is_owner_ = false, wants_ownership_ = false, has_requested_ = false;
     wire::Status status_;
     std::vector<Shard> shards_;
-    std::uint32_t at_ = 0;  ///< the shard after the one that was served last
+    std::uint32_t current_shard_ = 0;  ///< the shard after the one that was served last
     double load_ = 0;
-    std::uint64_t orders_ = 0;
+    std::uint64_t orders_sent_ = 0;
 };
 
 }  // namespace ochrehub::schema_migration
--- a/src/fleet/schema_migration/receiver.cpp
+++ b/src/fleet/schema_migration/receiver.cpp
@@ -15,13 +15,13 @@
 using schema::Group;
 using schema::Version;
 
-Group group_of(const google::protobuf::RepeatedPtrField<wire::Rec>& records) {
+Group to_group(const google::protobuf::RepeatedPtrField<wire::Rec>& records) {
     Group group;
     group.reserve(std::size_t(records.size()));
     for (const wire::Rec& record : records) group.push_back({record.key(), record.value()});
     return group;
 }
-void put(const Group& group, google::protobuf::RepeatedPtrField<wire::Rec>& records) {
+void write_records(const Group& group, google::protobuf::RepeatedPtrField<wire::Rec>& records) {
     records.Clear();
     for (const schema::Record& record : group) {
         wire::Rec& to = *records.Add();
@@ -29,21 +29,21 @@
     }
 }
 /// A group as it is stored: by schema, each form that is there.
-class Forms {
+class SchemaVersions {
 public:
-    explicit Forms(const std::string& octets) : sound_(stored_.ParseFromString(octets)) {}
-    bool sound() const { return sound_; }
+    explicit SchemaVersions(const std::string& bytes) : is_valid_(stored_.ParseFromString(bytes)) {}
+    bool is_valid() const { return is_valid_; }
     bool has(Version schema) const { return find(schema) != nullptr; }
     Group get(Version schema) const {
         const wire::Form* form = find(schema);
-        return form ? group_of(form->records()) : Group();
+        return form ? to_group(form->records()) : Group();
     }
     void set(Version schema, const Group& group) {
         for (wire::Form& form : *stored_.mutable_forms())
-            if (form.schema() == schema) return put(group, *form.mutable_records());
+            if (form.schema() == schema) return write_records(group, *form.mutable_records());
         wire::Form& form = *stored_.add_forms();
         form.set_schema(schema);
-        put(group, *form.mutable_records());
+        write_records(group, *form.mutable_records());
     }
     /// All but this one; false: there was nothing else.
     bool keep_only(Version schema) {
@@ -55,7 +55,7 @@
         return forms.size() != before;
     }
     /// Empty where no form has a record.
-    std::string octets() const {
+    std::string bytes() const {
         bool any = std::any_of(stored_.forms().begin(), stored_.forms().end(),
                                [](const auto& form) { return form.records_size() > 0; });
         return any ? stored_.SerializeAsString() : std::string();
@@ -68,7 +68,7 @@
         return nullptr;
     }
     wire::Stored stored_;
-    bool sound_;
+    bool is_valid_;
 };
 
 std::uint64_t digest(std::string_view name, const Group& group) {
@@ -79,18 +79,18 @@
     }
     return hash;
 }
-std::uint64_t added(std::uint64_t a, std::uint64_t b) {
+std::uint64_t saturating_add(std::uint64_t a, std::uint64_t b) {
     return b > std::numeric_limits<std::uint64_t>::max() - a ? std::numeric_limits<std::uint64_t>::max()
                                                              : a + b;
 }
-void fail(wire::Reply& reply, Error error, std::string_view about = {}) {
+void set_error(wire::Reply& reply, Error error, std::string_view about = {}) {
     reply.set_error(on_wire(error)), reply.set_about(std::string(about));
 }
-void fail(wire::Given& given, Error error, std::string_view about = {}) {
+void set_error(wire::Given& given, Error error, std::string_view about = {}) {
     given.set_error(on_wire(error)), given.set_about(std::string(about));
 }
 /// A name that may be said in a log: clients' names are octets.
-std::string shown(std::string_view name) {
+std::string printable(std::string_view name) {
     std::string text;
     for (char c : name.substr(0, 64)) text += c >= ' ' && c <= '~' ? c : '?';
     return text;
@@ -98,18 +98,18 @@
 
 }  // namespace
 
-Receiver::Receiver(Settings settings, Records& records) : set_(std::move(settings)), records_(records) {}
+Receiver::Receiver(Settings settings, Records& records) : settings_(std::move(settings)), records_(records) {}
 
 Receiver::State Receiver::state(std::uint32_t shard) const {
     State state;
-    std::string octets = records_.state(shard);
-    if (octets.empty() || !state.ParseFromString(octets)) {
+    std::string bytes = records_.state(shard);
+    if (bytes.empty() || !state.ParseFromString(bytes)) {
         state.Clear();
-        state.set_from(set_.first), state.set_to(set_.first);
+        state.set_from(settings_.initial_version), state.set_to(settings_.initial_version);
     }
     return state;
 }
-bool Receiver::keep(std::uint32_t shard, const State& state) {
+bool Receiver::store_state(std::uint32_t shard, const State& state) {
     return records_.set_state(shard, state.SerializeAsString());
 }
 ShardForm Receiver::form(std::uint32_t shard) const {
@@ -123,7 +123,7 @@
 
 schema::Result Receiver::convert(Version from, Version to, const Group& group) const {
     try {
-        return set_.convert(set_.kind, from, to, group);
+        return settings_.convert(settings_.kind, from, to, group);
     } catch (const std::exception& e) {
         return schema::Failure{schema::Error::Malformed, e.what()};
     }
@@ -131,93 +131,96 @@
 
 // ---- Those who read and write
 
-bool Receiver::takes(const State& state, Version schema, Error& why) const {
-    Version least = state.from(), most = state.from();
+bool Receiver::accepts(const State& state, Version schema, Error& why) const {
+    Version min = state.from(), max = state.from();
     switch (ShardForm(state.form())) {
         case ShardForm::Plain:
         case ShardForm::Unwidening:
             break;
         case ShardForm::Wide:
-            least = std::min(state.from(), state.to()), most = std::max(state.from(), state.to());
+            min = std::min(state.from(), state.to()), max = std::max(state.from(), state.to());
             break;
         case ShardForm::Switched:
         case ShardForm::Narrowing:
-            least = most = state.to();
+            min = max = state.to();
             break;
     }
-    why = schema < least ? Error::OldLevel : Error::NewLevel;
-    return least <= schema && schema <= most;
+    why = schema < min ? Error::OldLevel : Error::NewLevel;
+    return min <= schema && schema <= max;
 }
 
 wire::Given Receiver::handle(const wire::Ask& ask) {
     wire::Given given;
     given.set_id(ask.id());
-    if (set_.holds && !set_.holds(ask.shard())) {
-        fail(given, Error::Elsewhere);
+    if (settings_.holds_shard && !settings_.holds_shard(ask.shard())) {
+        set_error(given, Error::Elsewhere);
         return given;
     }
     State now = state(ask.shard());
     given.set_schema(writes(ask.shard()));
     Error why{};
-    if (ask.kind() != std::uint32_t(set_.kind) || ask.group().empty())
-        fail(given, Error::Malformed);
-    else if (!takes(now, ask.schema(), why))
-        fail(given, why,
-             "writes " + std::to_string(given.schema()) + ", not " + std::to_string(ask.schema()));
+    if (ask.kind() != std::uint32_t(settings_.kind) || ask.group().empty())
+        set_error(given, Error::Malformed);
+    else if (!accepts(now, ask.schema(), why))
+        set_error(given, why,
+                  "writes " + std::to_string(given.schema()) + ", not " + std::to_string(ask.schema()));
     else if (ask.writes())
-        take(now, ask, given);
+        write_group(now, ask, given);
     else
-        give(now, ask, given);
+        read_group(now, ask, given);
     if (given.error() && ask.writes() && from_wire(given.error()) != Error::Changed)
-        ++refusals_, ++refused_[ask.shard()];
+        ++refusals_, ++refusals_by_shard_[ask.shard()];
     return given;
 }
 
-void Receiver::give(const State& state, const wire::Ask& ask, wire::Given& given) const {
-    Records::Held held = records_.read(ask.shard(), ask.group());
+void Receiver::read_group(const State& state, const wire::Ask& ask, wire::Given& given) const {
+    Records::StoredGroup held = records_.read(ask.shard(), ask.group());
     given.set_version(held.version);
-    if (held.octets.empty()) return;
-    Forms forms(held.octets);
-    if (!forms.sound()) return fail(given, Error::Malformed, shown(ask.group()));
-    if (forms.has(ask.schema())) return put(forms.get(ask.schema()), *given.mutable_records());
+    if (held.bytes.empty()) return;
+    SchemaVersions versions(held.bytes);
+    if (!versions.is_valid()) return set_error(given, Error::Malformed, printable(ask.group()));
+    if (versions.has(ask.schema()))
+        return write_records(versions.get(ask.schema()), *given.mutable_records());
     // Not converted yet, or no longer there: made of the other one.
     Version other = ask.schema() == state.from() ? state.to() : state.from();
-    schema::Result made = convert(other, ask.schema(), forms.get(other));
-    if (const Group* group = std::get_if<Group>(&made)) return put(*group, *given.mutable_records());
-    fail(given, Error::Conversion, shown(ask.group()));
+    schema::Result converted = convert(other, ask.schema(), versions.get(other));
+    if (const Group* group = std::get_if<Group>(&converted))
+        return write_records(*group, *given.mutable_records());
+    set_error(given, Error::Conversion, printable(ask.group()));
 }
 
-void Receiver::take(const State& state, const wire::Ask& ask, wire::Given& given) {
-    Group written = group_of(ask.records());
+void Receiver::write_group(const State& state, const wire::Ask& ask, wire::Given& given) {
+    Group written = to_group(ask.records());
     for (const schema::Record& record : written)
-        if (schema::group_of(set_.kind, ask.schema(), record.key) != ask.group())
-            return fail(given, Error::Malformed, shown(ask.group()));
-    schema::Result taken = schema::canonical(set_.kind, ask.schema(), written);
-    if (!std::holds_alternative<Group>(taken)) return fail(given, Error::Malformed, shown(ask.group()));
+        if (schema::group_of(settings_.kind, ask.schema(), record.key) != ask.group())
+            return set_error(given, Error::Malformed, printable(ask.group()));
+    schema::Result taken = schema::canonical(settings_.kind, ask.schema(), written);
+    if (!std::holds_alternative<Group>(taken))
+        return set_error(given, Error::Malformed, printable(ask.group()));
     const Group& group = std::get<Group>(taken);
-    Forms forms{std::string()};
-    forms.set(ask.schema(), group);
+    SchemaVersions versions{std::string()};
+    versions.set(ask.schema(), group);
     auto form = ShardForm(state.form());
     if (form == ShardForm::Wide || form == ShardForm::Switched) {
         Version other = ask.schema() == state.from() ? state.to() : state.from();
-        schema::Result made = convert(ask.schema(), other, group);
-        if (const Group* both = std::get_if<Group>(&made)) {
-            forms.set(other, *both);
+        schema::Result converted = convert(ask.schema(), other, group);
+        if (const Group* both = std::get_if<Group>(&converted)) {
+            versions.set(other, *both);
         } else if (form == ShardForm::Switched || ask.schema() != state.from()) {
             // Without the other form the way back would lose it.
-            return fail(given, Error::Conversion, shown(ask.group()));
+            return set_error(given, Error::Conversion, printable(ask.group()));
         }
         // Else it stands in the form that counts; converting meets it again and stops there.
     }
-    switch (records_.write(ask.shard(), ask.group(), ask.version(), forms.octets())) {
-        case Records::Wrote::Done:
+    switch (records_.write(ask.shard(), ask.group(), ask.version(), versions.bytes())) {
+        case Records::WriteResult::Done:
             given.set_version(records_.read(ask.shard(), ask.group()).version);
             break;
-        case Records::Wrote::Changed:
-            fail(given, Error::Changed);
+        case Records::WriteResult::Changed:
+            set_error(given, Error::Changed);
             break;
-        case Records::Wrote::Full:
-            fail(given, Error::Full);
+        case Records::WriteResult::Full:
+            set_error(given, Error::Full);
             break;
     }
 }
@@ -225,24 +228,24 @@
 // ---- The owner's orders
 
 /// The first of a new migration, epoch or stage shuts out all before it. False: this is one of those.
-bool Receiver::enter(State& state, const wire::Order& order, wire::Reply& reply) const {
-    if (order.kind() != std::uint32_t(set_.kind) || order.stage() > std::uint32_t(Stage::Undone) ||
+bool Receiver::enter_stage(State& state, const wire::Order& order, wire::Reply& reply) const {
+    if (order.kind() != std::uint32_t(settings_.kind) || order.stage() > std::uint32_t(Stage::Undone) ||
         !works(Stage(order.stage()))) {
-        fail(reply, Error::Malformed);
+        set_error(reply, Error::Malformed);
         return false;
     }
     if (order.migration() < state.migration() || order.epoch() < state.epoch() ||
         order.revision() < state.revision()) {
-        fail(reply, Error::Stale);
+        set_error(reply, Error::Stale);
         return false;
     }
-    bool anew = order.revision() > state.revision();
+    bool is_new_stage = order.revision() > state.revision();
     state.set_migration(order.migration()), state.set_epoch(order.epoch()),
         state.set_revision(order.revision());
-    if (!anew) return true;
+    if (!is_new_stage) return true;
     state.clear_cursor(), state.set_done(false), state.clear_counts();
     auto form = ShardForm(state.form());
-    bool both = form == ShardForm::Wide || form == ShardForm::Switched;
+    bool has_both = form == ShardForm::Wide || form == ShardForm::Switched;
     auto become = [&](ShardForm next) { state.set_form(std::uint32_t(next)); };
     Version plain = form == ShardForm::Plain ? state.from() : 0;
     // A stage may begin anew: a shard that is through with it, or in it, is as good.
@@ -260,10 +263,10 @@
             if (form == ShardForm::Wide) return true;
             break;
         case Stage::Switch:
-            if (both) return become(ShardForm::Switched), true;
+            if (has_both) return become(ShardForm::Switched), true;
             break;
         case Stage::Unswitch:
-            if (both) return become(ShardForm::Wide), true;
+            if (has_both) return become(ShardForm::Wide), true;
             break;
         case Stage::Narrow:
             if (form == ShardForm::Switched || form == ShardForm::Narrowing)
@@ -279,9 +282,9 @@
         default:
             break;
     }
-    fail(reply, Error::Malformed,
-         "shard " + std::to_string(order.shard()) + " is in no form for " +
-             std::string(name(Stage(order.stage()))));
+    set_error(reply, Error::Malformed,
+              "shard " + std::to_string(order.shard()) + " is in no form for " +
+                  std::string(name(Stage(order.stage()))));
     return false;
 }
 
@@ -290,48 +293,48 @@
     reply.set_migration(order.migration()), reply.set_epoch(order.epoch()),
         reply.set_revision(order.revision());
     reply.set_shard(order.shard()), reply.set_looked(order.most() == 0);
-    if (set_.holds && !set_.holds(order.shard())) {
-        fail(reply, Error::Elsewhere);
+    if (settings_.holds_shard && !settings_.holds_shard(order.shard())) {
+        set_error(reply, Error::Elsewhere);
         return reply;
     }
     State before = state(order.shard()), now = before;
-    if (!enter(now, order, reply)) return reply;
-    bool went = order.most() == 0 || now.done() || step(order, now, reply);
+    if (!enter_stage(now, order, reply)) return reply;
+    bool is_done = order.most() == 0 || now.done() || run_step(order, now, reply);
     // What was done before it failed stands, and is done again where this is not written.
-    if (now.SerializeAsString() != before.SerializeAsString() && !keep(order.shard(), now)) {
-        fail(reply, Error::Full);
-        went = false;
+    if (now.SerializeAsString() != before.SerializeAsString() && !store_state(order.shard(), now)) {
+        set_error(reply, Error::Full);
+        is_done = false;
     }
-    if (went) {
+    if (is_done) {
         reply.set_done(now.done());
         *reply.mutable_counts() = now.counts();
     }
-    reply.mutable_counts()->set_refusals(refused_[order.shard()]);
+    reply.mutable_counts()->set_refusals(refusals_by_shard_[order.shard()]);
     return reply;
 }
 
-bool Receiver::step(const wire::Order& order, State& state, wire::Reply& reply) {
+bool Receiver::run_step(const wire::Order& order, State& state, wire::Reply& reply) {
     auto stage = Stage(order.stage());
     if (stage == Stage::Widen || stage == Stage::Switch || stage == Stage::Unswitch) {
         state.set_done(true);  // its form has changed: that is all
         return true;
     }
-    std::size_t most = std::min(order.most(), set_.step_most);
+    std::size_t max_groups = std::min(order.most(), settings_.max_groups_per_step);
     Records::Page page;
-    records_.scan(order.shard(), state.cursor(), most, page);
+    records_.scan(order.shard(), state.cursor(), max_groups, page);
     // Writes by others may come between the scan and ours only where this is not called under the shard's
     // lock; the version tells.
     for (const auto& [name, held] : page) {
-        bool went = true;
-        if (stage == Stage::Convert) went = widen_group(order.shard(), state, name, held, reply);
+        bool is_done = true;
+        if (stage == Stage::Convert) is_done = convert_group(order.shard(), state, name, held, reply);
         if (stage == Stage::Compare) compare_group(state, name, held);
-        if (stage == Stage::Narrow) went = drop(order.shard(), name, held, state.to(), reply);
-        if (stage == Stage::Unwiden) went = drop(order.shard(), name, held, state.from(), reply);
-        if (!went) return false;
+        if (stage == Stage::Narrow) is_done = drop_version(order.shard(), name, held, state.to(), reply);
+        if (stage == Stage::Unwiden) is_done = drop_version(order.shard(), name, held, state.from(), reply);
+        if (!is_done) return false;
         state.set_cursor(name);
         if (stage != Stage::Compare) state.mutable_counts()->set_groups(state.counts().groups() + 1);
     }
-    if (page.size() == most) return true;
+    if (page.size() == max_groups) return true;
     state.set_done(true);
     if (stage == Stage::Narrow || stage == Stage::Unwiden) {
         if (stage == Stage::Narrow) state.set_from(state.to());
@@ -341,56 +344,58 @@
     return true;
 }
 
-bool Receiver::widen_group(std::uint32_t shard, const State& state, const std::string& name,
-                           const Records::Held& held, wire::Reply& reply) {
-    Forms forms(held.octets);
-    schema::Result made = schema::Failure{};
-    if (forms.sound() && forms.has(state.from()))
-        made = convert(state.from(), state.to(), forms.get(state.from()));
-    const Group* group = std::get_if<Group>(&made);
+bool Receiver::convert_group(std::uint32_t shard, const State& state, const std::string& name,
+                             const Records::StoredGroup& held, wire::Reply& reply) {
+    SchemaVersions versions(held.bytes);
+    schema::Result converted = schema::Failure{};
+    if (versions.is_valid() && versions.has(state.from()))
+        converted = convert(state.from(), state.to(), versions.get(state.from()));
+    const Group* group = std::get_if<Group>(&converted);
     if (!group) {
-        fail(reply, Error::Conversion, shown(name));
+        set_error(reply, Error::Conversion, printable(name));
         return false;
     }
-    if (forms.has(state.to()) && forms.get(state.to()) == *group) return true;
-    forms.set(state.to(), *group);
-    switch (records_.write(shard, name, held.version, forms.octets())) {
-        case Records::Wrote::Done:
+    if (versions.has(state.to()) && versions.get(state.to()) == *group) return true;
+    versions.set(state.to(), *group);
+    switch (records_.write(shard, name, held.version, versions.bytes())) {
+        case Records::WriteResult::Done:
             return true;
-        case Records::Wrote::Changed:
-            fail(reply, Error::Changed, shown(name));
+        case Records::WriteResult::Changed:
+            set_error(reply, Error::Changed, printable(name));
             return false;
-        case Records::Wrote::Full:
-            fail(reply, Error::Full, shown(name));
+        case Records::WriteResult::Full:
+            set_error(reply, Error::Full, printable(name));
             return false;
     }
     return false;
 }
 
-void Receiver::compare_group(State& state, const std::string& name, const Records::Held& held) const {
+void Receiver::compare_group(State& state, const std::string& name, const Records::StoredGroup& held) const {
     wire::Counts& counts = *state.mutable_counts();
-    Forms forms(held.octets);
-    Group from = forms.get(state.from()), to = forms.get(state.to());
-    schema::Result made = convert(state.from(), state.to(), from);
-    const Group* as = std::get_if<Group>(&made);
-    auto sums_from = schema::spent(set_.kind, state.from(), from),
-         sums_to = schema::spent(set_.kind, state.to(), to);
+    SchemaVersions versions(held.bytes);
+    Group from = versions.get(state.from()), to = versions.get(state.to());
+    schema::Result converted = convert(state.from(), state.to(), from);
+    const Group* as = std::get_if<Group>(&converted);
+    auto sums_from = schema::spent(settings_.kind, state.from(), from),
+         sums_to = schema::spent(settings_.kind, state.to(), to);
     // And back: a step that loses something would lose it in both, and be the same.
     schema::Result back = convert(state.to(), state.from(), to);
-    if (const Group* group = std::get_if<Group>(&back)) back = schema::bare(set_.kind, state.from(), *group);
-    schema::Result bare = schema::bare(set_.kind, state.from(), from);
+    if (const Group* group = std::get_if<Group>(&back))
+        back = schema::bare(settings_.kind, state.from(), *group);
+    schema::Result bare = schema::bare(settings_.kind, state.from(), from);
     bool returns = std::holds_alternative<Group>(back) && std::holds_alternative<Group>(bare) &&
                    std::get<Group>(back) == std::get<Group>(bare);
-    bool same = forms.sound() && as && *as == to && returns && sums_from.index() == 0 && sums_to.index() == 0;
+    bool same =
+        versions.is_valid() && as && *as == to && returns && sums_from.index() == 0 && sums_to.index() == 0;
     if (sums_from.index() == 0 && sums_to.index() == 0) {
         // Partner by partner, so that one's loss is not another's gain.
         const auto &before = std::get<schema::Spent>(sums_from), &behind = std::get<schema::Spent>(sums_to);
         for (const auto& [tenant, sum] : before) {
             auto found = behind.find(tenant);
             if (found == behind.end() || found->second < sum) same = false;
-            counts.set_spent_from(added(counts.spent_from(), sum));
+            counts.set_spent_from(saturating_add(counts.spent_from(), sum));
         }
-        for (const auto& [tenant, sum] : behind) counts.set_spent_to(added(counts.spent_to(), sum));
+        for (const auto& [tenant, sum] : behind) counts.set_spent_to(saturating_add(counts.spent_to(), sum));
     }
     counts.set_groups(counts.groups() + 1);
     counts.set_records_from(counts.records_from() + from.size()),
@@ -398,20 +403,21 @@
     counts.set_digest_from(counts.digest_from() + digest(name, as ? *as : Group()));
     counts.set_digest_to(counts.digest_to() + digest(name, to));
     if (same) return;
-    if (counts.differ() == 0) counts.set_differs(shown(name));
+    if (counts.differ() == 0) counts.set_differs(printable(name));
     counts.set_differ(counts.differ() + 1);
 }
 
-bool Receiver::drop(std::uint32_t shard, const std::string& name, const Records::Held& held, Version stays,
-                    wire::Reply& reply) {
-    Forms forms(held.octets);
-    if (!forms.sound() || !forms.has(stays)) {  // what would be lost with it is left, and said
-        fail(reply, Error::Conversion, shown(name));
+bool Receiver::drop_version(std::uint32_t shard, const std::string& name, const Records::StoredGroup& held,
+                            Version stays, wire::Reply& reply) {
+    SchemaVersions versions(held.bytes);
+    if (!versions.is_valid() || !versions.has(stays)) {  // what would be lost with it is left, and said
+        set_error(reply, Error::Conversion, printable(name));
         return false;
     }
-    if (!forms.keep_only(stays)) return true;
-    if (records_.write(shard, name, held.version, forms.octets()) == Records::Wrote::Done) return true;
-    fail(reply, Error::Changed, shown(name));
+    if (!versions.keep_only(stays)) return true;
+    if (records_.write(shard, name, held.version, versions.bytes()) == Records::WriteResult::Done)
+        return true;
+    set_error(reply, Error::Changed, printable(name));
     return false;
 }
 
--- a/src/fleet/schema_migration/receiver.h
+++ b/src/fleet/schema_migration/receiver.h
@@ -34,10 +34,10 @@
         std::function<schema::Result(schema::Kind, schema::Version from, schema::Version to, schema::Group)>;
     struct Settings {
         schema::Kind kind = schema::Kind::Sessions;
-        schema::Version first = 1;          ///< the level of a shard that was never migrated
-        std::uint32_t step_most = 1000;     ///< groups in one step, whatever the owner asks for
-        Convert convert = schema::convert;  ///< what it throws is a conversion that failed
-        std::function<bool(std::uint32_t shard)> holds = nullptr;  ///< none: all
+        schema::Version initial_version = 1;       ///< the level of a shard that was never migrated
+        std::uint32_t max_groups_per_step = 1000;  ///< groups in one step, whatever the owner asks for
+        Convert convert = schema::convert;         ///< what it throws is a conversion that failed
+        std::function<bool(std::uint32_t shard)> holds_shard = nullptr;  ///< none: all
     };
     Receiver(Settings settings, Records& records);
 
@@ -52,23 +52,23 @@
 private:
     using State = wire::Shard;
     State state(std::uint32_t shard) const;
-    bool keep(std::uint32_t shard, const State& state);
-    bool takes(const State& state, schema::Version schema, Error& why) const;
+    bool store_state(std::uint32_t shard, const State& state);
+    bool accepts(const State& state, schema::Version schema, Error& why) const;
     schema::Result convert(schema::Version from, schema::Version to, const schema::Group& group) const;
-    void give(const State& state, const wire::Ask& ask, wire::Given& given) const;
-    void take(const State& state, const wire::Ask& ask, wire::Given& given);
-    bool enter(State& state, const wire::Order& order, wire::Reply& reply) const;
+    void read_group(const State& state, const wire::Ask& ask, wire::Given& given) const;
+    void write_group(const State& state, const wire::Ask& ask, wire::Given& given);
+    bool enter_stage(State& state, const wire::Order& order, wire::Reply& reply) const;
     /// One bounded step; false: it could not go on, and `reply` says why.
-    bool step(const wire::Order& order, State& state, wire::Reply& reply);
-    bool widen_group(std::uint32_t shard, const State& state, const std::string& name,
-                     const Records::Held& held, wire::Reply& reply);
-    void compare_group(State& state, const std::string& name, const Records::Held& held) const;
-    bool drop(std::uint32_t shard, const std::string& name, const Records::Held& held, schema::Version stays,
-              wire::Reply& reply);
+    bool run_step(const wire::Order& order, State& state, wire::Reply& reply);
+    bool convert_group(std::uint32_t shard, const State& state, const std::string& name,
+                       const Records::StoredGroup& held, wire::Reply& reply);
+    void compare_group(State& state, const std::string& name, const Records::StoredGroup& held) const;
+    bool drop_version(std::uint32_t shard, const std::string& name, const Records::StoredGroup& held,
+                      schema::Version stays, wire::Reply& reply);
 
-    Settings set_;
+    Settings settings_;
     Records& records_;
-    std::map<std::uint32_t, std::uint64_t> refused_;  ///< by shard, since this one began
+    std::map<std::uint32_t, std::uint64_t> refusals_by_shard_;  ///< by shard, since this one began
     std::uint64_t refusals_ = 0;
 };
 
--- a/src/fleet/schema_migration/records.h
+++ b/src/fleet/schema_migration/records.h
@@ -15,22 +15,22 @@
 
 class Records {
 public:
-    enum class Wrote : std::uint8_t {
+    enum class WriteResult : std::uint8_t {
         Done,
         Changed,  ///< the version that stands is another
         Full,     ///< no room; nothing was changed
     };
-    struct Held {
-        std::string octets;
+    struct StoredGroup {
+        std::string bytes;
         std::uint64_t version = 0;  ///< rises with each write; zero: there is none
     };
-    using Page = std::vector<std::pair<std::string, Held>>;
+    using Page = std::vector<std::pair<std::string, StoredGroup>>;
 
     virtual ~Records() = default;
-    virtual Held read(std::uint32_t shard, std::string_view group) const = 0;
+    virtual StoredGroup read(std::uint32_t shard, std::string_view group) const = 0;
     /// Compare and swap. Empty octets erase.
-    virtual Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                        std::string octets) = 0;
+    virtual WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                              std::string bytes) = 0;
     /// Appends at most `most` groups behind `after`, by name.
     virtual void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const = 0;
     /// The shard's own record, which lasts as long as its groups do.
@@ -41,30 +41,30 @@
 /// In memory, with a bound for each shard: for tests and the lab.
 class MemoryRecords : public Records {
 public:
-    explicit MemoryRecords(std::size_t most = ~std::size_t(0)) : most_(most) {}
+    explicit MemoryRecords(std::size_t most = ~std::size_t(0)) : max_bytes_(most) {}
 
-    Held read(std::uint32_t shard, std::string_view group) const override {
+    StoredGroup read(std::uint32_t shard, std::string_view group) const override {
         auto s = shards_.find(shard);
         if (s == shards_.end()) return {};
         auto found = s->second.groups.find(group);
-        return found == s->second.groups.end() ? Held() : found->second;
+        return found == s->second.groups.end() ? StoredGroup() : found->second;
     }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string bytes) override {
         Shard& s = shards_[shard];
         auto found = s.groups.find(group);
         bool there = found != s.groups.end();
-        if ((there ? found->second.version : 0) != version) return Wrote::Changed;
-        std::size_t before = there ? found->second.octets.size() : 0;
-        if (octets.size() > before && s.octets - before + octets.size() > most_) return Wrote::Full;
-        s.octets += octets.size() - before;
-        if (octets.empty()) {
+        if ((there ? found->second.version : 0) != version) return WriteResult::Changed;
+        std::size_t before = there ? found->second.bytes.size() : 0;
+        if (bytes.size() > before && s.bytes - before + bytes.size() > max_bytes_) return WriteResult::Full;
+        s.bytes += bytes.size() - before;
+        if (bytes.empty()) {
             if (there) s.groups.erase(found);
         } else {
-            if (!there) found = s.groups.emplace(group, Held()).first;
-            found->second = {std::move(octets), ++s.versions};
+            if (!there) found = s.groups.emplace(group, StoredGroup()).first;
+            found->second = {std::move(bytes), ++s.versions};
         }
-        return Wrote::Done;
+        return WriteResult::Done;
     }
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
         auto s = shards_.find(shard);
@@ -77,26 +77,26 @@
         auto s = shards_.find(shard);
         return s == shards_.end() ? std::string() : s->second.state;
     }
-    bool set_state(std::uint32_t shard, std::string octets) override {
-        shards_[shard].state = std::move(octets);
+    bool set_state(std::uint32_t shard, std::string bytes) override {
+        shards_[shard].state = std::move(bytes);
         return true;
     }
-    void bound(std::size_t most) { most_ = most; }
-    std::size_t octets(std::uint32_t shard) const {
+    void set_max_bytes(std::size_t max_bytes) { max_bytes_ = max_bytes; }
+    std::size_t bytes(std::uint32_t shard) const {
         auto s = shards_.find(shard);
-        return s == shards_.end() ? 0 : s->second.octets;
+        return s == shards_.end() ? 0 : s->second.bytes;
     }
 
 private:
     struct Shard {
-        std::map<std::string, Held, std::less<>> groups;
+        std::map<std::string, StoredGroup, std::less<>> groups;
         std::string state;
-        std::size_t octets = 0;
+        std::size_t bytes = 0;
         std::uint64_t versions =
             0;  ///< of the shard, so that a group written anew has no version that another had
     };
     std::map<std::uint32_t, Shard> shards_;
-    std::size_t most_;
+    std::size_t max_bytes_;
 };
 
 }  // namespace ochrehub::schema_migration
--- a/tests/fleet/schema_migration_test.cpp
+++ b/tests/fleet/schema_migration_test.cpp
@@ -91,7 +91,7 @@
     }
 };
 
-TEST(Machine, GoesThroughItsStagesAndRaisesTheLevelAtTheSwitch) {
+TEST(MigrationStateMachine, GoesThroughItsStagesAndRaisesTheLevelAtTheSwitch) {
     Fleet fleet;
     EXPECT_EQ(error(fleet.join(1, 3, 4)), "");
     EXPECT_EQ(error(fleet.join(2, 3, 4)), "");
@@ -117,7 +117,7 @@
     EXPECT_EQ(error(fleet.start(3)), "");  // and down again, as a migration of its own
 }
 
-TEST(Machine, WhoCannotReadTheLevelIsRefusedWithWhatToDo) {
+TEST(MigrationStateMachine, WhoCannotReadTheLevelIsRefusedWithWhatToDo) {
     Fleet fleet;
     EXPECT_EQ(error(fleet.join(1, 3, 4)), "");
     EXPECT_EQ(error(fleet.join(2, 1, 2)), "old-release");
@@ -139,7 +139,7 @@
     EXPECT_EQ(fleet.machine.written_versions()[0], 3u);
 }
 
-TEST(Machine, AnOldProcessStopsItBeforeTheSwitch) {
+TEST(MigrationStateMachine, AnOldProcessStopsItBeforeTheSwitch) {
     Fleet fleet;
     fleet.join(1, 3, 4), fleet.join(2, 2, 3);
     EXPECT_EQ(error(fleet.start(4)), "old-process");
@@ -170,7 +170,7 @@
     EXPECT_EQ(fleet.machine.stage(), Stage::Switch);
 }
 
-TEST(Machine, StopsByItselfAndSaysWhy) {
+TEST(MigrationStateMachine, StopsByItselfAndSaysWhy) {
     Fleet fleet;
     fleet.join(1, 3, 4);
     fleet.start(4), fleet.want(1), fleet.pass(1), fleet.pass(1);
@@ -210,7 +210,7 @@
     EXPECT_EQ(from_wire(other.machine.migration().stopped()), Error::Differs);
 }
 
-TEST(Machine, AnOlderOwnerSaysNothingAndAPauseHolds) {
+TEST(MigrationStateMachine, AnOlderOwnerSaysNothingAndAPauseHolds) {
     Fleet fleet;
     fleet.join(1, 3, 4), fleet.join(2, 3, 4);
     fleet.start(4), fleet.want(1);
@@ -230,7 +230,7 @@
     EXPECT_EQ(error(fleet.say(2, late)), "stale");  // of the stage before
 }
 
-TEST(Machine, WhatIsNonsenseChangesNothing) {
+TEST(MigrationStateMachine, WhatIsNonsenseChangesNothing) {
     Fleet fleet;
     fleet.join(1, 3, 4);
     std::string before = fleet.machine.snapshot();
@@ -258,7 +258,7 @@
     EXPECT_EQ(other.snapshot(), before);
 }
 
-TEST(Machine, WhateverIsSaidInWhateverOrderItStaysSound) {
+TEST(MigrationStateMachine, WhateverIsSaidInWhateverOrderItStaysSound) {
     std::uint64_t state = 7;
     auto draw = [&](std::uint64_t below) {
         return ((state = state * 6364136223846793005u + 1442695040888963407u) >> 33) % below;
@@ -399,12 +399,14 @@
         wire::Given given = ask(schema);
         schema::Group group;
         for (const auto& r : given.records()) group.push_back({r.key(), r.value()});
-        judge::Seen seen;
-        return judge::see(Kind::Sessions, schema, group, seen) ? seen.tenants["dealers"].server : "?";
+        judge::Contents contents;
+        return judge::parse_contents(Kind::Sessions, schema, group, contents)
+                   ? contents.tenants["dealers"].server
+                   : "?";
     }
     int forms() {
         wire::Stored stored;
-        stored.ParseFromString(records.read(0, kGroup).octets);
+        stored.ParseFromString(records.read(0, kGroup).bytes);
         return stored.forms_size();
     }
 };
@@ -518,7 +520,7 @@
 TEST(Holder, AFullDiskInTheMiddleOfWidenChangesNothingAndTheWayBackIsOpen) {
     Holding h;
     for (int i = 0; i < 10; ++i) h.put(3, std::uint64_t(i + 1), "c" + std::to_string(i));
-    h.records.bound(h.records.octets(0) * 3 / 2);
+    h.records.set_max_bytes(h.records.bytes(0) * 3 / 2);
     h.order(Stage::Widen);
     wire::Reply reply = h.order(Stage::Convert);
     EXPECT_EQ(error(reply), "full");
@@ -559,18 +561,18 @@
     }
     void tell(double now, coordinator::SessionId session, double until = 10'000) {
         actions.clear();
-        owner.handle(at(now), Told{fleet.news(session), at(until)}, actions);
+        owner.handle(at(now), NewsReceived{fleet.news(session), at(until)}, actions);
     }
     std::vector<wire::Order> orders() {
         std::vector<wire::Order> all;
         for (const auto& action : actions)
-            if (const auto* give = std::get_if<Give>(&action)) all.push_back(give->order);
+            if (const auto* give = std::get_if<SendOrder>(&action)) all.push_back(give->order);
         return all;
     }
     std::vector<wire::Command> proposals() {
         std::vector<wire::Command> all;
         for (const auto& action : actions)
-            if (const auto* propose = std::get_if<Propose>(&action)) all.push_back(propose->command);
+            if (const auto* propose = std::get_if<SubmitCommand>(&action)) all.push_back(propose->command);
         return all;
     }
     void reply(double now, const wire::Order& order, bool done, std::uint32_t wrong = 0,
@@ -581,7 +583,7 @@
             reply.set_revision(order.revision());
         reply.set_shard(order.shard()), reply.set_done(done), reply.set_error(wrong), reply.set_load(load);
         actions.clear();
-        owner.handle(at(now), Replied{reply}, actions);
+        owner.handle(at(now), ReplyReceived{reply}, actions);
     }
 };
 
@@ -601,9 +603,9 @@
     o.reply(3, o.orders()[0], true);
     ASSERT_EQ(o.proposals().size(), 1u);
     EXPECT_TRUE(o.proposals()[0].has_did());
-    // It says so again until it is seen to be known, and orders nothing more there.
+    // It says so again until it is contents to be known, and orders nothing more there.
     o.actions.clear();
-    o.owner.handle(at(1500), Woken{}, o.actions);
+    o.owner.handle(at(1500), TimerFired{}, o.actions);
     EXPECT_EQ(o.proposals().size(), 1u);
     o.fleet.say(1, o.proposals()[0]);
     o.tell(1501, 1);
@@ -614,19 +616,19 @@
     o.fleet.want(1);
     o.tell(0, 1, 100);
     wire::Order order = o.orders()[0];
-    EXPECT_TRUE(o.owner.owns());
+    EXPECT_TRUE(o.owner.is_owner());
     o.reply(101, order, false);  // behind a pause: the clock first
-    EXPECT_FALSE(o.owner.owns());
+    EXPECT_FALSE(o.owner.is_owner());
     EXPECT_TRUE(o.orders().empty());
     o.tell(102, 1, 200);
-    EXPECT_TRUE(o.owner.owns());
+    EXPECT_TRUE(o.owner.is_owner());
     o.reply(103, o.orders().at(0), false, on_wire(Error::Stale));
-    EXPECT_FALSE(o.owner.owns());
+    EXPECT_FALSE(o.owner.is_owner());
     EXPECT_TRUE(o.orders().empty());
 }
 TEST(Owner, YieldsToLoadAndAsksAgainWhatWasNotAnswered) {
     OwnerSettings settings;
-    settings.batch = 100, settings.per_s = 10'000, settings.window = 1;
+    settings.groups_per_order = 100, settings.groups_per_second = 10'000, settings.max_concurrent_shards = 1;
     Owning o(settings);
     o.fleet.want(1);
     o.fleet.say(1, o.fleet.did(1));  // one shard is left
@@ -640,7 +642,7 @@
         o.reply(now, order, false, 0, load, groups += 100);
         while (o.orders().empty() && now < from + 5000) {
             o.actions.clear();
-            o.owner.handle(at(now += 1), Woken{}, o.actions);
+            o.owner.handle(at(now += 1), TimerFired{}, o.actions);
         }
         return now - from;
     };
@@ -649,13 +651,13 @@
     EXPECT_NEAR(waits(99), 200, 1);  // a twentieth of it
     EXPECT_NEAR(waits(10), 10, 1);
     o.actions.clear();
-    o.owner.handle(at(3000), Woken{}, o.actions);
+    o.owner.handle(at(3000), TimerFired{}, o.actions);
     ASSERT_EQ(o.orders().size(), 1u);
     EXPECT_EQ(o.orders()[0].most(), 0u);  // it asks before it repeats
 }
 TEST(Owner, StopsTheMigrationWhereAShardCannotGoOn) {
     OwnerSettings settings;
-    settings.tries = 3;
+    settings.max_attempts = 3;
     Owning o(settings);
     o.fleet.want(1);
     o.tell(0, 1);
@@ -663,7 +665,7 @@
     o.reply(1, order, false, on_wire(Error::Conversion));
     ASSERT_EQ(o.proposals().size(), 0u);
     o.actions.clear();
-    o.owner.handle(at(500), Woken{}, o.actions);
+    o.owner.handle(at(500), TimerFired{}, o.actions);
     ASSERT_EQ(o.proposals().size(), 1u);
     EXPECT_EQ(o.proposals()[0].trouble().error(), on_wire(Error::Conversion));
     o.fleet.say(1, o.proposals()[0]);
