--- a/lab/channel/relay.cpp
+++ b/lab/channel/relay.cpp
@@ -24,8 +24,9 @@
 
 namespace {
 
-constexpr std::size_t kPiece = 16 * 1024;
-constexpr std::size_t kAhead = 1 << 20;  // octets of a direction that are on their way, where it is late
+constexpr std::size_t kReadBytes = 16 * 1024;
+/// Of one direction while its bytes are delayed.
+constexpr std::size_t kMaxBufferedBytes = 1 << 20;
 
 void must_be_loopback(const Relay::Endpoint& at) {
     if (!at.address().is_loopback()) throw std::invalid_argument("not loopback: " + at.address().to_string());
@@ -34,124 +35,129 @@
 }  // namespace
 
 struct Relay::Core {
-    struct Link {
-        bool cut = false;
-        Lost lost = Lost::Held;
-        Duration late{0};
+    struct LinkState {
+        bool is_cut = false;
+        LossMode loss_mode = LossMode::Held;
+        Duration delay{0};
     };
-    /// One connection: what is read on one side waits for its time and goes out on the other.
-    struct Pair : std::enable_shared_from_this<Pair> {
-        struct Piece {
+    /// One relayed connection: bytes read from one socket wait for their delay and are written to the other.
+    struct Connection : std::enable_shared_from_this<Connection> {
+        struct Chunk {
             Steady::time_point due;
-            std::string octets;  ///< empty: the close
+            std::string bytes;  ///< empty: the end of the stream
         };
-        struct Way {
+        struct Stream {
             tcp::socket *from, *to;
             Direction direction;
             asio::steady_timer timer;
-            std::array<char, kPiece> read{};
-            std::deque<Piece> pieces{};
-            std::size_t waits = 0;  ///< octets of them
-            bool reading = false, writing = false, from_over = false, to_over = false;
+            std::array<char, kReadBytes> read{};
+            std::deque<Chunk> chunks{};
+            std::size_t buffered_bytes = 0;  ///< of `chunks`
+            bool is_reading = false, is_writing = false, is_from_closed = false, is_to_closed = false;
         };
-        Pair(Core& c, tcp::socket socket)
+        Connection(Core& c, tcp::socket socket)
             : core(&c),
-              near(std::move(socket)),
-              far(c.io),
-              ways{Way{&near, &far, Direction::Forth, asio::steady_timer(c.io)},
-                   Way{&far, &near, Direction::Back, asio::steady_timer(c.io)}} {}
+              client_socket(std::move(socket)),
+              target_socket(c.io),
+              streams{Stream{&client_socket, &target_socket, Direction::Forward, asio::steady_timer(c.io)},
+                      Stream{&target_socket, &client_socket, Direction::Backward, asio::steady_timer(c.io)}} {
+        }
 
         void start() {
-            far.async_connect(core->target, [self = shared_from_this()](error_code error) {
-                if (self->over) return;
+            target_socket.async_connect(core->target, [self = shared_from_this()](error_code error) {
+                if (self->is_closed) return;
                 if (error) return self->end(true);
                 error_code ignored;
-                self->near.set_option(tcp::no_delay(true), ignored);
-                self->far.set_option(tcp::no_delay(true), ignored);
-                self->connected = true;
-                self->look_again();
+                self->client_socket.set_option(tcp::no_delay(true), ignored);
+                self->target_socket.set_option(tcp::no_delay(true), ignored);
+                self->is_connected = true;
+                self->resume();
             });
         }
-        void look_again() {
-            for (Way& way : ways) read(way), write(way);
+        void resume() {
+            for (Stream& stream : streams) read(stream), write(stream);
         }
-        void read(Way& way) {
-            const Link& link = core->links[std::size_t(way.direction)];
-            if (over || !connected || way.reading || way.from_over || way.waits > kAhead ||
-                (link.cut && link.lost == Lost::Held))
+        void read(Stream& stream) {
+            const LinkState& link = core->links[std::size_t(stream.direction)];
+            if (is_closed || !is_connected || stream.is_reading || stream.is_from_closed ||
+                stream.buffered_bytes > kMaxBufferedBytes ||
+                (link.is_cut && link.loss_mode == LossMode::Held))
                 return;
-            way.reading = true;
-            way.from->async_read_some(
-                asio::buffer(way.read), [self = shared_from_this(), &way](error_code error, std::size_t got) {
-                    if (self->over) return;
-                    way.reading = false;
-                    if (error && error != asio::error::eof) return self->end(true);
-                    const Link& now = self->core->links[std::size_t(way.direction)];
-                    way.from_over = bool(error);
-                    if (!(now.cut && now.lost == Lost::Dropped && !error)) {
-                        auto late = std::chrono::duration_cast<Steady::duration>(now.late);
-                        way.pieces.push_back({Steady::now() + late, std::string(way.read.data(), got)});
-                        way.waits += got;
-                    }
-                    self->write(way);
-                    self->read(way);
-                });
+            stream.is_reading = true;
+            stream.from->async_read_some(asio::buffer(stream.read), [self = shared_from_this(), &stream](
+                                                                        error_code error, std::size_t got) {
+                if (self->is_closed) return;
+                stream.is_reading = false;
+                if (error && error != asio::error::eof) return self->end(true);
+                const LinkState& now = self->core->links[std::size_t(stream.direction)];
+                stream.is_from_closed = bool(error);
+                if (!(now.is_cut && now.loss_mode == LossMode::Dropped && !error)) {
+                    auto delay = std::chrono::duration_cast<Steady::duration>(now.delay);
+                    stream.chunks.push_back({Steady::now() + delay, std::string(stream.read.data(), got)});
+                    stream.buffered_bytes += got;
+                }
+                self->write(stream);
+                self->read(stream);
+            });
         }
-        void write(Way& way) {
-            const Link& link = core->links[std::size_t(way.direction)];
-            if (over || way.writing || way.pieces.empty() || (link.cut && link.lost == Lost::Held)) return;
-            way.writing = true;
-            way.timer.expires_at(way.pieces.front().due);
-            way.timer.async_wait([self = shared_from_this(), &way](error_code stopped) {
-                if (self->over || stopped) return;
-                const Link& now = self->core->links[std::size_t(way.direction)];
-                if (now.cut && now.lost == Lost::Held) {  // cut while it was under way
-                    way.writing = false;
+        void write(Stream& stream) {
+            const LinkState& link = core->links[std::size_t(stream.direction)];
+            if (is_closed || stream.is_writing || stream.chunks.empty() ||
+                (link.is_cut && link.loss_mode == LossMode::Held))
+                return;
+            stream.is_writing = true;
+            stream.timer.expires_at(stream.chunks.front().due);
+            stream.timer.async_wait([self = shared_from_this(), &stream](error_code stopped) {
+                if (self->is_closed || stopped) return;
+                const LinkState& now = self->core->links[std::size_t(stream.direction)];
+                if (now.is_cut && now.loss_mode == LossMode::Held) {  // cut during the delay
+                    stream.is_writing = false;
                     return;
                 }
-                if (way.pieces.front().octets.empty()) {
+                if (stream.chunks.front().bytes.empty()) {
                     error_code ignored;
-                    way.to->shutdown(tcp::socket::shutdown_send, ignored);
-                    way.to_over = true;
-                    way.pieces.pop_front();
-                    if (self->ways[0].to_over && self->ways[1].to_over) self->end(false);
+                    stream.to->shutdown(tcp::socket::shutdown_send, ignored);
+                    stream.is_to_closed = true;
+                    stream.chunks.pop_front();
+                    if (self->streams[0].is_to_closed && self->streams[1].is_to_closed) self->end(false);
                     return;
                 }
-                asio::async_write(*way.to, asio::buffer(way.pieces.front().octets),
-                                  [self, &way](error_code error, std::size_t) {
-                                      if (self->over) return;
+                asio::async_write(*stream.to, asio::buffer(stream.chunks.front().bytes),
+                                  [self, &stream](error_code error, std::size_t) {
+                                      if (self->is_closed) return;
                                       if (error) return self->end(true);
-                                      way.writing = false;
-                                      way.waits -= way.pieces.front().octets.size();
-                                      self->core->crossed[std::size_t(way.direction)] +=
-                                          way.pieces.front().octets.size();
-                                      way.pieces.pop_front();
-                                      self->write(way);
-                                      self->read(way);
+                                      stream.is_writing = false;
+                                      stream.buffered_bytes -= stream.chunks.front().bytes.size();
+                                      self->core->forwarded_bytes[std::size_t(stream.direction)] +=
+                                          stream.chunks.front().bytes.size();
+                                      stream.chunks.pop_front();
+                                      self->write(stream);
+                                      self->read(stream);
                                   });
             });
         }
-        void end(bool hard) {
-            if (std::exchange(over, true)) return;
-            for (tcp::socket* one : {&near, &far}) {
+        void end(bool reset) {
+            if (std::exchange(is_closed, true)) return;
+            for (tcp::socket* one : {&client_socket, &target_socket}) {
                 error_code ignored;
-                if (hard) one->set_option(asio::socket_base::linger(true, 0), ignored);
+                if (reset) one->set_option(asio::socket_base::linger(true, 0), ignored);
                 one->close(ignored);
             }
-            for (Way& way : ways) way.timer.cancel();
-            core->pairs.remove_if([this](const auto& pair) { return pair.get() == this; });
+            for (Stream& stream : streams) stream.timer.cancel();
+            core->open_connections.remove_if(
+                [this](const auto& connection) { return connection.get() == this; });
         }
 
         Core* core;
-        tcp::socket near, far;
-        std::array<Way, 2> ways;
-        bool connected = false, over = false;
+        tcp::socket client_socket, target_socket;
+        std::array<Stream, 2> streams;
+        bool is_connected = false, is_closed = false;
     };
 
     Core(const Endpoint& listen, const Endpoint& to) : target(to), acceptor(io) {
         must_be_loopback(listen);
         must_be_loopback(to);
-        begin(listen);
+        start_listening(listen);
         at = acceptor.local_endpoint();
         thread = std::thread([this] { io.run(); });
     }
@@ -159,9 +165,9 @@
         work.reset();
         io.stop();
         thread.join();
-        for (auto& pair : std::list(pairs)) pair->end(true);
+        for (auto& connection : std::list(open_connections)) connection->end(true);
     }
-    void begin(const Endpoint& listen) {
+    void start_listening(const Endpoint& listen) {
         acceptor.open(listen.protocol());
         acceptor.set_option(asio::socket_base::reuse_address(true));
         acceptor.bind(listen);
@@ -172,21 +178,21 @@
         acceptor.async_accept([this](error_code error, tcp::socket socket) {
             if (error == asio::error::operation_aborted) return;
             if (!error) {
-                ++connections;
-                auto pair = std::make_shared<Pair>(*this, std::move(socket));
-                pairs.push_back(pair);
-                pair->start();
+                ++accepted_connections;
+                auto connection = std::make_shared<Connection>(*this, std::move(socket));
+                open_connections.push_back(connection);
+                connection->start();
             }
             accept();
         });
     }
-    void look_again() {
-        for (auto& pair : std::list(pairs)) pair->look_again();
+    void resume() {
+        for (auto& connection : std::list(open_connections)) connection->resume();
     }
-    /// Runs it on the relay's thread and waits for it.
+    /// Runs a function on the relay's thread and returns its result.
     template <class F>
-    auto call(F what) {
-        std::packaged_task<decltype(what())()> task(std::move(what));
+    auto call(F task_function) {
+        std::packaged_task<decltype(task_function())()> task(std::move(task_function));
         auto out = task.get_future();
         asio::post(io, [&task] { task(); });
         return out.get();
@@ -196,10 +202,10 @@
     asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
     Endpoint target, at;
     tcp::acceptor acceptor;
-    std::array<Link, 2> links{};
-    std::list<std::shared_ptr<Pair>> pairs;
-    std::uint64_t connections = 0;
-    std::array<std::uint64_t, 2> crossed{};
+    std::array<LinkState, 2> links{};
+    std::list<std::shared_ptr<Connection>> open_connections;
+    std::uint64_t accepted_connections = 0;
+    std::array<std::uint64_t, 2> forwarded_bytes{};
     std::thread thread;
 };
 
@@ -217,23 +223,23 @@
     must_be_loopback(target);
     core_->call([&] { core_->target = target; });
 }
-void Relay::cut(Direction direction, bool on, Lost lost) {
+void Relay::cut(Direction direction, bool on, LossMode loss_mode) {
     core_->call([&] {
-        core_->links[std::size_t(direction)].cut = on;
-        core_->links[std::size_t(direction)].lost = lost;
-        core_->look_again();
+        core_->links[std::size_t(direction)].is_cut = on;
+        core_->links[std::size_t(direction)].loss_mode = loss_mode;
+        core_->resume();
     });
 }
 void Relay::stall(bool on) {
-    cut(Direction::Forth, on);
-    cut(Direction::Back, on);
+    cut(Direction::Forward, on);
+    cut(Direction::Backward, on);
 }
-void Relay::delay(Direction direction, Duration late) {
-    core_->call([&] { core_->links[std::size_t(direction)].late = late; });
+void Relay::delay(Direction direction, Duration delay) {
+    core_->call([&] { core_->links[std::size_t(direction)].delay = delay; });
 }
 void Relay::reset() {
     core_->call([&] {
-        for (auto& pair : std::list(core_->pairs)) pair->end(true);
+        for (auto& connection : std::list(core_->open_connections)) connection->end(true);
     });
 }
 void Relay::refuse(bool on) {
@@ -242,17 +248,17 @@
         if (on)
             core_->acceptor.close();
         else
-            core_->begin(core_->at);
+            core_->start_listening(core_->at);
     });
 }
 std::size_t Relay::open() const {
-    return core_->call([&] { return core_->pairs.size(); });
+    return core_->call([&] { return core_->open_connections.size(); });
 }
 std::uint64_t Relay::connections() const {
-    return core_->call([&] { return core_->connections; });
+    return core_->call([&] { return core_->accepted_connections; });
 }
-std::uint64_t Relay::crossed(Direction direction) const {
-    return core_->call([&] { return core_->crossed[std::size_t(direction)]; });
+std::uint64_t Relay::forwarded_bytes(Direction direction) const {
+    return core_->call([&] { return core_->forwarded_bytes[std::size_t(direction)]; });
 }
 
 }  // namespace ochrehub::lab
--- a/lab/coordinator/testbed.cpp
+++ b/lab/coordinator/testbed.cpp
@@ -144,8 +144,8 @@
     if (!settings_.has_relays) return;
     for (std::size_t other = 0; other < kCoordinators; ++other) {
         if (other == index) continue;
-        relays_[index][other]->cut(Direction::Forth, is_cut);
-        relays_[other][index]->cut(Direction::Back, is_cut);
+        relays_[index][other]->cut(Direction::Forward, is_cut);
+        relays_[other][index]->cut(Direction::Backward, is_cut);
     }
 }
 
--- a/lab/shards/processes.cpp
+++ b/lab/shards/processes.cpp
@@ -269,9 +269,9 @@
     run.nodes[b]->signal(SIGCONT);
     wait_ms(300);
     settles(4, "behind a stop");
-    run.relays[c]->cut(lab::Direction::Back, true);
+    run.relays[c]->cut(lab::Direction::Backward, true);
     wait_ms(1500);
-    run.relays[c]->cut(lab::Direction::Back, false);
+    run.relays[c]->cut(lab::Direction::Backward, false);
     settles(4, "behind a cut");
     wait_ms(500);
     TimePoint until{Duration(Clock_::now().time_since_epoch())};
--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// Two meshes with a relay between them: each fault does what it says to what crosses.
+// The faults of a relay between two PeerConnections.
 #include "lab/channel/relay.h"
 
 #include <gtest/gtest.h>
@@ -63,15 +63,15 @@
 TEST(Relay, CutsOneDirectionOnly) {
     World world(Duration{400});
     ASSERT_TRUE(world.both_up(1));
-    world.relay.cut(Direction::Forth, true);
+    world.relay.cut(Direction::Forward, true);
     ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "back"));
     ASSERT_TRUE(world.near.send(2, MessageKind::Raft, "forth"));
     ASSERT_TRUE(world.until([&] { return world.got[0] == 1; }));
-    // Whoever hears nothing gives it up, and nothing of it has come through.
+    // The side that receives nothing closes the connection, and no message has passed the cut.
     ASSERT_TRUE(world.until([&] { return world.downs[1] == 1; }));
     EXPECT_EQ(world.why[1], Error::Silent);
     EXPECT_EQ(world.got[1], 0);
-    world.relay.cut(Direction::Forth, false);
+    world.relay.cut(Direction::Forward, false);
     EXPECT_TRUE(world.both_up(2));
 }
 
@@ -89,11 +89,11 @@
 TEST(Relay, DroppedBytesAreDetectedAsForged) {
     World world;
     ASSERT_TRUE(world.both_up(1));
-    world.relay.cut(Direction::Back, true, Lost::Dropped);
+    world.relay.cut(Direction::Backward, true, LossMode::Dropped);
     ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "gone"));
     ASSERT_TRUE(world.until([&] { return world.far.queued_bytes(1) == 0; }));
     world.io.run_for(std::chrono::milliseconds(30));
-    world.relay.cut(Direction::Back, false);
+    world.relay.cut(Direction::Backward, false);
     if (world.downs[0] == 0) {
         ASSERT_TRUE(world.far.send(1, MessageKind::Raft, "behind it"));
         ASSERT_TRUE(world.until([&] { return world.downs[0] == 1; }));
@@ -110,12 +110,12 @@
     EXPECT_EQ(world.why[0], Error::Closed);
     ASSERT_TRUE(world.both_up(2));
 
-    world.relay.delay(Direction::Forth, Duration{60});
+    world.relay.delay(Direction::Forward, Duration{60});
     TimePoint sent = world.clock.now();
     ASSERT_TRUE(world.near.send(2, MessageKind::Raft, "late"));
     ASSERT_TRUE(world.until([&] { return world.got[1] == 1; }));
     EXPECT_GE((world.clock.now() - sent).count(), 60);
-    world.relay.delay(Direction::Forth, Duration{0});
+    world.relay.delay(Direction::Forward, Duration{0});
 
     world.relay.refuse(true);
     world.relay.reset();
