--- a/lab/bench/channel_bench.cpp
+++ b/lab/bench/channel_bench.cpp
@@ -1,6 +1,6 @@
-// What a channel costs: messages of 200 octets a second from one process to another over loopback, with and
-// without keys, in the core alone, and what an idle connection and one whose reader stands still hold in
-// memory. lab_channel_bench [SECONDS]
+// The cost of a channel: messages of 200 bytes per second from one process to another over loopback, with and
+// without keys, and in the core alone; the memory of an idle connection and of one with a stalled reader.
+// lab_channel_bench [SECONDS]
 #include <malloc.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -54,7 +54,7 @@
     keeper.deliver = [&](const Peer&, MessageKind, std::string) { ++got, ended = seconds(); };
     std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
     int child = fork();
-    if (child == 0) {  // another process sends what its queue takes
+    if (child == 0) {  // the other process sends as much as its queue accepts
         World other;
         PeerConnections node(other.io, other.clock, std::nullopt, named(2, keys), 2);
         bool up = false;
@@ -139,7 +139,7 @@
     keeper.close();
 }
 
-/// One that stands still while it is sent to, for as long as its queue takes any.
+/// A stalled reader, to which messages are sent until the queue is full.
 void slow_reader() {
     World world;
     PeerConnections keeper(world.io, world.clock, kAny, named(1, true), 1);
--- a/src/fleet/channel/channel.h
+++ b/src/fleet/channel/channel.h
@@ -1,13 +1,13 @@
-// Messages in order between two processes of the fleet: a length, then protobuf. First on each side stand
-// version, cluster's fingerprint and whether it signs, then a Hello, which says who speaks; frames bear a tag
-// where the fleet has keys. One connection as a core without I/O: `Channel` is handed octets and times and
-// returns octets, messages and its end. What waits to be written is bounded: who reads slowly is sent no
-// more, and whoever wanted to send is told so.
+// Ordered messages between two processes of the fleet, as length-prefixed protobuf frames. Each side first
+// sends a preamble with the protocol version, the cluster's fingerprint and whether it signs, then a Hello
+// that identifies the process. Frames carry a tag if the fleet has keys. `Channel` is one connection as a
+// core without I/O: it receives bytes and times, and returns bytes, messages and the close of the connection.
+// The queue of unwritten bytes is bounded: a message that exceeds it is rejected, and the sender is notified.
 //
-// A tag is made with a key of this connection and direction alone (of both sides' nonces, the sender's
-// first), over the frame's running number and octets: what was recorded elsewhere or before, turned around,
-// left out or sent in another order is Forged. Connected comes behind the first frame that the peer has
-// signed over both nonces, so a Hello that was recorded gets nobody anywhere.
+// A tag is computed with a key of this connection and direction (derived from both sides' nonces, the
+// sender's first) over the frame's sequence number and bytes. A frame that was recorded on another or an
+// earlier connection, reflected, omitted or reordered is therefore Forged. Connected follows the first frame
+// that the peer has signed over both nonces, so a replayed Hello never leads to Connected.
 #pragma once
 
 #include <cstddef>
@@ -24,31 +24,33 @@
 
 namespace ochrehub::channel {
 
-/// Whose message it is; each belongs to one module above.
+/// The module that a message belongs to.
 enum class MessageKind : std::uint16_t { Raft = 1, Request, Response, Shard, Quota, Rules, Migration };
 
-struct Peer {  ///< as its Hello says
+/// A process, as its Hello describes it.
+struct Peer {
     std::string name, zone;
-    std::uint64_t instance = 0;        ///< drawn at each start of a process; never zero
-    std::uint32_t coordinator_id = 0;  ///< its number, where it is one
+    std::uint64_t instance = 0;        ///< random id of the process, chosen at each start; never zero
+    std::uint32_t coordinator_id = 0;  ///< zero: the process is no coordinator
     std::uint32_t release = 0, min_schema = 0, max_schema = 0;
     friend bool operator==(const Peer&, const Peer&) = default;
 };
 
+inline constexpr std::size_t kNonceBytes = 16;
+
 struct Settings {
     Peer self;
-    std::uint32_t cluster = 0;  ///< fleet::fingerprint of its name
-    std::vector<std::string>
-        keys;  ///< the first signs, any is taken; none: whoever reaches the port is believed
-    std::string
-        nonce;  ///< of this connection: kNonceBytes bytes that never come again. Without keys: may be empty
-    std::size_t max_message_bytes = 1 << 20;  ///< bytes of one's body, at most
-    std::size_t max_queued_bytes = 4 << 20;   ///< bytes that wait to be written, at most
-    Duration idle_timeout{1000};              ///< silence after which one asks; below `dead_timeout`
-    Duration dead_timeout{
-        3000};  ///< ... and after which the connection is given up; also for all up to Connected
+    std::uint32_t cluster = 0;  ///< fleet::fingerprint of the cluster's name
+    /// The first key signs and any key verifies. Empty: every process that reaches the port is trusted.
+    std::vector<std::string> keys;
+    /// kNonceBytes bytes, unique to this connection. May be empty without keys.
+    std::string nonce;
+    std::size_t max_message_bytes = 1 << 20;  ///< of one message's body
+    std::size_t max_queued_bytes = 4 << 20;   ///< not yet written to the socket
+    Duration idle_timeout{1000};              ///< silence after which a ping is sent; below `dead_timeout`
+    /// Silence after which the connection is closed; also the deadline for the handshake up to Connected.
+    Duration dead_timeout{3000};
 };
-inline constexpr std::size_t kNonceBytes = 16;
 
 enum class Error {
     Closed,
@@ -64,12 +66,14 @@
 };
 const fleet::ErrorRow& row(Error error);
 
-// ---- What happens
+// Events
+
 struct Opened {};
 struct BytesReceived {
     std::string_view bytes;
 };
-struct BytesWritten {  ///< so many bytes have left
+/// The socket has accepted this many bytes.
+struct BytesWritten {
     std::size_t bytes = 0;
 };
 struct Closed {};
@@ -80,22 +84,26 @@
 };
 using Event = std::variant<Opened, BytesReceived, BytesWritten, Closed, TimerFired, SendMessage>;
 
-// ---- What is to be done about it
+// Actions
+
 struct WriteBytes {
     std::string bytes;
 };
-struct Connected {  ///< its Hello was taken: messages may go both ways
+/// The handshake is complete: messages can be sent in both directions.
+struct Connected {
     Peer peer;
 };
 struct DeliverMessage {
     MessageKind kind{};
     std::string body;
 };
-struct SendRejected {  ///< a SendMessage that did not fit, or came before Connected: it was not sent
+/// A SendMessage that exceeded a limit or came before Connected. It was not sent.
+struct SendRejected {
     MessageKind kind{};
     Error error{};
 };
-struct CloseConnection {  ///< close it; nothing follows
+/// Always the last action of a connection.
+struct CloseConnection {
     Error error{};
 };
 struct SetTimer {
@@ -104,23 +112,26 @@
 using Action = std::variant<WriteBytes, Connected, DeliverMessage, SendRejected, CloseConnection, SetTimer>;
 using Actions = std::vector<Action>;
 
-/// One connection, from its opening to its end, on either side. Not for use by several threads.
+/// One end of one connection, from its opening to its close. Not thread safe.
+///
+/// The actions of one call contain at most one WriteBytes, and it comes first: after carrying it out, the
+/// caller may call again while it carries out the others. CloseConnection is the last action; later events
+/// produce no action, except SendMessage, which produces SendRejected.
 ///
-/// Of one call's actions at most one is a WriteBytes, and it is the first: whoever has carried that out may
-/// call again from inside of what the others lead to. CloseConnection is the last of all; whatever happens
-/// behind it is answered by nothing, a SendMessage by SendRejected. Memory: what waits to be written lives
-/// with whoever carries out WriteBytes; in here one frame at most that is not whole yet, as many octets of it
-/// as have come (up to Connected kMaxHelloBytes, then `message` and kFrameOverheadBytes, and what was read
-/// with them), and twice that while a string grows.
+/// Memory: the caller of WriteBytes holds the unwritten bytes. The channel holds at most one incomplete
+/// frame, as many of its bytes as were received (up to kMaxHelloBytes before Connected, then
+/// `max_message_bytes` and kFrameOverheadBytes, and the bytes read with them), and twice that while a string
+/// grows.
 ///
-/// Whose own process was_paused still for longer than `idle` behind a time that it asked for takes no silence
-/// for the peer's; it asks and waits anew.
+/// If this process was paused, so that a timer fires more than `idle_timeout` late, the peer is not
+/// considered silent: the channel pings and waits again.
 class Channel {
 public:
-    static constexpr std::size_t kPreambleBytes = 9;        ///< "och", version 1, cluster 4, signs 1
-    static constexpr std::size_t kMaxHelloBytes = 1024;     ///< bytes of a frame before Connected
-    static constexpr std::size_t kFrameOverheadBytes = 64;  ///< of a frame, beyond its message's body
-    static constexpr std::size_t kMaxNameBytes = 64;  ///< bytes of a name or zone: printable ASCII, no quotes
+    static constexpr std::size_t kPreambleBytes = 9;     ///< "och", version 1, cluster 4, whether it signs 1
+    static constexpr std::size_t kMaxHelloBytes = 1024;  ///< of a frame before Connected
+    static constexpr std::size_t kFrameOverheadBytes = 64;  ///< of a frame, in addition to its message body
+    static constexpr std::size_t kMaxNameBytes =
+        64;  ///< of a name or zone, which are printable ASCII without quotes
     static constexpr std::uint8_t kProtocolVersion = 1;
 
     explicit Channel(const Settings& settings);
@@ -129,20 +140,19 @@
 
     bool connected() const { return stage_ == Stage::Connected; }
     bool closed() const { return stage_ == Stage::Closed; }
-    const Peer& peer() const { return peer_; }                  ///< once Connected
-    std::size_t queued_bytes() const { return queued_bytes_; }  ///< bytes put that have not left
-    std::size_t buffered_bytes() const {
-        return incoming_.size();
-    }  ///< bytes of a frame that is not whole yet
+    const Peer& peer() const { return peer_; }                  ///< valid after Connected
+    std::size_t queued_bytes() const { return queued_bytes_; }  ///< not yet written to the socket
+    /// Received bytes of an incomplete frame.
+    std::size_t buffered_bytes() const { return incoming_.size(); }
 
 private:
     enum class Stage : std::uint8_t { New, Preamble, Hello, Ready, Connected, Closed };
-    struct Wire;  // what needs protobuf
+    struct Wire;  // the functions that use protobuf types
 
     void open(TimePoint now);
     void receive(TimePoint now, std::string_view bytes, Actions& actions);
-    /// How many of the octets it was done with; fewer than all only where more must come. Ends where they are
-    /// wrong.
+    /// Returns the number of bytes it has processed, fewer than all only if a frame is incomplete. Closes the
+    /// connection if they are invalid.
     std::size_t consume(std::string_view bytes, Actions& actions);
     void check_preamble(std::string_view bytes, Actions& actions);
     void send_message(const SendMessage& request, Actions& actions);
@@ -158,15 +168,18 @@
     Settings settings_;
     Stage stage_ = Stage::New;
     Peer peer_;
-    std::string outgoing_;  // of the call under way
-    std::string incoming_;  // of a frame that is not whole
+    std::string outgoing_;  // bytes to write, of the current call
+    std::string incoming_;  // of an incomplete frame
     std::size_t queued_bytes_ = 0;
-    std::optional<fleet::Mac> send_mac_,
-        receive_mac_;  // keyed for this connection and direction, once both nonces are known
-    std::uint64_t frames_sent_ = 0, frames_received_ = 0;  // frames behind the Hello
+    // Both have a key of this connection and direction. Set once both nonces are known, if there are keys.
+    std::optional<fleet::Mac> send_mac_;
+    std::optional<fleet::Mac> receive_mac_;
+    std::uint64_t frames_sent_ = 0;  // after the Hello
+    std::uint64_t frames_received_ = 0;
     std::uint64_t pings_sent_ = 0;
-    TimePoint last_received_{}, last_written_{},
-        timer_at_{};  // last_written_: bytes last left, or nothing waited
+    TimePoint last_received_{};
+    TimePoint last_written_{};  // when bytes were last written, or the queue was last empty
+    TimePoint timer_at_{};
     bool ping_pending_ = false;
 };
 
--- a/src/fleet/channel/dialer.h
+++ b/src/fleet/channel/dialer.h
@@ -1,7 +1,7 @@
-// Which addresses to connect to and when, and which of two connections between the same processes stays. A
-// core without I/O: `Dialer` is told what became of its connections and of everybody's, and draws on its seed
-// alone. Whoever has lost a connection tries again behind a wait that doubles up to a bound, each wait
-// random_fraction from its upper half, so that those who lost the same peer do not come back to it at once.
+// Decides which addresses to dial and when, and which of two connections between the same processes is kept.
+// A core without I/O: `Dialer` is notified of the state of its own and of all other connections. Its only
+// randomness is its seed. A lost connection is retried with exponential backoff; each delay is random within
+// its upper half, so that the peers of a failed process don't all reconnect at once.
 #pragma once
 
 #include <cstdint>
@@ -17,44 +17,50 @@
 namespace ochrehub::channel {
 
 struct DialSettings {
-    Duration initial_backoff{100};   ///< the first wait, at most
-    Duration max_backoff{5000};      ///< the longest
-    Duration connect_timeout{3000};  ///< until DialSucceeded; one that takes longer is given up
-    Duration backoff_reset_after{
-        1000};  ///< a connection that lived for this begins with `initial_backoff` again
+    Duration initial_backoff{100};   ///< upper bound of the first delay
+    Duration max_backoff{5000};      ///< upper bound of all delays
+    Duration connect_timeout{3000};  ///< from Dial to DialSucceeded
+    /// A connection that lasted this long starts again with `initial_backoff`.
+    Duration backoff_reset_after{1000};
 };
 
-/// Of two connections between the same processes, told by who dialled them: is the newer one the one that
-/// stays? The one that the process with the lower instance dialled stays, whichever came first, so that both
-/// ends choose the same; of two that the same one dialled the newer, since it would not have dialled had it
-/// not lost the other.
-constexpr bool newer_stays(bool older_dialled_here, bool newer_dialled_here, std::uint64_t here,
-                           std::uint64_t there) {
-    if (older_dialled_here == newer_dialled_here) return true;
-    return newer_dialled_here == (here < there);
+/// Whether the newer of two connections between the same processes is kept, by which side dialed each of
+/// them. The connection that the process with the lower instance dialed is kept, whichever came first, so
+/// that both ends choose the same one. If the same process dialed both, the newer one is kept, since that
+/// process would not have dialed without having lost the other.
+constexpr bool newer_stays(bool is_older_dialed_here, bool is_newer_dialed_here, std::uint64_t own_instance,
+                           std::uint64_t peer_instance) {
+    if (is_older_dialed_here == is_newer_dialed_here) return true;
+    return is_newer_dialed_here == (own_instance < peer_instance);
 }
 
-/// Not for use by several threads. Addresses are opaque here, each in the list once.
+/// Not thread safe. Addresses are opaque strings, each in the list once.
 class Dialer {
 public:
-    // ---- What happens
-    struct AddressAdded {  ///< from now on; no fault where it is already
+    // Events
+
+    /// Ignored if the address is in the list already.
+    struct AddressAdded {
         std::string address;
     };
-    struct AddressRemoved {  ///< not any more; its connection is abandoned
+    struct AddressRemoved {
         std::string address;
     };
-    struct DialSucceeded {  ///< the connection dialled there is up
+    /// The connection dialed to this address is established.
+    struct DialSucceeded {
         std::string address;
         std::uint64_t instance = 0;
     };
-    struct ConnectionEnded {  ///< the connection dialled there has failed, ended, or made way for another
+    /// The connection dialed to this address has failed, was closed, or was replaced by another one.
+    struct ConnectionEnded {
         std::string address;
     };
-    struct SelfReached {  ///< this very process answers there
+    /// The address leads to this process itself.
+    struct SelfReached {
         std::string address;
     };
-    struct PeerConnected {  ///< there is a connection to this process, whoever dialled it
+    /// There is a connection to this process, whichever side dialed it.
+    struct PeerConnected {
         std::uint64_t instance = 0;
     };
     struct PeerDisconnected {
@@ -63,13 +69,15 @@
     using Event = std::variant<AddressAdded, AddressRemoved, DialSucceeded, ConnectionEnded, SelfReached,
                                PeerConnected, PeerDisconnected, TimerFired>;
 
-    // ---- What is to be done about it
+    // Actions
+
     struct Dial {
         std::string address;
     };
-    struct CloseDialed {  ///< close what was dialled there, if anything is; nothing of it needs to be told
+    /// Closes the connection dialed to this address, if there is one, without a ConnectionEnded.
+    struct CloseDialed {
         std::string address;
-        bool timed_out = false;  ///< not reached in time
+        bool timed_out = false;  ///< the connect timeout has expired
     };
     using Action = std::variant<Dial, CloseDialed, SetTimer>;
     using Actions = std::vector<Action>;
@@ -78,7 +86,8 @@
 
     void handle(TimePoint now, const Event& event, Actions& actions);
     std::size_t size() const { return entries_.size(); }
-    /// Of the process that answers there, connected by this or another way; zero: none is.
+    /// The instance of the connected process at this address, even if another connection to it is used. Zero:
+    /// none is connected.
     std::uint64_t instance_at(const std::string& address) const {
         auto found = entries_.find(address);
         bool is_connected = found != entries_.end() && (found->second.state == State::Connected ||
@@ -87,13 +96,13 @@
     }
 
 private:
-    /// Held: the process that answered there last is connected by another way.
+    /// PeerConnected: the process last seen at the address is connected by another connection.
     enum class State : std::uint8_t { Waiting, Dialing, Connected, PeerConnected, Self };
     struct Entry {
         State state = State::Waiting;
-        TimePoint deadline{};  // Waiting, Dialing
-        TimePoint since{};     // Connected, Held
-        Duration backoff{};    // the last one
+        TimePoint deadline{};  // of Waiting and Dialing
+        TimePoint since{};     // of Connected and PeerConnected
+        Duration backoff{};    // before its random part
         std::uint64_t instance = 0;
     };
     void handle_lost(TimePoint now, Entry& entry);
--- a/src/fleet/channel/peer_connections.cpp
+++ b/src/fleet/channel/peer_connections.cpp
@@ -16,10 +16,12 @@
 using boost::system::error_code;
 
 namespace {
-constexpr Duration kAcceptRetryDelay{100};  // where the system would not give a descriptor
-constexpr std::size_t kMaxChunkBytes =
-    64 * 1024;  // octets that wait stand in pieces of this, and leave memory with them
-constexpr std::size_t kMaxChunksPerWrite = 8;  // are written before other connections have their turn
+/// After accept failed, for instance because no file descriptor was free.
+constexpr Duration kAcceptRetryDelay{100};
+/// Unwritten bytes are stored in chunks of this size, so that their memory is freed as they are written.
+constexpr std::size_t kMaxChunkBytes = 64 * 1024;
+/// Written to one connection before other connections get their turn.
+constexpr std::size_t kMaxChunksPerWrite = 8;
 }  // namespace
 
 class PeerConnections::Connection : public std::enable_shared_from_this<Connection> {
@@ -47,7 +49,7 @@
         handle(Opened{});
         wait_to_read();
     }
-    /// Nothing of it is heard any more.
+    /// No callback follows.
     void close() {
         peer_connections_->scheduler_.cancel(std::exchange(timer_, 0));
         peer_connections_ = nullptr;
@@ -55,7 +57,7 @@
         socket_.close(ignored);
         chunks_.clear();
     }
-    /// Why it was not taken.
+    /// The error if the message was rejected.
     std::optional<Error> send(MessageKind kind, std::string body) {
         Actions actions;
         channel_.handle(peer_connections_->scheduler_.now(), SendMessage{kind, std::move(body)}, actions);
@@ -69,9 +71,9 @@
     const std::string& address() const { return address_; }
     std::uint64_t id() const { return id_; }
     const Channel& channel() const { return channel_; }
-    bool is_active = false;           ///< the one between the two processes
-    bool is_unauthenticated = false;  ///< accepted, and not up yet
-    bool is_counted = false;          ///< accepted, and up
+    bool is_active = false;           ///< the one in use between the two processes
+    bool is_unauthenticated = false;  ///< accepted, and its handshake is not complete
+    bool is_counted = false;          ///< in accepted_peers_
 
 private:
     void handle(const Event& event) {
@@ -91,8 +93,8 @@
                 set_timer(wake->at);
             } else if (std::holds_alternative<Connected>(action)) {
                 peer_connections_->handle_connected(shared_from_this());
-            } else if (const auto* over = std::get_if<CloseConnection>(&action)) {
-                peer_connections_->end(shared_from_this(), over->error);
+            } else if (const auto* close = std::get_if<CloseConnection>(&action)) {
+                peer_connections_->end(shared_from_this(), close->error);
             }
         }
     }
@@ -111,13 +113,14 @@
         if (peer_connections_) wait_to_read();
     }
 
-    /// What is put within one turn of the loop leaves in one piece.
+    /// Bytes of one iteration of the event loop are written together.
     void write(std::string bytes) {
         std::size_t size = chunks_.empty() ? kMaxChunkBytes : chunks_.back().size() + bytes.size();
         if (!chunks_.empty() && size <= kMaxChunkBytes) {
             std::string& last = chunks_.back();
             std::size_t capacity =
-                kMaxChunkBytes / 16;  // by steps that end at a chunk: doubling would take up to two
+                kMaxChunkBytes /
+                16;  // grows by steps that end at a chunk, as doubling could take up to two chunks
             while (capacity < size) capacity *= 4;
             if (size > last.capacity()) last.reserve(capacity);
             last += bytes;
@@ -158,13 +161,13 @@
         });
     }
 
-    PeerConnections* peer_connections_;  // none once it is closed
+    PeerConnections* peer_connections_;  // null after close()
     tcp::socket socket_;
-    std::string address_;  // where it was dialled; empty: it was accepted
+    std::string address_;  // the dialed address; empty: accepted
     std::uint64_t id_;
     Channel channel_;
     std::vector<std::string> chunks_;
-    std::size_t written_of_first_chunk_ = 0;  // written of its first
+    std::size_t written_of_first_chunk_ = 0;  // bytes
     bool writing_ = false;
     TimerId timer_ = 0;
 };
@@ -210,7 +213,7 @@
     acceptor_.async_accept(
         [this, alive = std::weak_ptr<bool>(alive_token_)](error_code error, tcp::socket socket) {
             if (alive.expired() || closed_) return;
-            if (error) {  // no descriptor, say; those who wait stay in the kernel's queue
+            if (error) {  // no file descriptor, for instance; pending connections stay in the kernel's queue
                 accept_timer_ = scheduler_.call_at(scheduler_.now() + kAcceptRetryDelay,
                                                    [this] { accept_timer_ = 0, accept(); });
                 return;
@@ -259,8 +262,8 @@
     notify_dialer(Dialer::AddressRemoved{address});
 }
 
-// One event after the other, also where carrying out one leads to the next: of two SetTimer the later one
-// must count.
+// Handles one event at a time, also if carrying out its actions leads to another event: of two SetTimer
+// actions the later one must take effect.
 void PeerConnections::notify_dialer(const Dialer::Event& event) {
     if (closed_) return;
     dialer_events_.push_back(event);
@@ -277,12 +280,12 @@
 void PeerConnections::carry_out(const Dialer::Action& action) {
     if (const auto* dial = std::get_if<Dialer::Dial>(&action)) {
         connect(dial->address);
-    } else if (const auto* abandon = std::get_if<Dialer::CloseDialed>(&action)) {
-        auto found = dialed_.find(abandon->address);
+    } else if (const auto* close = std::get_if<Dialer::CloseDialed>(&action)) {
+        auto found = dialed_.find(close->address);
         if (found == dialed_.end()) return;
         auto one = found->second.lock();
-        dialed_.erase(found);  // so that its end is not told
-        if (one) end(one, abandon->timed_out ? Error::Unreachable : Error::Closed);
+        dialed_.erase(found);  // so that the dialer gets no ConnectionEnded
+        if (one) end(one, close->timed_out ? Error::Unreachable : Error::Closed);
     } else {
         scheduler_.cancel(std::exchange(dial_timer_, 0));
         dial_timer_ = scheduler_.call_at(std::get<SetTimer>(action).at, [this] {
@@ -314,7 +317,7 @@
         bool stays = newer_stays(older->is_dialed(), connection->is_dialed(), settings_.channel.self.instance,
                                  instance);
         if (!stays) return end(connection, Error::Replaced);
-        found->second = connection;  // first, so that nobody dials for want of one
+        found->second = connection;  // before the close, so that the dialer never sees the peer disconnected
         connection->is_active = true;
         end(older, Error::Replaced);
         if (closed_ || !connection->is_active) return;
@@ -344,7 +347,7 @@
         auto at = dialed_.find(connection->address());
         if (at != dialed_.end() && at->second.lock() == connection) {
             dialed_.erase(at);
-            // Its channel ends by Replaced, knowing nobody, only where it leads back here.
+            // A channel closes as Replaced without a known peer only if it leads to this process.
             if (error == Error::Replaced && peer.instance == 0)
                 notify_dialer(Dialer::SelfReached{connection->address()});
             else
--- a/src/fleet/keys/keys.h
+++ b/src/fleet/keys/keys.h
@@ -1,5 +1,5 @@
-// The fleet's keys, for datagrams and for connections: what one signs with the first of them, others open
-// with any. HMAC-SHA256, of which the first half is sent along.
+// The fleet's shared keys, for datagrams and for connections: messages are signed with the first key and
+// verified with any of them. A tag is the first half of an HMAC-SHA256.
 #pragma once
 
 #include <nettle/hmac.h>
@@ -18,30 +18,31 @@
 inline constexpr std::size_t kTagBytes = 16;
 using Tag = std::array<std::uint8_t, kTagBytes>;
 
-/// What tells two fleets on one network apart: made of the cluster's name.
+/// A hash of the cluster's name, which distinguishes two fleets on one network.
 std::uint32_t fingerprint(std::string_view cluster);
 
-/// HMAC-SHA256 under one key, set up once for as many messages as come.
+/// HMAC-SHA256 under one key. The key is set up once, for any number of messages.
 class Mac {
 public:
     explicit Mac(std::string_view key);
 
     Mac& update(std::string_view bytes);
     Mac& update(std::uint64_t number);  ///< eight bytes, big-endian
-    /// The tag of all that was given since the last one.
+    /// The tag of all bytes since the last tag() or digest().
     Tag tag();
-    /// The whole digest instead, to serve as a key.
+    /// Instead of tag(): the whole digest, for use as a key.
     std::string digest();
 
 private:
     hmac_sha256_ctx context_;
 };
 
-/// In a time that does not depend on where they differ. False as well where `octets` are not kTagBytes many.
+/// Compares in a time that doesn't depend on the position of a difference. False if `bytes` is not kTagBytes
+/// long.
 bool tags_equal(const Tag& tag, std::string_view bytes);
 
-/// The first signs, any is taken, so that a key can be rolled one instance after the other. None: what is
-/// sent bears no tag, and whoever reaches the port is believed.
+/// The first key signs and any key verifies, so that a key can be rotated one instance at a time. Without
+/// keys, messages carry no tag and every sender that reaches the port is trusted.
 class Keys {
 public:
     Keys() = default;
@@ -49,8 +50,9 @@
 
     bool empty() const { return keys_.empty(); }
     const std::vector<std::string>& keys() const { return keys_; }
+    /// Appends the tag.
     void sign(std::string& bytes) const;
-    /// What was signed, without its tag; nothing where no key fits.
+    /// The signed part without its tag, or nullopt if no key matches.
     std::optional<std::string_view> verify(std::string_view bytes) const;
 
 private:
--- a/tests/fleet/channel_fuzz.cpp
+++ b/tests/fleet/channel_fuzz.cpp
@@ -1,5 +1,6 @@
-// BytesReceived by coverage into a channel (libFuzzer, Clang). Whatever comes: it holds no more than a frame,
-// it ends once and last, pieces make no difference, and with keys nobody comes up who has none.
+// Fuzzes the bytes that a channel receives (libFuzzer, Clang). For any input: it buffers at most one frame,
+// it closes at most once and last, splitting the bytes makes no difference, and a peer without a key never
+// connects to a channel that has keys.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -23,7 +24,7 @@
     settings.max_queued_bytes = 2000;
     return settings;
 }
-/// What a sends at the beginning, without keys, and a message.
+/// The bytes of a handshake without keys and of one message.
 std::string some() {
     ChannelPair pair(set("a", {}), set("b", {}));
     pair.a.handle(Opened{});
@@ -48,7 +49,7 @@
 extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
                                                unsigned int) {
     if (size > 1) return LLVMFuzzerMutate(data, size, most);
-    std::string sound = '\x07' + some();  // to begin with
+    std::string sound = '\x07' + some();  // the initial input
     if (sound.size() > most) return LLVMFuzzerMutate(data, size, most);
     std::copy(sound.begin(), sound.end(), data);
     return sound.size();
--- a/tests/fleet/channel_pair.h
+++ b/tests/fleet/channel_pair.h
@@ -1,4 +1,4 @@
-// Two ends of a connection in one hand, without sockets.
+// Two channels of one connection, without sockets.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
     return TimePoint{Duration{ms}};
 }
 
-/// One channel and what it wanted done.
+/// One channel and the record of its actions.
 struct TestChannel {
     explicit TestChannel(const Settings& settings) : channel(settings) {}
 
@@ -40,7 +40,7 @@
             }
         }
     }
-    /// All that waits to be written, as if it left now.
+    /// Takes the unwritten bytes, as if the socket had accepted them.
     std::string take_outgoing() {
         std::string bytes = std::exchange(outgoing, {});
         if (!bytes.empty()) handle(BytesWritten{bytes.size()});
@@ -78,7 +78,7 @@
         b.handle(Opened{});
         exchange_all();
     }
-    /// Till nothing is on its way.
+    /// Until no bytes are in transit.
     void exchange_all() {
         while (!a.outgoing.empty() || !b.outgoing.empty()) {
             std::string forth = a.take_outgoing(), back = b.take_outgoing();
--- a/tests/fleet/channel_test.cpp
+++ b/tests/fleet/channel_test.cpp
@@ -1,5 +1,4 @@
-// Two channels joined by octets that a test holds in its hands: what each side is told, whatever happens to
-// the octets between.
+// Two channels without sockets. The tests deliver, drop, corrupt, reorder and replay the bytes between them.
 #include "fleet/channel/channel.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +16,7 @@
 
 const std::vector<std::string> kNoKeys, kOneKey{"k1"};
 
-/// What a sent to b in one life of a connection: each frame by itself, the preamble and Hello in front.
+/// The bytes that a sent to b on one connection: preamble and Hello, Ready, then the frames one by one.
 struct RecordedStream {
     std::string hello, ready;
     std::vector<std::string> frames;
@@ -43,7 +42,7 @@
     return stream;
 }
 
-/// The other side as it was when that was recorded, and what becomes of these octets there.
+/// A new channel with the settings of b that has received these bytes.
 TestChannel receive_all(const std::vector<std::string>& keys, std::string_view bytes) {
     TestChannel b(settings_of("b", keys));
     b.handle(Opened{});
@@ -75,12 +74,12 @@
 }
 
 TEST(Channel, ParsesBytesSplitAtAnyPosition) {
-    setenv("RC_PARAMS", "max_success=1000", 0);  // read once, at the first check
+    setenv("RC_PARAMS", "max_success=1000", 0);  // rapidcheck reads it once, at the first check
     auto holds = rc::check("pieces", [] {
         const auto& keys = *rc::gen::arbitrary<bool>() ? kOneKey : kNoKeys;
         RecordedStream one = record(keys, 8);
         std::string bytes = one.whole();
-        if (*rc::gen::inRange(0, 3) == 0) {  // also where they are wrong somewhere
+        if (*rc::gen::inRange(0, 3) == 0) {  // corrupts a byte in a third of the runs
             auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
             bytes[at] = char(bytes[at] ^ *rc::gen::inRange(1, 255));
         }
@@ -112,7 +111,7 @@
     pair.a.handle(SendMessage{MessageKind::Raft, "x"});
     pair.b.handle(Opened{});
     pair.b.handle(BytesReceived{pair.a.take_outgoing()});
-    pair.b.handle(SendMessage{MessageKind::Raft, "x"});  // it has a Hello, and nobody has answered its own
+    pair.b.handle(SendMessage{MessageKind::Raft, "x"});  // it has received a Hello, but no Ready
     EXPECT_EQ(pair.a.rejected, std::vector<Error>(2, Error::Closed));
     EXPECT_EQ(pair.b.rejected, std::vector<Error>(1, Error::Closed));
     pair.exchange_all();
@@ -175,8 +174,8 @@
                 ASSERT_EQ(b.delivered[i].body, std::string(i * 37, char('a' + i)));
             ASSERT_LT(b.delivered.size(), 5u) << at;
             if (b.close_error) continue;
-            // A length that says more than comes: it waits, holds no more than has come, and gives up in
-            // time.
+            // The corrupted length exceeds the bytes that follow: the channel waits, buffers no more than
+            // it has received, and closes at its timeout.
             ASSERT_LT(b.channel.buffered_bytes(), sound.size());
             for (int i = 0; i < 10 && !b.close_error; ++i) b.now = b.timer_at, b.handle(TimerFired{});
             ASSERT_EQ(b.close_error, Error::Silent);
@@ -198,12 +197,11 @@
                                                           {one.hello + f[0], 0},
                                                           {begin + f[0].substr(0, 8) + f[1], 0}}) {
         TestChannel b = receive_all(kOneKey, bytes);
-        if (!b.close_error)
-            b.handle(BytesReceived{f[2] + f[3] + f[4]});  // a cut one is only whole with what comes behind it
+        if (!b.close_error) b.handle(BytesReceived{f[2] + f[3] + f[4]});  // completes a truncated frame
         EXPECT_EQ(b.close_error, Error::Forged);
         EXPECT_EQ(b.delivered.size(), delivered);
     }
-    // Without keys nothing tells who sent what: only what is no frame is seen.
+    // Without keys only bytes that are no valid frame are detected.
     std::string none = record(kNoKeys).hello;
     EXPECT_EQ(receive_all(kNoKeys, none + none.substr(Channel::kPreambleBytes)).close_error,
               Error::Malformed);
@@ -216,12 +214,11 @@
     TestChannel b(later);
     b.handle(Opened{});
     b.handle(BytesReceived{one.hello});
-    EXPECT_TRUE(!b.close_error && b.connected_count == 0);  // a Hello may be any connection's
+    EXPECT_TRUE(!b.close_error && b.connected_count == 0);  // a Hello is not bound to a connection
     b.handle(BytesReceived{one.ready});
     EXPECT_TRUE(b.close_error == Error::Forged && b.connected_count == 0);
 
-    // Its own octets, turned around; as they are, and with a Hello that was recorded from the other side in
-    // front.
+    // Its own bytes reflected: alone, and after a Hello that was recorded from the peer.
     TestChannel a(settings_of("a", kOneKey));
     a.handle(Opened{});
     a.handle(BytesReceived{a.take_outgoing()});
@@ -231,7 +228,7 @@
     pair.b.handle(Opened{});
     pair.a.take_outgoing();
     pair.a.handle(BytesReceived{pair.b.take_outgoing()});
-    pair.a.handle(BytesReceived{pair.a.take_outgoing()});  // its Ready
+    pair.a.handle(BytesReceived{pair.a.take_outgoing()});  // its own Ready
     EXPECT_TRUE(pair.a.close_error == Error::Forged && pair.a.connected_count == 0);
 }
 
@@ -244,7 +241,7 @@
             pair.a.handle(SendMessage{MessageKind::Raft, "x"});
             pair.b.handle(SendMessage{MessageKind::Raft, "y"});
             pair.exchange_all();
-            // Neighbours speak, and those whose first keys each know of the other.
+            // Two sides connect if each has the key that the other signs with.
             auto knows = [](const auto& keys, const std::string& one) {
                 return std::find(keys.begin(), keys.end(), one) != keys.end();
             };
@@ -259,7 +256,7 @@
         record(kNoKeys).hello + record(kNoKeys).ready + "\x7f\xff\xff\xff" + std::string(100, 'x');
     TestChannel b = receive_all(kNoKeys, huge);
     EXPECT_TRUE(b.connected_count == 1 && b.close_error == Error::TooLong && b.channel.buffered_bytes() == 0);
-    // Who is not up is allowed less.
+    // The limit is lower before Connected.
     TestChannel c =
         receive_all(kNoKeys, huge.substr(0, Channel::kPreambleBytes) + std::string("\0\0\x04\x01", 4));
     EXPECT_EQ(c.close_error, Error::TooLong);
@@ -290,14 +287,14 @@
     std::size_t taken = 1000 - pair.a.rejected.size();
     EXPECT_GT(taken, 60u);
     EXPECT_EQ(std::set<Error>(pair.a.rejected.begin(), pair.a.rejected.end()), std::set<Error>{Error::Full});
-    // What was taken arrives, whole and in order; then there is room again.
+    // The accepted messages arrive, complete and in order; then the queue has capacity again.
     std::string bytes = pair.a.take_outgoing();
     pair.b.handle(BytesReceived{bytes});
     EXPECT_EQ(pair.b.delivered.size(), taken);
     pair.a.handle(SendMessage{MessageKind::Quota, "again"});
     EXPECT_EQ(pair.a.rejected.size(), 1000 - taken);
 
-    // Nor can one that asks and never reads make it grow.
+    // A peer that sends pings and never reads can't make the queue grow.
     ChannelPair other(settings_of("a", kNoKeys), set);
     other.b.channel = Channel([&] {
         auto b = settings_of("b", kNoKeys);
@@ -315,7 +312,7 @@
 TEST(Channel, PingsIdlePeerAndClosesWhenItStaysSilent) {
     ChannelPair pair(kOneKey);
     pair.open();
-    for (int i = 0; i < 100; ++i) {  // two that have nothing to say stay together
+    for (int i = 0; i < 100; ++i) {  // two idle peers stay connected
         pair.set_time(std::min(pair.a.timer_at, pair.b.timer_at));
         for (TestChannel* side : {&pair.a, &pair.b})
             if (side->timer_at <= side->now) side->handle(TimerFired{});
@@ -323,7 +320,7 @@
     }
     EXPECT_TRUE(!pair.a.close_error && !pair.b.close_error);
     EXPECT_GT(pair.a.now, time_ms(40000));
-    // One way is cut: the deaf side gives up, within `dead` and not before.
+    // One direction is cut: the receiver closes within `dead_timeout`, and not earlier.
     TimePoint cut = pair.a.now;
     for (int i = 0; i < 100 && !pair.b.close_error; ++i) {
         pair.set_time(std::min(pair.a.timer_at, pair.b.timer_at));
@@ -342,7 +339,7 @@
     TestChannel a(settings_of("a", kOneKey));
     a.handle(Opened{});
     std::string hello = record(kOneKey).hello;
-    for (int i = 0; i < 29; ++i) {  // octets alone give it no more time
+    for (int i = 0; i < 29; ++i) {  // incomplete bytes don't extend the deadline
         a.now += Duration{100};
         a.handle(BytesReceived{std::string_view(hello).substr(std::size_t(i), 1)});
     }
@@ -353,7 +350,8 @@
 
     ChannelPair pair;
     pair.open();
-    pair.a.handle(SendMessage{MessageKind::Raft, "x"});  // and none of it leaves, though the other speaks on
+    pair.a.handle(
+        SendMessage{MessageKind::Raft, "x"});  // none of it is written, while the peer keeps sending
     for (int i = 0; i < 100 && !pair.a.close_error; ++i) {
         pair.set_time(std::min(pair.a.now + Duration{500}, pair.a.timer_at));
         pair.b.handle(SendMessage{MessageKind::Raft, "y"});
@@ -370,13 +368,13 @@
     pair.set_time(time_ms(30000));
     pair.a.handle(TimerFired{});
     EXPECT_FALSE(pair.a.close_error);
-    pair.exchange_all();  // the other answers
+    pair.exchange_all();  // the peer responds to the ping
     pair.set_time(pair.a.timer_at);
     pair.a.handle(TimerFired{});
     EXPECT_FALSE(pair.a.close_error);
     for (int i = 0; i < 100 && !pair.a.close_error; ++i)
         pair.a.now = pair.a.timer_at, pair.a.handle(TimerFired{}), pair.a.take_outgoing();
-    EXPECT_EQ(pair.a.close_error, Error::Silent);  // and now it does not
+    EXPECT_EQ(pair.a.close_error, Error::Silent);  // no response this time
 }
 
 TEST(Channel, RefusesUnknownKindsAndEmptyFrames) {
--- a/tests/fleet/peer_connections_test.cpp
+++ b/tests/fleet/peer_connections_test.cpp
@@ -1,4 +1,4 @@
-// Meshes on loopback, all on one loop.
+// Several PeerConnections on loopback, on one event loop.
 #include "fleet/channel/peer_connections.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 const PeerConnections::Endpoint kAny(boost::asio::ip::address_v4::loopback(), 0);
 
 struct EventLoop {
-    /// Turns the loop till it holds; false where that takes far too long.
+    /// Runs the event loop until the condition holds. False: it timed out.
     bool until(const std::function<bool()>& holds, Duration most = Duration{10000}) {
         for (TimePoint end = clock.now() + most; !holds();) {
             if (clock.now() > end) return false;
@@ -98,12 +98,12 @@
     return set;
 }
 
-/// A connection that only does what it is told.
+/// A TCP connection without a channel.
 struct RawConnection {
     RawConnection(EventLoop& loop, const PeerConnections& to) : socket(loop.io) {
         socket.connect(to.listen_address());
     }
-    /// The other end has closed it.
+    /// Whether the peer has closed it.
     bool closed() {
         socket.non_blocking(true);
         boost::system::error_code error;
@@ -122,7 +122,7 @@
         Process a(loop, 1, set), b(loop, 2, set);
         a.peer_connections.dial(b.address());
         b.peer_connections.dial(a.address());
-        // Until neither has more than one, and both have the same.
+        // Until both have one connection, the same.
         ASSERT_TRUE(loop.until([&] {
             return a.peer_connections.peer_count() == 1 && b.peer_connections.peer_count() == 1 &&
                    a.peer_connections.connection_count() == 1 && b.peer_connections.connection_count() == 1;
@@ -157,7 +157,8 @@
         }));
         EXPECT_EQ(low.connected[2], lower_first ? 1 : 2);
         EXPECT_EQ(low.disconnected[2], lower_first ? 0 : 1);
-        low.peer_connections.drop(high.address());  // and it is the one that the lower one dialled
+        low.peer_connections.drop(
+            high.address());  // the remaining connection is the one that the lower instance dialed
         ASSERT_TRUE(loop.until([&] { return low.disconnected[2] > 0 && high.disconnected[1] > 0; }));
     }
 }
@@ -169,14 +170,15 @@
     std::vector<std::unique_ptr<Process>> all;
     for (std::uint64_t i = 1; i <= 7; ++i) all.push_back(std::make_unique<Process>(loop, i, set));
     for (auto& one : all)
-        for (auto& other : all) one->peer_connections.dial(other->address());  // itself among them
+        for (auto& other : all)
+            one->peer_connections.dial(other->address());  // includes the process's own address
     ASSERT_TRUE(loop.until([&] {
         return std::all_of(all.begin(), all.end(), [](auto& p) {
             return p->peer_connections.peer_count() == 6 && p->peer_connections.connection_count() == 6;
         });
     }));
     for (std::uint64_t i = 1; i <= 7; ++i) EXPECT_FALSE(all[i - 1]->connected.contains(i));
-    // One of them starts anew, elsewhere: the others find it there once they are told.
+    // One process restarts at another address, and the others are given the new address.
     std::string was = all[3]->address();
     all[3] = std::make_unique<Process>(loop, 104, set);
     for (auto& other : all)
@@ -220,7 +222,7 @@
     Process other_cluster(loop, 2, other, std::nullopt);
     other_cluster.peer_connections.dial(coordinator.address());
     ASSERT_TRUE(loop.until([&] { return !other_cluster.dial_errors.empty(); }));
-    // Whoever reads first sees it, and closes.
+    // The side that reads the preamble first closes with Cluster, the other sees Closed.
     EXPECT_TRUE(other_cluster.dial_errors[0] == Error::Cluster ||
                 other_cluster.dial_errors[0] == Error::Closed);
     ASSERT_TRUE(loop.until([&] {
@@ -252,7 +254,7 @@
         EXPECT_LE(coordinator.peer_connections.connection_count(), 6u);
         return coordinator.connected[2] == 1;
     }));
-    // Those that remain go by the time that they have, and the peer stays.
+    // The remaining ones are closed at their handshake deadline, and the peer stays connected.
     ASSERT_TRUE(loop.until([&] { return coordinator.peer_connections.unauthenticated_count() == 0; }));
     EXPECT_EQ(std::count_if(flood.begin(), flood.end(), [](auto& one) { return one->closed(); }), 50);
     EXPECT_GE(coordinator.peer_connections.ended_count(Error::Full), 45u);
@@ -272,7 +274,7 @@
     }
     ASSERT_TRUE(loop.until([&] { return coordinator.peer_connections.ended_count(Error::Full) >= 6; }));
     EXPECT_EQ(coordinator.peer_connections.peer_count(), 3u);
-    // Where one leaves, another comes in.
+    // When one peer disconnects, another is accepted.
     std::uint64_t in = coordinator.connected.begin()->first;
     nodes[in - 2].reset();
     ASSERT_TRUE(loop.until(
@@ -286,7 +288,7 @@
     set.channel.keys.clear();
     Process coordinator(loop, 1, set);
     RawConnection slow(loop, coordinator.peer_connections);
-    // A Hello and a Ready without keys, by a channel that nobody reads for.
+    // Completes the handshake without keys, and then reads nothing.
     Settings own;
     own.self = {"slow", "z", 9};
     Channel channel(own);
@@ -340,7 +342,7 @@
     EXPECT_EQ(node.peer_connections.connection_count(), 0u);
 }
 
-// ---- The dialer by itself
+// The dialer alone
 
 struct TestDialer {
     explicit TestDialer(std::uint64_t seed) : dialer({}, seed) {}
@@ -376,7 +378,7 @@
             one.now = one.timer_at;
             ASSERT_EQ(one.handle(TimerFired{}), 1);
         }
-        // One that came up and went at once goes on waiting; one that lived begins anew.
+        // A connection that ends at once keeps the backoff; one that lasted resets it.
         one.handle(Dialer::DialSucceeded{"x", 5});
         one.handle(Dialer::ConnectionEnded{"x"});
         EXPECT_GE((one.timer_at - one.now).count(), 2500);
@@ -401,7 +403,7 @@
     EXPECT_EQ(one.handle(TimerFired{}), 1);
     one.handle(Dialer::DialSucceeded{"x", 5});
     one.handle(Dialer::PeerConnected{5});
-    one.handle(Dialer::ConnectionEnded{"x"});  // it made way for one that the other side dialled
+    one.handle(Dialer::ConnectionEnded{"x"});  // it was replaced by a connection that the peer dialed
     one.now += Duration{60000};
     EXPECT_EQ(one.handle(TimerFired{}), 0);
     EXPECT_EQ(one.handle(Dialer::PeerDisconnected{5}), 0);
@@ -420,7 +422,7 @@
         for (bool newer : {false, true})
             for (auto [low, high] : {std::pair<std::uint64_t, std::uint64_t>{1, 2}, {7, 1ull << 63}}) {
                 EXPECT_EQ(newer_stays(older, newer, low, high), newer_stays(!older, !newer, high, low));
-                // In whichever order the two came up.
+                // Independent of the order in which they were established.
                 if (older != newer) {
                     EXPECT_NE(newer_stays(older, newer, low, high), newer_stays(newer, older, low, high));
                 }
