--- a/src/fleet/channel/channel.cpp
+++ b/src/fleet/channel/channel.cpp
@@ -11,9 +11,11 @@
 namespace ochrehub::channel {
 namespace {
 
-constexpr std::size_t kLengthBytes =
-    4;  // bytes, big-endian, of all that follows of a frame: protobuf and tag
-constexpr std::string_view kHelloLabel = "ochrehub channel hello", kFramesLabel = "ochrehub channel frames";
+/// Length of the rest of a frame (protobuf and tag), big-endian.
+constexpr std::size_t kLengthBytes = 4;
+/// Separate the tags of Hellos from the keys of connections.
+constexpr std::string_view kHelloLabel = "ochrehub channel hello";
+constexpr std::string_view kFramesLabel = "ochrehub channel frames";
 
 void append_uint32(std::uint32_t value, std::string& out) {
     for (int shift = 24; shift >= 0; shift -= 8) out += char(value >> shift & 0xff);
@@ -24,7 +26,7 @@
     return value;
 }
 
-/// Names reach logs and terminals.
+/// Names are printed to logs and terminals, so only printable characters are allowed.
 bool is_valid_name(std::string_view name) {
     return name.size() <= Channel::kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char c) {
                return c > ' ' && c < 127 && c != '"' && c != '\\';
@@ -32,30 +34,32 @@
 }
 
 constexpr std::array<fleet::ErrorRow, fleet::kErrorsOf<Error>> kRows{{
-    {"channel.closed", "the connection was closed, or is not up yet", true,
-     "nothing where it comes back; else see whether the other process runs"},
-    {"channel.silent", "nothing came, or nothing left, for as long as a connection is believed", true,
-     "see whether the other process stands still and whether the network drops what is sent one way"},
-    {"channel.too-long", "a frame or message is longer than is allowed", false,
-     "see which release speaks at the other end, and whether it is one of this fleet's processes"},
-    {"channel.malformed", "what came is no frame of this protocol, or none that may come then", false,
-     "see what connects to this address: it is no process of this fleet, or a faulty one"},
-    {"channel.version", "the other side speaks another version of this protocol", false,
-     "run releases side by side that are neighbours; update the older process"},
-    {"channel.cluster", "the other side belongs to another cluster", false,
+    {"channel.closed", "the connection is closed, or its handshake is not complete yet", true,
+     "nothing if it reconnects; otherwise check whether the other process runs"},
+    {"channel.silent", "nothing was received, or nothing could be written, within the timeout", true,
+     "check whether the other process hangs and whether the network drops packets in one direction"},
+    {"channel.too-long", "a frame or message exceeds the size limit", false,
+     "check the release of the process at the other end, and whether it belongs to this fleet"},
+    {"channel.malformed", "received bytes that are no valid frame of this protocol, or a frame out of order",
+     false, "check what connects to this address: a faulty process, or one that isn't part of this fleet"},
+    {"channel.version", "the peer uses another version of this protocol", false,
+     "run only adjacent releases together; update the older process"},
+    {"channel.cluster", "the peer belongs to another cluster", false,
      "correct the address, or the cluster's name in the settings of one of the two"},
-    {"channel.forged", "a frame bears no tag by a key of this fleet, or one that was made for another place",
-     false,
-     "give both sides a key in common, the new one behind the old one first; with equal keys somebody "
-     "meddles"},
-    {"channel.full", "as much waits to be sent or is connected as is allowed", true,
-     "nothing where it passes; else see why the other process reads slowly, or who connects so often"},
+    {"channel.forged",
+     "a frame has no valid tag of a key of this fleet, or a tag of another connection or position", false,
+     "give both processes a common key; to rotate a key, first add the new one after the old one. If the "
+     "keys "
+     "are equal, someone tampers with the connection"},
+    {"channel.full", "the limit of queued bytes or of connections is reached", true,
+     "nothing if it is temporary; otherwise check why the other process reads slowly, or what opens so many "
+     "connections"},
     {"channel.replaced",
-     "another connection to the same process is used instead, or it leads to this process itself", true,
-     "nothing; an address of the process's own can be taken from its list"},
-    {"channel.unreachable", "no connection came about in time", true,
-     "see whether the other process runs, whether its address is right and whether the network lets it "
-     "through"},
+     "another connection to the same process is used instead, or the address leads to this process itself",
+     true, "nothing; a process's own address can be removed from its list"},
+    {"channel.unreachable", "no connection was established in time", true,
+     "check whether the other process runs, whether its address is right and whether the network allows the "
+     "connection"},
 }};
 
 }  // namespace
@@ -64,12 +68,12 @@
     return kRows[std::size_t(error)];
 }
 
-/// The part that knows protobuf.
+/// The functions that use protobuf types.
 struct Channel::Wire {
     Channel& channel;
     Actions& actions;
 
-    /// A frame with its length and tag into what is put. `mac`: keyed already; none: no tag.
+    /// Appends a frame with its length and tag to the outgoing bytes. `mac` must have its key; null: no tag.
     void append_frame(const wire::Frame& frame, fleet::Mac* mac, std::uint64_t number) const {
         std::string& out = channel.outgoing_;
         std::size_t size = frame.ByteSizeLong(), before = out.size();
@@ -109,7 +113,8 @@
         append_frame(frame, &mac, 0);
     }
 
-    /// What was signed, of one whole frame; nothing where its tag is wrong. Of a Hello: also by which key.
+    /// Verifies one whole frame and returns its signed part, or nullopt if its tag is invalid. Sets `key` to
+    /// the key that matched a Hello.
     std::optional<std::string_view> open(std::string_view bytes, const std::string*& key) const {
         const std::vector<std::string>& keys = channel.settings_.keys;
         if (keys.empty()) return bytes;
@@ -147,7 +152,7 @@
         }
         if (frame.has_message()) {
             wire::Message& message = *frame.mutable_message();
-            // Which kinds a peer knows goes by its release: one that sends others is faulty.
+            // The release determines which kinds a peer may send, so any other kind is a fault of the peer.
             bool known = message.kind() >= std::uint32_t(MessageKind::Raft) &&
                          message.kind() <= std::uint32_t(MessageKind::Migration);
             if (!known) return channel.close(Error::Malformed, actions);
@@ -158,8 +163,8 @@
         } else if (frame.has_ping()) {
             wire::Frame response;
             response.mutable_pong()->set_number(frame.ping().number());
-            // Where much waits to be written, that will show this one's life; and whoever asks and never
-            // reads gets no more room.
+            // With a full queue the pong is omitted: the queued bytes show that this process is alive, and a
+            // peer that pings but never reads must not make the queue grow.
             if (channel.queued_bytes_ + response.ByteSizeLong() + kLengthBytes + channel.tag_size() <=
                 channel.settings_.max_queued_bytes)
                 send(response);
@@ -176,12 +181,12 @@
             !is_valid_name(hello.zone()) || hello.instance() == 0)
             return channel.close(Error::Malformed, actions);
         if (key && hello.nonce() == set.nonce)
-            return channel.close(Error::Forged, actions);  // its own, turned around
+            return channel.close(Error::Forged, actions);  // its own Hello, reflected
         if (hello.instance() == set.self.instance) return channel.close(Error::Replaced, actions);
         channel.peer_ = {hello.name(),    hello.zone(),         hello.instance(),   hello.keeper(),
                          hello.release(), hello.schema_least(), hello.schema_most()};
         if (key) {
-            // The sender's nonce first: the two directions have nothing in common.
+            // The sender's nonce comes first, so the two directions have different keys.
             auto connection_mac = [&](const std::string& by, const std::string& sender,
                                       const std::string& receiver) {
                 fleet::Mac mac(by);
@@ -256,10 +261,10 @@
         std::size_t done = consume(incoming_, actions);
         incoming_.erase(0, done);
         if (incoming_.empty() && incoming_.capacity() > kMaxHelloBytes)
-            incoming_ = {};  // a long message now and then is not held for ever
+            incoming_ = {};  // frees the capacity that a long message needed
     }
     if (stage_ == Stage::Closed) incoming_ = {};
-    // Before Connected nobody has shown who they are: what they send gives them no more time.
+    // Before Connected the peer is unauthenticated, so its bytes don't extend the handshake deadline.
     if (!connected()) return;
     last_received_ = now, ping_pending_ = false;
     if (!was_up) actions.emplace_back(SetTimer{timer_at_ = now + settings_.idle_timeout});
@@ -277,7 +282,7 @@
         }
         if (rest.size() < kLengthBytes) break;
         std::size_t size = read_uint32(rest);
-        if (size > max_frame_bytes()) {  // seen before any of it is waited for
+        if (size > max_frame_bytes()) {  // before any of it is buffered
             close(Error::TooLong, actions);
             break;
         }
@@ -317,8 +322,7 @@
         actions.emplace_back(SetTimer{timer_at_});
         return;
     }
-    // This process was_paused still itself: what came meanwhile has not been read yet, and says nothing
-    // against the peer.
+    // This process was paused: bytes that arrived meanwhile have not been read yet, so the peer isn't silent.
     bool was_paused = now - timer_at_ > settings_.idle_timeout;
     if (stage_ != Stage::Connected) {
         if (!was_paused) return close(Error::Silent, actions);
--- a/src/fleet/schema/errors.cpp
+++ b/src/fleet/schema/errors.cpp
@@ -4,19 +4,19 @@
 
 const fleet::ErrorRow& row(Error error) {
     static constexpr fleet::ErrorRow kRows[kErrors] = {
-        {"schema.unknown-kind", "no kind of shared record has this name", false,
+        {"schema.unknown-kind", "no kind of shared records has this name", false,
          "see `ochrehub fleet migrate status` for the kinds"},
-        {"schema.unknown-schema", "this release has no schema of this number", false,
-         "upgrade this process; it must not read such records before"},
-        {"schema.malformed", "is no record of the schema that it claims", false,
-         "keep the record's octets and report them; it was left as it is"},
-        {"schema.does-not-fit", "holds a value that the other schema has no room for", false,
+        {"schema.unknown-schema", "this release does not know this schema version", false,
+         "upgrade this process; it must not read such records before that"},
+        {"schema.malformed", "is not a valid record of its schema version", false,
+         "keep the record's bytes and report them; the record was not changed"},
+        {"schema.does-not-fit", "has a value that the other schema version can't represent", false,
          "correct or drop this record, then start the migration again"},
-        {"schema.too-large", "has more records or octets than a group may have", false,
-         "drop sessions or clients of this group that are over"},
-        {"schema.empty-range", "the range of schemas holds none", false, "install a release that is whole"},
-        {"schema.apart", "two releases that have no schema in common cannot work side by side", false,
-         "upgrade by one release at a time: first to the one between"},
+        {"schema.too-large", "exceeds the limit of records or bytes of a group", false,
+         "drop expired sessions or clients of this group"},
+        {"schema.empty-range", "the range of schema versions is empty", false, "install a complete release"},
+        {"schema.apart", "two releases without a common schema version can't run together", false,
+         "upgrade by one release at a time: first to the release in between"},
     };
     return kRows[std::size_t(error)];
 }
--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -127,10 +127,10 @@
                   kErrorsOf<channel::Error> == std::size_t(channel::Error::Unreachable) + 1);
     auto rows = rows_of<Sample>();
     EXPECT_EQ(rows[1].name, "Second");
-    EXPECT_EQ(sentence(Failure<channel::Error>{channel::Error::Cluster, "127.0.0.1:4000"}),
-              "channel.cluster: 127.0.0.1:4000: the other side belongs to another cluster; correct the "
-              "address, or the cluster's name in "
-              "the settings of one of the two");
+    EXPECT_EQ(
+        sentence(Failure<channel::Error>{channel::Error::Cluster, "127.0.0.1:4000"}),
+        "channel.cluster: 127.0.0.1:4000: the peer belongs to another cluster; correct the address, or the "
+        "cluster's name in the settings of one of the two");
 }
 
 }  // namespace
--- a/tests/fleet/schema_migration_test.cpp
+++ b/tests/fleet/schema_migration_test.cpp
@@ -1,6 +1,5 @@
-// Levels and migrations, each side by itself: what the keepers' machine lets happen, what a holder writes in
-// which form and refuses, how an owner takes over and yields. What they do together is in
-// lab/tests/migration_test.cpp.
+// The parts of schema migrations one by one: the coordinators' state machine, a shard holder, an owner. Tests
+// of them together are in lab/tests/schema_migration_test.cpp.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +30,7 @@
     return code.substr(code.find('.') + 1);
 }
 
-// ---- The machine
+// The state machine
 
 struct Fleet {
     MigrationStateMachine machine =
@@ -91,7 +90,7 @@
     }
 };
 
-TEST(MigrationStateMachine, GoesThroughItsStagesAndRaisesTheLevelAtTheSwitch) {
+TEST(MigrationStateMachine, RunsItsStagesAndSwitchesTheWrittenVersion) {
     Fleet fleet;
     EXPECT_EQ(error(fleet.join(1, 3, 4)), "");
     EXPECT_EQ(error(fleet.join(2, 3, 4)), "");
@@ -114,32 +113,33 @@
     EXPECT_EQ(fleet.pass(1), "");
     EXPECT_EQ(fleet.machine.stage(), Stage::Done);
     EXPECT_EQ(error(fleet.steer(wire::BACK)), "nothing");
-    EXPECT_EQ(error(fleet.start(3)), "");  // and down again, as a migration of its own
+    EXPECT_EQ(error(fleet.start(3)), "");  // migrating down is a new migration
 }
 
-TEST(MigrationStateMachine, WhoCannotReadTheLevelIsRefusedWithWhatToDo) {
+TEST(MigrationStateMachine, RefusesProcessesThatCannotReadTheWrittenVersion) {
     Fleet fleet;
     EXPECT_EQ(error(fleet.join(1, 3, 4)), "");
     EXPECT_EQ(error(fleet.join(2, 1, 2)), "old-release");
-    EXPECT_EQ(error(fleet.join(3, 4, 5)), "new-release");  // two releases ahead of one that still writes 3
+    EXPECT_EQ(error(fleet.join(3, 4, 5)),
+              "new-release");  // two releases ahead of a fleet that still writes 3
     EXPECT_EQ(fleet.news(2).about(), "node 2: sessions: reads 1 to 2, the fleet writes 3");
-    EXPECT_EQ(error(fleet.start(4)), "");  // those are refused anyway
+    EXPECT_EQ(error(fleet.start(4)), "");  // refused processes don't block the start
     EXPECT_EQ(error(fleet.want(2)), "old-release");
     fleet.want(1);
     for (int i = 0; i < 3; ++i) fleet.pass(1);
     EXPECT_EQ(error(fleet.join(4, 2, 3)), "old-release");
     EXPECT_EQ(error(fleet.join(5, 4, 5)),
-              "new-release");  // the way back is still open, which it could not go
+              "new-release");  // going back is still possible, and it doesn't read 3
     EXPECT_EQ(error(fleet.join(6, 3, 4)), "");
     EXPECT_EQ(error(fleet.steer(wire::BACK)), "");
-    EXPECT_EQ(fleet.news(4).refused(), 0u);  // the level is theirs again
+    EXPECT_EQ(fleet.news(4).refused(), 0u);  // the fleet writes a version that they read again
     EXPECT_EQ(error(fleet.says(4, 2, 3)), "");
     fleet.pass(1), fleet.pass(1);
     EXPECT_EQ(fleet.machine.stage(), Stage::Undone);
     EXPECT_EQ(fleet.machine.written_versions()[0], 3u);
 }
 
-TEST(MigrationStateMachine, AnOldProcessStopsItBeforeTheSwitch) {
+TEST(MigrationStateMachine, OldProcessPausesItBeforeTheSwitch) {
     Fleet fleet;
     fleet.join(1, 3, 4), fleet.join(2, 2, 3);
     EXPECT_EQ(error(fleet.start(4)), "old-process");
@@ -151,7 +151,7 @@
     EXPECT_EQ(error(fleet.start(4)), "running");
     fleet.want(1);
     fleet.pass(1);
-    EXPECT_EQ(error(fleet.join(4, 2, 3)), "");  // it serves by the level of now
+    EXPECT_EQ(error(fleet.join(4, 2, 3)), "");  // it can serve with the current version
     EXPECT_TRUE(fleet.machine.migration().paused());
     EXPECT_EQ(from_wire(fleet.machine.migration().stopped()), Error::OldProcess);
     fleet.pass(1);
@@ -161,7 +161,7 @@
     EXPECT_EQ(error(fleet.steer(wire::GO_ON)), "");
     EXPECT_EQ(fleet.machine.stage(), Stage::Convert);
     fleet.pass(1);
-    // One that has not said what it reads is waited for.
+    // The switch waits for a process that hasn't reported its ranges.
     fleet.machine.session_opened(5, "silent", "z");
     fleet.pass(1);
     EXPECT_EQ(fleet.machine.stage(), Stage::Compare);
@@ -170,7 +170,7 @@
     EXPECT_EQ(fleet.machine.stage(), Stage::Switch);
 }
 
-TEST(MigrationStateMachine, StopsByItselfAndSaysWhy) {
+TEST(MigrationStateMachine, PausesWithAnError) {
     Fleet fleet;
     fleet.join(1, 3, 4);
     fleet.start(4), fleet.want(1), fleet.pass(1), fleet.pass(1);
@@ -181,7 +181,7 @@
     EXPECT_EQ(fleet.machine.migration().about(), "shard 0, group c7");
     caused().insert(std::string(row(Error::Differs).code));
     EXPECT_EQ(error(fleet.steer(wire::GO_ON)), "");
-    EXPECT_EQ(fleet.machine.stage(), Stage::Convert);  // from there on
+    EXPECT_EQ(fleet.machine.stage(), Stage::Convert);  // groups are converted again
     counts.Clear(), counts.set_refusals(6);
     fleet.say(1, fleet.did(0, counts));
     EXPECT_EQ(from_wire(fleet.machine.migration().stopped()), Error::Refusals);
@@ -189,7 +189,7 @@
     wire::Command late = fleet.did(1);
     fleet.steer(wire::GO_ON);
     EXPECT_FALSE(fleet.machine.migration().paused());
-    EXPECT_EQ(error(fleet.say(1, late)), "stale");  // behind a stop its stage begins anew
+    EXPECT_EQ(error(fleet.say(1, late)), "stale");  // the stage has restarted
     wire::Command trouble;
     trouble.mutable_trouble()->set_error(on_wire(Error::Full));
     EXPECT_EQ(error(fleet.say(1, trouble)), "stale");
@@ -202,7 +202,7 @@
     EXPECT_EQ(error(fleet.steer(wire::BACK)), "");
     EXPECT_EQ(fleet.machine.stage(), Stage::Unwiden);
     EXPECT_FALSE(now.paused());
-    // A spent sum that is lower, whatever the digests say.
+    // A lower spent amount, even with equal digests.
     Fleet other;
     other.join(1, 3, 4), other.start(4), other.want(1), other.pass(1), other.pass(1);
     counts.Clear(), counts.set_spent_from(5), counts.set_spent_to(4);
@@ -210,7 +210,7 @@
     EXPECT_EQ(from_wire(other.machine.migration().stopped()), Error::Differs);
 }
 
-TEST(MigrationStateMachine, AnOlderOwnerSaysNothingAndAPauseHolds) {
+TEST(MigrationStateMachine, IgnoresOlderOwnersAndStaysPaused) {
     Fleet fleet;
     fleet.join(1, 3, 4), fleet.join(2, 3, 4);
     fleet.start(4), fleet.want(1);
@@ -227,10 +227,10 @@
     EXPECT_EQ(error(fleet.steer(wire::GO_ON)), "");
     EXPECT_EQ(fleet.machine.stage(), Stage::Convert);
     EXPECT_EQ(error(fleet.steer(wire::NARROW)), "not-yet");
-    EXPECT_EQ(error(fleet.say(2, late)), "stale");  // of the stage before
+    EXPECT_EQ(error(fleet.say(2, late)), "stale");  // of the previous stage
 }
 
-TEST(MigrationStateMachine, WhatIsNonsenseChangesNothing) {
+TEST(MigrationStateMachine, MalformedCommandsChangeNothing) {
     Fleet fleet;
     fleet.join(1, 3, 4);
     std::string before = fleet.machine.snapshot();
@@ -258,7 +258,7 @@
     EXPECT_EQ(other.snapshot(), before);
 }
 
-TEST(MigrationStateMachine, WhateverIsSaidInWhateverOrderItStaysSound) {
+TEST(MigrationStateMachine, InvariantsHoldUnderRandomCommands) {
     std::uint64_t state = 7;
     auto draw = [&](std::uint64_t below) {
         return ((state = state * 6364136223846793005u + 1442695040888963407u) >> 33) % below;
@@ -331,7 +331,7 @@
             ASSERT_EQ(fleet.machine.written_versions()[0], stage == Stage::Switch ? now.to() : now.from());
             level = fleet.machine.written_versions()[0];
             ++switched;
-            // Nobody who has a say could not read it.
+            // Every accepted process reads the version.
             for (coordinator::SessionId one : live) {
                 wire::News news = fleet.news(one);
                 ASSERT_TRUE(news.refused() || said.at(one).contains(level));
@@ -352,7 +352,7 @@
     EXPECT_GT(stopped, 0);
 }
 
-// ---- A holder
+// A shard holder
 
 constexpr const char* kGroup = "c1";
 
@@ -411,13 +411,13 @@
     }
 };
 
-TEST(Holder, WritesBothFormsInOneStepAndRefusesWhatIsOlder) {
+TEST(Holder, WritesBothVersionsAtomicallyAndRefusesOlderOnes) {
     Holding h;
     EXPECT_EQ(error(h.put(3, 1)), "");
     EXPECT_EQ(error(h.put(4, 2)), "new-level");
     EXPECT_TRUE(h.order(Stage::Widen).done());
     EXPECT_EQ(h.forms(), 1);
-    EXPECT_EQ(h.server(4), "s1");  // made of the old form
+    EXPECT_EQ(h.server(4), "s1");  // converted from the old version
     EXPECT_EQ(error(h.put(3, 2, "c2")), "");
     EXPECT_TRUE(h.order(Stage::Convert).done());
     EXPECT_EQ(h.forms(), 2);
@@ -434,7 +434,7 @@
     EXPECT_EQ(error(h.ask(3)), "old-level");
     EXPECT_EQ(error(h.put(4, 5)), "");
     EXPECT_TRUE(h.order(Stage::Unswitch).done());
-    EXPECT_EQ(h.server(3), "s5");  // nothing is lost that was written since
+    EXPECT_EQ(h.server(3), "s5");  // writes since the switch are kept
     EXPECT_TRUE(h.order(Stage::Switch).done());
     EXPECT_TRUE(h.order(Stage::Narrow).done());
     EXPECT_EQ(h.forms(), 1);
@@ -442,10 +442,10 @@
     EXPECT_EQ(h.server(4), "s5");
     EXPECT_EQ(error(h.put(3, 6)), "old-level");
     EXPECT_EQ(error(h.put(4, 6, kGroup, 1)), "changed");
-    EXPECT_EQ(h.receiver.refusals(), 0u);  // of writes: those were told before they wrote, or try again
+    EXPECT_EQ(h.receiver.refusals(), 0u);  // counts refused writes only
 }
 
-TEST(Holder, RefusesOlderEpochsStagesAndMigrationsAndDoesNothingTwice) {
+TEST(Holder, RefusesStaleOrdersAndIsIdempotent) {
     Holding h;
     h.put(3, 1);
     h.order(Stage::Widen), h.order(Stage::Convert);
@@ -465,12 +465,12 @@
     late = h.last;
     late.set_migration(0), late.set_revision(99);
     EXPECT_EQ(error(h.receiver.handle(late)), "stale");
-    EXPECT_EQ(error(h.order(Stage::Narrow)), "malformed");  // it has not switched
+    EXPECT_EQ(error(h.order(Stage::Narrow)), "malformed");  // the shard has not switched
     h.last.set_kind(1);
     EXPECT_EQ(error(h.order(Stage::Convert)), "malformed");
 }
 
-TEST(Holder, TakesAStageThatBeginsAnew) {
+TEST(Holder, AcceptsARestartedStage) {
     Holding h;
     h.put(3, 1);
     for (Stage stage :
@@ -482,7 +482,7 @@
     EXPECT_EQ(h.receiver.writes(0), 4u);
 }
 
-TEST(Holder, GoesOnWhereItWasAfterARestart) {
+TEST(Holder, ContinuesAtItsCursorAfterARestart) {
     Holding h;
     for (int i = 0; i < 10; ++i) h.put(3, std::uint64_t(i + 1), "c" + std::to_string(i));
     h.order(Stage::Widen);
@@ -497,7 +497,7 @@
     EXPECT_EQ(again.handle(h.last).counts().groups(), 10u);
 }
 
-TEST(Holder, AConversionThatThrowsStopsThereAndServesOn) {
+TEST(Holder, FailedConversionStopsTheStageAndStillServes) {
     Holding h([](Kind kind, schema::Version from, schema::Version to, schema::Group group) -> schema::Result {
         for (const auto& r : group)
             if (from < to && r.key.find("c5") != std::string::npos) throw std::runtime_error("a bad day");
@@ -508,16 +508,16 @@
     wire::Reply reply = h.order(Stage::Convert);
     EXPECT_EQ(error(reply), "conversion");
     EXPECT_EQ(reply.about(), "c5");
-    EXPECT_EQ(error(h.put(3, 20, "c5")), "");  // who writes it is served
+    EXPECT_EQ(error(h.put(3, 20, "c5")), "");  // a write to the group is accepted
     EXPECT_EQ(error(h.ask(4, "c5")), "conversion");
-    EXPECT_EQ(error(h.order(Stage::Compare)), "");  // and the comparison would see it
+    EXPECT_EQ(error(h.order(Stage::Compare)), "");  // the comparison detects it
     EXPECT_EQ(h.receiver.handle(h.last).counts().differs(), "c5");
     EXPECT_TRUE(h.order(Stage::Unwiden).done());
     EXPECT_EQ(error(h.put(3, 21, "c5")), "");
     EXPECT_EQ(h.forms(), 1);
 }
 
-TEST(Holder, AFullDiskInTheMiddleOfWidenChangesNothingAndTheWayBackIsOpen) {
+TEST(Holder, FullDiskDuringWidenChangesNothingAndCanGoBack) {
     Holding h;
     for (int i = 0; i < 10; ++i) h.put(3, std::uint64_t(i + 1), "c" + std::to_string(i));
     h.records.set_max_bytes(h.records.bytes(0) * 3 / 2);
@@ -525,13 +525,13 @@
     wire::Reply reply = h.order(Stage::Convert);
     EXPECT_EQ(error(reply), "full");
     EXPECT_EQ(error(h.receiver.handle(h.last)), "full");
-    EXPECT_EQ(error(h.put(3, 30, "c9")), "full");  // both or neither
+    EXPECT_EQ(error(h.put(3, 30, "c9")), "full");  // stores both versions or none
     EXPECT_GT(h.receiver.refusals(), 0u);
     EXPECT_TRUE(h.order(Stage::Unwiden).done());
     EXPECT_EQ(error(h.put(3, 30, "c9")), "");
 }
 
-TEST(Holder, SaysSoWhereItDoesNotHoldTheShard) {
+TEST(Holder, ReportsShardsThatItDoesNotHold) {
     MemoryRecords records;
     Receiver receiver(
         {Kind::Sessions, 3, 1000, schema::convert, [](std::uint32_t shard) { return shard != 7; }}, records);
@@ -545,7 +545,7 @@
     EXPECT_EQ(error(receiver.handle(ask)), "");
 }
 
-// ---- An owner
+// An owner
 
 TimePoint at(double ms) {
     return TimePoint{Duration{ms}};
@@ -587,7 +587,7 @@
     }
 };
 
-TEST(Owner, AsksForWhatNobodyOwnsLooksFirstAndSaysWhatIsDone) {
+TEST(Owner, ClaimsQueriesFirstAndReportsProgress) {
     Owning o;
     o.tell(0, 1);
     ASSERT_EQ(o.proposals().size(), 1u);
@@ -603,7 +603,7 @@
     o.reply(3, o.orders()[0], true);
     ASSERT_EQ(o.proposals().size(), 1u);
     EXPECT_TRUE(o.proposals()[0].has_did());
-    // It says so again until it is contents to be known, and orders nothing more there.
+    // Repeats the report until the news shows it, and sends no further orders to the shard.
     o.actions.clear();
     o.owner.handle(at(1500), TimerFired{}, o.actions);
     EXPECT_EQ(o.proposals().size(), 1u);
@@ -611,13 +611,13 @@
     o.tell(1501, 1);
     EXPECT_TRUE(o.proposals().empty());
 }
-TEST(Owner, StopsAtItsEndAndWhereAnotherOwnsIt) {
+TEST(Owner, StopsWhenItsSessionExpiresOrAnotherOwnsIt) {
     Owning o;
     o.fleet.want(1);
     o.tell(0, 1, 100);
     wire::Order order = o.orders()[0];
     EXPECT_TRUE(o.owner.is_owner());
-    o.reply(101, order, false);  // behind a pause: the clock first
+    o.reply(101, order, false);  // after a pause the session has expired
     EXPECT_FALSE(o.owner.is_owner());
     EXPECT_TRUE(o.orders().empty());
     o.tell(102, 1, 200);
@@ -626,7 +626,7 @@
     EXPECT_FALSE(o.owner.is_owner());
     EXPECT_TRUE(o.orders().empty());
 }
-TEST(Owner, YieldsToLoadAndAsksAgainWhatWasNotAnswered) {
+TEST(Owner, SlowsDownUnderLoadAndRepeatsUnansweredOrders) {
     OwnerSettings settings;
     settings.groups_per_order = 100, settings.groups_per_second = 10'000, settings.max_concurrent_shards = 1;
     Owning o(settings);
@@ -634,7 +634,7 @@
     o.fleet.say(1, o.fleet.did(1));  // one shard is left
     o.tell(0, 1);
     o.reply(1, o.orders().at(0), false);
-    wire::Order order = o.orders().at(0);  // 100 groups: 10 ms at its pace
+    wire::Order order = o.orders().at(0);  // 100 groups are 10 ms at its pace
     std::uint64_t groups = 0;
     double now = 2;
     auto waits = [&](std::uint32_t load) {
@@ -648,14 +648,14 @@
     };
     EXPECT_NEAR(waits(0), 10, 1);
     EXPECT_NEAR(waits(70), 10, 1);
-    EXPECT_NEAR(waits(99), 200, 1);  // a twentieth of it
+    EXPECT_NEAR(waits(99), 200, 1);  // a twentieth of the pace
     EXPECT_NEAR(waits(10), 10, 1);
     o.actions.clear();
     o.owner.handle(at(3000), TimerFired{}, o.actions);
     ASSERT_EQ(o.orders().size(), 1u);
-    EXPECT_EQ(o.orders()[0].most(), 0u);  // it asks before it repeats
+    EXPECT_EQ(o.orders()[0].most(), 0u);  // queries the state before it repeats an order
 }
-TEST(Owner, StopsTheMigrationWhereAShardCannotGoOn) {
+TEST(Owner, ReportsAShardThatKeepsFailing) {
     OwnerSettings settings;
     settings.max_attempts = 3;
     Owning o(settings);
@@ -677,16 +677,16 @@
     EXPECT_FALSE(o.orders().empty());
 }
 
-TEST(Errors, EachIsCausedAndSaysWhatToDo) {
+TEST(Errors, EachIsCausedAndHasARemedy) {
     for (std::size_t i = 0; i < kErrors; ++i) {
         const fleet::ErrorRow& r = row(Error(i));
         EXPECT_TRUE(caused().contains(std::string(r.code))) << r.code;
         EXPECT_FALSE(r.what.empty() || r.operators.empty()) << r.code;
     }
     EXPECT_EQ(sentence(Failure{Error::OldLevel, "shard 3"}),
-              "migration.old-level: shard 3: the fleet no longer writes this schema; nothing where the "
-              "process reads the new one: it "
-              "tries again; else upgrade it");
+              "migration.old-level: shard 3: the fleet no longer writes this schema version; nothing if the "
+              "process "
+              "reads the new version: it retries; otherwise upgrade it");
 }
 
 }  // namespace
--- a/tests/fleet/schema_test.cpp
+++ b/tests/fleet/schema_test.cpp
@@ -1,5 +1,5 @@
-// Schemas and the steps between them: up and down is the same for every pair of neighbours, what was written
-// between stays, nothing spent is lost, files of every schema ever released read as ever.
+// Conversion between schema versions: up and down is the identity for all adjacent versions, writes in
+// between are kept, nothing spent is lost, and files of every released version are still read.
 #include "fleet/schema/schema.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
         }
 }
 
-TEST(Steps, UpAndDownIsTheSame) {
+TEST(SchemaSteps, UpAndDownIsTheIdentity) {
     for_pairs([](Kind kind, Version from) {
         Group x = fresh(kind, from, drawn());
         Group y = must(up(kind, from, x));
@@ -48,7 +48,7 @@
         RC_ASSERT(must(bare(kind, from + 1, y)) == alone(kind, from + 1, y));
     });
 }
-TEST(Steps, DownAndUpIsTheSame) {
+TEST(SchemaSteps, DownAndUpIsTheIdentity) {
     for_pairs([](Kind kind, Version from) {
         Group y = fresh(kind, from + 1, drawn());
         Group x = must(down(kind, from + 1, y));
@@ -58,7 +58,7 @@
         RC_ASSERT(must(up(kind, from, must(down(kind, from + 1, again)))) == again);
     });
 }
-TEST(Steps, WhatIsWrittenBelowIsThereAbove) {
+TEST(SchemaSteps, WritesInOlderVersionAreVisibleInNewer) {
     for_pairs([](Kind kind, Version from) {
         Draw draw = drawn();
         Group x = must(down(kind, from + 1, fresh(kind, from + 1, draw)));
@@ -68,7 +68,7 @@
                   alone(kind, from, must(canonical(kind, from, later))));
     });
 }
-TEST(Steps, WhatIsWrittenAboveIsThereBelow) {
+TEST(SchemaSteps, WritesInNewerVersionAreVisibleInOlder) {
     for_pairs([](Kind kind, Version from) {
         Draw draw = drawn();
         Group y = must(up(kind, from, fresh(kind, from, draw)));
@@ -78,7 +78,7 @@
                   alone(kind, from + 1, must(canonical(kind, from + 1, later))));
     });
 }
-TEST(Steps, NothingSpentIsLostWhateverTheWay) {
+TEST(SchemaSteps, NoSpentAmountIsLostOnAnyPath) {
     EXPECT_TRUE(rc::check([] {
         Draw draw = drawn();
         Version at = Version(1 + draw(3));
@@ -91,12 +91,12 @@
             RC_ASSERT(exact.size() == exact_before.size());
             for (const auto& [tenant, was] : exact_before) {
                 RC_ASSERT(exact[tenant] >= was);
-                RC_ASSERT(exact[tenant] <= was + kMillion);  // and nothing is made up
+                RC_ASSERT(exact[tenant] <= was + kMillion);  // and nothing is added
                 RC_ASSERT(shown[tenant] + 1 >= was);
             }
             if (i == 0)
                 for (const auto& [tenant, was] : face(at, group)) RC_ASSERT(exact[tenant] >= was);
-            // One more, as this release counts.
+            // One more request, as this version counts.
             Group more = written_on(Kind::Rates, to, next, [&](std::uint64_t below) {
                 return below == 3 ? 1 : below == 9 ? 4 : below == 5'000'000 ? 4'000'000 : below - 1;
             });
@@ -113,7 +113,7 @@
     EXPECT_TRUE(at < group.size() && m.ParseFromString(group[at].value));
     return m;
 }
-TEST(Steps, AChangeBelowIsTheOnlyChangeAbove) {
+TEST(SchemaSteps, ChangeInOlderVersionChangesNothingElse) {
     EXPECT_TRUE(rc::check([] {
         Draw draw = drawn();
         wire::Session4 four;
@@ -139,7 +139,7 @@
                                                                           : 0));
     }));
 }
-TEST(Steps, AChangeAboveIsTheOnlyChangeBelow) {
+TEST(SchemaSteps, ChangeInNewerVersionChangesNothingElse) {
     wire::Place2 where;
     where.set_cell(0xffffffff), where.set_server("s"), where.set_idle_ms(kBindingLeaseMs * 3);
     Group four = must(convert(Kind::Sessions, 2, 4, {{"p" + key_of("a", "c"), bytes(where)}}));
@@ -154,7 +154,7 @@
     EXPECT_EQ(item<wire::Place2>(two).idle_ms(), kBindingLeaseMs - 1000);
     EXPECT_EQ(item<wire::Place2>(two).cell(), 2u);
 }
-TEST(Steps, WhatIsSpentBelowIsAddedAboveAndTheOtherWayRound) {
+TEST(SchemaSteps, SpendingIsAddedInTheOtherVersion) {
     EXPECT_TRUE(rc::check([] {
         Draw draw = drawn();
         wire::Bucket3 bucket;
@@ -168,8 +168,7 @@
         later.set_counted(use.counted() + more);
         RC_ASSERT(item<wire::Bucket3>(must(up(Kind::Rates, 2, {{two[0].key, bytes(later)}}))).spent() ==
                   bucket.spent() + more * kMillion);
-        later.set_rolls(
-            2);  // a window without any has passed: what was rounded up before no longer says anything
+        later.set_rolls(2);  // a window without requests has passed, so earlier rounding has no effect
         RC_ASSERT(item<wire::Bucket3>(must(up(Kind::Rates, 2, {{two[0].key, bytes(later)}}))).spent() ==
                   later.counted() * kMillion);
         later.set_previous(3);
@@ -186,7 +185,7 @@
         }
     }));
 }
-TEST(Steps, OneBecomesSeveralAndTwoBecomeOne) {
+TEST(SchemaSteps, RecordsAreSplitAndMerged) {
     wire::Sessions1 all;
     for (const char* tenant : {"a", "b"}) {
         auto& one = *all.add_bound();
@@ -194,7 +193,7 @@
         one.mutable_binding()->set_idle_ms(1000);
     }
     Group two = must(up(Kind::Sessions, 1, {{"c", bytes(all)}}));
-    ASSERT_EQ(two.size(), 4u);  // a place and the work of each tenant
+    ASSERT_EQ(two.size(), 4u);  // place and work of each tenant
     for (const Record& record : two) EXPECT_EQ(group_of(Kind::Sessions, 2, record.key), "c");
     Group three = must(up(Kind::Sessions, 2, two));
     ASSERT_EQ(three.size(), 2u);
@@ -208,13 +207,13 @@
     EXPECT_EQ(must(convert(Kind::Sessions, 4, 1, four)),
               must(canonical(Kind::Sessions, 1, {{"c", bytes(all)}})));
 }
-TEST(Steps, WindowsBecomeABucketWithTheSpentRoundedUp) {
+TEST(SchemaSteps, WindowsBecomeABucketWithSpentRoundedUp) {
     wire::Use use;
     use.set_window_ms(7), use.set_limit(10), use.set_counted(3), use.set_previous(1), use.set_left_ms(1);
     Group three = must(up(Kind::Rates, 2, {{key_of("a", "c"), bytes(use)}}));
     wire::Bucket3 bucket;
     ASSERT_TRUE(bucket.ParseFromString(three[0].value));
-    EXPECT_EQ(bucket.spent(), 3'142'858u);      // 3 and a seventh
+    EXPECT_EQ(bucket.spent(), 3'142'858u);      // 3 1/7 requests
     EXPECT_EQ(bucket.per_s(), 1'428'571'428u);  // rounded down
     EXPECT_EQ(bucket.burst(), 10'000'000u);
 }
@@ -248,13 +247,13 @@
     Ranges before = ranges_of_newest({3, 2, 1, 1, 1}), long_before = ranges_of_newest({2, 2, 1, 1, 1});
     EXPECT_EQ(fault(before, now), "");
     EXPECT_EQ(fault(now, before), "");
-    EXPECT_EQ(fault(now, long_before),
-              "schema.apart: sessions, 3 to 4 and 1 to 2: two releases that have no schema in common cannot "
-              "work side by "
-              "side; upgrade by one release at a time: first to the one between");
+    EXPECT_EQ(
+        fault(now, long_before),
+        "schema.apart: sessions, 3 to 4 and 1 to 2: two releases without a common schema version can't run "
+        "together; upgrade by one release at a time: first to the release in between");
     EXPECT_EQ(supported_ranges(), now);
 
-    // No schema takes another's records for its own, nor what is cut or has a field more.
+    // A version refuses records of another version, truncated ones, and ones with an additional field.
     wire::Session4 four;
     four.set_cell("rack north"), four.set_server("s"), four.add_under_way(300);
     Group of_four{{key_of("a", "c"), bytes(four)}};
@@ -273,7 +272,7 @@
     EXPECT_EQ(caused.size(), kErrors);
 }
 
-// ---- What was released is read for ever
+// Files of released versions
 
 std::string file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
@@ -304,21 +303,21 @@
     return (state = state * 6364136223846793005u + 1442695040888963407u) >> 33;
 }
 
-TEST(Released, EverySchemaHasItsFileAndReadsAsEver) {
+TEST(ReleasedSchemas, EveryVersionHasItsFileAndIsStillRead) {
     const std::string folder = OCHREHUB_RELEASED;
     for (Kind kind : kAll)
         for (Version schema = 1; schema <= newest_version(kind); ++schema) {
             std::string path = folder + "/" + std::string(name(kind)) + "_" + std::to_string(schema);
             std::string octets = file(path);
-            // To add one for a new schema: run this test with OCHREHUB_WRITE_RELEASED=1. None that is there
-            // is written again.
+            // Run with OCHREHUB_WRITE_RELEASED=1 to add the file of a new version. Existing files are never
+            // overwritten.
             if (octets.empty() && std::getenv("OCHREHUB_WRITE_RELEASED")) {
                 std::uint64_t state = schema * 10 + std::uint64_t(kind);
                 Draw draw = [&](std::uint64_t below) { return next(state) % below; };
                 Group group;
                 while (group.empty()) group = must(canonical(kind, schema, fresh(kind, schema, draw)));
                 std::ofstream(path, std::ios::binary) << (octets = framed(group));
-                // What its release makes of it in every other schema, read as ever too.
+                // The conversions of its release to all other versions must be unchanged too.
                 std::ofstream as_text(path + ".as");
                 for (Version to = 1; to <= newest_version(kind); ++to) {
                     std::string other = framed(must(convert(kind, schema, to, group)));
