--- a/src/fleet/schema/release.cpp
+++ b/src/fleet/schema/release.cpp
@@ -1,5 +1,5 @@
-// Which schemas this release reads and writes: the one object that differs between two releases built from
-// this tree.
+// The schema versions that this release reads and writes: the only object that differs between two releases
+// built from this tree.
 #include "fleet/schema/schema.h"
 
 namespace ochrehub::schema {
--- a/src/fleet/schema/step.h
+++ b/src/fleet/schema/step.h
@@ -1,12 +1,12 @@
-// One step between two schemas of an item, with what it keeps. A schema pair says how the fields are written
-// in the other one
-// (`up`, `down`) and what becomes of a field that was changed since it came from there (`merge_up`,
-// `merge_down`).
+// One step between two versions of an item, including what it keeps. A version pair defines how fields are
+// converted
+// (`up`, `down`), and how a field is converted that has changed since it was converted from the other version
+// (`merge_up`, `merge_down`).
 //
-// Down keeps the newer record (`Kept.as`) wherever the older one alone would not give it back, beside what
-// the older one was at that moment (`was`). Up again takes `as` and, of what differs from `was` by now, the
-// change. The other way round the same. What one direction keeps never holds what the other one kept, so that
-// going to and fro does not make it grow.
+// A step down keeps the newer record (`Kept.as`) if the older one alone would not convert back to it,
+// together with the older record at that moment (`Kept.was`). A step up then starts from `as` and applies the
+// changes since `was`. The opposite direction works the same. What one direction keeps never includes what
+// the other one kept, so that repeated conversions don't make records grow.
 #pragma once
 
 #include <google/protobuf/io/coded_stream.h>
@@ -22,23 +22,23 @@
 namespace ochrehub::schema {
 
 template <class M>
-std::string octets(const M& message) {
+std::string serialize(const M& message) {
     std::string out;
     message.SerializeToString(&out);
     return out;
 }
 template <class M>
 bool same(const M& a, const M& b) {
-    return octets(a) == octets(b);
+    return serialize(a) == serialize(b);
 }
-/// The numbers of a message's fields, as bits: of those that are numbers, and 16 further on of those that are
-/// octets.
+/// The numbers of a message's fields as bits: numeric fields, and shifted by 16 the length-delimited ones.
 template <class M>
 inline constexpr std::uint32_t kFields = 0;
-constexpr std::uint32_t fields(std::initializer_list<int> numbers, std::initializer_list<int> octets) {
+constexpr std::uint32_t fields(std::initializer_list<int> numbers,
+                               std::initializer_list<int> length_delimited) {
     std::uint32_t bits = 0;
     for (int field : numbers) bits |= 1u << field;
-    for (int field : octets) bits |= 1u << (field + 16);
+    for (int field : length_delimited) bits |= 1u << (field + 16);
     return bits;
 }
 template <>
@@ -76,13 +76,12 @@
 template <>
 inline constexpr std::uint32_t kFields<records::wire::Snapshot1> = fields({1, 2}, {3, 15});
 
-/// Whether these octets hold fields of this message alone: the parser takes others along, which are another
-/// schema's.
+/// Whether the bytes have only fields of this message. The parser would accept fields of another version too.
 template <class M>
-bool only(const std::string& octets) {
+bool has_only_fields_of(const std::string& bytes) {
     static_assert(kFields<M> != 0);
-    google::protobuf::io::CodedInputStream in(reinterpret_cast<const std::uint8_t*>(octets.data()),
-                                              int(octets.size()));
+    google::protobuf::io::CodedInputStream in(reinterpret_cast<const std::uint8_t*>(bytes.data()),
+                                              int(bytes.size()));
     while (std::uint32_t tag = in.ReadTag()) {
         std::uint32_t field = tag >> 3, type = tag & 7;
         if (field > 15 || (type != 0 && type != 2)) return false;
@@ -94,7 +93,7 @@
 }
 template <class M>
 bool read(const std::string& from, M& into) {
-    return from.size() <= kMaxGroupBytes && into.ParseFromString(from) && only<M>(from);
+    return from.size() <= kMaxGroupBytes && into.ParseFromString(from) && has_only_fields_of<M>(from);
 }
 
 template <class M>
@@ -129,8 +128,8 @@
     typename Pair::New again;
     if (!Pair::up(into, again) && same(again, now)) return {};
     records::wire::Kept kept;
-    kept.set_as(octets(now)), kept.set_was(octets(into));
-    into.set_beyond(octets(kept));
+    kept.set_as(serialize(now)), kept.set_was(serialize(into));
+    into.set_beyond(serialize(kept));
     return {};
 }
 
@@ -155,8 +154,8 @@
     typename Pair::Old back;
     if (!down_item<Pair>(into, back) && same(without_beyond(back), now)) return {};
     records::wire::Kept kept;
-    kept.set_as(octets(now)), kept.set_was(octets(without_beyond(into)));
-    into.set_behind(octets(kept));
+    kept.set_as(serialize(now)), kept.set_was(serialize(without_beyond(into)));
+    into.set_behind(serialize(kept));
     return {};
 }
 
--- a/src/fleet/schema_migration/error.h
+++ b/src/fleet/schema_migration/error.h
@@ -1,4 +1,4 @@
-// What may go wrong with a level or a migration, and what its stages are.
+// The errors and the stages of schema migrations.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +10,33 @@
 namespace ochrehub::schema_migration {
 
 enum class Error : std::uint8_t {
-    Malformed,  ///< no message of this version, or one that says nonsense
+    Malformed,  ///< not a message of this version, or with invalid values
     UnknownKind,
-    NotNextTo,   ///< a level that is no neighbour of the fleet's
-    Running,     ///< another migration is under way
-    Nothing,     ///< none is
-    Silent,      ///< a live session has not said what it reads
-    OldRelease,  ///< a process that does not read what the fleet writes
-    NewRelease,  ///< ... since it is two releases or more ahead
-    OldProcess,  ///< one that does not read what the migration goes to
+    NotNextTo,   ///< not adjacent to the version that the fleet writes
+    Running,     ///< another migration is in progress
+    Nothing,     ///< no migration is in progress
+    Silent,      ///< an active session hasn't reported what it reads
+    OldRelease,  ///< the process doesn't read what the fleet writes
+    NewRelease,  ///< the process is too many releases ahead to read what the fleet writes
+    OldProcess,  ///< the process doesn't read the target version of the migration
     Stale,       ///< an older owner, stage or migration
-    Owned,       ///< somebody else owns it
-    TooLate,     ///< to go back
-    NotYet,      ///< to narrow
-    Differs,     ///< the two forms, at the comparison
-    Refusals,    ///< more than the operators said
-    Conversion,  ///< of a group that cannot be written in the other schema
-    Full,        ///< no room for both forms
-    OldLevel,    ///< a write in a schema that is no longer written
-    NewLevel,    ///< ... that is not written yet, or no longer after a way back
-    Changed,     ///< somebody else wrote the group meanwhile
-    Elsewhere,   ///< this shard is held by another
+    Owned,       ///< another process owns the migration
+    TooLate,     ///< going back is no longer possible
+    NotYet,      ///< Narrow is not possible before Hold
+    Differs,     ///< the two versions of a group differ
+    Refusals,    ///< more writes were refused than the operators allowed
+    Conversion,  ///< a group can't be written in the other version
+    Full,        ///< no capacity for both versions
+    OldLevel,    ///< a request in a version that is no longer written
+    NewLevel,    ///< a request in a version that is not written yet, or not any more after going back
+    Changed,     ///< another process has written the group since it was read
+    Elsewhere,   ///< another process holds this shard
 };
 inline constexpr std::size_t kErrors = 21;
 const fleet::ErrorRow& row(Error error);
 using Failure = fleet::Failure<Error>;
 
-/// Of a migration, in their order. Those behind Done lead back.
+/// Stages of a migration, in their order. Those after Done lead back.
 enum class Stage : std::uint8_t {
     None,
     Widen,
@@ -54,16 +54,16 @@
 inline bool ended(Stage stage) {
     return stage == Stage::None || stage == Stage::Done || stage == Stage::Undone;
 }
-/// Stages in which shards have something to do.
+/// Whether shards have work in this stage.
 inline bool works(Stage stage) {
     return !ended(stage) && stage != Stage::Hold;
 }
 
-/// How errors stand in messages: 0 is none.
+/// The number of an error in messages, where 0 means none.
 inline std::uint32_t on_wire(Error error) {
     return std::uint32_t(error) + 1;
 }
-/// Zero or nonsense is taken for Malformed; to be asked where one was said.
+/// Zero and unknown numbers become Malformed, so call it only for a number that isn't zero.
 inline Error from_wire(std::uint32_t error) {
     return error - 1 < kErrors ? Error(error - 1) : Error::Malformed;
 }
--- a/src/fleet/schema_migration/migration_state_machine.cpp
+++ b/src/fleet/schema_migration/migration_state_machine.cpp
@@ -8,8 +8,8 @@
 
 using schema::kKindCount;
 
-constexpr std::size_t kMaxAboutBytes =
-    256;  // octets of what somebody says of a trouble, which stays in the state
+/// Of an error's details, which are part of the state.
+constexpr std::size_t kMaxAboutBytes = 256;
 
 void set_error(wire::Answer& response, Error error, std::string_view about = {}) {
     response.set_error(on_wire(error));
@@ -25,8 +25,8 @@
 bool is_bit_set(const std::string& bits, std::uint32_t at) {
     return (std::uint8_t(bits[at / 8]) >> (at % 8) & 1) != 0;
 }
-/// What a stage has found in all shards, together. Digests are summed: the order in which shards are through
-/// does not count.
+/// Adds the counts of one shard to those of the stage. Digests are summed, so that the order of the shards
+/// doesn't matter.
 void add_counts(wire::Counts& to, const wire::Counts& from) {
     to.set_groups(saturating_add(to.groups(), from.groups()));
     to.set_records_from(saturating_add(to.records_from(), from.records_from()));
@@ -104,7 +104,7 @@
                      to_text(reads) + ", the fleet " + std::string(what) + std::to_string(number);
     };
     for (std::size_t i = 0; i < kKindCount; ++i) needs(i, written_versions_[i], "writes ");
-    // The way back is open: whoever could not go it must not come in.
+    // Going back is still possible, so a process must read the old version too.
     if (stage() == Stage::Switch || stage() == Stage::Hold)
         needs(migration_.kind(), migration_.from(), "may go back to ");
 }
@@ -126,7 +126,7 @@
         response.set_error(info.refused), response.set_about(info.about);
         return;
     }
-    // It may serve by the level of now, and there is nowhere to go while it does.
+    // It may serve with the current version, and the migration can't continue while it does.
     if (!ended(stage()) && stage() < Stage::Switch &&
         !info.ranges[migration_.kind()].contains(migration_.to()))
         pause_with_error(Error::OldProcess, info.name);
@@ -233,14 +233,14 @@
             if (stage() < Stage::Switch &&
                 find_incompatible_session(schema::Kind(migration_.kind()), migration_.to(), why))
                 return set_error(response, why.error, why.about);
-            // Behind a stop the stage begins anew, so that what was said of it before is stale; what differed
-            // is converted once more.
+            // After an error the stage restarts, so that earlier reports are stale. Groups that differed are
+            // converted again.
             if (migration_.stopped())
                 enter_stage(stage() == Stage::Compare && migration_.stopped() == on_wire(Error::Differs)
                                 ? Stage::Convert
                                 : stage());
             if (migration_.stopped() == on_wire(Error::Refusals)) {
-                // Those that the operators have seen are allowed for.
+                // The refusals that the operators have seen are allowed.
                 std::uint64_t sum = migration_.refusals_most();
                 for (std::uint64_t each : migration_.refusals()) sum = saturating_add(sum, each);
                 migration_.set_refusals_most(sum);
@@ -249,7 +249,7 @@
             return;
         case wire::BACK:
             if (stage() == Stage::Narrow) return set_error(response, Error::TooLate);
-            if (stage() > Stage::Done) break;  // it is under way; go on with it where it is paused
+            if (stage() > Stage::Done) break;  // already going back; resume it if it is paused
             if (stage() >= Stage::Switch) {
                 written_versions_[migration_.kind()] = migration_.from();
                 for (auto& [id, info] : sessions_)
@@ -307,7 +307,8 @@
                 enter_stage(Stage::Compare);
                 break;
             case Stage::Compare:
-                // A session that has not said yet is waited for; one that cannot was told of when it said so.
+                // Waits for a session that hasn't reported its ranges. One that can't read the version has
+                // paused the migration when it reported.
                 if (find_incompatible_session(schema::Kind(migration_.kind()), migration_.to(), why)) {
                     if (why.error == Error::OldProcess) pause_with_error(why.error, why.about);
                     return;
--- a/src/fleet/schema_migration/migration_state_machine.h
+++ b/src/fleet/schema_migration/migration_state_machine.h
@@ -1,10 +1,11 @@
-// What a majority of keepers knows of levels and migrations: which schema the fleet writes of each kind, what
-// each live process reads, and the one migration that is under way: its stage, its owner's epoch, which
-// shards are through. A machine as all are: no time, no I/O, the same at every keeper. One thread at a time.
+// The replicated state of schema migrations: the schema version of each kind that the fleet writes, the
+// versions that each process with a session reads, and the migration in progress: its stage, its owner's
+// epoch and the shards that have completed the stage. A deterministic state machine of the coordinators,
+// without time or I/O. Not thread safe.
 //
-// The level changes at the entry to Switch, and only where each live session reads the new schema. Until then
-// a process that does not stops the migration; from then on it is refused. The way back sets the level back
-// at once, and is open until Narrow.
+// The written version changes when the stage Switch is entered, and only if every active session reads the
+// new version. Until then a process that doesn't read it pauses the migration; afterwards such a process is
+// refused. Going back restores the written version at once, and is possible until Narrow.
 #pragma once
 
 #include <schema_migration.pb.h>
@@ -22,24 +23,25 @@
 class MigrationStateMachine : public coordinator::StateMachine {
 public:
     using WrittenVersions = std::array<schema::Version, schema::kKindCount>;
-    /// Of a fleet that has never migrated. Keepers of two releases begin alike: this is never changed.
+    /// Of a fleet that has never migrated. Never changed, because coordinators of two releases must start
+    /// alike.
     static constexpr WrittenVersions kInitialVersions = {3, 2, 1, 1, 1};
     static constexpr std::uint32_t kMaxShards = 4096;
     static constexpr std::size_t kMaxSessions = 10'000;
 
-    /// `first`: the levels of a fleet that has never migrated.
+    /// `first`: the versions that a fleet without any migration writes.
     explicit MigrationStateMachine(const WrittenVersions& first);
 
     std::string_view kind() const override { return "migration"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    /// Whatever is asked: all of it, as wire::Machine.
+    /// Returns the whole state as wire::Machine, for any question.
     std::string query(std::string_view question) const override;
     void session_opened(coordinator::SessionId session, std::string_view name,
                         std::string_view zone) override;
     void session_ended(coordinator::SessionId session) override;
     std::string session_update(coordinator::SessionId session) const override;
-    /// Nothing here ends by time: an owner is lost with its session.
+    /// There are no timeouts: an owner loses its ownership when its session ends.
     void timeouts(std::vector<coordinator::Timeout>&) const override {}
     std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
@@ -54,7 +56,7 @@
         std::string name, zone, about;
         bool said = false;
         schema::Ranges ranges;
-        std::uint32_t refused = 0;  ///< as on the wire
+        std::uint32_t refused = 0;  ///< an on_wire error; zero: none
     };
     using Answer = wire::Answer;
 
@@ -67,9 +69,9 @@
 
     bool is_from_current_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
                                std::uint64_t revision, std::uint32_t shard) const;
-    /// Whether this one may read and write by the levels of now.
+    /// Sets `refused` if this process doesn't read what the fleet writes.
     void check_compatibility(SessionInfo& info) const;
-    /// The first live session that does not read this, or has not said: fills `why`.
+    /// Finds an active session that doesn't read this version or hasn't reported its ranges, and fills `why`.
     bool find_incompatible_session(schema::Kind kind, schema::Version number, Failure& why) const;
     void enter_stage(Stage stage);
     void advance_stage();
--- a/src/fleet/schema_migration/owner.cpp
+++ b/src/fleet/schema_migration/owner.cpp
@@ -7,14 +7,14 @@
 void Owner::handle(TimePoint now, const OwnerEvent& event, OwnerActions& actions) {
     now_ = now;
     std::visit([&](const auto& e) { handle_event(e); }, event);
-    if (is_owner_ && now_ >= until_) is_owner_ = false;  // whatever it was that it had in hand
+    if (is_owner_ && now_ >= until_) is_owner_ = false;  // the session has expired
     produce_actions(actions);
 }
 
 void Owner::handle_event(const NewsReceived& event) {
     const wire::News& news = event.news;
     const wire::Status& status = news.migration();
-    // Answers come late and out of order: one that is behind what is known says nothing.
+    // Responses may be late and out of order: older ones than the known state are ignored.
     if (status.id() < status_.id() ||
         (status.id() == status_.id() &&
          (status.revision() < status_.revision() || status.epoch() < status_.epoch())))
@@ -60,7 +60,7 @@
         return;
     }
     Error error = from_wire(reply.error());
-    if (error == Error::Stale) {  // somebody owns it who came later: the keepers will say so
+    if (error == Error::Stale) {  // there is a later owner; the coordinators' news will confirm it
         is_owner_ = false;
         return;
     }
@@ -76,7 +76,7 @@
     trouble.set_error(reply.error()), trouble.set_about(reply.about());
 }
 
-/// As long as so many groups may take at the pace of now.
+/// The time for this number of groups at the current pace.
 Duration Owner::pacing_delay(std::uint64_t groups) const {
     double pace = 1 - (load_ - settings_.slowdown_start_load) /
                           std::max(0.001, settings_.slowdown_end_load - settings_.slowdown_start_load);
@@ -113,14 +113,15 @@
     std::size_t pending_orders = 0;
     for (Shard& shard : shards_) {
         if (shard.is_order_pending && now_ >= shard.next_at)
-            shard.is_order_pending = shard.is_state_known = false;  // whether it was done is asked first
+            shard.is_order_pending = shard.is_state_known =
+                false;  // first query whether the order was executed
         if (shard.is_order_pending) ++pending_orders, next = std::min(next, shard.next_at);
         if (!shard.pending_report) continue;
         if (now_ >= shard.next_at) {
             actions.emplace_back(SubmitCommand{*shard.pending_report});
             shard.next_at = now_ + settings_.response_timeout;
             if (shard.pending_report->has_trouble())
-                shard.pending_report.reset();  // once: what they think of it, they tell
+                shard.pending_report.reset();  // sent once; the coordinators' news shows its effect
         }
         next = std::min(next, shard.next_at);
     }
@@ -139,8 +140,8 @@
                 continue;
             }
             send_order(number, actions);
-            current_shard_ = number;  // it goes on with this one while it may: a shard at a time is what is
-                                      // compared soonest
+            current_shard_ =
+                number;  // continues with the same shard while possible, so that shards complete early
             ++pending_orders;
             next = std::min(next, shard.next_at);
         }
--- a/src/fleet/schema_migration/owner.h
+++ b/src/fleet/schema_migration/owner.h
@@ -1,11 +1,9 @@
-// The side of a process that may own a migration: asks the keepers for it where it is wanted, and as its
-// owner takes the shards through the stage that is written down. A core without I/O, clock or threads; the
-// seed of its draws is its settings'.
+// The owner of a migration: claims it at the coordinators if it has no owner, and leads the shards through
+// the current stage. A core without I/O, clock or threads.
 //
-// It never guesses what was done before it: the first order to each shard under an epoch looks, which shuts
-// out the owner before it and tells how far the shard is. Its pace is bounded and yields to the holders'
-// load. It stops at the end of its session as it counts it, and looks at the clock first whenever it is
-// woken.
+// It assumes nothing about earlier progress: the first order to each shard in an epoch only queries the
+// shard's state, which also fences the previous owner. Its pace is bounded and decreases with the load of the
+// holders. It stops when its session has expired by its own clock, which it checks first on every event.
 #pragma once
 
 #include <schema_migration.pb.h>
@@ -21,36 +19,40 @@
 namespace ochrehub::schema_migration {
 
 struct OwnerSettings {
-    bool can_own = true;                    ///< asks for what nobody owns
-    std::uint32_t groups_per_order = 200;   ///< groups in one order
-    std::size_t max_concurrent_shards = 2;  ///< shards at once
-    double groups_per_second = 20'000;      ///< groups a second, over all shards
-    double slowdown_start_load = 0.7,
-           slowdown_end_load =
-               0.95;         ///< load at which it begins to slow down, and at which it is at its least
-    double min_pace = 0.05;  ///< part of its pace that it never goes below
-    Duration response_timeout{1000};  ///< for an answer, then it asks again
-    Duration initial_retry_delay{200},
-        max_retry_delay{5000};  ///< between tries of a shard that could not go on, doubled each time
-    int max_attempts = 6;       ///< then the migration is stopped
+    bool can_own = true;                    ///< claims a migration without an owner
+    std::uint32_t groups_per_order = 200;   ///< limit of one order
+    std::size_t max_concurrent_shards = 2;  ///< shards with a pending order
+    double groups_per_second = 20'000;      ///< over all shards
+    double slowdown_start_load = 0.7;       ///< of a holder, from which on the pace decreases
+    double slowdown_end_load = 0.95;        ///< of a holder, from which on the pace is min_pace
+    double min_pace = 0.05;                 ///< fraction of groups_per_second
+    Duration response_timeout{1000};        ///< after which a request is sent again
+    Duration initial_retry_delay{200};      ///< after a shard's failure; doubles with each further failure
+    Duration max_retry_delay{5000};
+    int max_attempts = 6;  ///< of a shard, after which the failure is reported and the migration pauses
 };
 
-// ---- What happens
+// Events
+
 struct TimerFired {};
-struct NewsReceived {  ///< by the keepers: with a renewal's answer or that to a command
+/// From the coordinators, with a session update or the response to a command.
+struct NewsReceived {
     wire::News news;
-    TimePoint until;  ///< the session's end, by this process's clock, its margin taken off
+    TimePoint until;  ///< the session's expiry by this process's clock, minus its safety margin
 };
 struct ReplyReceived {
     wire::Reply reply;
 };
 using OwnerEvent = std::variant<TimerFired, NewsReceived, ReplyReceived>;
 
-// ---- What is to be done about it
-struct SendOrder {  ///< to whoever holds the shard now
+// Actions
+
+/// To the current holder of the shard.
+struct SendOrder {
     wire::Order order;
 };
-struct SubmitCommand {  ///< to the keepers; what they answer comes back as NewsReceived
+/// To the coordinators; the response comes as NewsReceived.
+struct SubmitCommand {
     wire::Command command;
 };
 struct SetTimer {
@@ -69,12 +71,13 @@
 
 private:
     struct Shard {
-        bool is_state_known = false, done = false;  ///< under this epoch and stage
-        bool is_order_pending = false;              ///< an order is
-        TimePoint next_at{};  ///< out: when it is given up; else when it may be asked again
+        bool is_state_known = false, done = false;  ///< in this epoch and stage
+        bool is_order_pending = false;              ///< waits for its reply
+        TimePoint next_at{};  ///< the deadline of a pending order, or the time of the next attempt
         int failures = 0;
-        std::uint64_t groups = 0;                     ///< that it is known to be through with
-        std::optional<wire::Command> pending_report;  ///< to the keepers, and not yet seen in what they tell
+        std::uint64_t groups = 0;  ///< that the shard is known to have processed
+        std::optional<wire::Command>
+            pending_report;  ///< to the coordinators, until it is visible in their news
     };
 
     void handle_event(const TimerFired&) {}
@@ -89,7 +92,7 @@
     bool is_owner_ = false, wants_ownership_ = false, has_requested_ = false;
     wire::Status status_;
     std::vector<Shard> shards_;
-    std::uint32_t current_shard_ = 0;  ///< the shard after the one that was served last
+    std::uint32_t current_shard_ = 0;  ///< the shard of the last order
     double load_ = 0;
     std::uint64_t orders_sent_ = 0;
 };
--- a/src/fleet/schema_migration/receiver.cpp
+++ b/src/fleet/schema_migration/receiver.cpp
@@ -28,7 +28,7 @@
         to.set_key(record.key), to.set_value(record.value);
     }
 }
-/// A group as it is stored: by schema, each form that is there.
+/// A stored group: its records in one schema version or in two.
 class SchemaVersions {
 public:
     explicit SchemaVersions(const std::string& bytes) : is_valid_(stored_.ParseFromString(bytes)) {}
@@ -45,7 +45,7 @@
         form.set_schema(schema);
         write_records(group, *form.mutable_records());
     }
-    /// All but this one; false: there was nothing else.
+    /// Erases all versions but this one. False: there was no other.
     bool keep_only(Version schema) {
         auto& forms = *stored_.mutable_forms();
         int before = forms.size();
@@ -54,7 +54,7 @@
                     forms.end());
         return forms.size() != before;
     }
-    /// Empty where no form has a record.
+    /// Empty if no version has a record.
     std::string bytes() const {
         bool any = std::any_of(stored_.forms().begin(), stored_.forms().end(),
                                [](const auto& form) { return form.records_size() > 0; });
@@ -89,7 +89,7 @@
 void set_error(wire::Given& given, Error error, std::string_view about = {}) {
     given.set_error(on_wire(error)), given.set_about(std::string(about));
 }
-/// A name that may be said in a log: clients' names are octets.
+/// A name for logs. Clients' names are arbitrary bytes.
 std::string printable(std::string_view name) {
     std::string text;
     for (char c : name.substr(0, 64)) text += c >= ' ' && c <= '~' ? c : '?';
@@ -129,7 +129,7 @@
     }
 }
 
-// ---- Those who read and write
+// Readers and writers
 
 bool Receiver::accepts(const State& state, Version schema, Error& why) const {
     Version min = state.from(), max = state.from();
@@ -181,7 +181,7 @@
     if (!versions.is_valid()) return set_error(given, Error::Malformed, printable(ask.group()));
     if (versions.has(ask.schema()))
         return write_records(versions.get(ask.schema()), *given.mutable_records());
-    // Not converted yet, or no longer there: made of the other one.
+    // Not converted yet, or dropped already: converted from the other version.
     Version other = ask.schema() == state.from() ? state.to() : state.from();
     schema::Result converted = convert(other, ask.schema(), versions.get(other));
     if (const Group* group = std::get_if<Group>(&converted))
@@ -207,10 +207,10 @@
         if (const Group* both = std::get_if<Group>(&converted)) {
             versions.set(other, *both);
         } else if (form == ShardForm::Switched || ask.schema() != state.from()) {
-            // Without the other form the way back would lose it.
+            // Going back would lose the write without the other version.
             return set_error(given, Error::Conversion, printable(ask.group()));
         }
-        // Else it stands in the form that counts; converting meets it again and stops there.
+        // Otherwise it is stored in the version that counts. The stage Convert fails at it later.
     }
     switch (records_.write(ask.shard(), ask.group(), ask.version(), versions.bytes())) {
         case Records::WriteResult::Done:
@@ -225,9 +225,10 @@
     }
 }
 
-// ---- The owner's orders
+// The owner's orders
 
-/// The first of a new migration, epoch or stage shuts out all before it. False: this is one of those.
+/// The first order of a new migration, epoch or stage fences all earlier ones. False: the order is fenced or
+/// invalid.
 bool Receiver::enter_stage(State& state, const wire::Order& order, wire::Reply& reply) const {
     if (order.kind() != std::uint32_t(settings_.kind) || order.stage() > std::uint32_t(Stage::Undone) ||
         !works(Stage(order.stage()))) {
@@ -248,7 +249,7 @@
     bool has_both = form == ShardForm::Wide || form == ShardForm::Switched;
     auto become = [&](ShardForm next) { state.set_form(std::uint32_t(next)); };
     Version plain = form == ShardForm::Plain ? state.from() : 0;
-    // A stage may begin anew: a shard that is through with it, or in it, is as good.
+    // A stage may restart: a shard that is in it or has completed it is accepted.
     switch (Stage(order.stage())) {
         case Stage::Widen:
             if (form == ShardForm::Wide) return true;
@@ -274,7 +275,7 @@
             if (plain == order.to()) return state.set_done(true), true;
             break;
         case Stage::Unwiden:
-            // It may never have been widened.
+            // The shard may never have entered Widen.
             if (form == ShardForm::Wide || form == ShardForm::Unwidening)
                 return become(ShardForm::Unwidening), true;
             if (plain == order.from()) return state.set_done(true), true;
@@ -283,7 +284,7 @@
             break;
     }
     set_error(reply, Error::Malformed,
-              "shard " + std::to_string(order.shard()) + " is in no form for " +
+              "shard " + std::to_string(order.shard()) + " is in the wrong form for stage " +
                   std::string(name(Stage(order.stage()))));
     return false;
 }
@@ -300,7 +301,7 @@
     State before = state(order.shard()), now = before;
     if (!enter_stage(now, order, reply)) return reply;
     bool is_done = order.most() == 0 || now.done() || run_step(order, now, reply);
-    // What was done before it failed stands, and is done again where this is not written.
+    // The progress before a failure is kept. If it can't be stored, the step is repeated.
     if (now.SerializeAsString() != before.SerializeAsString() && !store_state(order.shard(), now)) {
         set_error(reply, Error::Full);
         is_done = false;
@@ -316,14 +317,14 @@
 bool Receiver::run_step(const wire::Order& order, State& state, wire::Reply& reply) {
     auto stage = Stage(order.stage());
     if (stage == Stage::Widen || stage == Stage::Switch || stage == Stage::Unswitch) {
-        state.set_done(true);  // its form has changed: that is all
+        state.set_done(true);  // only the form changes
         return true;
     }
     std::size_t max_groups = std::min(order.most(), settings_.max_groups_per_step);
     Records::Page page;
     records_.scan(order.shard(), state.cursor(), max_groups, page);
-    // Writes by others may come between the scan and ours only where this is not called under the shard's
-    // lock; the version tells.
+    // The caller holds the shard's lock; without it, the version detects a concurrent write between the scan
+    // and this write.
     for (const auto& [name, held] : page) {
         bool is_done = true;
         if (stage == Stage::Convert) is_done = convert_group(order.shard(), state, name, held, reply);
@@ -378,7 +379,7 @@
     const Group* as = std::get_if<Group>(&converted);
     auto sums_from = schema::spent(settings_.kind, state.from(), from),
          sums_to = schema::spent(settings_.kind, state.to(), to);
-    // And back: a step that loses something would lose it in both, and be the same.
+    // And back: a conversion that loses data would produce the same loss twice, and compare as equal.
     schema::Result back = convert(state.to(), state.from(), to);
     if (const Group* group = std::get_if<Group>(&back))
         back = schema::bare(settings_.kind, state.from(), *group);
@@ -388,7 +389,7 @@
     bool same =
         versions.is_valid() && as && *as == to && returns && sums_from.index() == 0 && sums_to.index() == 0;
     if (sums_from.index() == 0 && sums_to.index() == 0) {
-        // Partner by partner, so that one's loss is not another's gain.
+        // Per tenant, so that a loss of one isn't hidden by a gain of another.
         const auto &before = std::get<schema::Spent>(sums_from), &behind = std::get<schema::Spent>(sums_to);
         for (const auto& [tenant, sum] : before) {
             auto found = behind.find(tenant);
@@ -410,7 +411,7 @@
 bool Receiver::drop_version(std::uint32_t shard, const std::string& name, const Records::StoredGroup& held,
                             Version stays, wire::Reply& reply) {
     SchemaVersions versions(held.bytes);
-    if (!versions.is_valid() || !versions.has(stays)) {  // what would be lost with it is left, and said
+    if (!versions.is_valid() || !versions.has(stays)) {  // keeps what would be lost, and reports it
         set_error(reply, Error::Conversion, printable(name));
         return false;
     }
--- a/src/fleet/schema_migration/receiver.h
+++ b/src/fleet/schema_migration/receiver.h
@@ -1,17 +1,15 @@
-// The shard holder's side of a migration, for the records of one kind: what is written in which form, and
-// what an owner's orders do. A core without clock, threads or I/O of its own; all calls for one shard are
-// made under its lock.
+// A shard holder's part of a migration, for the records of one kind: which versions are accepted and stored,
+// and the execution of the owner's orders. A core without clock, threads or I/O; the caller holds the shard's
+// lock in all calls.
 //
-//     form       takes writes in    writes          left by
+//     form       accepts writes in  stores          left by
 //     Plain      its schema         that            Widen
 //     Wide       both               both, in one    Switch, Unwiden
 //     Switched   the new one        both, in one    Narrow, Unswitch
 //     Narrowing  the new one        the new one     its end: Plain
 //     Unwidening the old one        the old one     its end: Plain
-//
-// Orders of an older epoch, stage or migration are refused; what a shard is told first under a new one is
-// written down before it is acted on. A step is bounded, does no harm when it is done twice, and goes on
-// behind the last that was written down.
+// Orders of an older epoch, stage or migration are refused. The first order of a newer one is stored before
+// it is executed. A step is bounded and idempotent, and continues after the last stored cursor.
 #pragma once
 
 #include <schema_migration.pb.h>
@@ -34,10 +32,10 @@
         std::function<schema::Result(schema::Kind, schema::Version from, schema::Version to, schema::Group)>;
     struct Settings {
         schema::Kind kind = schema::Kind::Sessions;
-        schema::Version initial_version = 1;       ///< the level of a shard that was never migrated
-        std::uint32_t max_groups_per_step = 1000;  ///< groups in one step, whatever the owner asks for
-        Convert convert = schema::convert;         ///< what it throws is a conversion that failed
-        std::function<bool(std::uint32_t shard)> holds_shard = nullptr;  ///< none: all
+        schema::Version initial_version = 1;       ///< of a shard without any migration
+        std::uint32_t max_groups_per_step = 1000;  ///< limits what an order asks for
+        Convert convert = schema::convert;         ///< an exception is a failed conversion
+        std::function<bool(std::uint32_t shard)> holds_shard = nullptr;  ///< null: holds all shards
     };
     Receiver(Settings settings, Records& records);
 
@@ -45,7 +43,7 @@
     wire::Given handle(const wire::Ask& ask);
 
     ShardForm form(std::uint32_t shard) const;
-    /// Of a shard: what it takes writes in.
+    /// The version that counts in a shard: writes in it are accepted.
     schema::Version writes(std::uint32_t shard) const;
     std::uint64_t refusals() const { return refusals_; }
 
@@ -58,7 +56,7 @@
     void read_group(const State& state, const wire::Ask& ask, wire::Given& given) const;
     void write_group(const State& state, const wire::Ask& ask, wire::Given& given);
     bool enter_stage(State& state, const wire::Order& order, wire::Reply& reply) const;
-    /// One bounded step; false: it could not go on, and `reply` says why.
+    /// One bounded step. False: it failed, and `reply` has the error.
     bool run_step(const wire::Order& order, State& state, wire::Reply& reply);
     bool convert_group(std::uint32_t shard, const State& state, const std::string& name,
                        const Records::StoredGroup& held, wire::Reply& reply);
@@ -68,7 +66,7 @@
 
     Settings settings_;
     Records& records_;
-    std::map<std::uint32_t, std::uint64_t> refusals_by_shard_;  ///< by shard, since this one began
+    std::map<std::uint32_t, std::uint64_t> refusals_by_shard_;  ///< since the start of this process
     std::uint64_t refusals_ = 0;
 };
 
--- a/src/fleet/schema_migration/records.h
+++ b/src/fleet/schema_migration/records.h
@@ -1,7 +1,7 @@
-// Where the records of one kind are, as a migration sees them: groups by name in shards, each as octets with
-// a version. Whoever holds shards implements it; all calls for one shard are made under that shard's lock,
-// and each write is whole or not at all and with both holders before it returns (or is answered later by the
-// same rule, where the shell waits for that).
+// The storage of the records of one kind, as a migration uses it: groups by name in shards, each as bytes
+// with a version. Implemented by the holder of the shards. The caller holds the shard's lock in all calls. A
+// write is atomic, and stored by primary and backup before it returns (or before the response is sent, if the
+// caller waits for that).
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,28 @@
 public:
     enum class WriteResult : std::uint8_t {
         Done,
-        Changed,  ///< the version that stands is another
-        Full,     ///< no room; nothing was changed
+        Changed,  ///< the stored version is another one
+        Full,     ///< the capacity is exceeded; nothing was changed
     };
     struct StoredGroup {
         std::string bytes;
-        std::uint64_t version = 0;  ///< rises with each write; zero: there is none
+        std::uint64_t version = 0;  ///< rises with each write; zero: there is no group
     };
     using Page = std::vector<std::pair<std::string, StoredGroup>>;
 
     virtual ~Records() = default;
     virtual StoredGroup read(std::uint32_t shard, std::string_view group) const = 0;
-    /// Compare and swap. Empty octets erase.
+    /// Compares the version and swaps. Empty bytes erase the group.
     virtual WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
                               std::string bytes) = 0;
-    /// Appends at most `most` groups behind `after`, by name.
+    /// Appends at most `most` groups with names after `after`, in order of name.
     virtual void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const = 0;
-    /// The shard's own record, which lasts as long as its groups do.
+    /// The shard's migration state, which is stored as durably as its groups.
     virtual std::string state(std::uint32_t shard) const = 0;
-    virtual bool set_state(std::uint32_t shard, std::string octets) = 0;  ///< false: no room
+    virtual bool set_state(std::uint32_t shard, std::string bytes) = 0;  ///< false: capacity exceeded
 };
 
-/// In memory, with a bound for each shard: for tests and the lab.
+/// In memory, with a limit for each shard. For tests and the lab.
 class MemoryRecords : public Records {
 public:
     explicit MemoryRecords(std::size_t most = ~std::size_t(0)) : max_bytes_(most) {}
@@ -92,8 +92,7 @@
         std::map<std::string, StoredGroup, std::less<>> groups;
         std::string state;
         std::size_t bytes = 0;
-        std::uint64_t versions =
-            0;  ///< of the shard, so that a group written anew has no version that another had
+        std::uint64_t versions = 0;  ///< of the shard, so that a version is never reused after an erase
     };
     std::map<std::uint32_t, Shard> shards_;
     std::size_t max_bytes_;
--- a/tests/fleet/schema_fuzz.cpp
+++ b/tests/fleet/schema_fuzz.cpp
@@ -1,6 +1,6 @@
-// Octets by coverage into every schema's reader and steps (libFuzzer, Clang). Whatever comes, kept fields
-// that no step wrote included: it is refused, or what is read is read the same again, up and down is the same
-// but for what is kept, and nothing spent is lost.
+// Fuzzes the parsers and conversion steps of all schema versions (libFuzzer, Clang), including kept fields
+// that no step has written. Any input is refused, or its normal form is stable, up and down is the identity
+// except for what is kept, and nothing spent is lost.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -20,7 +20,7 @@
 const Group* group(const Result& result) {
     return std::get_if<Group>(&result);
 }
-/// Kind and schema, then records: a key's octets to 0xff, a size of two, the value.
+/// The input is kind and version, then records: the key up to a byte 0xff, two bytes of size, the value.
 Group read(const std::uint8_t* data, std::size_t size) {
     Group records;
     std::string key;
@@ -48,7 +48,7 @@
 extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
                                                unsigned int seed) {
     if (size > 2 && seed % 16) return LLVMFuzzerMutate(data, size, most);
-    // To begin with: one that a step has made, so that it holds what is kept.
+    // The initial input is the result of a step, so that it has kept data.
     std::uint64_t state = seed;
     Draw draw = [&](std::uint64_t below) {
         return ((state = state * 6364136223846793005u + 1442695040888963407u) >> 33) % below;
--- a/tests/fleet/schema_world.h
+++ b/tests/fleet/schema_world.h
@@ -1,4 +1,4 @@
-// Groups drawn for tests: of every kind and schema, and changed as a process of that schema would change
+// Random groups for tests, of every kind and version, and random changes as a process of that version makes
 // them.
 #pragma once
 
@@ -13,7 +13,7 @@
 namespace ochrehub::schema {
 
 namespace wire = records::wire;
-/// A number below its argument.
+/// Returns a random number below its argument.
 using Draw = std::function<std::uint64_t(std::uint64_t below)>;
 
 inline std::string bytes(const google::protobuf::MessageLite& m) {
@@ -57,8 +57,8 @@
     return u;
 }
 
-/// Of client `c`, without anything kept. May hold what canonical puts in order: orders twice, items that say
-/// nothing.
+/// A group of client `c` without kept data. It need not be in normal form: orders may be duplicated, items
+/// empty.
 inline Group fresh(Kind kind, Version schema, const Draw& draw) {
     Group group;
     const std::string tenants[] = {"", "a", "dealer", "z"};
@@ -123,7 +123,7 @@
     change(m);
     return bytes(m);
 }
-/// Without what is kept for the other side: what a record says by itself.
+/// The record without what is kept for other versions.
 template <class M>
 std::string bare(const std::string& value) {
     return changed<M>(value, [](M& m) {
@@ -152,8 +152,8 @@
     return group;
 }
 
-/// As a process of this schema writes it on: it spends, moves, begins an order, and carries along what it
-/// does not read.
+/// The group after a write of a process of this version, which spends, moves or opens an order, and preserves
+/// what it doesn't read.
 inline Group written_on(Kind kind, Version schema, Group group, const Draw& draw) {
     auto moves = [&](auto& m) {
         if (draw(2)) place(draw, m);
@@ -203,7 +203,7 @@
     return group;
 }
 
-/// What the records of a group say is spent, as their own release counts it: in millionths, by tenant.
+/// The spent amount of a group in millionths by tenant, as its own release counts it.
 inline std::map<std::string, std::uint64_t> face(Version schema, const Group& group) {
     std::map<std::string, std::uint64_t> sums;
     auto add = [&](const std::string& tenant, const wire::Use& u) {
