--- a/lab/schema_migration/file_records.h
+++ b/lab/schema_migration/file_records.h
@@ -1,5 +1,6 @@
-// A holder's records in a file of its own: each write is appended before it is answered, and a process that
-// was killed has them again. The book of a node's writes is such a file too, read by the judge.
+// The records of a holder in an append-only file: each write is appended before its response, so that a
+// killed process finds them again. A node's history of writes, which the history checker reads, is such a
+// file too.
 #pragma once
 
 #include <fcntl.h>
@@ -16,7 +17,7 @@
 
 namespace ochrehub::lab::migration {
 
-/// Whole lines or records, each in one write(2): a SIGKILL does not tear them.
+/// Appends whole lines or records, each in one write(2), so that SIGKILL leaves no partial ones.
 class Appender {
 public:
     explicit Appender(const std::string& path)
@@ -25,8 +26,8 @@
         if (file_ >= 0) ::close(file_);
     }
     Appender(const Appender&) = delete;
-    bool add(const std::string& octets) {
-        return file_ >= 0 && ::write(file_, octets.data(), octets.size()) == ssize_t(octets.size());
+    bool add(const std::string& bytes) {
+        return file_ >= 0 && ::write(file_, bytes.data(), bytes.size()) == ssize_t(bytes.size());
     }
 
 private:
@@ -42,12 +43,12 @@
             std::uint32_t head[4];
             std::memcpy(head, all.data() + at, 16);
             if (at + 16 + head[2] + head[3] > all.size()) break;
-            std::string group = all.substr(at + 16, head[2]), octets = all.substr(at + 16 + head[2], head[3]);
+            std::string group = all.substr(at + 16, head[2]), bytes = all.substr(at + 16 + head[2], head[3]);
             at += 16 + head[2] + head[3];
             if (head[0] == kState)
-                memory_.set_state(head[1], std::move(octets));
+                memory_.set_state(head[1], std::move(bytes));
             else
-                memory_.write(head[1], group, memory_.read(head[1], group).version, std::move(octets));
+                memory_.write(head[1], group, memory_.read(head[1], group).version, std::move(bytes));
             any_ = true;
         }
         if (writes) file_ = std::make_unique<Appender>(path);
@@ -58,9 +59,9 @@
         return memory_.read(shard, group);
     }
     WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                      std::string octets) override {
-        std::string record = framed(kGroup, shard, group, octets);
-        WriteResult wrote = memory_.write(shard, group, version, std::move(octets));
+                      std::string bytes) override {
+        std::string record = framed(kGroup, shard, group, bytes);
+        WriteResult wrote = memory_.write(shard, group, version, std::move(bytes));
         if (wrote == WriteResult::Done && !file_->add(record)) _exit(3);
         return wrote;
     }
@@ -68,17 +69,17 @@
         memory_.scan(shard, after, most, page);
     }
     std::string state(std::uint32_t shard) const override { return memory_.state(shard); }
-    bool set_state(std::uint32_t shard, std::string octets) override {
-        if (!file_->add(framed(kState, shard, {}, octets))) _exit(3);
-        return memory_.set_state(shard, std::move(octets));
+    bool set_state(std::uint32_t shard, std::string bytes) override {
+        if (!file_->add(framed(kState, shard, {}, bytes))) _exit(3);
+        return memory_.set_state(shard, std::move(bytes));
     }
 
 private:
     static constexpr std::uint32_t kGroup = 1, kState = 2;
     static std::string framed(std::uint32_t kind, std::uint32_t shard, std::string_view group,
-                              const std::string& octets) {
-        std::uint32_t head[4] = {kind, shard, std::uint32_t(group.size()), std::uint32_t(octets.size())};
-        return std::string(reinterpret_cast<const char*>(head), 16).append(group).append(octets);
+                              const std::string& bytes) {
+        std::uint32_t head[4] = {kind, shard, std::uint32_t(group.size()), std::uint32_t(bytes.size())};
+        return std::string(reinterpret_cast<const char*>(head), 16).append(group).append(bytes);
     }
     schema_migration::MemoryRecords memory_;
     std::unique_ptr<Appender> file_;
--- a/lab/schema_migration/member.cpp
+++ b/lab/schema_migration/member.cpp
@@ -1,6 +1,7 @@
-// A process of a fleet that shares sessions, for tests with real processes: its session with the keepers, the
-// shards that it holds, a node that writes, and one who may own a migration. member FOLDER INDEX HOLDERS
-// SHARDS GROUPS KEEPER... Linked twice: with this release's schemas, and with those of the one before.
+// A process of a fleet with shared sessions, for tests with real processes: a session at the coordinators,
+// the holder of some shards, a node that writes, and a possible owner of a migration.
+//     member FOLDER INDEX HOLDERS SHARDS GROUPS COORDINATOR...
+// Linked twice: with the schema versions of this release and with those of the previous one.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -35,7 +36,7 @@
 class Member {
 public:
     Member(std::string folder, std::size_t index, std::size_t holders, std::uint32_t shards,
-           std::size_t groups, std::vector<std::string> keepers)
+           std::size_t groups, std::vector<std::string> coordinators)
         : folder_(std::move(folder)),
           index_(index),
           holders_(holders),
@@ -63,8 +64,8 @@
         std::ofstream(path("new", index)) << at.str();
         std::filesystem::rename(path("new", index), path("address", index));
         coordinator::SessionThreadSettings side;
-        side.session.coordinators = std::move(keepers), side.session.name = "member-" + std::to_string(index),
-        side.session.zone = "lab";
+        side.session.coordinators = std::move(coordinators),
+        side.session.name = "member-" + std::to_string(index), side.session.zone = "lab";
         side.session.lease = Duration{3000}, side.cluster = "migration";
         session_ = std::make_unique<coordinator::SessionThread>(side, clock_);
         session_->add_listener([this](const coordinator::SessionThread::Notification& told) {
@@ -80,7 +81,7 @@
     static m::OwnerSettings owner_settings() {
         m::OwnerSettings set;
         set.groups_per_order = 2, set.groups_per_second = 60,
-        set.max_concurrent_shards = 2;  // slow, so that there is time to kill somebody
+        set.max_concurrent_shards = 2;  // slow enough to kill a process during the migration
         return set;
     }
     std::string path(const char* what, std::size_t index) const {
@@ -107,7 +108,8 @@
         }
     }
 
-    // ---- Others
+    // Other members
+
     void connect_to_holders() {
         for (std::size_t i = 0; i < holders_; ++i) {
             std::ifstream in(path("address", i));
@@ -145,7 +147,8 @@
         if (what == 'G' && given.ParseFromString(body)) take(given);
     }
 
-    // ---- Keepers
+    // Coordinators
+
     void handle_notification(const coordinator::SessionThread::Notification& told) {
         if (const auto* held = std::get_if<coordinator::SessionRenewed>(&told)) {
             until_ = held->until;
@@ -202,12 +205,12 @@
         }
     }
 
-    // ---- A node
+    // The node
+
     void next_operation() {
         TimePoint now = scheduler_.now();
         if (busy_ && now >= op_ends_) busy_ = false;
-        // By what it knew, without a look at its session: what is too old must be refused by whoever holds
-        // it.
+        // Writes with the version it knew, without checking its session: a holder must refuse an old version.
         if (!busy_ && level_ && said_once()) {
             write_ = {};
             write_.id = (std::uint64_t(getpid()) << 24) + ++writes_;
@@ -295,9 +298,9 @@
 
 int main(int argc, char** argv) {
     if (argc < 7) return 2;
-    std::vector<std::string> keepers(argv + 6, argv + argc);
+    std::vector<std::string> coordinators(argv + 6, argv + argc);
     ochrehub::lab::migration::Member member(
         argv[1], std::strtoul(argv[2], nullptr, 10), std::strtoul(argv[3], nullptr, 10),
-        std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), keepers);
+        std::uint32_t(std::strtoul(argv[4], nullptr, 10)), std::strtoul(argv[5], nullptr, 10), coordinators);
     member.run();
 }
--- a/lab/schema_migration/million.cpp
+++ b/lab/schema_migration/million.cpp
@@ -39,7 +39,7 @@
     constexpr std::uint32_t kShards = 256;
     m::MemoryRecords disk;
     m::Receiver receiver({kind, from, batch, schema::convert, nullptr}, disk);
-    const std::size_t clients = records / 2;  // of two tenants each
+    const std::size_t clients = records / 2;  // with two tenants each
     for (std::size_t i = 0; i < clients; ++i) {
         std::string name = "client-" + std::to_string(i);
         schema::Group group = initial_group(kind, schema::newest_version(kind), name, i % 1000);
@@ -54,7 +54,7 @@
         }
         if (receiver.handle(put).error()) return false;
     }
-    auto octets = [&] {
+    auto record_megabytes = [&] {
         std::size_t sum = 0;
         for (std::uint32_t s = 0; s < kShards; ++s) sum += disk.bytes(s);
         return double(sum) / 1e6;
@@ -62,8 +62,8 @@
     std::printf(
         "%s %u to %u: %zu records in %zu groups, %u shards, %u groups a step; %.0f MB of records, %.0f MB "
         "resident\n",
-        std::string(schema::name(kind)).c_str(), from, to, clients * 2, clients, kShards, batch, octets(),
-        resident_mb());
+        std::string(schema::name(kind)).c_str(), from, to, clients * 2, clients, kShards, batch,
+        record_megabytes(), resident_mb());
     std::printf("%-8s %9s %9s %9s %9s %9s %9s %9s\n", "stage", "steps", "s", "groups/s", "p50 ms", "p99.9 ms",
                 "max ms", "MB");
     std::uint64_t revision = 0;
@@ -80,7 +80,7 @@
             order.set_shard(s);
             for (bool done = false; !done;) {
                 double cpu =
-                    cpu_ms();  // what a loop would stand still for by it, whatever else runs on this machine
+                    cpu_ms();  // the time a loop would be blocked, independent of other load on the machine
                 m::wire::Reply reply = receiver.handle(order);
                 steps.push_back(cpu_ms() - cpu);
                 if (reply.error()) return false;
@@ -94,7 +94,7 @@
         std::sort(steps.begin(), steps.end());
         std::printf("%-8s %9zu %9.2f %9.0f %9.3f %9.3f %9.3f %9.0f\n", std::string(m::name(stage)).c_str(),
                     steps.size(), took / 1e3, double(groups) / (took / 1e3), steps[steps.size() / 2],
-                    steps[steps.size() * 999 / 1000], steps.back(), octets());
+                    steps[steps.size() * 999 / 1000], steps.back(), record_megabytes());
     }
     std::printf("%llu groups differ, spent %llu and %llu, %.0f MB resident at the end\n",
                 (unsigned long long)differ, (unsigned long long)spent_from, (unsigned long long)spent_to,
--- a/lab/schema_migration/million.h
+++ b/lab/schema_migration/million.h
@@ -1,5 +1,5 @@
-// A migration of many records at one holder, as fast as it goes: what each stage takes, and the longest step,
-// which is what a loop that does it would stand still for. Prints a table; false: it failed.
+// Migrates many records at one holder at full speed, and prints a table with the duration of each stage and
+// of its longest step, which is the time an event loop would be blocked. False: the migration failed.
 #pragma once
 
 #include "fleet/schema/schema.h"
--- a/lab/schema_migration/nodes.cpp
+++ b/lab/schema_migration/nodes.cpp
@@ -54,7 +54,7 @@
     return std::string("s").append(std::to_string(write.id));
 }
 std::string cell_of(const Write& write, Version schema) {
-    // Every third name is one that older schemas have no number for.
+    // Every third name has no number in older versions.
     return schema >= 4 && write.id % 3 == 0 ? std::string("rack ").append(std::to_string(write.id))
                                             : cell_name(cell_number(write));
 }
@@ -111,7 +111,7 @@
 }
 
 Group initial_group(Kind kind, Version schema, const std::string& name, std::uint64_t seed) {
-    // Made as the newest release would have, so that older forms have something to keep.
+    // Created in the newest version, so that older versions have something to keep.
     Version newest = schema::newest_version(kind);
     Group group;
     std::uint64_t i = 0;
@@ -237,11 +237,11 @@
         const Contents::Tenant& was = first.second;
         auto found = contents.tenants.find(tenant);
         if (found == contents.tenants.end()) {
-            say(tenant, "is gone");
+            say(tenant, "is missing");
             continue;
         }
         const Contents::Tenant& is = found->second;
-        if (is.records != 1) say(tenant, "is there " + std::to_string(is.records) + " times");
+        if (is.records != 1) say(tenant, "is stored " + std::to_string(is.records) + " times");
         if (kind_ == Kind::Rates) {
             std::uint64_t least = was.spent + acked[tenant] * schema::kMillion,
                           most = was.spent + (all[tenant] + 1) * schema::kMillion;
@@ -255,7 +255,7 @@
         }
         auto must_be = [&](std::uint64_t order) {
             if (!may_be_closed.contains(order) && is.orders.count(order) != 1)
-                say(tenant, "order " + std::to_string(order) + " is there " +
+                say(tenant, "order " + std::to_string(order) + " is stored " +
                                 std::to_string(is.orders.count(order)) + " times");
         };
         for (std::uint64_t order : was.orders) must_be(order);
@@ -264,13 +264,14 @@
         for (std::uint64_t order : is.orders) {
             if (!was.orders.contains(order) &&
                 !(tried.contains(order) && writes_[order].write.tenant == tenant))
-                say(tenant, "order " + std::to_string(order) + " is nobody's");
-            if (closed.contains(order)) say(tenant, "order " + std::to_string(order) + " was ended");
-            if (is.orders.count(order) > 1) say(tenant, "order " + std::to_string(order) + " is there twice");
+                say(tenant, "order " + std::to_string(order) + " was never opened");
+            if (closed.contains(order)) say(tenant, "order " + std::to_string(order) + " was closed");
+            if (is.orders.count(order) > 1)
+                say(tenant, "order " + std::to_string(order) + " is stored twice");
         }
     }
     for (const auto& [tenant, is] : contents.tenants)
-        if (!first_[group].tenants.contains(tenant)) say(tenant, "came from nowhere");
+        if (!first_[group].tenants.contains(tenant)) say(tenant, "was never written");
 }
 
 void WriteHistory::read(const std::string& group, Version, const Contents& contents,
@@ -282,13 +283,13 @@
     for (const auto& [group, was] : first_) {
         auto found = groups.find(group);
         if (found == groups.end()) {
-            violation("end: " + group + " is gone");
+            violation("end: " + group + " is missing");
             continue;
         }
         compare(group, found->second, acked_by_group_[group], "end");
         if (kind_ != Kind::Sessions) continue;
         for (const auto& [tenant, is] : found->second.tenants) {
-            // Where the last word of each write is known: the place is that of the last.
+            // If the outcome of all writes is known, the place is that of the last write.
             std::uint64_t last = last_[group][tenant];
             bool unsure = false;
             std::uint64_t moved = 0;
@@ -312,7 +313,7 @@
         }
     }
     for (const auto& [group, is] : groups)
-        if (!first_.contains(group)) violation("end: " + group + " came from nowhere");
+        if (!first_.contains(group)) violation("end: " + group + " was never written");
 }
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/previous_release.cpp
+++ b/lab/schema_migration/previous_release.cpp
@@ -1,5 +1,5 @@
-// The release before this one, as far as records go: linked in the place of src/fleet/schema/release.cpp by a
-// program of the lab.
+// The schema versions of the previous release. A lab program links it instead of
+// src/fleet/schema/release.cpp.
 #include "fleet/schema/schema.h"
 
 namespace ochrehub::schema {
--- a/lab/schema_migration/runs.cpp
+++ b/lab/schema_migration/runs.cpp
@@ -1,9 +1,12 @@
-// lab_migration_runs: what is too long for CI, run by hand. See docs/design/schema.md.
-//     calm SEEDS                 migrations of every pair, nothing fails
-//     faulty SEEDS               ... links lose and double, an old process stops and comes back, one crash
-//     and one stop million RECORDS STEP       at one holder, so many groups a step: time, pace, memory,
-//     longest step sweep STEP SECOND JOBS     crash and stop at every STEPth message, with a second at every
-//     SECONDth behind it (0: none)
+// lab_migration_runs: runs that are too long for CI, started by hand. See docs/design/schema.md.
+//     calm SEEDS                 migrations between all adjacent versions, without faults
+//     faulty SEEDS               the same with lost and duplicated messages, a paused and resumed old
+//     process, one
+//                                crash and one pause
+//     million RECORDS STEP       at one holder, with this number of groups per step: duration, rate, memory,
+//     longest step sweep STEP SECOND JOBS     a crash or pause at every STEPth message, with a second fault
+//     at every SECONDth message
+//                                after it (0: none)
 #include <cstdio>
 #include <cstdlib>
 #include <string>
--- a/lab/schema_migration/simulation.cpp
+++ b/lab/schema_migration/simulation.cpp
@@ -41,15 +41,15 @@
         apply(0, command);
     }
     void resume_old_process() { net_.go_on(old_); }
-    void bound(std::size_t octets) {
-        for (auto& holder : holders_) holder.disk.set_max_bytes(octets);
+    void bound(std::size_t max_bytes) {
+        for (auto& holder : holders_) holder.disk.set_max_bytes(max_bytes);
     }
     Duration since_start() const { return net_.now() - started_; }
 
 private:
     struct Session {
         std::size_t process = 0;
-        TimePoint until{};  // by the keepers' clock
+        TimePoint until{};  // by the coordinators' clock
         std::uint64_t number = 0;
         std::string result;
     };
@@ -58,12 +58,12 @@
         std::unique_ptr<m::Records> records;
         std::unique_ptr<m::Receiver> receiver;
     };
-    /// What a process holds in memory.
+    /// The memory of a process.
     struct Process {
         std::string name;
         schema::Ranges ranges;
         bool is_old = false;
-        std::uint64_t session = 0, tried = 0;  // tried: rises with each Open
+        std::uint64_t session = 0, tried = 0;  // tried: number of Open messages sent
         TimePoint asked{}, until{}, probe{};
         bool probing = false, said = false;
         std::uint32_t refused = 0;
@@ -73,15 +73,15 @@
         wire::News news;
         std::optional<m::Owner> owner;
         TimePoint owner_wake = TimePoint::max();
-        // A node's work in hand.
+        // The current operation of a node.
         bool is_node = false, writing = false, busy = false;
         TimePoint op{}, op_ends{};
         std::uint64_t ask = 0;
         Write write;
-        Version level = 0, asked_in = 0;  // the fleet's, as far as it knows; that of what is out
+        Version level = 0, asked_in = 0;  // the version that it knows, and that of its pending request
         std::set<std::uint64_t> acked_before;
         bool retries = false;
-        std::vector<std::pair<Write, bool>> open;  // orders that it has begun
+        std::vector<std::pair<Write, bool>> open;  // its open orders, and whether they are closed
     };
 
     void send(std::size_t from, std::size_t to, Message message) {
@@ -98,7 +98,7 @@
     std::string apply(std::uint64_t session, wire::Command command);
 
     void holder(std::size_t to, std::size_t from, const Message& message);
-    void start_process(std::size_t process, bool anew);
+    void start_process(std::size_t process, bool is_first);
     void process(std::size_t to, TimePoint own, const Message& message);
     void tick(std::size_t process, TimePoint own);
     void told(std::size_t process, TimePoint own, const std::string& news);
@@ -168,7 +168,7 @@
 }
 
 void Simulation::fill() {
-    for (std::size_t i = 0; i < set_.holders; ++i) holders_[i].disk.set_max_bytes(set_.octets);
+    for (std::size_t i = 0; i < set_.holders; ++i) holders_[i].disk.set_max_bytes(set_.max_shard_bytes);
     for (std::size_t i = 0; i < set_.groups; ++i) {
         std::string name = "c" + std::to_string(i);
         Version newest = schema::newest_version(set_.kind);
@@ -186,11 +186,11 @@
         Holder& holder = holders_[holder_of(put.shard()) - 1];
         wire::Given given =
             m::Receiver({set_.kind, set_.from, 1000, schema::convert, nullptr}, holder.disk).handle(put);
-        if (given.error()) history_.violation("the beginning could not be written");
+        if (given.error()) history_.violation("the initial records could not be written");
     }
 }
 
-void Simulation::start_process(std::size_t i, bool anew) {
+void Simulation::start_process(std::size_t i, bool is_first) {
     Process fresh;
     Process& p = processes_[i];
     fresh.name = p.name, fresh.is_old = p.is_old, fresh.is_node = p.is_node, fresh.tried = p.tried,
@@ -217,11 +217,11 @@
         p.owner.emplace(owner);
     }
     net_.start(i);
-    (void)anew;
+    (void)is_first;
     net_.wake_at(i, net_.own(i) + Duration{1 + 20 * net_.uniform()});
 }
 
-// ---- What happens to whom
+// Faults and delivery
 
 bool Simulation::hit(std::size_t, const Message& message, Fault::What& what, Duration& length) {
     bool ours = message.type == Type::Order || message.type == Type::Reply || message.type == Type::Do ||
@@ -272,7 +272,7 @@
         tick(p, own);
 }
 
-// ---- The keepers
+// Coordinators
 
 std::string Simulation::apply(std::uint64_t session, wire::Command command) {
     std::string body = command.SerializeAsString();
@@ -291,13 +291,13 @@
     net_.wake_at(kCoordinators, own + Duration{25});
 }
 
-/// The log stays; who leads from now on has it from a snapshot, and gives everyone the whole length again.
+/// The new leader restores the state from a snapshot and restarts the leases of all sessions.
 void Simulation::change_leader() {
     net_.crash(kCoordinators), net_.start(kCoordinators);
     std::string state = machine_->snapshot();
     auto next = std::make_unique<m::MigrationStateMachine>(m::MigrationStateMachine::WrittenVersions{});
     if (!next->restore(1, state) || next->snapshot() != state)
-        history_.violation("the machine's snapshot is not what it was");
+        history_.violation("the state machine's snapshot changed in a restore");
     machine_ = std::move(next);
     for (auto& [id, session] : sessions_) session.until = net_.own(kCoordinators) + set_.lease;
     net_.wake_at(kCoordinators, net_.own(kCoordinators) + Duration{25});
@@ -312,7 +312,7 @@
             if (session.process == from && session.number == 0 &&
                 session.result == "try " + std::to_string(message.number))
                 id = known;
-        if (!id) {  // a process begins anew: what it had is over
+        if (!id) {  // a restarted process: its previous session ends
             for (auto it = sessions_.begin(); it != sessions_.end();)
                 if (it->second.process == from)
                     machine_->session_ended(it->first), it = sessions_.erase(it);
@@ -350,7 +350,7 @@
     send(kCoordinators, from, std::move(answer));
 }
 
-// ---- Holders
+// Holders
 
 void Simulation::holder(std::size_t to, std::size_t from, const Message& message) {
     Holder& holder = holders_[to - 1];
@@ -375,7 +375,7 @@
     send(to, from, std::move(answer));
 }
 
-// ---- Processes with a session
+// Processes with a session
 
 void Simulation::command(std::size_t i, const wire::Command& command) {
     Process& p = processes_[i];
@@ -385,7 +385,7 @@
 
 void Simulation::tick(std::size_t i, TimePoint own) {
     Process& p = processes_[i];
-    if (p.session && own >= p.until) {  // the clock first: what was held is gone
+    if (p.session && own >= p.until) {  // checks its lease first
         p.session = 0, p.said = false, p.probing = false, p.commands.clear();
         if (p.owner) p.owner.emplace(set_.owner), p.owner_wake = TimePoint::max();
     }
@@ -408,7 +408,7 @@
         if (p.busy && own >= p.op_ends) {
             bool again = set_.charges_again && p.writing && net_.up(i);
             p.busy = false;
-            if (again) {  // wrongly: what became of the first is not known
+            if (again) {  // a mutant: the outcome of the first write is unknown
                 p.busy = true, p.writing = false, p.op_ends = own + kOperationTimeout;
                 ask(i);
             }
@@ -459,7 +459,7 @@
         case Type::Renewed:
             if (!p.session || !p.probing) break;
             if (message.session != p.session) {
-                p.until = own;  // it is over, the keepers say
+                p.until = own;  // the coordinators have ended the session
                 break;
             }
             p.probing = false, p.probe = own + set_.lease / 3;
@@ -510,7 +510,7 @@
     }
 }
 
-// ---- Nodes
+// Nodes
 
 void Simulation::start_operation(std::size_t i, TimePoint own) {
     Process& p = processes_[i];
@@ -521,7 +521,7 @@
     p.write.moves = net_.uniform() < 0.4;
     if (set_.kind == Kind::Sessions && net_.uniform() < 0.4)
         for (auto& [write, over] : p.open)
-            if (!over) {  // an order of its own is done
+            if (!over) {  // closes one of its own orders
                 over = true;
                 p.write.group = write.group, p.write.tenant = write.tenant, p.write.closes = write.id;
                 break;
@@ -549,8 +549,8 @@
         Error error = m::from_wire(given.error());
         if (p.is_old && error == Error::OldLevel) ++old_refused_;
         if (error != Error::Changed) ++refused_;
-        // It tries again where that may help, and where it reads what is written there. But where messages
-        // come twice, a write that is refused may be the second of one that was not.
+        // Retries if that can succeed and it reads the version of the holder. With duplicated messages a
+        // refused write may be the duplicate of one that was accepted, so it is not retried.
         bool certain = !p.writing || set_.doubled == 0;
         p.writing = false;
         const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
@@ -571,11 +571,11 @@
     const schema::Range& reads = p.ranges[std::size_t(set_.kind)];
     Contents contents;
     if (!reads.contains(p.asked_in))
-        history_.violation(p.name + " was given schema " + std::to_string(p.asked_in) +
-                           ", which it does not know");
+        history_.violation(p.name + " received schema version " + std::to_string(p.asked_in) +
+                           ", which it doesn't read");
     if (!parse_contents(set_.kind, p.asked_in, group, contents)) {
-        history_.violation(p.name + " was given a record of " + p.write.group + " that is none of schema " +
-                           std::to_string(p.asked_in));
+        history_.violation(p.name + " received a record of " + p.write.group +
+                           " that is invalid in schema version " + std::to_string(p.asked_in));
         p.busy = false;
         return;
     }
@@ -594,7 +594,7 @@
     send(i, holder_of(put.shard()), {Type::Ask, 0, 0, put.SerializeAsString()});
 }
 
-// ---- The whole
+// The run
 
 void Simulation::start() {
     wire::Command command;
@@ -669,10 +669,10 @@
             wire::Stored stored;
             if (!stored.ParseFromString(held.bytes)) history_.violation("end: " + name + " cannot be read");
             if (over && stored.forms_size() != 1)
-                history_.violation("end: " + name + " is there in " + std::to_string(stored.forms_size()) +
-                                   " forms");
-            if (groups.contains(name)) history_.violation("end: " + name + " is there twice");
-            // While it is under way: by the form that counts.
+                history_.violation("end: " + name + " is stored in " + std::to_string(stored.forms_size()) +
+                                   " versions");
+            if (groups.contains(name)) history_.violation("end: " + name + " is stored twice");
+            // During the migration the version that the holder accepts counts.
             Version counts = over ? outcome.level : holder.receiver->writes(shard);
             bool found = false;
             for (const wire::Form& form : stored.forms()) {
@@ -682,7 +682,8 @@
                 found = parse_contents(set_.kind, counts, group, groups[name]);
             }
             if (!found)
-                history_.violation("end: " + name + " is not there in schema " + std::to_string(counts));
+                history_.violation("end: " + name + " is missing in schema version " +
+                                   std::to_string(counts));
         }
     }
     history_.end(groups, outcome.level, outcome.level == schema::newest_version(Kind::Sessions) && over);
@@ -702,8 +703,8 @@
 void resume_old_process(Simulation& simulation) {
     simulation.resume_old_process();
 }
-void bound(Simulation& simulation, std::size_t octets) {
-    simulation.bound(octets);
+void bound(Simulation& simulation, std::size_t max_bytes) {
+    simulation.bound(max_bytes);
 }
 Duration since_start(const Simulation& simulation) {
     return simulation.since_start();
--- a/lab/schema_migration/simulation.h
+++ b/lab/schema_migration/simulation.h
@@ -1,7 +1,7 @@
-// A migration in virtual time: keepers (a log in one copy, whose leader moves, with sessions counted as
-// machine.h says), holders of shards, owners, nodes that write while it runs, one of them of the release
-// before. The judge goes by what the nodes were answered and by what the holders have on their disks at the
-// end, never by what an owner says.
+// Simulates a migration in virtual time: coordinators (modeled as one log whose leader changes, with
+// sessions), holders of shards, owners, and nodes that write during the migration, one of them of the
+// previous release. The invariant checker uses the responses that the nodes received and the holders' storage
+// at the end, never an owner's reports.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 using schema::Kind;
 using schema::Version;
 
-/// What happens to whoever takes the migration's Nth message (orders, replies, commands and their answers).
+/// A fault of the process that receives the migration's Nth message (order, reply, command or its response).
 struct Fault {
     enum class What : std::uint8_t {
-        CrashBefore,  ///< ... without having taken it
-        CrashBehind,  ///< ... done, but nothing of what it sends leaves
-        Stop,         ///< ... done and said; then it stands still, and goes on where it was
+        CrashBefore,  ///< before it handles the message
+        CrashBehind,  ///< after it handled the message, but its messages are lost
+        Stop,         ///< paused after it handled the message and sent its own, then resumed
     };
-    std::uint64_t at = 0;  ///< from 1 on; 0: none
+    std::uint64_t at = 0;  ///< starting at 1; 0: no fault
     What what = What::CrashBefore;
     Duration length{400};
 };
@@ -42,48 +42,48 @@
     std::uint64_t seed = 1;
     double loss = 0, doubled = 0;
     std::vector<Fault> faults;
-    Duration lease{600}, op{12};  ///< a node does something each so often
-    Duration most{20'000};        ///< after which the simulation ends, whatever has come of it
+    Duration lease{600}, op{12};  ///< op: between the operations of a node
+    Duration most{20'000};        ///< time limit of the run
     bool narrows = true;
     std::uint64_t refusals = 1000;
     m::OwnerSettings owner;
-    /// A process of the release before: there until `old_stops`, let go again at `old_returns`, both counted
-    /// from the start's time on.
+    /// A process of the previous release: paused at `old_stops` and resumed at `old_returns`, both after the
+    /// start of the run. Negative: never.
     bool old_node = false;
     Duration old_stops{-1}, old_returns{-1};
-    bool old_careless = false;             ///< it writes by what it knew, without a look at its lease
-    std::size_t octets = ~std::size_t(0);  ///< of a shard's records
-    /// What operators do when the migration first gets to a stage; once each.
+    bool old_careless = false;  ///< it writes with the version it knew, without checking its lease
+    std::size_t max_shard_bytes = ~std::size_t(0);  ///< capacity of a shard
+    /// Commands of operators when the migration first enters a stage; each is sent once.
     std::vector<std::pair<m::Stage, m::wire::Steer>> steers;
-    /// By them too: called at each 20 ms.
+    /// Further actions of operators: called every 20 ms.
     std::function<void(class Simulation&)> on_poll;
-    bool again = false;  ///< behind a way back, it is begun once more
+    bool again = false;  ///< after it was undone, the migration is started again
 
-    // Those who do it wrong, to show that the judge sees it.
+    // Mutants, which the invariant checker must detect.
     m::Receiver::Convert convert = schema::convert;
     std::function<std::unique_ptr<m::Records>(m::MemoryRecords&)> records;
-    /// May change what holders are asked; nothing: it is lost.
+    /// May change an order to a holder. False: the order is lost.
     std::function<bool(m::wire::Order&, const m::Receiver&)> order;
     std::function<std::optional<m::wire::Given>(m::wire::Ask&, m::Receiver&, m::Records&)> ask;
-    std::function<bool(m::wire::Command&)> command;  ///< to the keepers
-    bool charges_again = false;  ///< a node whose answer is lost writes the same once more, on what it finds
+    std::function<bool(m::wire::Command&)> command;  ///< to the coordinators
+    bool charges_again = false;  ///< a node repeats a write whose response was lost, on the current record
 };
 
 struct Outcome {
     m::Stage stage = m::Stage::None;
-    std::uint32_t stopped = 0;  ///< as on the wire
+    std::uint32_t stopped = 0;  ///< an on_wire error
     std::string about;
-    std::vector<std::string> broken;  ///< promises, with what shows it
+    std::vector<std::string> broken;  ///< violated invariants, with details
     std::uint64_t events = 0, messages = 0, acked = 0, refused = 0, old_refused = 0, epochs = 0;
-    std::uint32_t old_told = 0;  ///< what the old node was last told by the keepers, as on the wire
+    std::uint32_t old_told = 0;  ///< the on_wire error that the coordinators last sent to the old process
     double took_ms = 0;
     Version level = 0;
 };
 
 Outcome run(const Settings& settings);
 
-/// Each kind of crash and stop at the Nth message, for N = first, first + step, ...; and for each N a second
-/// one at the Mth behind it, for each second_step-th M, the kinds of both by turns.
+/// Runs with each kind of fault at the Nth message, for N = first, first + step, ...; and for each N runs
+/// with a second fault at every second_step-th message after it, alternating the kinds of both.
 struct FaultSweep {
     Settings settings;
     std::uint64_t first = 1, step = 1, second_step = 0;  ///< second_step 0: no second fault
@@ -96,11 +96,11 @@
 FaultSweepResult sweep(const FaultSweep& sweep);
 
 class Simulation;
-/// For `on_poll`.
+/// For use in `on_poll`.
 m::MigrationStateMachine& machine(Simulation& simulation);
 void steer(Simulation& simulation, m::wire::Steer way);
 void resume_old_process(Simulation& simulation);
-void bound(Simulation& simulation, std::size_t octets);
+void bound(Simulation& simulation, std::size_t max_bytes);
 Duration since_start(const Simulation& simulation);
 
 }  // namespace ochrehub::lab::migration
--- a/lab/schema_migration/sweep.cpp
+++ b/lab/schema_migration/sweep.cpp
@@ -41,7 +41,7 @@
     std::atomic<std::uint64_t> next{all.first};
     auto work = [&] {
         for (std::uint64_t n; (n = next.fetch_add(all.step)) <= length;) {
-            // Long enough for another owner to take over in the one case, short in the other.
+            // Alternates between long enough for another owner to take over, and too short for it.
             auto gone = [&](std::uint64_t k) { return all.settings.lease * (k % 2 ? 0.3 : 1.5); };
             std::uint64_t messages = 0;
             for (What what : kAll)
--- a/lab/tests/schema_migration_processes_test.cpp
+++ b/lab/tests/schema_migration_processes_test.cpp
@@ -1,7 +1,7 @@
-// Two releases as real processes, three real keepers: an upgrade with load, the owner of the migration killed
-// in the middle, an old process that was stopped before the switch and is let go behind it, the way back, and
-// the whole once more to its end. The judge goes by the nodes' books and the holders' disks. Events are
-// awaited; nothing is said of how long they take.
+// Real processes of two releases with three real coordinators: a rolling upgrade under load, during whose
+// migration the owner is killed; an old process that is paused before the switch and resumed after it; going
+// back; and a complete second migration. The history checker uses the nodes' histories and the holders'
+// files. The test waits for events and has no expectations of their duration.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -117,7 +117,7 @@
         for (std::string line; std::getline(in, line);) count += line.starts_with("a ");
         return count;
     }
-    /// 0 where the command was done.
+    /// The exit code: 0 if the command succeeded.
     int migrate(const std::vector<std::string>& words, std::string* out = nullptr) {
         std::string log = "command" + std::to_string(++commands_);
         std::vector<std::string> command{OCHREHUB_NODE, "fleet", "migrate"};
@@ -136,7 +136,7 @@
         if (migrate({"status", "--json"}, &out) != 0) return {};
         return after(out, "\"stage\":\"");
     }
-    /// The number of the member that owns the migration, or none.
+    /// The index of the member that owns the migration, if any.
     int owner() {
         std::string out;
         if (migrate({"status", "--json"}, &out) != 0) return -1;
@@ -165,7 +165,7 @@
         return await(words[0].c_str(), [&] { return migrate(words) == 0; });
     }
 
-    /// What stands in the end against what was acknowledged.
+    /// Compares the final records with the acknowledged writes.
     std::vector<std::string> judge(Version level, std::size_t& acks) {
         WriteHistory all(Kind::Sessions);
         std::map<std::string, Contents> groups;
@@ -232,14 +232,15 @@
     int commands_ = 0;
 };
 
-TEST(TwoReleases, UpgradeWithTheOwnerKilledAnOldProcessLetGoLateBackAndOnceMore) {
-    constexpr std::size_t kOld = kHolders;  // holds nothing, writes only
+TEST(TwoReleases, UpgradeSurvivesOwnerCrashLateOldProcessAndGoingBack) {
+    constexpr std::size_t kOld = kHolders;  // holds no shards, only writes
     Fleet fleet;
     for (std::size_t i = 0; i <= kHolders; ++i) fleet.member(i, OCHREHUB_MEMBER_BEFORE);
     for (std::size_t i = 0; i <= kHolders; ++i) ASSERT_TRUE(fleet.await_acks(i, 20));
-    EXPECT_NE(fleet.migrate({"start", "sessions", "--shards", "16"}), 0);  // nobody reads it yet
+    EXPECT_NE(fleet.migrate({"start", "sessions", "--shards", "16"}),
+              0);  // no process reads the new version yet
     fleet.signal(kOld, SIGSTOP);
-    for (std::size_t i = 0; i < kHolders; ++i) {  // one after the other, beside the release before
+    for (std::size_t i = 0; i < kHolders; ++i) {  // one at a time, together with the previous release
         fleet.stop_for_good(i);
         fleet.member(i, OCHREHUB_MEMBER);
         for (std::size_t k = 0; k < kHolders; ++k) ASSERT_TRUE(fleet.await_acks(k, 5));
@@ -262,7 +263,7 @@
     }));
     ASSERT_TRUE(fleet.command({"back"}));
     ASSERT_TRUE(fleet.await("undone", [&] { return fleet.stage() == "undone"; }));
-    ASSERT_TRUE(fleet.await_acks(kOld, 5));  // the level is its own again
+    ASSERT_TRUE(fleet.await_acks(kOld, 5));  // the fleet writes a version that it reads again
     fleet.stop_for_good(kOld);
 
     ASSERT_TRUE(fleet.command({"start", "sessions", "--shards", "16"}));
--- a/lab/tests/schema_migration_test.cpp
+++ b/lab/tests/schema_migration_test.cpp
@@ -1,5 +1,5 @@
-// Migrations in virtual time: none of the promises breaks whatever crashes, stops, is lost or comes late, and
-// each of those who do it wrong is contents. The long runs are lab_migration_runs'.
+// Simulated migrations: the invariants hold under crashes, pauses, lost and late messages, and every mutant
+// is detected. Long runs are in lab_migration_runs.
 #include <gtest/gtest.h>
 #include <records.pb.h>
 #include <schema_migration.pb.h>
@@ -34,21 +34,21 @@
     EXPECT_GT(outcome.acked, 50u);
 }
 
-TEST(Migrations, EveryPairOfNeighboursUpAndDown) {
+TEST(SchemaMigration, AllAdjacentVersionsUpAndDown) {
     for (Kind kind : {Kind::Sessions, Kind::Rates})
         for (Version from = 1; from < schema::newest_version(kind); ++from) {
             expect_success(run(settings_for(kind, from, from + 1)), Stage::Done);
             expect_success(run(settings_for(kind, from + 1, from)), Stage::Done);
         }
 }
-TEST(Migrations, LostAndDoubledMessages) {
+TEST(SchemaMigration, LostAndDuplicatedMessages) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         Settings settings = settings_for(seed % 2 ? Kind::Sessions : Kind::Rates, 2, 3, seed);
         settings.loss = 0.05, settings.doubled = 0.1;
         expect_success(run(settings), Stage::Done);
     }
 }
-TEST(Migrations, BackAtEachStageBeforeNarrowAndThenOnceMore) {
+TEST(SchemaMigration, GoesBackFromEachStageBeforeNarrowAndRestarts) {
     for (Stage stage : {Stage::Widen, Stage::Convert, Stage::Compare, Stage::Switch, Stage::Hold})
         for (bool again : {false, true}) {
             Settings settings = settings_for(Kind::Sessions, 3, 4, std::uint64_t(stage));
@@ -69,7 +69,7 @@
             EXPECT_EQ(outcome.level, again ? 4u : 3u);
         }
 }
-TEST(Migrations, AnOldProcessThatWasStoppedBeforeTheSwitchAndWritesAfterItDoesNoHarm) {
+TEST(SchemaMigration, OldProcessResumedAfterTheSwitchIsRefused) {
     for (bool careless : {false, true}) {
         Settings settings = settings_for(Kind::Sessions, 3, 4, careless);
         settings.old_node = true, settings.old_careless = careless;
@@ -91,7 +91,7 @@
         EXPECT_EQ(outcome.old_refused > 0, careless);
     }
 }
-TEST(Migrations, AnOldProcessThatComesBackBeforeTheSwitchStopsItAndIsServed) {
+TEST(SchemaMigration, OldProcessReturningBeforeTheSwitchPausesItAndIsServed) {
     Settings settings = settings_for(Kind::Rates, 2, 3);
     settings.old_node = true;
     settings.old_stops = Duration{0};
@@ -103,13 +103,13 @@
             !std::exchange(back, true))
             steer(simulation, m::wire::BACK);
     };
-    settings.owner.groups_per_second = 200;  // so that it takes a while
+    settings.owner.groups_per_second = 200;  // slow enough for the old process to return
     settings.groups = 128;
     Outcome outcome = run(settings);
     expect_success(outcome, Stage::Undone);
     EXPECT_EQ(outcome.old_told, 0u);
 }
-TEST(Migrations, AConversionThatThrowsOnOneRecordStopsItAndTheWayBackLosesNothing) {
+TEST(SchemaMigration, FailedConversionPausesItAndGoingBackLosesNothing) {
     Settings settings = settings_for(Kind::Sessions, 2, 3);
     settings.convert = [](Kind kind, Version from, Version to, schema::Group group) -> schema::Result {
         for (const auto& r : group)
@@ -127,7 +127,7 @@
     EXPECT_EQ(stopped, m::on_wire(Error::Conversion));
     EXPECT_NE(about.find("c17"), std::string::npos) << about;
 }
-TEST(Migrations, ADiskThatIsFullInTheMiddleStopsItAndItGoesOnWhereThereIsRoom) {
+TEST(SchemaMigration, FullDiskPausesItUntilThereIsCapacity) {
     Settings settings = settings_for(Kind::Sessions, 3, 4);
     settings.owner.groups_per_second = 500, settings.groups = 128;
     bool full = false, room = false;
@@ -142,14 +142,15 @@
     expect_success(run(settings), Stage::Done);
     EXPECT_EQ(stopped, m::on_wire(Error::Full));
 }
-TEST(Migrations, RefusalsThatRiseStopIt) {
+TEST(SchemaMigration, TooManyRefusalsPauseIt) {
     Settings settings = settings_for(Kind::Sessions, 3, 4);
     settings.refusals = 0;
     settings.op = Duration{3};
     std::uint32_t stopped = 0;
     settings.on_poll = [&](Simulation& simulation) {
         const auto& now = machine(simulation).migration();
-        if (Stage(now.stage()) == Stage::Widen) bound(simulation, 1);  // no write that grows has room
+        if (Stage(now.stage()) == Stage::Widen)
+            bound(simulation, 1);  // writes that need more bytes exceed the capacity
         if (now.stopped() && !stopped)
             stopped = now.stopped(), bound(simulation, ~std::size_t(0)), steer(simulation, m::wire::BACK);
     };
@@ -157,7 +158,7 @@
     expect_success(run(settings), Stage::Undone);
     EXPECT_EQ(stopped, m::on_wire(Error::Refusals));
 }
-TEST(Migrations, CrashAndStopAtSomeMessagesAndASecondBehind) {
+TEST(SchemaMigration, SurvivesTwoCrashesOrPausesAtAnyMessage) {
     FaultSweep all;
     all.settings.groups = 16;
     all.first = 3, all.step = 61, all.second_step = 83;
@@ -167,9 +168,9 @@
     for (const std::string& broken : swept.first_broken) ADD_FAILURE() << broken;
 }
 
-// ---- Those who do it wrong
+// Mutants
 
-/// Holders' records that err.
+/// A holder's storage with a fault.
 struct FaultyRecords : m::Records {
     m::MemoryRecords& disk;
     explicit FaultyRecords(m::MemoryRecords& to) : disk(to) {}
@@ -193,7 +194,7 @@
         state.ParseFromString(disk.state(shard));
         return m::ShardForm(state.form());
     }
-    /// As it would be written, with the form of this schema as it stood before, or without it.
+    /// The bytes to write, with this version's records as they were before, or without them.
     std::string half(std::uint32_t shard, std::string_view group, const std::string& octets,
                      Version schema) const {
         m::wire::Stored is, was;
@@ -214,8 +215,8 @@
     settings.records = [](m::MemoryRecords& disk) { return std::make_unique<W>(disk); };
 }
 
-/// Whether it is contents, by the judge or by the migration itself, which stops. With the comparison left out
-/// the judge alone is asked.
+/// Whether the invariant checker or the migration itself, by pausing, detects the mutant. Without the stage
+/// Compare only the invariant checker can.
 struct Found {
     std::string judge, itself;
 };
@@ -288,19 +289,19 @@
     };
 }
 
-TEST(SchemaMigrationMutants, AConversionThatRoundsSpentDown) {
+TEST(SchemaMigrationMutants, ConversionRoundsSpentDown) {
     expect_stopped(found(rounds_down, Kind::Rates, 2, 3), "migration.differs");
     expect_violation(found(rounds_down, Kind::Rates, 2, 3, false));
 }
-TEST(SchemaMigrationMutants, AConversionThatLosesARecord) {
+TEST(SchemaMigrationMutants, ConversionLosesARecord) {
     expect_stopped(found(drops_the_last, Kind::Sessions, 3, 4), "migration.differs");
     expect_violation(found(drops_the_last, Kind::Sessions, 3, 4, false));
 }
-TEST(SchemaMigrationMutants, AConversionThatDoublesARecord) {
+TEST(SchemaMigrationMutants, ConversionDuplicatesARecord) {
     expect_stopped(found(doubles_one, Kind::Sessions, 3, 4), "migration.differs");
     expect_violation(found(doubles_one, Kind::Sessions, 3, 4, false));
 }
-struct OldFormAlone : FaultyRecords {  // a write while wide leaves the new form as it was
+struct OldFormAlone : FaultyRecords {  // a write in Wide doesn't update the new version
     using FaultyRecords::FaultyRecords;
     WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
                       std::string octets) override {
@@ -308,12 +309,12 @@
                           form(shard) == m::ShardForm::Wide ? half(shard, group, octets, 4) : octets);
     }
 };
-TEST(SchemaMigrationMutants, AHolderThatWritesTheOldFormAloneWhileItIsWide) {
+TEST(SchemaMigrationMutants, HolderWritesOnlyTheOldVersionInWide) {
     expect_stopped(found(use<OldFormAlone>, Kind::Sessions, 3, 4), "migration.differs");
     expect_violation(found([](Settings& s) { use<OldFormAlone>(s), s.owner.groups_per_second = 200; },
                            Kind::Sessions, 3, 4, false));
 }
-struct NewFormAlone : FaultyRecords {  // behind the switch the old form is let go stale
+struct NewFormAlone : FaultyRecords {  // a write after the switch doesn't update the old version
     using FaultyRecords::FaultyRecords;
     WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
                       std::string octets) override {
@@ -328,23 +329,23 @@
             steer(simulation, m::wire::BACK);
     };
 }
-TEST(SchemaMigrationMutants, AHolderThatForgetsTheOldFormBehindTheSwitch) {
+TEST(SchemaMigrationMutants, HolderWritesOnlyTheNewVersionAfterTheSwitch) {
     expect_violation(
         found([](Settings& s) { use<NewFormAlone>(s), back_from_hold(s); }, Kind::Sessions, 3, 4));
 }
-struct NoVersions : FaultyRecords {  // whoever writes last wins
+struct NoVersions : FaultyRecords {  // the last write wins
     using FaultyRecords::FaultyRecords;
     WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t,
                       std::string octets) override {
         return disk.write(shard, group, disk.read(shard, group).version, std::move(octets));
     }
 };
-TEST(SchemaMigrationMutants, AHolderThatDoesNotCompareVersions) {
+TEST(SchemaMigrationMutants, HolderIgnoresVersions) {
     expect_violation(
         found([](Settings& s) { use<NoVersions>(s), s.nodes = 6, s.groups = 2, s.op = Duration{2}; },
               Kind::Rates, 2, 3));
 }
-struct Forgets : FaultyRecords {  // says that it wrote, and every twentieth write is gone
+struct Forgets : FaultyRecords {  // acknowledges every twentieth write without storing it
     using FaultyRecords::FaultyRecords;
     int writes = 0;
     WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
@@ -353,10 +354,10 @@
         return disk.write(shard, group, version, std::move(octets));
     }
 };
-TEST(SchemaMigrationMutants, AHolderThatAnswersBeforeItHasWritten) {
+TEST(SchemaMigrationMutants, HolderAcknowledgesUnstoredWrites) {
     expect_violation(found(use<Forgets>, Kind::Sessions, 3, 4));
 }
-TEST(SchemaMigrationMutants, AHolderThatTakesTheOldSchemaBehindTheSwitch) {
+TEST(SchemaMigrationMutants, HolderAcceptsTheOldVersionAfterTheSwitch) {
     auto errs = [](Settings& s) {
         s.old_node = s.old_careless = true, s.old_stops = Duration{0}, s.narrows = false;
         bool let_go = false;
@@ -387,7 +388,7 @@
     };
     expect_violation(found(errs, Kind::Sessions, 3, 4));
 }
-TEST(SchemaMigrationMutants, KeepersThatBelieveEveryProcessReadsEverything) {
+TEST(SchemaMigrationMutants, CoordinatorsAssumeEveryProcessReadsAllVersions) {
     auto errs = [](Settings& s) {
         s.old_node = true;
         s.command = [](m::wire::Command& command) {
@@ -399,7 +400,7 @@
     };
     expect_violation(found(errs, Kind::Sessions, 3, 4));
 }
-TEST(SchemaMigrationMutants, AnOwnerThatSaysConvertedOfWhatItNeverOrdered) {
+TEST(SchemaMigrationMutants, OwnerReportsAConversionItNeverOrdered) {
     auto errs = [](Settings& s) {
         s.order = [](m::wire::Order& order, const m::Receiver&) {
             if (Stage(order.stage()) == Stage::Convert && order.shard() == 5)
@@ -410,8 +411,8 @@
     Found result = found(errs, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty()) << result.judge;
 }
-TEST(SchemaMigrationMutants, AHolderThatBelievesOrdersOfAnyEpochAndStage) {
-    // What was sent for the way back comes once more in the next migration.
+TEST(SchemaMigrationMutants, HolderAcceptsStaleOrders) {
+    // Orders of the undone migration are delivered again in the next one.
     auto errs = [](Settings& s) {
         auto late = std::make_shared<std::vector<m::wire::Order>>();
         s.steers = {{Stage::Convert, m::wire::BACK}};
@@ -423,7 +424,7 @@
                 late->pop_back();
                 old.set_migration(order.migration()), old.set_epoch(order.epoch()),
                     old.set_revision(order.revision());
-                order = old;  // the fence is gone: it is taken as new
+                order = old;  // it passes the fence as a new order
             }
             return true;
         };
@@ -431,19 +432,18 @@
     Found result = found(errs, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty() && result.judge.empty());
 }
-TEST(SchemaMigrationMutants, ANodeThatChargesOnceMoreWhereAnAnswerIsLost) {
+TEST(SchemaMigrationMutants, NodeRepeatsAWriteWithALostResponse) {
     expect_violation(found([](Settings& s) { s.charges_again = true, s.loss = 0.1; }, Kind::Rates, 2, 3));
 }
-struct DropsUnconverted : FaultyRecords {  // a shard's last group is never contents by a scan
+struct DropsUnconverted : FaultyRecords {  // a scan omits the last group of a shard
     using FaultyRecords::FaultyRecords;
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
         disk.scan(shard, after, most, page);
         if (form(shard) == m::ShardForm::Wide && !page.empty()) page.pop_back();
     }
 };
-TEST(SchemaMigrationMutants, AScanThatLeavesAGroupOut) {
-    // Neither converted nor compared; dropping the old form meets a group that has no other, and does not
-    // drop it.
+TEST(SchemaMigrationMutants, ScanOmitsAGroup) {
+    // The group is neither converted nor compared. Narrow doesn't drop its old version, as it has no other.
     Found result = found(use<DropsUnconverted>, Kind::Sessions, 3, 4);
     EXPECT_FALSE(result.itself.empty() && result.judge.empty());
 }
