--- a/lab/tests/schema_migration_processes_test.cpp
+++ b/lab/tests/schema_migration_processes_test.cpp
@@ -1,7 +1,7 @@
-// Two releases as real processes, three real keepers: an upgrade with load, the owner of the migration killed
-// in the middle, an old process that was stopped before the switch and is let go behind it, the way back, and
-// the whole once more to its end. The judge goes by the nodes' books and the holders' disks. Events are
-// awaited; nothing is said of how long they take.
+// Real processes of two releases with three real coordinators: a rolling upgrade under load, during whose
+// migration the owner is killed; an old process that is paused before the switch and resumed after it; going
+// back; and a complete second migration. The history checker uses the nodes' histories and the holders'
+// files. The test waits for events and has no expectations of their duration.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 #include <thread>
 #include <vector>
 
-#include "lab/schema_migration/disk.h"
+#include "lab/schema_migration/file_records.h"
 #include "lab/schema_migration/nodes.h"
 
 extern char** environ;
@@ -117,7 +117,7 @@
         for (std::string line; std::getline(in, line);) count += line.starts_with("a ");
         return count;
     }
-    /// 0 where the command was done.
+    /// The exit code: 0 if the command succeeded.
     int migrate(const std::vector<std::string>& words, std::string* out = nullptr) {
         std::string log = "command" + std::to_string(++commands_);
         std::vector<std::string> command{OCHREHUB_NODE, "fleet", "migrate"};
@@ -136,7 +136,7 @@
         if (migrate({"status", "--json"}, &out) != 0) return {};
         return after(out, "\"stage\":\"");
     }
-    /// The number of the member that owns the migration, or none.
+    /// The index of the member that owns the migration, if any.
     int owner() {
         std::string out;
         if (migrate({"status", "--json"}, &out) != 0) return -1;
@@ -165,15 +165,15 @@
         return await(words[0].c_str(), [&] { return migrate(words) == 0; });
     }
 
-    /// What stands in the end against what was acknowledged.
+    /// Compares the final records with the acknowledged writes.
     std::vector<std::string> judge(Version level, std::size_t& acks) {
-        Book all(Kind::Sessions);
-        std::map<std::string, Seen> groups;
+        WriteHistory all(Kind::Sessions);
+        std::map<std::string, Contents> groups;
         for (std::size_t i = 0; i < kGroups; ++i) {
             std::string name = "c" + std::to_string(i);
-            Seen seen;
-            see(Kind::Sessions, 4, beginning(Kind::Sessions, 4, name, i), seen);
-            all.begins(name, seen);
+            Contents contents;
+            parse_contents(Kind::Sessions, 4, initial_group(Kind::Sessions, 4, name, i), contents);
+            all.set_initial(name, contents);
         }
         for (std::size_t i = 0; i <= kHolders; ++i) {
             std::map<std::uint64_t, Write> tried;
@@ -186,9 +186,10 @@
                 Version schema = 0;
                 words >> what;
                 if (what == 'x')
-                    all.broken("member " + std::to_string(i) + " was given what it does not read: " + line);
+                    all.violation("member " + std::to_string(i) +
+                                  " was given what it does not read: " + line);
                 if (what == 't' && words >> write.id >> write.group >> write.tenant >> write.moves)
-                    all.tried(tried[write.id] = write);
+                    all.attempted(tried[write.id] = write);
                 if (what == 'a' && words >> write.id >> version >> schema)
                     all.acked(tried.at(write.id), version, schema);
             }
@@ -201,14 +202,14 @@
                 for (const auto& [name, held] : page) {
                     schema_migration::wire::Stored stored;
                     Group group;
-                    if (!stored.ParseFromString(held.octets) || stored.forms_size() != 1 ||
+                    if (!stored.ParseFromString(held.bytes) || stored.forms_size() != 1 ||
                         stored.forms(0).schema() != level) {
-                        all.broken(name + " is not there in schema " + std::to_string(level) + " alone");
+                        all.violation(name + " is not there in schema " + std::to_string(level) + " alone");
                         continue;
                     }
                     for (const auto& r : stored.forms(0).records()) group.push_back({r.key(), r.value()});
-                    if (!see(Kind::Sessions, level, group, groups[name]))
-                        all.broken(name + " cannot be read");
+                    if (!parse_contents(Kind::Sessions, level, group, groups[name]))
+                        all.violation(name + " cannot be read");
                 }
             }
         }
@@ -231,14 +232,15 @@
     int commands_ = 0;
 };
 
-TEST(TwoReleases, UpgradeWithTheOwnerKilledAnOldProcessLetGoLateBackAndOnceMore) {
-    constexpr std::size_t kOld = kHolders;  // holds nothing, writes only
+TEST(TwoReleases, UpgradeSurvivesOwnerCrashLateOldProcessAndGoingBack) {
+    constexpr std::size_t kOld = kHolders;  // holds no shards, only writes
     Fleet fleet;
     for (std::size_t i = 0; i <= kHolders; ++i) fleet.member(i, OCHREHUB_MEMBER_BEFORE);
     for (std::size_t i = 0; i <= kHolders; ++i) ASSERT_TRUE(fleet.await_acks(i, 20));
-    EXPECT_NE(fleet.migrate({"start", "sessions", "--shards", "16"}), 0);  // nobody reads it yet
+    EXPECT_NE(fleet.migrate({"start", "sessions", "--shards", "16"}),
+              0);  // no process reads the new version yet
     fleet.signal(kOld, SIGSTOP);
-    for (std::size_t i = 0; i < kHolders; ++i) {  // one after the other, beside the release before
+    for (std::size_t i = 0; i < kHolders; ++i) {  // one at a time, together with the previous release
         fleet.stop_for_good(i);
         fleet.member(i, OCHREHUB_MEMBER);
         for (std::size_t k = 0; k < kHolders; ++k) ASSERT_TRUE(fleet.await_acks(k, 5));
@@ -261,7 +263,7 @@
     }));
     ASSERT_TRUE(fleet.command({"back"}));
     ASSERT_TRUE(fleet.await("undone", [&] { return fleet.stage() == "undone"; }));
-    ASSERT_TRUE(fleet.await_acks(kOld, 5));  // the level is its own again
+    ASSERT_TRUE(fleet.await_acks(kOld, 5));  // the fleet writes a version that it reads again
     fleet.stop_for_good(kOld);
 
     ASSERT_TRUE(fleet.command({"start", "sessions", "--shards", "16"}));
--- a/src/fleet/schema_migration/migration_state_machine.h
+++ b/src/fleet/schema_migration/migration_state_machine.h
@@ -1,10 +1,11 @@
-// What a majority of keepers knows of levels and migrations: which schema the fleet writes of each kind, what
-// each live process reads, and the one migration that is under way: its stage, its owner's epoch, which
-// shards are through. A machine as all are: no time, no I/O, the same at every keeper. One thread at a time.
+// The replicated state of schema migrations: the schema version of each kind that the fleet writes, the
+// versions that each process with a session reads, and the migration in progress: its stage, its owner's
+// epoch and the shards that have completed the stage. A deterministic state machine of the coordinators,
+// without time or I/O. Not thread safe.
 //
-// The level changes at the entry to Switch, and only where each live session reads the new schema. Until then
-// a process that does not stops the migration; from then on it is refused. The way back sets the level back
-// at once, and is open until Narrow.
+// The written version changes when the stage Switch is entered, and only if every active session reads the
+// new version. Until then a process that doesn't read it pauses the migration; afterwards such a process is
+// refused. Going back restores the written version at once, and is possible until Narrow.
 #pragma once
 
 #include <schema_migration.pb.h>
@@ -22,65 +23,66 @@
 class MigrationStateMachine : public coordinator::StateMachine {
 public:
     using WrittenVersions = std::array<schema::Version, schema::kKindCount>;
-    /// Of a fleet that has never migrated. Keepers of two releases begin alike: this is never changed.
+    /// Of a fleet that has never migrated. Never changed, because coordinators of two releases must start
+    /// alike.
     static constexpr WrittenVersions kInitialVersions = {3, 2, 1, 1, 1};
     static constexpr std::uint32_t kMaxShards = 4096;
     static constexpr std::size_t kMaxSessions = 10'000;
 
-    /// `first`: the levels of a fleet that has never migrated.
+    /// `first`: the versions that a fleet without any migration writes.
     explicit MigrationStateMachine(const WrittenVersions& first);
 
     std::string_view kind() const override { return "migration"; }
     std::uint32_t schema() const override { return 1; }
     std::string apply(const coordinator::Command& command) override;
-    /// Whatever is asked: all of it, as wire::Machine.
+    /// Returns the whole state as wire::Machine, for any question.
     std::string query(std::string_view question) const override;
     void session_opened(coordinator::SessionId session, std::string_view name,
                         std::string_view zone) override;
     void session_ended(coordinator::SessionId session) override;
     std::string session_update(coordinator::SessionId session) const override;
-    /// Nothing here ends by time: an owner is lost with its session.
+    /// There are no timeouts: an owner loses its ownership when its session ends.
     void timeouts(std::vector<coordinator::Timeout>&) const override {}
     std::string on_timeout(std::uint64_t, std::uint64_t) const override { return {}; }
     std::string snapshot() const override;
     bool restore(std::uint32_t schema, std::string_view bytes) override;
 
-    const WrittenVersions& written_versions() const { return levels_; }
-    const wire::Status& migration() const { return now_; }
-    Stage stage() const { return Stage(now_.stage()); }
+    const WrittenVersions& written_versions() const { return written_versions_; }
+    const wire::Status& migration() const { return migration_; }
+    Stage stage() const { return Stage(migration_.stage()); }
 
 private:
-    struct Live {
+    struct SessionInfo {
         std::string name, zone, about;
         bool said = false;
         schema::Ranges ranges;
-        std::uint32_t refused = 0;  ///< as on the wire
+        std::uint32_t refused = 0;  ///< an on_wire error; zero: none
     };
     using Answer = wire::Answer;
 
-    void says(coordinator::SessionId session, const wire::Says& said, Answer& answer);
-    void start(const wire::Start& start, Answer& answer);
-    void want(coordinator::SessionId session, Answer& answer);
-    void did(coordinator::SessionId session, const wire::Did& did, Answer& answer);
-    void trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& answer);
-    void steer(wire::Steer way, Answer& answer);
+    void handle_says(coordinator::SessionId session, const wire::Says& said, Answer& response);
+    void handle_start(const wire::Start& start, Answer& response);
+    void handle_want(coordinator::SessionId session, Answer& response);
+    void handle_did(coordinator::SessionId session, const wire::Did& did, Answer& response);
+    void handle_trouble(coordinator::SessionId session, const wire::Trouble& trouble, Answer& response);
+    void handle_steer(wire::Steer way, Answer& response);
 
-    bool of_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
-                  std::uint64_t revision, std::uint32_t shard) const;
-    /// Whether this one may read and write by the levels of now.
-    void judge(Live& live) const;
-    /// The first live session that does not read this, or has not said: fills `why`.
-    bool someone_cannot(schema::Kind kind, schema::Version number, Failure& why) const;
-    void enter(Stage stage);
-    void advance();
-    void stop(Error error, std::string_view about);
-    void fill(wire::News& news, coordinator::SessionId session) const;
-    bool all_done() const;
+    bool is_from_current_owner(coordinator::SessionId session, std::uint64_t id, std::uint64_t epoch,
+                               std::uint64_t revision, std::uint32_t shard) const;
+    /// Sets `refused` if this process doesn't read what the fleet writes.
+    void check_compatibility(SessionInfo& info) const;
+    /// Finds an active session that doesn't read this version or hasn't reported its ranges, and fills `why`.
+    bool find_incompatible_session(schema::Kind kind, schema::Version number, Failure& why) const;
+    void enter_stage(Stage stage);
+    void advance_stage();
+    void pause_with_error(Error error, std::string_view about);
+    void fill_news(wire::News& news, coordinator::SessionId session) const;
+    bool all_shards_done() const;
 
-    WrittenVersions levels_;
-    std::map<coordinator::SessionId, Live> sessions_;
-    wire::Status now_;
-    std::uint64_t epochs_ = 0, ids_ = 0, revisions_ = 0;
+    WrittenVersions written_versions_;
+    std::map<coordinator::SessionId, SessionInfo> sessions_;
+    wire::Status migration_;
+    std::uint64_t last_epoch_ = 0, last_id_ = 0, last_revision_ = 0;
 };
 
 }  // namespace ochrehub::schema_migration
--- a/src/fleet/schema_migration/records.h
+++ b/src/fleet/schema_migration/records.h
@@ -1,7 +1,7 @@
-// Where the records of one kind are, as a migration sees them: groups by name in shards, each as octets with
-// a version. Whoever holds shards implements it; all calls for one shard are made under that shard's lock,
-// and each write is whole or not at all and with both holders before it returns (or is answered later by the
-// same rule, where the shell waits for that).
+// The storage of the records of one kind, as a migration uses it: groups by name in shards, each as bytes
+// with a version. Implemented by the holder of the shards. The caller holds the shard's lock in all calls. A
+// write is atomic, and stored by primary and backup before it returns (or before the response is sent, if the
+// caller waits for that).
 #pragma once
 
 #include <cstdint>
@@ -15,56 +15,56 @@
 
 class Records {
 public:
-    enum class Wrote : std::uint8_t {
+    enum class WriteResult : std::uint8_t {
         Done,
-        Changed,  ///< the version that stands is another
-        Full,     ///< no room; nothing was changed
+        Changed,  ///< the stored version is another one
+        Full,     ///< the capacity is exceeded; nothing was changed
     };
-    struct Held {
-        std::string octets;
-        std::uint64_t version = 0;  ///< rises with each write; zero: there is none
+    struct StoredGroup {
+        std::string bytes;
+        std::uint64_t version = 0;  ///< rises with each write; zero: there is no group
     };
-    using Page = std::vector<std::pair<std::string, Held>>;
+    using Page = std::vector<std::pair<std::string, StoredGroup>>;
 
     virtual ~Records() = default;
-    virtual Held read(std::uint32_t shard, std::string_view group) const = 0;
-    /// Compare and swap. Empty octets erase.
-    virtual Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                        std::string octets) = 0;
-    /// Appends at most `most` groups behind `after`, by name.
+    virtual StoredGroup read(std::uint32_t shard, std::string_view group) const = 0;
+    /// Compares the version and swaps. Empty bytes erase the group.
+    virtual WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                              std::string bytes) = 0;
+    /// Appends at most `most` groups with names after `after`, in order of name.
     virtual void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const = 0;
-    /// The shard's own record, which lasts as long as its groups do.
+    /// The shard's migration state, which is stored as durably as its groups.
     virtual std::string state(std::uint32_t shard) const = 0;
-    virtual bool set_state(std::uint32_t shard, std::string octets) = 0;  ///< false: no room
+    virtual bool set_state(std::uint32_t shard, std::string bytes) = 0;  ///< false: capacity exceeded
 };
 
-/// In memory, with a bound for each shard: for tests and the lab.
+/// In memory, with a limit for each shard. For tests and the lab.
 class MemoryRecords : public Records {
 public:
-    explicit MemoryRecords(std::size_t most = ~std::size_t(0)) : most_(most) {}
+    explicit MemoryRecords(std::size_t most = ~std::size_t(0)) : max_bytes_(most) {}
 
-    Held read(std::uint32_t shard, std::string_view group) const override {
+    StoredGroup read(std::uint32_t shard, std::string_view group) const override {
         auto s = shards_.find(shard);
         if (s == shards_.end()) return {};
         auto found = s->second.groups.find(group);
-        return found == s->second.groups.end() ? Held() : found->second;
+        return found == s->second.groups.end() ? StoredGroup() : found->second;
     }
-    Wrote write(std::uint32_t shard, std::string_view group, std::uint64_t version,
-                std::string octets) override {
+    WriteResult write(std::uint32_t shard, std::string_view group, std::uint64_t version,
+                      std::string bytes) override {
         Shard& s = shards_[shard];
         auto found = s.groups.find(group);
         bool there = found != s.groups.end();
-        if ((there ? found->second.version : 0) != version) return Wrote::Changed;
-        std::size_t before = there ? found->second.octets.size() : 0;
-        if (octets.size() > before && s.octets - before + octets.size() > most_) return Wrote::Full;
-        s.octets += octets.size() - before;
-        if (octets.empty()) {
+        if ((there ? found->second.version : 0) != version) return WriteResult::Changed;
+        std::size_t before = there ? found->second.bytes.size() : 0;
+        if (bytes.size() > before && s.bytes - before + bytes.size() > max_bytes_) return WriteResult::Full;
+        s.bytes += bytes.size() - before;
+        if (bytes.empty()) {
             if (there) s.groups.erase(found);
         } else {
-            if (!there) found = s.groups.emplace(group, Held()).first;
-            found->second = {std::move(octets), ++s.versions};
+            if (!there) found = s.groups.emplace(group, StoredGroup()).first;
+            found->second = {std::move(bytes), ++s.versions};
         }
-        return Wrote::Done;
+        return WriteResult::Done;
     }
     void scan(std::uint32_t shard, std::string_view after, std::size_t most, Page& page) const override {
         auto s = shards_.find(shard);
@@ -77,26 +77,25 @@
         auto s = shards_.find(shard);
         return s == shards_.end() ? std::string() : s->second.state;
     }
-    bool set_state(std::uint32_t shard, std::string octets) override {
-        shards_[shard].state = std::move(octets);
+    bool set_state(std::uint32_t shard, std::string bytes) override {
+        shards_[shard].state = std::move(bytes);
         return true;
     }
-    void bound(std::size_t most) { most_ = most; }
-    std::size_t octets(std::uint32_t shard) const {
+    void set_max_bytes(std::size_t max_bytes) { max_bytes_ = max_bytes; }
+    std::size_t bytes(std::uint32_t shard) const {
         auto s = shards_.find(shard);
-        return s == shards_.end() ? 0 : s->second.octets;
+        return s == shards_.end() ? 0 : s->second.bytes;
     }
 
 private:
     struct Shard {
-        std::map<std::string, Held, std::less<>> groups;
+        std::map<std::string, StoredGroup, std::less<>> groups;
         std::string state;
-        std::size_t octets = 0;
-        std::uint64_t versions =
-            0;  ///< of the shard, so that a group written anew has no version that another had
+        std::size_t bytes = 0;
+        std::uint64_t versions = 0;  ///< of the shard, so that a version is never reused after an erase
     };
     std::map<std::uint32_t, Shard> shards_;
-    std::size_t most_;
+    std::size_t max_bytes_;
 };
 
 }  // namespace ochrehub::schema_migration
