--- a/lab/bench/channel_bench.cpp
+++ b/lab/bench/channel_bench.cpp
@@ -51,26 +51,26 @@
     PeerConnections keeper(world.io, world.clock, kAny, named(1, keys), 1);
     std::uint64_t got = 0;
     double began = 0, ended = 0;
-    keeper.deliver = [&](const Peer&, MessageKind, std::string) { ++got, ended = seconds(); };
-    std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
+    keeper.on_message = [&](const Peer&, MessageKind, std::string) { ++got, ended = seconds(); };
+    std::string address = "127.0.0.1:" + std::to_string(keeper.listen_address().port());
     int child = fork();
     if (child == 0) {  // the other process sends as much as its queue accepts
         World other;
         PeerConnections node(other.io, other.clock, std::nullopt, named(2, keys), 2);
         bool up = false;
-        node.up = [&](const Peer&) { up = true; };
+        node.on_connected = [&](const Peer&) { up = true; };
         node.dial(address);
         other.until([&] { return up; });
         std::string body(kBody, 'x');
         for (double end = seconds() + length; seconds() < end; other.io.poll())
-            while (node.queued(1) < 100000 && node.send(1, MessageKind::Shard, body)) {
+            while (node.queued_bytes(1) < 100000 && node.send(1, MessageKind::Shard, body)) {
             }
-        other.until([&] { return node.queued(1) == 0; });
+        other.until([&] { return node.queued_bytes(1) == 0; });
         _exit(0);
     }
     bool over = false;
-    keeper.up = [&](const Peer&) { began = seconds(); };
-    keeper.down = [&](const Peer&, Error) { over = true; };
+    keeper.on_connected = [&](const Peer&) { began = seconds(); };
+    keeper.on_disconnected = [&](const Peer&, Error) { over = true; };
     world.until([&] { return over; });
     waitpid(child, nullptr, 0);
     keeper.close();
@@ -101,7 +101,7 @@
     auto put = [&](Channel& to, const Event& event) {
         Actions actions;
         to.handle(now, event, actions);
-        return std::get<WriteBytes>(actions.front()).octets;
+        return std::get<WriteBytes>(actions.front()).bytes;
     };
     std::string hello = put(a, Opened{}), answer = put(b, Opened{}), ready = put(b, BytesReceived{hello});
     hand(a, b, BytesReceived{answer});
@@ -117,7 +117,7 @@
 void memory(std::size_t connections) {
     World world;
     PeerConnections keeper(world.io, world.clock, kAny, named(1, true), 1);
-    std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
+    std::string address = "127.0.0.1:" + std::to_string(keeper.listen_address().port());
     int child = fork();
     if (child == 0) {
         World other;
@@ -131,7 +131,7 @@
         _exit(0);
     }
     std::size_t before = mallinfo2().uordblks;
-    world.until([&] { return keeper.peers() == connections; });
+    world.until([&] { return keeper.peer_count() == connections; });
     std::printf("memory: %zu idle connections, %zu octets each on the accepting side\n", connections,
                 (mallinfo2().uordblks - before) / connections);
     kill(child, SIGKILL);
@@ -143,16 +143,16 @@
 void slow_reader() {
     World world;
     PeerConnections keeper(world.io, world.clock, kAny, named(1, true), 1);
-    std::string address = "127.0.0.1:" + std::to_string(keeper.at().port());
+    std::string address = "127.0.0.1:" + std::to_string(keeper.listen_address().port());
     int child = fork();
     if (child == 0) {
         World other;
         PeerConnections node(other.io, other.clock, std::nullopt, named(2, true), 2);
-        node.deliver = [](const Peer&, MessageKind, std::string) { raise(SIGSTOP); };
+        node.on_message = [](const Peer&, MessageKind, std::string) { raise(SIGSTOP); };
         node.dial(address);
         for (;;) other.io.run_one();
     }
-    world.until([&] { return keeper.peers() == 1; });
+    world.until([&] { return keeper.peer_count() == 1; });
     keeper.send(2, MessageKind::Shard, "stand still");
     while (waitpid(child, nullptr, WUNTRACED | WNOHANG) == 0) world.io.poll();
     std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd, most = 0;
@@ -162,7 +162,7 @@
         most = std::max(most, mallinfo2().uordblks + mallinfo2().hblkhd - before);
     }
     std::printf("memory: a reader that stands still: %zu octets wait, %zu octets of memory\n",
-                keeper.queued(2), most);
+                keeper.queued_bytes(2), most);
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
     keeper.close();
--- a/tests/fleet/channel_mutants.cmake
+++ b/tests/fleet/channel_mutants.cmake
@@ -18,7 +18,7 @@
 channel_mutant(accepts_any_cluster channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance "/Error::Cluster, actions/d")
 channel_mutant(accepts_any_version channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance "/Error::Version, actions/d")
 channel_mutant(accepts_unsigned_frames channel Channel.ClosesOnOtherVersionClusterKeyOrOwnInstance
-  "/bytes.8. != own.8./d; s/if (bytes.size() < fleet::kTagBytes) return std::nullopt/if (octets.size() < 300) return bytes/")
+  "/bytes.8. != own.8./d; s/if (bytes.size() < fleet::kTagBytes) return std::nullopt/if (bytes.size() < 300) return bytes/")
 channel_mutant(skips_tag_check channel Channel.NeverDeliversCorruptedBytesWithKeys 
   "/receive_mac_->update(channel.frames_received_ + 1)/{n;s/return std::nullopt;/return body;/}")
 channel_mutant(shares_keys_between_connections channel Channel.RefusesFramesReplayedFromAnotherConnection "s/.update(sender).update(receiver)//")
